--- a/membership/src/watch.rs
+++ b/membership/src/watch.rs
@@ -31,18 +31,48 @@
 /// one within 200 ms.
 pub const PAUSE: Span = 100 * MS;
 
+/// The wait of a watch's calls at a local agent. Calls cost it nothing, and its silence is noticed only after the wait.
+pub const LOCAL_WAIT: Span = 250 * MS;
+/// The wait of the calls by which a watch of a local agent is opened, also while the agent stays silent: what it holds
+/// counts as told from the moment at which it can be called again.
+pub const LOCAL_OPENING: Span = 40 * MS;
+/// What a local agent's answer may be late, beyond the wait; also the longest time for a connection to it.
+pub const LOCAL_LATE: Span = 60 * MS;
+/// The pause before a local agent is called again after a call that failed.
+pub const LOCAL_RETRY: Span = 50 * MS;
+/// How long the rest of a local agent's answer may take, beyond its beginning.
+pub const LOCAL_REST: Span = 1000 * MS;
+
 // A watch whose call has fallen silent is open again, after one further call, before what it missed counts as told.
 const _: () = assert!(WAIT + LATE + LATE < TOLD && LATE + LATE < TOLD_AFTER_WAIT && BUSY_WAIT > TOLD);
 // So is one whose first call fell silent, also if a connection that does not come up is in between.
 const _: () = assert!(OPENING + TURN + LATE + CONNECT + LATE < TOLD);
+// A silent local agent is called anew so often that the shortest usual drain grace, 250 ms, is kept at its return, with
+// 150 ms for which the process may be held up.
+const _: () = assert!(LOCAL_OPENING + LOCAL_LATE <= 100 * MS && LOCAL_LATE + LOCAL_RETRY <= 110 * MS);
+const _: () = assert!(LOCAL_WAIT + LOCAL_LATE + LOCAL_OPENING + LOCAL_LATE < TOLD);
+
+/// Who serves the list.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ListService {
+    /// One service for all routers: each call is work for it, so its caller decides when one that failed is repeated.
+    Shared,
+    /// An agent on this machine, to which changes are pushed. Whatever it holds counts as told, whether or not it is
+    /// being watched: it is called from the start on, and at once after each call that failed.
+    LocalAgent,
+}
 
 /// One call: for what is newer than a version, or for the whole list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Call {
     /// The version known, and how long the call may wait for a newer one; none: the whole list is asked for.
     pub since: Option<(u64, Span)>,
-    /// When its silence is a failure, counted from the end of its writing.
+    /// When its silence is a failure, counted from its sending.
     pub patience: Span,
+    /// When an answer that has begun and is not whole is a failure, counted from the same moment.
+    pub whole_within: Span,
+    /// A connection that is not made by then has failed.
+    pub connect: Span,
 }
 
 /// How a call ended.
@@ -91,6 +121,7 @@
 /// The calls of one list.
 #[derive(Debug)]
 pub struct Watch {
+    service: ListService,
     version: Option<u64>,
     /// When the call that is out began.
     began: Time,
@@ -103,9 +134,14 @@
 }
 
 impl Watch {
-    /// With a list of this version, if there is one.
-    pub fn new(version: Option<u64>) -> Watch {
-        Watch { version, began: 0, wait: 0, is_open: false, busy_until: 0 }
+    /// Of this service, with a list of this version, if there is one.
+    pub fn new(service: ListService, version: Option<u64>) -> Watch {
+        Watch { service, version, began: 0, wait: 0, is_open: false, busy_until: 0 }
+    }
+
+    /// The call that is made at the start without being asked for.
+    pub fn first_call(&mut self, now: Time) -> Option<Call> {
+        (self.service == ListService::LocalAgent).then(|| self.ask(now, Ask::Changes))
     }
 
     /// Calls follow one another without being asked for.
@@ -120,41 +156,79 @@
 
     /// The call for what is asked.
     pub fn ask(&mut self, now: Time, ask: Ask) -> Call {
-        self.begin(now, ask, OPENING, TURN)
+        self.open(now, ask)
+    }
+
+    /// The first call of a watch.
+    fn open(&mut self, now: Time, ask: Ask) -> Call {
+        match self.service {
+            ListService::Shared => self.begin(now, ask, OPENING, TURN),
+            ListService::LocalAgent => self.begin_local(now, ask, LOCAL_OPENING),
+        }
+    }
+
+    /// A further call of an open watch.
+    fn continue_watch(&mut self, now: Time) -> Call {
+        match self.service {
+            ListService::Shared => self.begin(now, Ask::Changes, WAIT, 0),
+            ListService::LocalAgent => self.begin_local(now, Ask::Changes, LOCAL_WAIT),
+        }
     }
 
     fn begin(&mut self, now: Time, ask: Ask, wait: Span, turn: Span) -> Call {
         // One call less for a busy service: the first one is the watch already.
         let (wait, turn) = if now < self.busy_until { (BUSY_WAIT, 0) } else { (wait, turn) };
-        let since = self.version.filter(|_| ask == Ask::Changes).map(|version| (version, wait));
-        (self.began, self.wait) = (now, since.map_or(0, |s| s.1));
+        let since = self.since(now, ask, wait);
         // The whole list waits for nothing but its turn.
         let patience = if since.is_some() { wait + turn } else { TURN };
-        Call { since, patience: patience + LATE }
+        let patience = patience + LATE;
+        Call { since, patience, whole_within: patience, connect: CONNECT }
+    }
+
+    fn begin_local(&mut self, now: Time, ask: Ask, wait: Span) -> Call {
+        let since = self.since(now, ask, wait);
+        let patience = since.map_or(LOCAL_OPENING, |(_, wait)| wait) + LOCAL_LATE;
+        Call { since, patience, whole_within: patience + LOCAL_REST, connect: LOCAL_LATE }
+    }
+
+    /// Records the beginning of a call; says what it asks for and how long it may wait.
+    fn since(&mut self, now: Time, ask: Ask, wait: Span) -> Option<(u64, Span)> {
+        let since = self.version.filter(|_| ask == Ask::Changes).map(|version| (version, wait));
+        (self.began, self.wait) = (now, since.map_or(0, |s| s.1));
+        since
     }
 
     /// A call has ended at `now`.
     pub fn ended(&mut self, now: Time, ended: Ended) -> Then {
         let was_open = std::mem::replace(&mut self.is_open, false);
-        match ended {
-            Ended::Answered { version, news } => {
-                (self.version, self.is_open) = (Some(version), true);
-                // Answered early without news: calls that follow at once would keep both sides busy for nothing.
-                let is_early = !news && now.saturating_sub(self.began) < self.wait / 2;
-                let after = if is_early { PAUSE } else { 0 };
-                Then::Call { call: self.begin(now + after, Ask::Changes, WAIT, 0), after, quietly: false }
-            }
+        match (ended, self.service) {
+            (Ended::Answered { version, news }, _) => self.answered(now, version, news),
             // What has fallen silent is called anew at once, on a new connection: there is no time for a drawn
             // pause, and the routers' calls are out of step. A watch's first silence is no failure yet.
-            Ended::Silent => {
-                let call = self.begin(now, Ask::Changes, OPENING, TURN);
-                Then::Call { call, after: 0, quietly: was_open }
+            (Ended::Silent, ListService::Shared) => {
+                Then::Call { call: self.open(now, Ask::Changes), after: 0, quietly: was_open }
             }
-            Ended::TurnedAway => {
+            (Ended::TurnedAway, ListService::Shared) => {
                 self.busy_until = now + BUSY;
                 Then::Rest
             }
-            Ended::Failed => Then::Rest,
+            (Ended::Failed, ListService::Shared) => Then::Rest,
+            // A local agent that can't be reached learns nothing meanwhile: there is nothing to tell of it.
+            (Ended::Silent, ListService::LocalAgent) => {
+                Then::Call { call: self.open(now, Ask::Changes), after: 0, quietly: true }
+            }
+            (Ended::TurnedAway | Ended::Failed, ListService::LocalAgent) => {
+                let call = self.open(now + LOCAL_RETRY, Ask::Changes);
+                Then::Call { call, after: LOCAL_RETRY, quietly: true }
+            }
         }
     }
+
+    fn answered(&mut self, now: Time, version: u64, news: bool) -> Then {
+        (self.version, self.is_open) = (Some(version), true);
+        // Answered early without news: calls that follow at once would keep both sides busy for nothing.
+        let is_early = !news && now.saturating_sub(self.began) < self.wait / 2;
+        let after = if is_early { PAUSE } else { 0 };
+        Then::Call { call: self.continue_watch(now + after), after, quietly: false }
+    }
 }
--- a/membership/tests/watch.rs
+++ b/membership/tests/watch.rs
@@ -1,13 +1,16 @@
 //! The clocks by which a change of the list counts as told, on made-up time.
 
 use reelrill::Time;
-use reelrill_membership::watch::{Ask, Call, Ended, LATE, TOLD, TOLD_AFTER_WAIT, Then, Watch};
+use reelrill_membership::watch::{
+    Ask, Call, Ended, LATE, LOCAL_LATE, LOCAL_RETRY, LOCAL_WAIT, ListService, TOLD, TOLD_AFTER_WAIT, Then,
+    Watch,
+};
 use rstest::rstest;
 
 const MS: Time = 1_000_000;
 
 fn open(version: u64) -> (Watch, Call) {
-    let mut watch = Watch::new(Some(version));
+    let mut watch = Watch::new(ListService::Shared, Some(version));
     watch.ask(0, Ask::Changes);
     let Then::Call { call, .. } = watch.ended(0, Ended::Answered { version, news: true }) else { panic!() };
     (watch, call)
@@ -52,7 +55,7 @@
 #[case(Some(7), Ask::Whole)]
 #[case(None, Ask::Changes)]
 fn a_first_call_may_wait_for_its_turn(#[case] version: Option<u64>, #[case] ask: Ask) {
-    let call = Watch::new(version).ask(0, ask);
+    let call = Watch::new(ListService::Shared, version).ask(0, ask);
     let waits = call.since.map_or(0, |s| s.1);
     assert!(call.patience > waits + 2000 * MS && call.patience < TOLD - 2000 * MS, "{call:?}");
     assert_eq!(call.since.is_some(), version.is_some() && ask == Ask::Changes);
@@ -109,3 +112,46 @@
     assert_eq!(watch.ended(MS, Ended::Failed), Then::Rest);
     assert!(!watch.is_open());
 }
+
+fn open_at_agent(version: u64) -> (Watch, Call) {
+    let mut watch = Watch::new(ListService::LocalAgent, Some(version));
+    watch.first_call(0).expect("a call at the start");
+    let Then::Call { call, .. } = watch.ended(0, Ended::Answered { version, news: true }) else { panic!() };
+    (watch, call)
+}
+
+/// A local agent is called at the start without being asked for; a service of all routers is not.
+#[test]
+fn only_a_local_agent_is_called_at_the_start() {
+    for version in [None, Some(7)] {
+        let call = Watch::new(ListService::LocalAgent, version).first_call(0).expect("a call");
+        assert_eq!(call.since.map(|s| s.0), version);
+        assert_eq!(Watch::new(ListService::Shared, version).first_call(0), None);
+    }
+}
+
+/// A call that fails at a local agent, in whatever way, is followed by another within 0.1 s, without being asked for,
+/// and never for the whole list again.
+#[rstest]
+#[case(Ended::Failed)]
+#[case(Ended::TurnedAway)]
+#[case(Ended::Silent)]
+fn a_local_agent_is_called_again_at_once_for_what_is_newer(#[case] how: Ended) {
+    let (mut watch, call) = open_at_agent(7);
+    assert_eq!(call.since, Some((7, LOCAL_WAIT)));
+    let mut now = call.patience;
+    for _ in 0..100 {
+        let Then::Call { call, after, .. } = watch.ended(now, how) else { panic!("it rests") };
+        assert!(after <= LOCAL_RETRY && call.patience <= 100 * MS && call.connect <= LOCAL_LATE);
+        assert_eq!(call.since.map(|s| s.0), Some(7));
+        now += after + call.patience;
+    }
+}
+
+/// A watch of a local agent that falls silent is open again long before what it misses counts as told.
+#[test]
+fn a_silent_watch_of_a_local_agent_is_opened_anew_within_half_a_second() {
+    let (mut watch, call) = open_at_agent(7);
+    let Then::Call { call: next, after: 0, .. } = watch.ended(call.patience, Ended::Silent) else { panic!() };
+    assert!(call.patience + next.connect + next.patience < 500 * MS);
+}
--- a/router/src/http.rs
+++ b/router/src/http.rs
@@ -9,6 +9,8 @@
 use std::rc::Rc;
 
 const LARGEST: usize = 8 * 1024 * 1024;
+/// The status of an answer that holds a list.
+const OK: u16 = 200;
 
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
@@ -62,30 +64,47 @@
         self.reason = reason;
     }
 
-    pub async fn get(&mut self, path: &str) -> Result<Vec<u8>, HttpError> {
-        let result = self.exchange(path).await;
-        self.reason = match &result {
-            Err(HttpError::Io(e)) if e.kind() == std::io::ErrorKind::UnexpectedEof => CloseReason::Eof,
-            Err(HttpError::Io(_)) => CloseReason::Reset,
-            Err(HttpError::Parse(_) | HttpError::Length) => CloseReason::Malformed,
-            Err(HttpError::Status(_)) => CloseReason::TurnedAway,
-            Ok(_) => CloseReason::Replaced,
-        };
+    /// Asks for what is at `path`; returns once an answer has begun.
+    pub async fn request(&mut self, path: &str) -> Result<(), HttpError> {
+        let result = self.send(path).await;
+        self.note_end(result.as_ref().err());
+        result
+    }
+
+    /// The body of the answer that has begun.
+    pub async fn response(&mut self) -> Result<Vec<u8>, HttpError> {
+        let result = self.read_response().await;
+        self.note_end(result.as_ref().err());
         result
     }
 
-    async fn exchange(&mut self, path: &str) -> Result<Vec<u8>, HttpError> {
+    /// Why the connection will have ended if it is dropped after this.
+    fn note_end(&mut self, error: Option<&HttpError>) {
+        self.reason = match error {
+            Some(HttpError::Io(e)) if e.kind() == std::io::ErrorKind::UnexpectedEof => CloseReason::Eof,
+            Some(HttpError::Io(_)) => CloseReason::Reset,
+            Some(HttpError::Parse(_) | HttpError::Length) => CloseReason::Malformed,
+            Some(HttpError::Status(_)) => CloseReason::TurnedAway,
+            None => CloseReason::Replaced,
+        };
+    }
+
+    async fn send(&mut self, path: &str) -> Result<(), HttpError> {
         let head = format!("GET {path} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n", self.host);
         (&self.stream).write_all(head.as_bytes()).await?;
-        let (status, length) = loop {
-            if let Some((head_len, status, length, keep)) = read_head(self.buffer.bytes())? {
-                self.buffer.consume(head_len);
-                self.keep = keep;
-                break (status, length);
+        if self.buffer.bytes().is_empty() { self.more().await } else { Ok(()) }
+    }
+
+    async fn read_response(&mut self) -> Result<Vec<u8>, HttpError> {
+        let head = loop {
+            if let Some((len, head)) = read_head(self.buffer.bytes())? {
+                self.buffer.consume(len);
+                break head;
             }
             self.more().await?;
         };
-        let body = match length {
+        self.keep = head.keep;
+        let body = match head.length {
             Length::Fixed(n) => self.take(n).await?,
             Length::Chunked => self.chunks().await?,
             Length::ToEnd => {
@@ -98,7 +117,7 @@
                 self.buffer.bytes().to_vec()
             }
         };
-        if status == 200 { Ok(body) } else { Err(HttpError::Status(status)) }
+        if head.status == OK { Ok(body) } else { Err(HttpError::Status(head.status)) }
     }
 
     async fn more(&mut self) -> Result<(), HttpError> {
@@ -145,9 +164,15 @@
     }
 }
 
-type Head = (usize, u16, Length, bool);
+/// The head of an answer.
+struct Head {
+    status: u16,
+    length: Length,
+    keep: bool,
+}
 
-fn read_head(bytes: &[u8]) -> Result<Option<Head>, HttpError> {
+/// Reads a head, if it is there whole, and says how many bytes it takes.
+fn read_head(bytes: &[u8]) -> Result<Option<(usize, Head)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; 48];
     let mut response = httparse::Response::new(&mut headers);
     let httparse::Status::Complete(len) = response.parse(bytes)? else { return Ok(None) };
@@ -163,5 +188,5 @@
             keep = !value.eq_ignore_ascii_case("close");
         }
     }
-    Ok(Some((len, response.code.unwrap_or(0), length, keep)))
+    Ok(Some((len, Head { status: response.code.unwrap_or(0), length, keep })))
 }
--- a/router/src/roster.rs
+++ b/router/src/roster.rs
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use futures_lite::future::or;
 use reelrill::{ListKind, Span, Time};
-use reelrill_membership::watch::{self, Ask, Watch};
+use reelrill_membership::watch::{self, Ask, ListService, Watch};
 use slog::{debug, info, o, warn};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -49,11 +49,17 @@
 /// Runs until the decider's end of `calls` is dropped. `places` brings the address of discovery whenever the
 /// configuration has been read again.
 pub async fn run(shared: Rc<Shared>, calls: Receiver<Call>, places: Receiver<SocketAddr>) {
-    let mut watch = Watch::new(shared.config.known.0);
+    let service = if shared.config.site.settings.must_subscribe {
+        ListService::Shared
+    } else {
+        ListService::LocalAgent
+    };
+    let mut watch = Watch::new(service, shared.config.known.0);
     let discovery = Cell::new(shared.config.discovery);
     let roster = Roster { shared, discovery, connection: Cell::default(), began: Cell::default() };
     // The call to be made next, and the pause before it.
-    let mut call: Option<(watch::Call, Span)> = None;
+    let first = watch.first_call(roster.shared.clock.now());
+    let mut call: Option<(watch::Call, Span)> = first.map(|call| (call, 0));
     loop {
         let place = async {
             match places.recv().await {
@@ -156,15 +162,19 @@
                 let log = self.shared.log.new(o!());
                 let open =
                     async { Ok(Connection::open(self.discovery.get(), &self.shared.memory, log).await?) };
-                or(open, silent(watch::CONNECT)).await?
+                or(open, silent(call.connect)).await?
             }
         };
-        let body = match or(async { Ok(connection.get(&path).await) }, silent(call.patience)).await {
-            Ok(answered) => answered?,
-            Err(e) => {
+        let response = async {
+            or(async { Ok(connection.request(&path).await?) }, silent(call.patience)).await?;
+            Ok(connection.response().await?)
+        };
+        let body = match or(response, silent(call.whole_within)).await {
+            Err(CallError::Silent) => {
                 connection.end(CloseReason::Silent);
-                return Err(e);
+                return Err(CallError::Silent);
             }
+            ended => ended?,
         };
         if connection.keeps() {
             self.connection.set(Some(connection));
