--- a/router/src/counters.rs
+++ b/router/src/counters.rs
@@ -49,6 +49,8 @@
     /// Connections to instances, and those that did not come up: the instance had no room, it refused or broke off,
     /// it said nothing in time; probes.
     dials, dials_turned_away, dials_broken, dials_silent, probes,
+    /// Connection pools of endpoints that were started at a first use, and those that were retired after a quiet time.
+    pools_started, pools_retired,
     /// Calls to discovery, and those that ended with another status than 200, in silence, broke, or brought no list.
     list_calls, list_turned_away, list_silent, list_broken, list_unreadable,
 }
--- a/router/src/decider.rs
+++ b/router/src/decider.rs
@@ -3,7 +3,7 @@
 
 use crate::counters::count;
 use crate::exchange::{Attempt, Call, Ended, Incoming, Listed, Mark, Message, Reply, ReplyTo};
-use crate::peer::{self, Handle, Order};
+use crate::peer::{Order, PoolHandle};
 use crate::shared::Shared;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -53,7 +53,7 @@
     executor: Rc<LocalExecutor<'static>>,
     brain: Brain,
     roster: Sender<Call>,
-    peers: HashMap<MemberId, Handle>,
+    peers: HashMap<MemberId, PoolHandle>,
     open: HashMap<RequestId, Open>,
     /// The clients' names of the requests that are owed an answer.
     named: HashSet<u64>,
@@ -236,15 +236,8 @@
                 }
                 continue;
             }
-            let handle = self.peers.entry(entry.member.clone()).or_insert_with(|| {
-                peer::start(&self.shared, &self.executor, entry.member.clone(), *endpoint)
-            });
-            let leaving = (entry.state == State::Draining).then(|| handle.told.leaving.get().unwrap_or(now));
-            handle.told.leaving.set(leaving);
-            if handle.told.endpoint.replace(*endpoint) != *endpoint {
-                // A full mailbox means that the peer is about to look anyway.
-                let _ = handle.orders.try_send(Order::Told);
-            }
+            let pool = self.peers.entry(entry.member.clone()).or_insert_with(|| PoolHandle::new(*endpoint));
+            pool.update(*endpoint, entry.state == State::Draining, now);
         }
         if !self.peers.is_empty() {
             self.shared.ready.raise();
@@ -283,8 +276,9 @@
                 self.due.push(Reverse((now.saturating_add(after), Due::Timer(token))));
             }
             Action::Probe { member } => {
-                let sent = self.peers.get(&member).is_some_and(|p| p.orders.try_send(Order::Probe).is_ok());
-                if !sent {
+                let pool = self.peers.get(&member);
+                let sent = pool.map(|p| p.send(&self.shared, &self.executor, &member, Order::Probe));
+                if sent != Some(Ok(())) {
                     let (ending, report) = (Ending::ConnectFailed, Standing::default());
                     self.events.push_back(Event::Probed { member, ending, report });
                 }
@@ -348,11 +342,12 @@
         let left = open.left.clone();
         let ask = open.ask.clone();
         let attempt = Attempt { request, number, ask, until, by, given_up, left, written };
-        let unordered = match self.peers.get(&member) {
-            Some(peer) => peer.orders.try_send(Order::Attempt(attempt)).err().map(|_| Ending::Unsent),
-            None => Some(Ending::ConnectFailed),
+        let order = Order::Attempt(Box::new(attempt));
+        let ordered = match self.peers.get(&member) {
+            Some(pool) => pool.send(&self.shared, &self.executor, &member, order).map_err(|_| Ending::Unsent),
+            None => Err(Ending::ConnectFailed),
         };
-        if let Some(ending) = unordered {
+        if let Err(ending) = ordered {
             return self.resolve(request, number, Ended::silent(ending));
         }
         if limit.is_some() {
--- a/router/src/peer/mod.rs
+++ b/router/src/peer/mod.rs
@@ -1,4 +1,8 @@
-//! One instance's actor: its pool of connections, the attempts that wait for one, and probes.
+//! The connection pool of one endpoint: idle connections, the attempts that wait for one, and probes.
+//!
+//! A fleet's list has thousands of endpoints, and a router uses few of them at a time. A [`PoolHandle`] holds what
+//! the list says of its endpoint; the pool's task and mailboxes are started by the first command and retired after
+//! a quiet time, in which the pool has no connection, no waiting attempt and nothing in flight.
 
 mod link;
 
@@ -12,10 +16,10 @@
 use futures_lite::future::or;
 use link::{Fault, Link};
 use reelrill::{Ending, MemberId, Span, Time};
-use std::cell::Cell;
+use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
-use std::rc::Rc;
+use std::rc::{Rc, Weak};
 use std::time::Duration;
 
 /// Part of the idle limit after which a pooled connection is retired: the instance's own clock must not
@@ -27,16 +31,17 @@
     assert!(RETIRE * (1.0 + 1.0 / SWEEPS as f64) < 1.0, "an idle connection would outlive its limit");
 /// Part of the drain grace that a send's first byte may use up, counted from being told.
 const DRAIN: f64 = 0.8;
-/// The room of a mailbox is taken up at once, and there is one of each for every member on the list: in a fleet's list of
-/// 120 members a thousand places each were most of the memory limit.
+/// Commands that may wait for a pool. The channel allocates all of its slots at once.
 const MAILBOX: usize = 256;
+/// A pool that has held nothing for this long is retired; a new one costs some kilobytes and no connection.
+const QUIET_TIME: Duration = Duration::from_secs(2);
 /// What dials and attempts hand back; they wait for a place.
 const HANDED_BACK: usize = 16;
 
 /// What the list says of the instance now; read again before each send.
-pub struct Told {
-    pub endpoint: Cell<SocketAddr>,
-    pub leaving: Cell<Option<Time>>,
+struct Told {
+    endpoint: Cell<SocketAddr>,
+    leaving: Cell<Option<Time>>,
 }
 
 impl Told {
@@ -55,24 +60,87 @@
 }
 
 pub enum Order {
-    Attempt(Attempt),
+    Attempt(Box<Attempt>),
     Probe,
     /// The endpoint or the state has changed.
     Told,
 }
 
-/// The decider's end of a peer; dropping it ends the actor once nothing waits.
-pub struct Handle {
-    pub orders: Sender<Order>,
-    pub told: Rc<Told>,
+/// Where a running pool takes its commands; empty while there is none.
+type Commands = RefCell<Option<Sender<Order>>>;
+
+/// The dispatcher's view of one listed endpoint. Dropping it ends the pool: attempts that still wait are not sent.
+pub struct PoolHandle {
+    told: Rc<Told>,
+    commands: Rc<Commands>,
+}
+
+impl PoolHandle {
+    pub fn new(address: SocketAddr) -> PoolHandle {
+        let told = Told { endpoint: Cell::new(address), leaving: Cell::new(None) };
+        PoolHandle { told: Rc::new(told), commands: Rc::default() }
+    }
+
+    /// Takes over what the list says now. A drain that is already known keeps its start.
+    pub fn update(&self, address: SocketAddr, is_draining: bool, now: Time) {
+        let draining_since = self.told.leaving.get().unwrap_or(now);
+        self.told.leaving.set(is_draining.then_some(draining_since));
+        if self.told.endpoint.replace(address) != address
+            && let Some(commands) = &*self.commands.borrow()
+        {
+            // A full mailbox means that the pool is about to look anyway.
+            let _ = commands.try_send(Order::Told);
+        }
+    }
+
+    /// Hands a command to the pool, which is started if none is running. Fails while its mailbox is full.
+    pub fn send(
+        &self,
+        shared: &Rc<Shared>,
+        executor: &Rc<LocalExecutor<'static>>,
+        member: &MemberId,
+        order: Order,
+    ) -> Result<(), PoolBusy> {
+        let mut commands = self.commands.borrow_mut();
+        let commands = commands.get_or_insert_with(|| self.start(shared, executor, member));
+        commands.try_send(order).map_err(|_| PoolBusy)
+    }
+
+    fn start(
+        &self,
+        shared: &Rc<Shared>,
+        executor: &Rc<LocalExecutor<'static>>,
+        member: &MemberId,
+    ) -> Sender<Order> {
+        count(&shared.counters.pools_started);
+        let (commands, inbox) = async_channel::bounded(MAILBOX);
+        let (news, back) = async_channel::bounded(HANDED_BACK);
+        let pool = Peer {
+            shared: shared.clone(),
+            executor: executor.clone(),
+            member: member.clone(),
+            told: self.told.clone(),
+            commands: Rc::downgrade(&self.commands),
+            idle: Vec::new(),
+            waiting: VecDeque::new(),
+            dialling: 0,
+            news,
+        };
+        executor.spawn(pool.run(inbox, back)).detach();
+        commands
+    }
 }
 
+/// The pool's mailbox is full: the command was not taken.
+#[derive(Debug, PartialEq, Eq)]
+pub struct PoolBusy;
+
 /// What is to be done on a connection; without an attempt it is a probe.
-type Job = Option<Attempt>;
+type Job = Option<Box<Attempt>>;
 
 enum News {
-    Dialled(Result<Link, Ending>),
-    Back(Link),
+    Dialled(Result<Box<Link>, Ending>),
+    Back(Box<Link>),
 }
 
 struct Peer {
@@ -80,6 +148,8 @@
     executor: Rc<LocalExecutor<'static>>,
     member: MemberId,
     told: Rc<Told>,
+    /// Gone once the handle has been dropped.
+    commands: Weak<Commands>,
     idle: Vec<Link>,
     /// Those without a connection, and since when.
     waiting: VecDeque<(Time, Job)>,
@@ -87,29 +157,6 @@
     news: Sender<News>,
 }
 
-pub fn start(
-    shared: &Rc<Shared>,
-    executor: &Rc<LocalExecutor<'static>>,
-    member: MemberId,
-    endpoint: SocketAddr,
-) -> Handle {
-    let (orders, inbox) = async_channel::bounded(MAILBOX);
-    let (news, back) = async_channel::bounded(HANDED_BACK);
-    let told = Rc::new(Told { endpoint: Cell::new(endpoint), leaving: Cell::new(None) });
-    let peer = Peer {
-        shared: shared.clone(),
-        executor: executor.clone(),
-        member,
-        told: told.clone(),
-        idle: Vec::new(),
-        waiting: VecDeque::new(),
-        dialling: 0,
-        news,
-    };
-    executor.spawn(peer.run(inbox, back)).detach();
-    Handle { orders, told }
-}
-
 enum Next {
     Order(Option<Order>),
     News(News),
@@ -121,6 +168,8 @@
     Freed,
     /// What has waited longest got no descriptor in time.
     Late,
+    /// Nothing has happened for [`QUIET_TIME`].
+    Quiet,
 }
 
 impl Peer {
@@ -164,8 +213,15 @@
                 self.shared.upstream.freed().await;
                 Next::Freed
             };
+            let quiet = async {
+                if !self.idle.is_empty() || !self.waiting.is_empty() {
+                    futures_lite::future::pending::<()>().await;
+                }
+                Timer::after(QUIET_TIME).await;
+                Next::Quiet
+            };
             let order = async { Next::Order(inbox.recv().await.ok()) };
-            match or(news, or(order, or(or(freed, late), or(spare, sweep)))).await {
+            match or(news, or(order, or(or(freed, late), or(or(spare, sweep), quiet)))).await {
                 Next::Order(Some(Order::Attempt(attempt))) => self.wait(Some(attempt)),
                 Next::Order(Some(Order::Probe)) => self.wait(None),
                 Next::Order(Some(Order::Told)) => self.drop_moved(),
@@ -177,11 +233,11 @@
                     self.idle.drain(..).for_each(|l| l.end(CloseReason::Moved));
                     return;
                 }
-                Next::News(News::Back(link)) => self.keep(link),
+                Next::News(News::Back(link)) => self.keep(*link),
                 Next::News(News::Dialled(result)) => {
                     self.dialling -= 1;
                     match result {
-                        Ok(link) => self.keep(link),
+                        Ok(link) => self.keep(*link),
                         Err(ending) => self.dial_failed(ending).await,
                     }
                 }
@@ -190,6 +246,17 @@
                     self.idle.remove(0).end(CloseReason::Evicted);
                 }
                 Next::Spare | Next::Freed => {}
+                Next::Quiet => {
+                    if self.is_unused(&inbox) {
+                        // The next command finds no pool and starts one. Nothing else runs between this step and
+                        // the look at the mailbox: all tasks share one thread.
+                        if let Some(commands) = self.commands.upgrade() {
+                            commands.take();
+                        }
+                        count(&self.shared.counters.pools_retired);
+                        return;
+                    }
+                }
                 Next::Late => {
                     // The one that has waited longest takes the first connection, so it is the first to give up.
                     if let Some((_, job)) = self.waiting.pop_front() {
@@ -208,6 +275,12 @@
         }
     }
 
+    /// Holds no connection and no attempt: each dial and each attempt in flight has a sender of its own.
+    fn is_unused(&self, inbox: &Receiver<Order>) -> bool {
+        let in_flight = self.news.sender_count() - 1;
+        self.idle.is_empty() && self.waiting.is_empty() && inbox.is_empty() && in_flight == 0
+    }
+
     fn wait(&mut self, job: Job) {
         self.waiting.push_back((self.shared.clock.now(), job));
     }
@@ -259,7 +332,7 @@
 
     /// Gives idle connections to those that wait, and dials for the rest.
     async fn dispatch(&mut self, retire: u64) {
-        self.waiting.retain(|(_, job)| job.as_ref().is_none_or(Attempt::is_wanted));
+        self.waiting.retain(|(_, job)| job.as_ref().is_none_or(|a| a.is_wanted()));
         let now = self.shared.clock.now();
         // The grace counts to the first byte: what waited for a connection meanwhile may be too late.
         if self.told.is_closed_to_new(&self.shared) {
@@ -283,7 +356,7 @@
             let (dial, news) = (Link::dial(self.shared.clone(), member, endpoint, slot), self.news.clone());
             let task = async move {
                 // A link nobody takes ends with its log line.
-                let _ = news.send(News::Dialled(dial.await)).await;
+                let _ = news.send(News::Dialled(dial.await.map(Box::new))).await;
             };
             self.executor.spawn(task).detach();
         }
@@ -299,11 +372,11 @@
 }
 
 /// One attempt on its connection. Given up, it drops the connection: a late answer has nowhere to go.
-async fn attempt(shared: Rc<Shared>, told: Rc<Told>, news: Sender<News>, mut link: Link, a: Attempt) {
+async fn attempt(shared: Rc<Shared>, told: Rc<Told>, news: Sender<News>, mut link: Link, a: Box<Attempt>) {
     // Looked at again in the step in which the first byte is written: this task may have waited for its turn.
     let is_late = a.by.is_some_and(|by| shared.clock.now() >= by);
     if !a.is_wanted() || is_late || told.is_closed_to_new(&shared) {
-        let _ = news.send(News::Back(link)).await;
+        let _ = news.send(News::Back(Box::new(link))).await;
         if a.is_wanted() {
             let ended = Ended::silent(Ending::Unsent);
             let _ =
@@ -329,7 +402,7 @@
             let (standing, report, ready) = (response.standing, response.report, response.ready);
             let (ending, answer) = response.ending();
             if ready {
-                let _ = news.send(News::Back(link)).await;
+                let _ = news.send(News::Back(Box::new(link))).await;
             }
             Ended { ending, standing, report, answer }
         }
@@ -352,7 +425,7 @@
             let (standing, ready) = (response.standing, response.ready);
             let (ending, _) = response.ending();
             if ready {
-                let _ = news.send(News::Back(link)).await;
+                let _ = news.send(News::Back(Box::new(link))).await;
             }
             Ended { ending, standing, report, answer: None }
         }
--- /dev/null
+++ b/router/tests/upstream.rs
@@ -0,0 +1,127 @@
+//! The real program towards its endpoints: pools, faults of connections, drains and deadlines.
+
+mod common;
+
+use common::*;
+use rstest::rstest;
+use serde_json::{Value, json};
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+/// Where nobody listens.
+const UNUSED: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
+
+/// A list of `count` endpoints in replica sets of four.
+fn fleet(count: usize) -> Vec<Value> {
+    let line = |i: usize| {
+        let mut line = target(&format!("s-{i:08x}"), UNUSED, "ready");
+        line["pod_group"] = json!(i / 4);
+        line
+    };
+    (0..count).map(line).collect()
+}
+
+/// The peak resident memory of a process, in kB.
+fn peak_memory_kb(process: u32) -> u64 {
+    let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap();
+    let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
+    line.trim().trim_end_matches(" kB").parse().unwrap()
+}
+
+/// The peak memory of an idle router that was given a list of `count` endpoints at its start, and the same list from
+/// discovery then.
+fn idle_peak_kb(count: usize) -> u64 {
+    let list = fleet(count);
+    let discovery = Discovery::start(Some(list.clone()));
+    let router = start(&discovery, &list, 1024);
+    // The first call is made once the list of the configuration has been taken over, the next once a newer one has.
+    let has_called = |text: &str| {
+        let called = |c: &mut Vec<String>| c.iter().any(|path| path.contains(text)).then_some(());
+        discovery.calls.wait_for(LIMIT, called).is_some()
+    };
+    assert!(has_called("/api/targets"));
+    let at_start = peak_memory_kb(router.id());
+    discovery.publish(list);
+    assert!(has_called("since=2"));
+    println!("{count} endpoints: peak memory {at_start} kB with the list of the configuration");
+    assert!(router.counters().contains(" attempts=0 "));
+    peak_memory_kb(router.id())
+}
+
+/// Guards the memory of a router in a large fleet: 1.5 times that of a usual one, 8 MB, and 4 MB per thousand
+/// endpoints.
+#[test]
+fn a_list_of_3200_endpoints_stays_within_its_memory() {
+    let (usual, large) = (idle_peak_kb(200), idle_peak_kb(3200));
+    let most = usual * 3 / 2 + 8 * 1024 + 4 * 1024 * 32 / 10;
+    println!("peak memory: {usual} kB at 200, {large} kB at 3,200 endpoints, {most} kB allowed");
+    assert!(large <= most, "{large} kB with 3,200 endpoints, {usual} kB with 200: {most} kB allowed");
+}
+
+/// One endpoint whose idle connections end after half a second.
+fn quick_to_close(instance: &Instance) -> (Discovery, Router) {
+    let mut settings = settings();
+    settings["ceilings"]["idleClose"] = json!(500_000_000u64);
+    let list = vec![target("s-1", instance.address, "ready")];
+    let discovery = Discovery::start(Some(list.clone()));
+    let router = start_with(&discovery, &list, 1024, settings, None);
+    (discovery, router)
+}
+
+/// Guards against a pool that is retired under a request or does not come back.
+#[test]
+fn a_retired_pool_is_started_again_and_serves() {
+    let instance = Instance::start("master", Act::Serve);
+    let (_discovery, router) = quick_to_close(&instance);
+    let mut client = router.client();
+    assert!(router.counted("pools_started=0"));
+    for id in 1..=3 {
+        assert_eq!(client.ask(&read(id, 5000)).value, format!("{id:016x}"));
+        assert!(router.counted(&format!("pools_started={id}")));
+        assert!(router.counted(&format!("pools_retired={id}")));
+    }
+    assert!(router.counted("served=3"));
+}
+
+/// Guards an attempt in flight: its endpoint is silent for longer than the quiet time of a pool.
+#[test]
+fn a_pool_with_an_attempt_in_flight_is_not_retired() {
+    let instance = Instance::start("master", Act::Silence);
+    let (_discovery, router) = quick_to_close(&instance);
+    let mut client = router.client();
+    let begun = Instant::now();
+    assert_eq!(client.ask(&read(1, 4000)).code, "53300");
+    assert!(begun.elapsed() > Duration::from_secs(3));
+    let counters = router.counters();
+    assert!(counters.contains(" pools_started=1 "), "{counters}");
+}
+
+/// Guards what the list says of an endpoint whose pool has been retired: its drain binds, and so does its new address.
+#[rstest]
+#[case("draining", false)]
+#[case("ready", true)]
+fn a_retired_pool_keeps_what_the_list_says(#[case] state: &str, #[case] moves: bool) {
+    let (instance, other) = (Instance::start("master", Act::Serve), Instance::start("master", Act::Serve));
+    let (discovery, router) = quick_to_close(&instance);
+    let mut client = router.client();
+    assert_eq!(client.ask(&read(1, 5000)).value, format!("{:016x}", 1));
+    assert!(router.counted("pools_retired=1"));
+    let address = if moves { other.address } else { instance.address };
+    discovery.publish(vec![target("s-1", address, state)]);
+    let begun = Instant::now();
+    let is_over = || match moves {
+        true => other.seen.change(|s| !s.queries.is_empty()),
+        // The grace of a drain, with time for the list to come.
+        false => begun.elapsed() > Duration::from_secs(1),
+    };
+    let mut id = 1;
+    while !is_over() {
+        id += 1;
+        client.ask(&read(id, 500));
+        assert!(begun.elapsed() < LIMIT);
+    }
+    let asked = instance.seen.change(|s| s.queries.len());
+    let answer = client.ask(&read(id + 1, 500));
+    assert_eq!(answer.code.is_empty(), moves, "{answer:?}");
+    assert_eq!(instance.seen.change(|s| s.queries.len()), asked);
+}
