--- a/router/src/client.rs
+++ b/router/src/client.rs
@@ -14,7 +14,7 @@
 use futures_lite::AsyncWriteExt as _;
 use futures_lite::future::or;
 use pipeline::Pipeline;
-use reelrill::Time;
+use reelrill::{Span, Time};
 use reelrill_pgwire::frame::{self, FrameError};
 use reelrill_pgwire::frontend::{self, CommandError, Startup};
 use reelrill_pgwire::{backend, code};
@@ -43,7 +43,10 @@
 /// The pause after each piece thrown away: at full speed a client would use up the processor's share of others.
 const PACE: Duration = Duration::from_millis(3);
 /// While the router is ending, how long a new connection may take to send its first request.
-const FIRST_REQUEST: Duration = Duration::from_millis(400);
+const FIRST_REQUEST: Span = 400_000_000;
+/// How much earlier than the end of all reading a connection is closed on which nothing whole has come: what comes in
+/// between is still read.
+const LAST_LOOK: Span = 50_000_000;
 /// How long the rest of what a client sends is thrown away where the router closes a connection between requests.
 const CLOSING: Duration = Duration::from_millis(500);
 /// The same for one that has never asked anything and makes room for another.
@@ -314,14 +317,19 @@
             Waited::Done(CloseReason::Evicted)
         };
         let ending = async {
-            // What has begun to come is waited for: once its last byte is here, it is owed an answer.
-            if !is_between {
-                futures_lite::future::pending::<()>().await;
-            }
             shared.ending.wait().await;
-            if self.fresh.is_some() {
+            let now = shared.clock.now();
+            let told = shared.ended_at.get().unwrap_or(now);
+            let last = shared.last_read().unwrap_or(now).saturating_sub(LAST_LOOK);
+            let until = match (is_between, self.fresh.is_some()) {
+                // What has begun to come is waited for: once its last byte is here, it is owed an answer.
+                (false, _) => last,
                 // Its client would meet the same on any further connection, and lose its first request.
-                Timer::after(FIRST_REQUEST).await;
+                (true, true) => last.min(self.accepted.max(told).saturating_add(FIRST_REQUEST)),
+                (true, false) => now,
+            };
+            if until > now {
+                Timer::at(shared.clock.instant(until)).await;
             }
             Waited::Done(CloseReason::Shutdown)
         };
--- a/router/src/decider.rs
+++ b/router/src/decider.rs
@@ -192,6 +192,13 @@
             count(&self.shared.counters.client_left);
             return count(&self.shared.counters.left_unread);
         }
+        if self.shared.rejects_new() {
+            // Its client kept a connection open that is about to close: whatever is forwarded now may find the
+            // process killed.
+            count(&self.shared.counters.refused);
+            let _ = reply.to.try_send((reply.part, Reply::Refused { retry_after: None }));
+            return;
+        }
         if !self.named.insert(id) {
             // An id names one request: instances would take a second one under it for its copy.
             count(&self.shared.counters.rejected);
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -17,6 +17,7 @@
 mod peer;
 mod roster;
 mod shared;
+mod shutdown;
 
 use async_channel::Sender;
 use async_executor::LocalExecutor;
@@ -35,9 +36,8 @@
 /// Requests count as taken from the kernel's backlog on, so it must hold a burst.
 const BACKLOG: i32 = 4096;
 const MAILBOX: usize = 1024;
-/// After SIGTERM: the shortest stay, and the quiet after the last arrival that ends it.
-const STAY: Duration = Duration::from_millis(900);
-const QUIET: Duration = Duration::from_millis(500);
+/// After SIGTERM, the time without an arrival after which the process ends, if nobody is connected.
+const QUIESCENCE: Duration = Duration::from_millis(500);
 
 #[derive(Debug, thiserror::Error)]
 enum StartError {
@@ -182,15 +182,16 @@
 async fn until_ended(shared: &Shared) {
     shared.ending.wait().await;
     info!(shared.log, "ending");
-    let began = shared.clock.now();
+    let began = shared.ended_at.get().unwrap_or_else(|| shared.clock.now());
     // Clients keep coming for a while, by the listener and by the connections that they still hold.
     loop {
         Timer::after(Duration::from_millis(20)).await;
         let now = shared.clock.now();
-        let quiet = now.saturating_sub(shared.last_arrival.get()) > QUIET.as_nanos() as u64;
-        let stayed = now.saturating_sub(began) > STAY.as_nanos() as u64;
+        let spent = now.saturating_sub(began);
+        let is_quiet = now.saturating_sub(shared.last_arrival.get()) > QUIESCENCE.as_nanos() as u64;
+        let is_drained = spent > shared.shutdown.min_drain && is_quiet || spent > shared.shutdown.last_read;
         // The listener holds one slot for the connection that it waits for.
-        if quiet && stayed && shared.clients.used() <= 1 {
+        if is_drained && shared.clients.used() <= 1 {
             return;
         }
     }
--- a/router/src/shared.rs
+++ b/router/src/shared.rs
@@ -5,8 +5,9 @@
 use crate::counters::Counters;
 use crate::edge::Mode;
 use crate::exchange::{Message, News};
+use crate::shutdown::ShutdownSchedule;
 use event_listener::{Event, IntoNotification as _};
-use reelrill::{MemberId, Span, Time};
+use reelrill::{MemberId, Time};
 use reelrill_statements::account::Accounts;
 use reelrill_statements::admit::Catalog;
 use reelrill_statements::plan::Common;
@@ -211,6 +212,8 @@
     pub ending: Flag,
     /// When.
     pub ended_at: Cell<Option<Time>>,
+    /// What happens how long after that.
+    pub shutdown: ShutdownSchedule,
     /// When a connection or a request last came in.
     pub last_arrival: Cell<Time>,
     pub decider: async_channel::Sender<Message>,
@@ -292,12 +295,6 @@
 /// The part of the memory limit for large buffers. What a buffer holds may be copied twice on its way (statement,
 /// attempt), and the rest of the process needs some 5 MB.
 const LARGE: (usize, usize) = (1, 5);
-/// Of the longest deadline, what counts at the end of the process; the time beyond it in which the last answer goes
-/// out; and the time after which no further request is read: one that comes 0.7 s after the signal must be answered
-/// before the process is killed.
-const LONGEST_END: Span = 3_000_000_000;
-const LAST_ANSWER: Span = 500_000_000;
-const LAST_READ: Span = 600_000_000;
 /// What is thrown away is read in pieces of this size.
 const SCRATCH: usize = 64 * 1024;
 
@@ -311,6 +308,8 @@
         let most = config.sockets - SPARE;
         let for_clients = most * CLIENTS.0 / CLIENTS.1;
         let clock = Clock::new();
+        let deadlines = config.site.settings.classes.iter().map(|c| c.deadline);
+        let shutdown = ShutdownSchedule::new(deadlines.max().unwrap_or(0));
         let extended = &config.edge.extended;
         let common = Rc::new(Common {
             templates: Templates::new(extended.limits.text_bytes, extended.data_type.oid()),
@@ -329,6 +328,7 @@
             ready: Flag::default(),
             ending: Flag::default(),
             ended_at: Cell::new(None),
+            shutdown,
             last_arrival: Cell::new(clock.now()),
             clock,
             decider,
@@ -347,16 +347,25 @@
         }
     }
 
-    /// While the router is ending: when the last answer must be out. The process is killed no sooner than the longest
-    /// deadline and 0.7 s after it was told to end, and of the deadline only 3 s count.
+    /// While the router is ending: when the last answer must be out.
     pub fn last_answer(&self) -> Option<Time> {
-        let longest = self.config.site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        self.ended_at.get().map(|at| at.saturating_add(longest.min(LONGEST_END)).saturating_add(LAST_ANSWER))
+        self.ended_at.get().map(|at| at.saturating_add(self.shutdown.last_answer))
     }
 
-    /// While the router is ending, no further request is read after this time.
+    /// While the router is ending: when it stops reading.
+    pub fn last_read(&self) -> Option<Time> {
+        self.ended_at.get().map(|at| at.saturating_add(self.shutdown.last_read))
+    }
+
+    /// The router is ending, and a request that is read now is rejected.
+    pub fn rejects_new(&self) -> bool {
+        let last = self.ended_at.get().map(|at| at.saturating_add(self.shutdown.last_forward));
+        last.is_some_and(|last| self.clock.now() > last)
+    }
+
+    /// The router is ending, and reads nothing more.
     pub fn is_closed_to_new(&self) -> bool {
-        self.ended_at.get().is_some_and(|at| self.clock.now() > at.saturating_add(LAST_READ))
+        self.last_read().is_some_and(|last| self.clock.now() > last)
     }
 
     /// A name for a request that no other has.
