--- /dev/null
+++ b/lab/src/fleet.rs
@@ -0,0 +1,322 @@
+//! What one router needs as the fleet of endpoints and routers grows while its own traffic stays the same.
+//!
+//! Four routers run side by side under the same open-loop traffic: with 200 and 3,200 endpoints, in a tier of 300 and
+//! 900 routers. One endpoint in twenty drains and comes back warming up, again and again, a watch event every 100 ms.
+//! What each needs is compared with the router of 200 endpoints and 300 routers. Endpoints share the sockets of four
+//! fake servers: one that is every replica set's primary, three that are its replicas.
+
+use crate::figures::{Aim, Report, median};
+use anyhow::Context as _;
+use rand::rngs::StdRng;
+use rand::{RngExt as _, SeedableRng as _};
+use reelrill_standin::group::now_ms;
+use reelrill_standin::{ChangeFeed, Client, Group, Instance, Router, settings, target};
+use serde_json::{Value, json};
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::time::{Duration, Instant};
+
+/// Requests a second, over all clients of one router.
+const REQUEST_RATE: f64 = 40.0;
+const CLIENTS: usize = 16;
+/// What each request leaves the router, and what counts as served.
+const CLIENT_DEADLINE: Duration = Duration::from_secs(1);
+const SERVICE_TIME: Duration = Duration::from_millis(3);
+const WATCH_EVENT_INTERVAL: Duration = Duration::from_millis(100);
+const REPLICA_SET_SIZE: usize = 5;
+/// One endpoint of so many drains and comes back in turns; it is a replica.
+const RESTLESS_PERIOD: usize = 20;
+const RESTLESS_OFFSET: usize = 7;
+const DESCRIPTOR_LIMIT: u64 = 1024;
+/// Clock ticks a second in `/proc/PID/stat`, the same on every Linux.
+const TICKS_PER_SECOND: f64 = 100.0;
+/// Where `utime` stands in `/proc/PID/stat`, counted from the first field behind the name; `stime` is the next.
+const USER_TIME_FIELD: usize = 11;
+
+/// The size of a fleet.
+#[derive(Clone, Copy)]
+struct FleetSize {
+    endpoints: usize,
+    routers: u32,
+}
+
+const USUAL: FleetSize = FleetSize { endpoints: 200, routers: 300 };
+const OTHERS: [FleetSize; 3] = [
+    FleetSize { endpoints: 200, routers: 900 },
+    FleetSize { endpoints: 3_200, routers: 300 },
+    FleetSize { endpoints: 3_200, routers: 900 },
+];
+
+impl std::fmt::Display for FleetSize {
+    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+        write!(f, "{} endpoints, {} routers", self.endpoints, self.routers)
+    }
+}
+
+/// What one router used over a run.
+#[derive(Clone, Copy)]
+struct Usage {
+    cpu_seconds: f64,
+    peak_memory_mb: f64,
+    peak_descriptors: f64,
+    connections: f64,
+    list_kb: f64,
+    served_share: f64,
+}
+
+/// How far one figure may grow: `factor` times the usual, plus a constant, plus so much for each thousand endpoints.
+struct Bound {
+    name: &'static str,
+    unit: &'static str,
+    factor: f64,
+    constant: f64,
+    per_thousand: f64,
+    read: fn(&Usage) -> f64,
+}
+
+const BOUNDS: [Bound; 5] = [
+    Bound {
+        name: "CPU",
+        unit: "s",
+        factor: 1.4,
+        constant: 0.02,
+        per_thousand: 0.03,
+        read: |usage| usage.cpu_seconds,
+    },
+    Bound {
+        name: "peak memory",
+        unit: "MB",
+        factor: 1.5,
+        constant: 8.0,
+        per_thousand: 4.0,
+        read: |usage| usage.peak_memory_mb,
+    },
+    Bound {
+        name: "descriptors",
+        unit: "",
+        factor: 2.0,
+        constant: 40.0,
+        per_thousand: 0.0,
+        read: |usage| usage.peak_descriptors,
+    },
+    Bound {
+        name: "connections made",
+        unit: "",
+        factor: 2.5,
+        constant: 40.0,
+        per_thousand: 0.0,
+        read: |usage| usage.connections,
+    },
+    Bound {
+        name: "list bytes",
+        unit: "KB",
+        factor: 2.0,
+        constant: 64.0,
+        per_thousand: 500.0,
+        read: |usage| usage.list_kb,
+    },
+];
+
+/// The share served may not fall under this part of the usual.
+const LEAST_SERVED: f64 = 0.85;
+
+pub fn measure(program: &str, quick: bool) -> anyhow::Result<Report> {
+    let rounds = if quick { 1 } else { 3 };
+    let span = Duration::from_secs(if quick { 24 } else { 60 });
+    let mut usual = Vec::new();
+    let mut others: [Vec<Usage>; OTHERS.len()] = Default::default();
+    for round in 0..rounds {
+        let (base, rest) = run_all(program, span, round)?;
+        usual.push(base);
+        for (usages, usage) in others.iter_mut().zip(rest) {
+            usages.push(usage);
+        }
+    }
+    let mut report = Report::new("fleet", quick);
+    for bound in &BOUNDS {
+        let base: Vec<f64> = usual.iter().map(bound.read).collect();
+        report.add(&format!("{}, {USUAL}", bound.name), bound.unit, &base, Aim::None);
+        for (size, usages) in OTHERS.iter().zip(&others) {
+            let thousands = size.endpoints as f64 / 1000.0;
+            let most = bound.factor * median(&base) + bound.constant + bound.per_thousand * thousands;
+            let values: Vec<f64> = usages.iter().map(bound.read).collect();
+            report.add(&format!("{}, {size}", bound.name), bound.unit, &values, Aim::AtMost(most));
+        }
+    }
+    let base: Vec<f64> = usual.iter().map(|usage| usage.served_share).collect();
+    report.add(&format!("share served, {USUAL}"), "", &base, Aim::AtLeast(LEAST_SERVED));
+    for (size, usages) in OTHERS.iter().zip(&others) {
+        let values: Vec<f64> = usages.iter().map(|usage| usage.served_share).collect();
+        let least = LEAST_SERVED * median(&base);
+        report.add(&format!("share served, {size}"), "", &values, Aim::AtLeast(least));
+    }
+    Ok(report)
+}
+
+/// One run of each size, all at the same time, so that the host's load is the same for each.
+fn run_all(program: &str, span: Duration, seed: u64) -> anyhow::Result<(Usage, Vec<Usage>)> {
+    std::thread::scope(|scope| {
+        let start = |size: FleetSize| scope.spawn(move || run(program, size, span, seed));
+        let base = start(USUAL);
+        let others = OTHERS.map(start);
+        let join = |run: std::thread::ScopedJoinHandle<anyhow::Result<Usage>>| {
+            run.join().map_err(|_| anyhow::anyhow!("a run panicked"))?
+        };
+        let others = others.into_iter().map(join).collect::<anyhow::Result<Vec<Usage>>>()?;
+        Ok((join(base)?, others))
+    })
+}
+
+/// The endpoints' lines in the list, and the servers behind them.
+struct Endpoints {
+    /// The primary of all replica sets, then their replicas.
+    servers: Vec<Instance>,
+    lines: Vec<Value>,
+    /// The lines of endpoints that drain and come back.
+    restless: Vec<usize>,
+}
+
+impl Endpoints {
+    fn start(count: usize) -> Endpoints {
+        const NAMES: [&str; 4] = ["primary", "replica-1", "replica-2", "replica-3"];
+        let group = Group::new(NAMES[0], Duration::ZERO, Duration::from_secs(2));
+        let join =
+            |name: &&str| Instance::join(&group, name, ([127, 0, 0, 1], 0).into(), SERVICE_TIME, false);
+        let servers: Vec<Instance> = NAMES.iter().map(join).collect();
+        let line = |index: usize| {
+            let (replica_set, place) = (index / REPLICA_SET_SIZE, index % REPLICA_SET_SIZE);
+            let server = if place == 0 { 0 } else { 1 + index % (NAMES.len() - 1) };
+            let mut line = target(&format!("s-{index:08x}"), servers[server].address, "ready");
+            line["pod_group"] = replica_set.into();
+            line["part"] = if place == 0 { "master" } else { "replica" }.into();
+            line
+        };
+        let lines = (0..count).map(line).collect();
+        let restless = (RESTLESS_OFFSET..count).step_by(RESTLESS_PERIOD).collect();
+        Endpoints { servers, lines, restless }
+    }
+
+    fn connections(&self) -> usize {
+        self.servers.iter().map(|server| server.seen.change(|seen| seen.connections)).sum()
+    }
+
+    /// The next restless endpoint begins to drain, or has started again; returns its line.
+    fn step(&mut self, event: usize) -> Value {
+        let index = self.restless[event % self.restless.len()];
+        let line = &mut self.lines[index];
+        if line["state"] == json!("ready") {
+            line["state"] = "draining".into();
+        } else {
+            line["state"] = "ready".into();
+            line["boot_ms"] = now_ms().into();
+        }
+        line.clone()
+    }
+}
+
+/// Requests asked and served.
+#[derive(Default)]
+struct Traffic {
+    asked: AtomicU64,
+    served: AtomicU64,
+    has_ended: AtomicBool,
+}
+
+fn run(program: &str, size: FleetSize, span: Duration, seed: u64) -> anyhow::Result<Usage> {
+    let mut endpoints = Endpoints::start(size.endpoints);
+    let feed = ChangeFeed::start(&endpoints.lines);
+    let mut settings = settings();
+    settings["groupSize"] = size.routers.into();
+    let router =
+        Router::start_with(program, feed.address, &endpoints.lines, DESCRIPTOR_LIMIT, settings, None);
+    let traffic = Traffic::default();
+    let replica_sets = size.endpoints / REPLICA_SET_SIZE;
+    let began = Instant::now();
+    let mut peak_descriptors = 0;
+    std::thread::scope(|scope| -> anyhow::Result<()> {
+        for client in 0..CLIENTS {
+            let (router, traffic) = (&router, &traffic);
+            scope.spawn(move || send_requests(router, client, replica_sets, seed, began, traffic));
+        }
+        for event in 0.. {
+            let due = began + WATCH_EVENT_INTERVAL * event;
+            std::thread::sleep(due.saturating_duration_since(Instant::now()));
+            if began.elapsed() >= span {
+                break;
+            }
+            feed.publish(endpoints.step(event as usize));
+            let descriptors = std::fs::read_dir(format!("/proc/{}/fd", router.id()));
+            peak_descriptors = peak_descriptors.max(descriptors.map(Iterator::count).unwrap_or(0));
+        }
+        traffic.has_ended.store(true, Ordering::Relaxed);
+        Ok(())
+    })?;
+    let asked = traffic.asked.load(Ordering::Relaxed).max(1);
+    Ok(Usage {
+        cpu_seconds: cpu_seconds(router.id())?,
+        peak_memory_mb: peak_memory_mb(router.id())?,
+        peak_descriptors: peak_descriptors as f64,
+        connections: endpoints.connections() as f64,
+        list_kb: feed.bytes_sent.change(|bytes| *bytes) as f64 / 1000.0,
+        served_share: traffic.served.load(Ordering::Relaxed) as f64 / asked as f64,
+    })
+}
+
+/// One client's part of the open loop: its requests are due at fixed times, whether or not earlier ones were slow.
+fn send_requests(
+    router: &Router,
+    number: usize,
+    replica_sets: usize,
+    seed: u64,
+    began: Instant,
+    traffic: &Traffic,
+) {
+    let mut client: Client = router.client();
+    let mut random = StdRng::seed_from_u64(seed * CLIENTS as u64 + number as u64);
+    for turn in 0_u64.. {
+        let place = turn * CLIENTS as u64 + number as u64;
+        let due = began + Duration::from_secs_f64(place as f64 / REQUEST_RATE);
+        std::thread::sleep(due.saturating_duration_since(Instant::now()));
+        if traffic.has_ended.load(Ordering::Relaxed) {
+            return;
+        }
+        let asked = Instant::now();
+        let answer = client.ask(&statement(place, replica_sets, &mut random));
+        traffic.asked.fetch_add(1, Ordering::Relaxed);
+        let is_served = answer.code.is_empty() && asked.elapsed() < CLIENT_DEADLINE;
+        traffic.served.fetch_add(u64::from(is_served), Ordering::Relaxed);
+    }
+}
+
+/// Six reads in ten may be answered from any data, 25 in a hundred must see their session's writes, the others write.
+fn statement(number: u64, replica_sets: usize, random: &mut StdRng) -> String {
+    let replica_set = random.random_range(0..replica_sets);
+    let deadline_ms = CLIENT_DEADLINE.as_millis();
+    let request = |class: &str| format!("id={number:016x},c={class},d={deadline_ms},cluster={replica_set}");
+    match random.random_range(0..100) {
+        0..60 => format!("SELECT data FROM facts WHERE code = 'k' /* {} */", request("board")),
+        60..85 => format!("SELECT data FROM facts WHERE code = 'k' /* {} */", request("own")),
+        _ => format!(
+            "INSERT INTO facts (code, data) VALUES ('k', 'v') RETURNING data /* {},k=w{number:x} */",
+            request("book")
+        ),
+    }
+}
+
+/// Processor time of a process so far, with all its threads.
+fn cpu_seconds(process: u32) -> anyhow::Result<f64> {
+    let path = format!("/proc/{process}/stat");
+    let text = std::fs::read_to_string(&path).with_context(|| path.clone())?;
+    let fields: Vec<&str> = text.rsplit(") ").next().context("no fields")?.split(' ').collect();
+    let field = |index: usize| -> anyhow::Result<f64> {
+        fields.get(index).and_then(|text| text.parse().ok()).with_context(|| format!("{path}: {text}"))
+    };
+    Ok((field(USER_TIME_FIELD)? + field(USER_TIME_FIELD + 1)?) / TICKS_PER_SECOND)
+}
+
+/// The most memory that a process has had resident, in MB.
+fn peak_memory_mb(process: u32) -> anyhow::Result<f64> {
+    let path = format!("/proc/{process}/status");
+    let text = std::fs::read_to_string(&path).with_context(|| path.clone())?;
+    let line = text.lines().find(|line| line.starts_with("VmHWM")).context("no VmHWM")?;
+    Ok(line.split_whitespace().nth(1).unwrap_or_default().parse::<f64>()? / 1024.0)
+}
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -6,6 +6,7 @@
 
 mod extended;
 mod figures;
+mod fleet;
 mod membership;
 
 use clap::{Parser, Subcommand, ValueEnum};
@@ -40,6 +41,8 @@
     Extended,
     /// Members from service records and the roster together
     Membership,
+    /// What a router needs as the fleet grows
+    Fleet,
 }
 
 fn main() -> anyhow::Result<ExitCode> {
@@ -57,6 +60,7 @@
     let report = match name {
         Subsystem::Extended => extended::measure(&router.display().to_string(), quick)?,
         Subsystem::Membership => membership::measure(&router.display().to_string(), quick)?,
+        Subsystem::Fleet => fleet::measure(&router.display().to_string(), quick)?,
     };
     print!("{report}");
     println!("{}", serde_json::to_string(&report)?);
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -8,6 +8,7 @@
 //! | [`instance`] | one instance on a socket: simple and extended queries, acts, and faults at named stages |
 //! | [`dns`] | service records over UDP and TCP, with faults by script |
 //! | [`discovery`] | the list of instances over HTTP |
+//! | [`change_feed`] | the same told as changes, with a count of the bytes |
 //! | [`process`] | the router as a process, with its configuration, log and signals |
 //! | [`client`] | a client that writes and reads whole messages |
 //! | [`watched`] | values that threads change and others wait on |
@@ -15,6 +16,7 @@
 //! A stand-in panics where its own set-up fails (no port, no folder): a test has nothing to go on with then.
 #![forbid(unsafe_code)]
 
+pub mod change_feed;
 pub mod client;
 pub mod discovery;
 pub mod dns;
@@ -23,6 +25,7 @@
 pub mod process;
 pub mod watched;
 
+pub use change_feed::ChangeFeed;
 pub use client::{Answer, Client};
 pub use discovery::{Discovery, Manner, target};
 pub use group::{Group, Ledger};
--- a/standin/src/process.rs
+++ b/standin/src/process.rs
@@ -54,11 +54,26 @@
         sockets: u64,
         settings: Value,
         edge: Option<&str>,
+    ) -> Router {
+        Router::start_with(exe, discovery.address, known, sockets, settings, edge)
+    }
+
+    /// The same with discovery at an address, whoever serves there.
+    ///
+    /// # Panics
+    /// If it can't be started or does not listen in time.
+    pub fn start_with(
+        exe: &str,
+        discovery: SocketAddr,
+        known: &[Value],
+        sockets: u64,
+        settings: Value,
+        edge: Option<&str>,
     ) -> Router {
         let dir = tempfile::tempdir().expect("a folder");
         let path = dir.path().join("config.json");
         let config = json!({
-            "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
+            "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
             "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
             "known": {"rev": 1, "all": true, "targets": known}, "settings": settings});
         std::fs::write(&path, config.to_string()).expect("a configuration");
@@ -72,7 +87,7 @@
             .env("RELAY_CONFIG", &path)
             .env_remove("RELAY_LISTEN")
             .env_remove("RELAY_EDGE")
-            .env("RELAY_DISCOVERY", discovery.address.to_string())
+            .env("RELAY_DISCOVERY", discovery.to_string())
             .stderr(Stdio::piped())
             .spawn()
             .expect("the router's program");
