--- a/src/brain.rs
+++ b/src/brain.rs
@@ -5,7 +5,7 @@
 //! (the two cheapest at least), a failed member costs infinity. The rest guards that path.
 use crate::interface::*;
 use crate::samples::{Dice, Fading};
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
 /// Width of the rotation band, from the design.
@@ -87,13 +87,6 @@
     picked: f64,
 }
 
-impl Member {
-    fn unlist(&mut self, now: Time) {
-        self.left = if self.listed { now } else { self.left };
-        self.listed = false;
-    }
-}
-
 #[derive(Default)]
 struct Group {
     members: Vec<usize>,
@@ -132,6 +125,10 @@
     free: Vec<usize>,
     index: BTreeMap<MemberId, usize>,
     groups: BTreeMap<u32, Group>,
+    /// The members that the list does not name, by the time when each left it.
+    unlisted: BTreeSet<(Time, usize)>,
+    /// The groups with requests that are held.
+    holding: BTreeSet<u32>,
     pending: BTreeMap<RequestId, Pending>,
     sessions: BTreeMap<Arc<str>, Time>,
     token_floor: Option<Time>,
@@ -169,6 +166,8 @@
             free: Vec::new(),
             index: BTreeMap::new(),
             groups: BTreeMap::new(),
+            unlisted: BTreeSet::new(),
+            holding: BTreeSet::new(),
             pending: BTreeMap::new(),
             sessions: BTreeMap::new(),
             token_floor: None,
@@ -255,23 +254,23 @@
         }
         let binds = !self.set.rules.only_draining_binds;
         if kind != ListKind::Changes {
-            let named: std::collections::BTreeSet<&MemberId> = entries.iter().map(|e| &e.member).collect();
-            for m in self.members.iter_mut().filter(|m| binds && !named.contains(&m.id)) {
-                m.unlist(now);
-            }
+            let named: BTreeSet<&MemberId> = entries.iter().map(|e| &e.member).collect();
+            let left_out = |(id, _): &(&MemberId, &usize)| binds && !named.contains(*id);
+            let left_out: Vec<usize> = self.index.iter().filter(left_out).map(|(_, m)| *m).collect();
+            left_out.into_iter().for_each(|m| self.unlist(now, m));
         }
         for e in entries {
             let m = self.intern(now, &e);
-            let old = &mut self.members[m];
             match e.state {
-                State::Serving => (old.listed, old.leaving) = (true, None),
-                State::Draining => old.leaving = old.leaving.or(Some(now)),
-                State::Gone if binds => old.unlist(now),
+                State::Serving => self.list(m),
+                State::Draining => self.members[m].leaving = self.members[m].leaving.or(Some(now)),
+                State::Gone if binds => self.unlist(now, m),
                 State::Gone => {}
             }
             if e.state == State::Gone {
                 continue;
             }
+            let old = &mut self.members[m];
             if e.started > old.started {
                 // It has started again, so it is there: no need to wait out a rest that was for its absence.
                 (old.started, old.rest_until) = (e.started, now);
@@ -286,18 +285,42 @@
         self.index.len()
     }
 
+    /// The list names the member, and lets it have new work.
+    fn list(&mut self, m: usize) {
+        let x = &mut self.members[m];
+        if !x.listed {
+            self.unlisted.remove(&(x.left, m));
+        }
+        (x.listed, x.leaving) = (true, None);
+    }
+
+    /// The list names the member no more.
+    fn unlist(&mut self, now: Time, m: usize) {
+        let x = &mut self.members[m];
+        if x.listed {
+            (x.listed, x.left) = (false, now);
+            self.unlisted.insert((now, m));
+        }
+    }
+
     /// Those that left the list a while ago, once nothing refers to them. On a long day of replacements they
-    /// would be most of all members, and evidence would be kept as if they shared the traffic, too.
+    /// would be most of all members, and evidence would be kept as if they shared the traffic, too. The cost
+    /// follows the number of those that left, not the fleet.
     fn forget_gone(&mut self, now: Time) {
-        let is_used =
-            |m: usize| self.pending.values().any(|p| p.tried.contains(&m) || p.ran.iter().any(|r| r.1 == m));
         // One that the list leaves out for a moment comes back as it was.
-        let is_gone = |m: &usize| {
-            let x = &self.members[*m];
-            !x.listed && now > x.left + self.set.rules.warm_after && x.out.is_empty() && !is_used(*m)
-        };
-        for m in self.index.values().copied().filter(is_gone).collect::<Vec<usize>>() {
+        let is_long_gone = |(left, _): &&(Time, usize)| now > *left + self.set.rules.warm_after;
+        let long_gone = self.unlisted.iter().take_while(is_long_gone).map(|(_, m)| *m);
+        let mut forgotten: Vec<usize> = long_gone.filter(|m| self.members[*m].out.is_empty()).collect();
+        if forgotten.is_empty() {
+            return;
+        }
+        let used_by =
+            |p: &Pending| p.tried.iter().copied().chain(p.ran.iter().map(|r| r.1)).collect::<Vec<_>>();
+        let used: BTreeSet<usize> = self.pending.values().flat_map(used_by).collect();
+        forgotten.retain(|m| !used.contains(m));
+        for m in forgotten {
             let x = std::mem::take(&mut self.members[m]);
+            self.unlisted.remove(&(x.left, m));
             self.index.remove(&x.id);
             if let Some(g) = self.groups.get_mut(&x.group) {
                 g.members.retain(|i| *i != m);
@@ -322,6 +345,7 @@
             self.members.push(Member::default());
         }
         self.members[m] = Member { id, group, zone, started, answered, picked, ..Member::default() };
+        self.unlisted.insert((self.members[m].left, m));
         self.index.insert(e.member.clone(), m);
         let members = &self.members;
         let group = self.groups.entry(e.group).or_default();
@@ -714,6 +738,7 @@
             p.tried.clear();
             if let Some(g) = self.groups.get_mut(&group) {
                 g.held.push_back(id);
+                self.holding.insert(group);
             }
             self.pending.insert(id, p);
             return;
@@ -803,6 +828,9 @@
         let Some(p) = self.pending.remove(&id) else { return };
         if let Some(g) = self.groups.get_mut(&p.req.group).filter(|_| p.held) {
             g.held.retain(|h| *h != id);
+            if g.held.is_empty() {
+                self.holding.remove(&p.req.group);
+            }
         }
         if p.out > 0 && self.set.limits.cancel {
             for (attempt, m, _) in p.ran {
@@ -972,6 +1000,7 @@
     /// Held requests of a group get another look, in order of arrival.
     fn release(&mut self, now: Time, group: u32, out: &mut Vec<Action>) {
         let Some(g) = self.groups.get_mut(&group) else { return };
+        self.holding.remove(&group);
         for id in std::mem::take(&mut g.held) {
             if let Some(p) = self.pending.remove(&id) {
                 self.place(now, id, p, out);
@@ -980,8 +1009,7 @@
     }
 
     fn on_tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        let waiting = self.groups.iter().filter(|(_, g)| !g.held.is_empty()).map(|(id, _)| *id);
-        for group in waiting.collect::<Vec<u32>>() {
+        for group in self.holding.iter().copied().collect::<Vec<u32>>() {
             self.release(now, group, out);
         }
     }
