--- a/router/src/peer/mod.rs
+++ b/router/src/peer/mod.rs
@@ -29,8 +29,6 @@
 const SWEEPS: u64 = 16;
 const _: () =
     assert!(RETIRE * (1.0 + 1.0 / SWEEPS as f64) < 1.0, "an idle connection would outlive its limit");
-/// Part of the drain grace that a send's first byte may use up, counted from being told.
-const DRAIN: f64 = 0.8;
 /// Commands that may wait for a pool. The channel allocates all of its slots at once.
 const MAILBOX: usize = 256;
 /// A pool that has held nothing for this long is retired; a new one costs some kilobytes and no connection.
@@ -47,8 +45,8 @@
 impl Told {
     /// It leaves, and the grace for what is on its way is over.
     fn is_closed_to_new(&self, shared: &Shared) -> bool {
-        let grace = shared.config.site.settings.rules.drain_grace as f64;
-        self.leaving.get().is_some_and(|t| shared.clock.now() > t + (grace * DRAIN) as u64)
+        let cutoff = shared.config.site.settings.rules.drain_cutoff();
+        self.leaving.get().is_some_and(|t| shared.clock.now() >= t.saturating_add(cutoff))
     }
 }
 
--- a/router/tests/upstream.rs
+++ b/router/tests/upstream.rs
@@ -5,7 +5,8 @@
 use common::*;
 use rstest::rstest;
 use serde_json::{Value, json};
-use std::net::SocketAddr;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
 /// Where nobody listens.
@@ -125,3 +126,74 @@
     assert_eq!(answer.code.is_empty(), moves, "{answer:?}");
     assert_eq!(instance.seen.change(|s| s.queries.len()), asked);
 }
+
+/// An endpoint that the test itself plays, on one connection.
+struct Scripted {
+    stream: TcpStream,
+}
+
+impl Scripted {
+    /// The first connection on this listener, its startup message read.
+    fn accept(listener: &TcpListener) -> Scripted {
+        let (stream, _) = listener.accept().unwrap();
+        stream.set_nodelay(true).unwrap();
+        let mut scripted = Scripted { stream };
+        assert!(!scripted.read_within(LIMIT).is_empty());
+        scripted
+    }
+
+    /// AuthenticationOk and ReadyForQuery.
+    fn welcome(&mut self) {
+        self.stream.write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I").unwrap();
+    }
+
+    /// What comes next; nothing if the connection ends, or if nothing comes in time.
+    fn read_within(&mut self, within: Duration) -> Vec<u8> {
+        let until = Instant::now() + within;
+        let mut bytes = vec![0; 4096];
+        loop {
+            let left = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+            self.stream.set_read_timeout(Some(left)).unwrap();
+            match self.stream.read(&mut bytes) {
+                Ok(n) => {
+                    bytes.truncate(n);
+                    return bytes;
+                }
+                Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
+                Err(_) => return Vec::new(),
+            }
+        }
+    }
+}
+
+/// Guards the grace of a drain where the router may be held up for 0.15 s after it has looked at its clock: a
+/// connection that comes up in the last 0.15 s of the grace gets nothing more, nor does any in a shorter grace.
+#[rstest]
+#[case(250, 140, false)]
+#[case(100, 0, false)]
+#[case(20_000, 0, true)]
+fn a_draining_endpoint_gets_a_first_byte_only_well_within_the_grace(
+    #[case] grace_ms: u64,
+    #[case] after_ms: u64,
+    #[case] is_sent: bool,
+) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let mut settings = settings();
+    settings["rules"]["drainGrace"] = json!(grace_ms * 1_000_000);
+    settings["ceilings"]["connectTimeout"] = json!(10_000_000_000u64);
+    settings["ceilings"]["probes"] = json!(false);
+    let list = vec![target("s-1", address, "ready")];
+    let discovery = Discovery::start(Some(list.clone()));
+    let router = start_with(&discovery, &list, 1024, settings, None);
+    let mut client = router.client();
+    client.send(&reelrill_standin::client::query(&read(1, 8000)));
+    let mut endpoint = Scripted::accept(&listener);
+    discovery.publish(vec![target("s-1", address, "draining")]);
+    // The next call tells that the list has been read.
+    let called = |c: &mut Vec<String>| c.iter().any(|path| path.contains("since=2")).then_some(());
+    assert!(discovery.calls.wait_for(LIMIT, called).is_some());
+    std::thread::sleep(Duration::from_millis(after_ms));
+    endpoint.welcome();
+    assert_eq!(!endpoint.read_within(Duration::from_secs(1)).is_empty(), is_sent);
+}
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -513,13 +513,15 @@
 
     /// The primary as answers name it, else as the list does, unless that member has said that it follows:
     /// the list is late, and a read sent to it could be stale (a write may scout it). A leaving one takes
-    /// writes until half of the grace has passed.
+    /// writes until half of the grace has passed, which leaves time for a connection, and never after the cutoff.
     fn lead(&self, now: Time, group: u32) -> Option<usize> {
         let g = self.groups.get(&group)?;
         let named = |m: &usize| self.members[*m].listed_primary && self.members[*m].role.is_none();
         let m = g.primary.or_else(|| g.members.iter().copied().find(named))?;
         let x = &self.members[m];
-        let staying = x.leaving.is_none_or(|t| now < t + self.set.rules.drain_grace / 2);
+        let rules = &self.set.rules;
+        let drain_limit = rules.drain_cutoff().min(rules.drain_grace / 2);
+        let staying = x.leaving.is_none_or(|t| now < t.saturating_add(drain_limit));
         (x.listed && staying).then_some(m)
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -128,6 +128,17 @@
     pub ask_every: Span,
 }
 
+/// A process may be held up for this long between reading its clock and writing.
+pub const SCHEDULING_DELAY: Span = 150_000_000;
+
+impl Rules {
+    /// How long after a drain was learned of a send may still begin. The scheduling delay is part of the grace, which
+    /// counts to the first byte that is written; a grace that is no longer than the delay allows no send at all.
+    pub fn drain_cutoff(&self) -> Span {
+        self.drain_grace.saturating_sub(SCHEDULING_DELAY)
+    }
+}
+
 /// What the proxy may do.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -240,6 +240,28 @@
     }
 }
 
+/// A process may be held up for 0.15 s between its clock and its write: the grace has to cover that, too.
+#[test]
+fn writes_to_a_draining_primary_stop_before_a_delayed_write_could_pass_the_grace() {
+    for (grace, stop) in [(1000, 500), (250, 100), (200, 50), (150, 0), (20, 0)] {
+        let mut set = settings();
+        set.rules.drain_grace = grace * MS;
+        // Where answers tell positions, writes go to the primary at once.
+        set.reports = ReportSource::Answers;
+        let mut h = Host::new(set);
+        h.warm_up();
+        let mut primary = entry("a", true);
+        primary.state = State::Draining;
+        h.feed(Event::List { kind: ListKind::Changes, entries: vec![primary] });
+        if stop > 0 {
+            h.wait((stop - 1) * MS);
+            assert_eq!(sent(&h.request(WRITE).1), Some("a"), "grace {grace} ms");
+            h.wait(MS);
+        }
+        assert_ne!(sent(&h.request(WRITE).1), Some("a"), "grace {grace} ms");
+    }
+}
+
 #[test]
 fn a_cold_member_gets_a_share_but_is_not_left_idle() {
     let mut h = Host::new(settings());
