--- a/router/src/buffer.rs
+++ b/router/src/buffer.rs
@@ -23,6 +23,18 @@
     }
 }
 
+/// All buffers together may not grow any further: a limit of the router's own, not a failed system call.
+#[derive(Debug, thiserror::Error)]
+#[error("the memory for large messages is used up")]
+pub struct MemoryLimitReached;
+
+impl MemoryLimitReached {
+    /// Whether this is why a buffer could not be filled.
+    pub fn caused(error: &io::Error) -> bool {
+        error.get_ref().is_some_and(|e| e.is::<MemoryLimitReached>())
+    }
+}
+
 pub struct Buffer {
     memory: Rc<Memory>,
     data: Vec<u8>,
@@ -76,7 +88,7 @@
             let len = (self.data.len() * 2).max(FIRST);
             let all = self.memory.large.get() + large(len) - large(self.data.len());
             if all > self.memory.most {
-                return Err(io::ErrorKind::OutOfMemory.into());
+                return Err(io::Error::new(io::ErrorKind::OutOfMemory, MemoryLimitReached));
             }
             self.memory.large.set(all);
             self.data.resize(len, 0);
@@ -91,11 +103,19 @@
         Ok(n)
     }
 
-    /// Reads once; 0 is the end of the stream. Nothing is lost if the future is dropped while it waits.
+    /// Reads once, again where a signal interrupts it; 0 is the end of the stream. Nothing is lost if the future is
+    /// dropped while it waits.
     pub async fn fill(&mut self, mut stream: &Async<TcpStream>) -> io::Result<usize> {
-        let n = stream.read(self.room()?).await?;
-        self.end += n;
-        Ok(n)
+        loop {
+            match stream.read(self.room()?).await {
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(e) => return Err(e),
+                Ok(n) => {
+                    self.end += n;
+                    return Ok(n);
+                }
+            }
+        }
     }
 }
 
@@ -131,6 +151,9 @@
         };
         let (mut one, mut other) = (Buffer::new(&memory), Buffer::new(&memory));
         assert_eq!((fill(&mut one), fill(&mut other)), (64 * 1024, 32 * 1024));
+        let error = one.room().unwrap_err();
+        assert!(MemoryLimitReached::caused(&error));
+        assert!(!MemoryLimitReached::caused(&io::ErrorKind::OutOfMemory.into()), "ENOMEM of a system call");
         drop(one);
         assert_eq!(fill(&mut other), 64 * 1024);
         other.release();
--- a/router/src/peer/link.rs
+++ b/router/src/peer/link.rs
@@ -1,6 +1,7 @@
 //! One connection to an instance: dialled, used for one request at a time, and logged once when it ends.
 
-use crate::buffer::Buffer;
+use super::fault::{Blame, Stage, classify};
+use crate::buffer::{Buffer, MemoryLimitReached};
 use crate::counters::count;
 use crate::exchange::{Answer, Column, Mark};
 use crate::log::CloseReason;
@@ -22,6 +23,10 @@
 
 /// How long an answer that has begun may pause.
 const STALLED: Duration = Duration::from_millis(100);
+/// Where this host lacks what a connection needs, it tries again so often, after such a pause, and then another
+/// endpoint gets the request.
+const HOST_RETRIES: u32 = 3;
+const HOST_PAUSE: Duration = Duration::from_millis(10);
 /// How often a connection passes on that its member answers.
 const VOUCH: Span = 1_000_000_000;
 
@@ -53,8 +58,8 @@
 pub enum Fault {
     /// The connection had ended, or held bytes that nobody asked for, before anything was written.
     Stale,
-    /// It failed before the last byte was written.
-    NotWritten,
+    /// It failed before the last byte was written, so nothing has run.
+    NotWritten(Blame),
     /// It broke or ended after that.
     Broken,
     /// What came back is no response: the query has run, and the connection is of no further use.
@@ -78,6 +83,62 @@
     pub ready: bool,
 }
 
+/// What came of waiting for more of a response.
+enum More {
+    Bytes,
+    /// The endpoint has closed the connection.
+    Closed,
+    /// A response that has begun has paused for [`STALLED`].
+    Stalled,
+    /// This router's memory for large messages is used up.
+    NoMemory,
+    Failed(io::Error),
+}
+
+/// What a failed dial means for the attempt that waits for it: nothing has run.
+fn dial_ending(error: &io::Error) -> Ending {
+    match classify(error, Stage::Connect).blame {
+        Blame::Endpoint => Ending::ConnectFailed,
+        Blame::Host | Blame::Nobody => Ending::Unsent,
+    }
+}
+
+/// What a failed write or read means for the attempt. A lack of this host's own after the write tells nothing of the
+/// endpoint: it counts as an answer that could not be read.
+fn fault_of(error: &io::Error, stage: Stage) -> Fault {
+    let fault = classify(error, stage);
+    match fault.blame {
+        blame if !fault.possibly_executed => Fault::NotWritten(blame),
+        Blame::Endpoint => Fault::Broken,
+        Blame::Host | Blame::Nobody => Fault::Spoilt,
+    }
+}
+
+/// Connects. What this host lacks for a moment (descriptors, ports, memory) is no failure of the endpoint.
+async fn connect(endpoint: SocketAddr) -> io::Result<Async<TcpStream>> {
+    let mut retries = 0;
+    loop {
+        match Async::<TcpStream>::connect(endpoint).await {
+            Err(e) if retries < HOST_RETRIES && classify(&e, Stage::Connect).blame != Blame::Endpoint => {
+                retries += 1;
+                Timer::after(HOST_PAUSE).await;
+            }
+            result => return result,
+        }
+    }
+}
+
+/// Writes once, again where a signal interrupts it.
+async fn write_some(mut stream: &Async<TcpStream>, bytes: &[u8]) -> io::Result<usize> {
+    loop {
+        match stream.write(bytes).await {
+            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+            Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
+            result => return result,
+        }
+    }
+}
+
 /// What a message means for the response that it belongs to.
 #[derive(Debug, PartialEq, Eq)]
 enum Step {
@@ -228,8 +289,8 @@
         endpoint: SocketAddr,
         slot: Slot,
     ) -> Result<Link, Ending> {
-        let failed = |_: io::Error| Ending::ConnectFailed;
-        let stream = Async::<TcpStream>::connect(endpoint).await.map_err(failed)?;
+        let failed = |e: io::Error| dial_ending(&e);
+        let stream = connect(endpoint).await.map_err(failed)?;
         stream.get_ref().set_nodelay(true).map_err(failed)?;
         let memory = shared.memory.clone();
         let limit = shared.config.edge.extended.limits.prepared;
@@ -247,7 +308,10 @@
         };
         let mut hello = Vec::new();
         frontend::put_startup(&mut hello);
-        (&link.stream).write_all(&hello).await.map_err(failed)?;
+        let mut written = 0;
+        while written < hello.len() {
+            written += write_some(&link.stream, &hello[written..]).await.map_err(failed)?;
+        }
         loop {
             match frame::within(link.buffer.bytes(), frame::LARGEST_WORD) {
                 Ok(Some((b'E', body, _))) => {
@@ -282,7 +346,12 @@
 
     /// Still open and silent: an instance that closed it, or said something unasked, has done with it.
     pub fn is_open(&self) -> bool {
-        let peeked = self.stream.get_ref().peek(&mut [0]);
+        let peeked = loop {
+            match self.stream.get_ref().peek(&mut [0]) {
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                peeked => break peeked,
+            }
+        };
         self.buffer.bytes().is_empty() && peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
@@ -358,16 +427,17 @@
         }
         let mut written = 0;
         while written < out.len() {
-            match (&self.stream).write(&out[written..]).await {
-                Ok(n) if n > 0 => {
+            match write_some(&self.stream, &out[written..]).await {
+                Ok(n) => {
                     written += n;
                     if written >= runs_from {
                         sent.raise();
                     }
                 }
-                _ => {
+                Err(e) => {
                     self.reason = CloseReason::Reset;
-                    return Err(if written < runs_from { Fault::NotWritten } else { Fault::Broken });
+                    let stage = if written < runs_from { Stage::Write } else { Stage::Read };
+                    return Err(fault_of(&e, stage));
                 }
             }
         }
@@ -379,14 +449,12 @@
                     step
                 }
                 Ok(None) => match self.more(&response).await {
-                    Ok(n) if n > 0 => continue,
-                    Ok(_) => break (CloseReason::Eof, Fault::Broken),
-                    Err(e) if e.kind() == io::ErrorKind::TimedOut => Step::Stray,
+                    More::Bytes => continue,
+                    More::Closed => break (CloseReason::Eof, Fault::Broken),
+                    More::Stalled => Step::Stray,
                     // The lack is the router's own: the instance is not to blame.
-                    Err(e) if e.kind() == io::ErrorKind::OutOfMemory => {
-                        break (CloseReason::NoMemory, Fault::Spoilt);
-                    }
-                    Err(_) => break (CloseReason::Reset, Fault::Broken),
+                    More::NoMemory => break (CloseReason::NoMemory, Fault::Spoilt),
+                    More::Failed(e) => break (CloseReason::Reset, fault_of(&e, Stage::Read)),
                 },
                 Err(_) => Step::Stray,
             };
@@ -419,28 +487,26 @@
 
     /// Reads more of a response. Once its first byte is there, the rest must not take long: an answer whose
     /// length does not fit would otherwise hold its request until the client gives up.
-    async fn more(&mut self, so_far: &Response) -> io::Result<usize> {
+    async fn more(&mut self, so_far: &Response) -> More {
         let begun = !self.buffer.bytes().is_empty() || so_far.has_begun();
         let stalled = async {
             if !begun {
                 futures_lite::future::pending::<()>().await;
             }
             Timer::after(STALLED).await;
-            Err(io::ErrorKind::TimedOut.into())
+            More::Stalled
+        };
+        let filled = async {
+            match self.buffer.fill(&self.stream).await {
+                Ok(0) => More::Closed,
+                Ok(_) => More::Bytes,
+                Err(e) if MemoryLimitReached::caused(&e) => More::NoMemory,
+                Err(e) => More::Failed(e),
+            }
         };
-        or(self.buffer.fill(&self.stream), stalled).await
+        or(filled, stalled).await
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn reports_are_read_towards_staler_data() {
-        let r = read_report("x0=1767225600.25,x1=1,inflight=7,util=0.61");
-        assert_eq!(r.role, Some(Role::Primary));
-        assert!(r.position.is_some_and(|p| p <= 1_767_225_600_249_000_000 && p > 1_767_225_600_248_000_000));
-        assert_eq!(read_report("nonsense"), Standing::default());
-    }
-}
+mod tests;
--- a/router/src/peer/mod.rs
+++ b/router/src/peer/mod.rs
@@ -4,6 +4,7 @@
 //! the list says of its endpoint; the pool's task and mailboxes are started by the first command and retired after
 //! a quiet time, in which the pool has no connection, no waiting attempt and nothing in flight.
 
+mod fault;
 mod link;
 
 use crate::counters::count;
@@ -13,6 +14,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
+use fault::Blame;
 use futures_lite::future::or;
 use link::{Fault, Link};
 use reelrill::{Ending, MemberId, Span, Time};
@@ -393,7 +395,8 @@
     };
     let ended = match result {
         Err(Fault::Stale) => Ended::silent(Ending::Unsent),
-        Err(Fault::NotWritten) => Ended::silent(Ending::ConnectFailed),
+        Err(Fault::NotWritten(Blame::Endpoint)) => Ended::silent(Ending::ConnectFailed),
+        Err(Fault::NotWritten(Blame::Host | Blame::Nobody)) => Ended::silent(Ending::Unsent),
         Err(Fault::Broken) => Ended::silent(Ending::Reset),
         Err(Fault::Spoilt) => Ended::silent(Ending::Spoilt),
         Ok(response) => {
--- a/router/tests/upstream.rs
+++ b/router/tests/upstream.rs
@@ -7,6 +7,7 @@
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::process::{Child, Command};
 use std::time::{Duration, Instant};
 
 /// Where nobody listens.
@@ -197,3 +198,66 @@
     endpoint.welcome();
     assert_eq!(!endpoint.read_within(Duration::from_secs(1)).is_empty(), is_sent);
 }
+
+/// Sets how many descriptors a process may have open from now on.
+fn limit_descriptors(process: u32, most: usize) {
+    let status =
+        Command::new("prlimit").arg(format!("--pid={process}")).arg(format!("--nofile={most}:")).status();
+    assert!(status.unwrap().success());
+}
+
+/// Guards an endpoint against the router's own lack: without a descriptor nothing is dialled, and the endpoint is
+/// neither blamed for it nor left out afterwards.
+#[test]
+fn a_lack_of_descriptors_is_not_held_against_the_endpoint() {
+    let instance = Instance::start("master", Act::Serve);
+    let list = vec![target("s-1", instance.address, "ready")];
+    let discovery = Discovery::start(Some(list.clone()));
+    let router = start(&discovery, &list, 1024);
+    let mut client = router.client();
+    assert!(discovery.calls.wait_for(LIMIT, |c| (!c.is_empty()).then_some(())).is_some());
+    limit_descriptors(router.id(), 1);
+    for id in 1..=3 {
+        assert_eq!(client.ask(&read(id, 1000)).code, "53300");
+    }
+    let counters = router.counters();
+    assert!(counters.contains(" connect_failed=0 ") && !counters.contains(" unsent=0 "), "{counters}");
+    limit_descriptors(router.id(), 1024);
+    let begun = Instant::now();
+    assert_eq!(client.ask(&read(4, 5000)).value, format!("{:016x}", 4));
+    assert!(begun.elapsed() < Duration::from_secs(1), "{:?}", begun.elapsed());
+}
+
+/// Sends a process one signal after the other until dropped.
+struct SignalFlood(Child);
+
+impl SignalFlood {
+    fn start(process: u32) -> SignalFlood {
+        let flood = format!("while kill -USR1 {process}; do :; done");
+        SignalFlood(Command::new("sh").args(["-c", &flood]).spawn().unwrap())
+    }
+}
+
+impl Drop for SignalFlood {
+    fn drop(&mut self) {
+        let _ = self.0.kill();
+        let _ = self.0.wait();
+    }
+}
+
+/// Guards reads and writes that a signal interrupts: none of them ends a connection or costs a request.
+#[test]
+fn requests_are_served_under_a_flood_of_signals() {
+    let instance = Instance::start("master", Act::ServeLarge);
+    let list = vec![target("s-1", instance.address, "ready")];
+    let discovery = Discovery::start(Some(list.clone()));
+    let router = start(&discovery, &list, 1024);
+    let mut client = router.client();
+    let flood = SignalFlood::start(router.id());
+    for id in 1..=100 {
+        assert_eq!(client.ask(&read(id, 5000)).value, format!("{id:016x}").repeat(4096));
+    }
+    drop(flood);
+    assert_eq!(instance.seen.change(|s| (s.connections, s.queries.len())), (1, 100));
+    assert!(router.counted("served=100"));
+}
