--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -1,6 +1,7 @@
 //! The reelrill router: wires the actors together on one thread and minds the signals.
 #![forbid(unsafe_code)]
 
+mod accept;
 mod buffer;
 mod cli;
 mod client;
--- a/router/src/members.rs
+++ b/router/src/members.rs
@@ -1,5 +1,6 @@
 //! What an operator sees of the members: a Unix socket that tells, and the command that asks.
 
+use crate::accept;
 use crate::shared::Shared;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -8,6 +9,7 @@
 use futures_lite::future::or;
 use reelrill::Time;
 use reelrill_membership::{Members, Source, Word};
+use slog::warn;
 use std::fmt::Write as _;
 use std::io::{Read as _, Write as _};
 use std::os::unix::fs::PermissionsExt as _;
@@ -36,26 +38,40 @@
     let listener = Async::<UnixListener>::bind(&making)?;
     std::fs::set_permissions(&making, std::fs::Permissions::from_mode(0o600))?;
     std::fs::rename(&making, path)?;
+    let log = shared.log.clone();
     let serve = async move {
-        while let Ok((mut stream, _)) = listener.accept().await {
-            let (question, answer) = async_channel::bounded(1);
-            let tell = async {
-                if ask.send(question).await.is_ok()
-                    && let Ok(table) = answer.recv().await
-                {
-                    let _ = stream.write_all(table.as_bytes()).await;
+        loop {
+            match listener.accept().await {
+                Ok((stream, _)) => tell(stream, &ask).await,
+                Err(e) => {
+                    warn!(log, "accept failed"; "socket" => "members", "error" => %e);
+                    if let Some(pause) = accept::pause_after(&e) {
+                        Timer::after(pause).await;
+                    }
                 }
-            };
-            let late = async {
-                Timer::after(READING).await;
-            };
-            or(tell, late).await;
+            }
         }
     };
     executor.spawn(serve).detach();
     Ok(questions)
 }
 
+/// Writes the table to one that asks, if it reads in time.
+async fn tell(mut stream: Async<UnixStream>, ask: &Sender<Question>) {
+    let (question, answer) = async_channel::bounded(1);
+    let tell = async {
+        if ask.send(question).await.is_ok()
+            && let Ok(table) = answer.recv().await
+        {
+            let _ = stream.write_all(table.as_bytes()).await;
+        }
+    };
+    let late = async {
+        Timer::after(READING).await;
+    };
+    or(tell, late).await;
+}
+
 fn age(now: Time, at: Time) -> String {
     format!("{:.1}s", now.saturating_sub(at) as f64 / 1e9)
 }
