--- a/router/src/client.rs
+++ b/router/src/client.rs
@@ -2,7 +2,9 @@
 
 mod pipeline;
 mod simple;
+mod socket;
 
+use crate::accept;
 use crate::buffer::Buffer;
 use crate::counters::count;
 use crate::edge::Mode;
@@ -11,7 +13,6 @@
 use crate::shared::{Cancel, Holder, Shared, Slot, Tally};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use futures_lite::AsyncWriteExt as _;
 use futures_lite::future::or;
 use pipeline::Pipeline;
 use reelrill::{Span, Time};
@@ -20,7 +21,6 @@
 use reelrill_pgwire::{backend, code};
 use reelrill_statements::admit::Admitted;
 use reelrill_statements::bound::Ask;
-use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use simple::Simples;
 use slog::{info, warn};
 use std::io::{ErrorKind, Read as _};
@@ -36,8 +36,6 @@
 const GRACE: Duration = Duration::from_millis(100);
 /// An idle connection gives way after this time: its next request may be on its way.
 const IDLE: Duration = Duration::from_millis(20);
-/// A client that does not read its answer for this long has lost it.
-const WRITING: Duration = Duration::from_secs(5);
 /// How long the rest of what a client sends is thrown away after its last answer.
 const LINGER: Duration = Duration::from_secs(4);
 /// The pause after each piece thrown away: at full speed a client would use up the processor's share of others.
@@ -53,8 +51,6 @@
 const CLOSING_USELESS: Duration = Duration::from_millis(20);
 /// What a client may send ahead while it waits for an answer. Its end can only be read behind what it has sent.
 const AHEAD: usize = 64 * 1024;
-/// Where nothing more is read, how often it is asked whether the client has hung up.
-const HANG_UP: Duration = Duration::from_millis(25);
 
 /// Accepts until the process ends. Without a free slot, connections wait in the kernel's backlog.
 pub async fn listen(shared: Rc<Shared>, executor: Rc<LocalExecutor<'static>>, listener: Async<TcpListener>) {
@@ -84,10 +80,11 @@
                 }
             }
             Err(e) => {
-                // Out of descriptors, or the client has gone meanwhile: neither may spin or end the router.
                 count(&shared.counters.accept_errors);
                 warn!(shared.log, "accept failed"; "error" => %e);
-                Timer::after(Duration::from_millis(10)).await;
+                if let Some(pause) = accept::pause_after(&e) {
+                    Timer::after(pause).await;
+                }
             }
         }
     }
@@ -108,6 +105,7 @@
         accepted,
         fresh,
         begun,
+        has_started: false,
         has_ended,
         is_skipping,
         simple,
@@ -136,6 +134,8 @@
     fresh: Option<Tally>,
     /// When a part of a message came whose rest has not.
     begun: Option<Time>,
+    /// Its startup has been answered.
+    has_started: bool,
     /// The client has ended its sending: nothing more will come.
     has_ended: bool,
     /// Its simple queries that have no answer yet.
@@ -160,6 +160,7 @@
     /// Serves the connection to its end. `Ok` is a client that said goodbye.
     async fn session(&mut self) -> Result<(), CloseReason> {
         self.startup().await?;
+        self.has_started = true;
         loop {
             let (tag, body, len) = match frame::command(self.buffer.bytes(), self.pipeline.is_some()) {
                 Ok(Some(message)) => {
@@ -251,7 +252,12 @@
 
     /// Reads what has come, up to what may be read ahead, without waiting for more.
     fn look(&mut self) -> Result<(), CloseReason> {
-        while !self.has_ended && self.buffer.bytes().len() < AHEAD && !self.shared.is_closed_to_new() {
+        while !self.has_ended {
+            if self.buffer.bytes().len() >= AHEAD || self.shared.is_closed_to_new() {
+                // Nothing more is read: its end can stand behind what is left unread.
+                self.has_ended = socket::has_hung_up(self.stream.get_ref());
+                return Ok(());
+            }
             match self.buffer.fill_now(self.stream.get_ref()) {
                 Ok(n) => self.has_ended = n == 0,
                 Err(e) => match e.kind() {
@@ -265,6 +271,11 @@
         Ok(())
     }
 
+    /// Whether the buffer begins with a message that is complete, or can't be read: either is owed an answer.
+    fn has_whole_message(&self) -> bool {
+        is_whole(self.buffer.bytes(), self.has_started, self.pipeline.is_some())
+    }
+
     /// Whether its client has gone: it has closed the connection, or said goodbye behind what it has sent.
     fn has_left(&self) -> bool {
         let mut rest = self.buffer.bytes();
@@ -336,12 +347,14 @@
         let read = async { Waited::Read(self.buffer.fill(&self.stream).await) };
         match or(read, or(late, or(ending, evicted))).await {
             Waited::Read(Err(e)) if e.kind() == ErrorKind::OutOfMemory => Err(self.no_memory().await),
+            Waited::Read(Err(e)) if e.kind() == ErrorKind::Interrupted => Ok(()),
             Waited::Read(read) => self.gone(&read).map_or(Ok(()), Err),
             Waited::Done(reason) => {
                 // Decided and done in one step: what has come up to now is served first.
                 let before = self.buffer.bytes().len();
                 self.look()?;
-                if self.buffer.bytes().len() > before && is_between {
+                let is_begun = is_between && self.buffer.bytes().len() > before;
+                if is_begun || self.has_whole_message() {
                     count(&shared.counters.reprieved);
                     return Ok(());
                 }
@@ -423,7 +436,12 @@
         let shared = &self.shared;
         let discard = async {
             let read = |mut s: &TcpStream| s.read(&mut shared.scratch.borrow_mut());
-            while self.stream.read_with(read).await.is_ok_and(|n| n > 0) {
+            loop {
+                match self.stream.read_with(read).await {
+                    Ok(1..) => {}
+                    Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                    Ok(0) | Err(_) => return,
+                }
                 Timer::after(PACE).await;
             }
         };
@@ -438,12 +456,16 @@
     }
 
     async fn write(&mut self, bytes: &[u8]) -> Result<(), CloseReason> {
-        let late = async {
-            Timer::after(WRITING).await;
-            Err(CloseReason::NotReading)
-        };
-        let write = async { (&self.stream).write_all(bytes).await.map_err(|_| CloseReason::Reset) };
-        or(write, late).await
+        socket::write_to_client(&self.stream, bytes).await
+    }
+}
+
+/// Whether `bytes` begin with a message that is complete, or can't be read.
+fn is_whole(bytes: &[u8], has_started: bool, is_extended: bool) -> bool {
+    if has_started {
+        !matches!(frame::command(bytes, is_extended), Ok(None))
+    } else {
+        !matches!(frontend::startup(bytes), Ok(None))
     }
 }
 
@@ -454,20 +476,15 @@
     buffer: &mut Buffer,
     stream: &Async<TcpStream>,
 ) -> std::io::Result<usize> {
-    if buffer.bytes().len() < AHEAD && !shared.is_closed_to_new() {
+    while buffer.bytes().len() < AHEAD && !shared.is_closed_to_new() {
         match buffer.fill(stream).await {
-            Err(e) if e.kind() == ErrorKind::OutOfMemory => {}
+            Err(e) if e.kind() == ErrorKind::Interrupted => {}
+            Err(e) if e.kind() == ErrorKind::OutOfMemory => break,
             read => return read,
         }
     }
-    loop {
-        Timer::after(HANG_UP).await;
-        let mut asked = [PollFd::new(stream.get_ref(), PollFlags::RDHUP)];
-        let gone = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        if poll(&mut asked, Some(&Timespec::default())).is_ok() && asked[0].revents().intersects(gone) {
-            return Ok(0);
-        }
-    }
+    socket::hang_up(stream.get_ref()).await;
+    Ok(0)
 }
 
 /// A served answer to a simple query.
@@ -494,3 +511,6 @@
         Reply::Served(_) => {}
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/router/tests/acceptance.rs
+++ b/router/tests/acceptance.rs
@@ -4,9 +4,10 @@
 mod common;
 
 use common::*;
-use reelrill_standin::client::query;
+use reelrill_standin::client::{query, startup};
 use serde_json::Value;
-use std::io::Write as _;
+use std::io::{Read as _, Write as _};
+use std::os::unix::net::UnixStream;
 use std::process::Command;
 use std::time::{Duration, Instant};
 
@@ -87,3 +88,76 @@
     }
     router.exit();
 }
+
+/// An end behind more bytes than are read ahead, all of it there before the first read: no attempt begins for a client
+/// that has gone.
+#[test]
+fn nothing_begins_for_a_client_that_left_before_it_was_read() {
+    let (instance, _discovery, router) = one_endpoint(Act::Serve, settings());
+    router.signal("STOP");
+    let mut client = Client::connect(router.address);
+    let requests: Vec<u8> = (1..=1500).flat_map(|id| query(&read(id, 20_000))).collect();
+    client.send(&[startup(), requests].concat());
+    client.shut();
+    router.signal("CONT");
+    assert!(router.logged("reason: left_waiting"));
+    assert_eq!(instance.seen.change(|s| s.queries.len()), 0);
+}
+
+fn limit_descriptors(pid: u32, most: usize) {
+    // The soft limit alone.
+    let limit = format!("--nofile={most}:");
+    let status = Command::new("prlimit").args(["--pid", &pid.to_string(), &limit]).status().unwrap();
+    assert!(status.success());
+}
+
+/// The processor time that a process has used, in clock ticks of 10 ms.
+fn processor_ticks(pid: u32) -> u64 {
+    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
+    let fields: Vec<&str> = stat.rsplit(") ").next().unwrap().split(' ').collect();
+    fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
+}
+
+/// A process that is out of descriptors for a while (EMFILE) goes on accepting afterwards, clients and operators, and
+/// does not spin meanwhile.
+#[test]
+fn accepting_goes_on_after_a_shortage_of_descriptors() {
+    let instance = Instance::start("master", Act::Serve);
+    let list = vec![target("s-1", instance.address, "ready")];
+    let discovery = Discovery::start(Some(list.clone()));
+    let dir = tempfile::tempdir().unwrap();
+    let socket = dir.path().join("members");
+    let edge = format!(
+        "discovery:\n  dns_sd: {{servers: [\"127.0.0.1:9\"], services: [\"{}\"], domain: \"{}\"}}\n\
+         members_socket: {}\n",
+        dns::SERVICE,
+        dns::DOMAIN,
+        socket.display()
+    );
+    let router = start_with(&discovery, &list, 1024, settings(), Some(&edge));
+    // It keeps what it has, and gets nothing more.
+    limit_descriptors(router.id(), 1);
+    let mut operator = UnixStream::connect(&socket).unwrap();
+    operator.set_read_timeout(Some(LIMIT)).unwrap();
+    let mut client = Client::connect(router.address);
+    client.send(&[startup(), query(&read(1, 20_000))].concat());
+    assert!(
+        router
+            .log
+            .wait_for(LIMIT, |l| {
+                let failed = |l: &&String| l.contains("accept failed") && l.contains("socket: members");
+                (l.iter().filter(failed).count() > 3).then_some(())
+            })
+            .is_some()
+    );
+    let used = processor_ticks(router.id());
+    std::thread::sleep(Duration::from_millis(500));
+    let used = processor_ticks(router.id()) - used;
+    assert!(used < 25, "{used} ticks of 50 while it waited");
+    limit_descriptors(router.id(), 1024);
+    assert_eq!(client.answer().unwrap().tags, "RSSSKZ");
+    assert_eq!(client.answer().unwrap().value, "0000000000000001");
+    let mut table = String::new();
+    operator.read_to_string(&mut table).unwrap();
+    assert!(table.contains("s-1"), "{table}");
+}
