--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -112,7 +112,8 @@
     let (told, news) = async_channel::bounded(MAILBOX);
     let told = config.edge.discovery.dns_sd.is_some().then_some(told);
     let shared = Shared::new(config, log.clone(), decider, told);
-    let (place, places) = async_channel::bounded(4);
+    // Room for the newest alone: what a later configuration says goes before what an earlier one said.
+    let (place, places) = async_channel::bounded(1);
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup]);
     let signals = signals.map_err(StartError::Signals)?;
     let decider = decider::Decider::new(shared.clone(), executor.clone(), calls.clone())?;
@@ -166,7 +167,7 @@
         warn!(shared.log, "a change takes effect at the next start"; "of" => kept.join(", "));
     }
     // Without a roster there is nobody to tell.
-    let _ = place.try_send(new.discovery);
+    let _ = place.force_send(new.discovery);
     if new.edge.extended != shared.config.edge.extended {
         warn!(shared.log, "a change takes effect at the next start"; "of" => "extended");
     }
--- a/router/tests/acceptance.rs
+++ b/router/tests/acceptance.rs
@@ -161,3 +161,19 @@
     operator.read_to_string(&mut table).unwrap();
     assert!(table.contains("s-1"), "{table}");
 }
+
+/// New configurations in quick succession, faster than they can be read: the last one wins.
+#[test]
+fn the_last_of_many_new_configurations_wins() {
+    let instance = Instance::start("master", Act::Serve);
+    // A long list takes long to read again.
+    let list: Vec<Value> = (0..1500).map(|i| target(&format!("s-{i}"), instance.address, "ready")).collect();
+    let (first, last) = (Discovery::start(Some(list.clone())), Discovery::start(Some(list.clone())));
+    let router = start(&first, &list, 1024);
+    for port in 1..=40u16 {
+        router.reload("discovery", format!("127.0.0.1:{port}").into());
+    }
+    router.reload("discovery", last.address.to_string().into());
+    assert!(last.calls.wait_for(LIMIT, |c| (!c.is_empty()).then_some(())).is_some());
+    assert_eq!(router.client().ask(&read(1, 5000)).value, "0000000000000001");
+}
