--- a/router/src/decider.rs
+++ b/router/src/decider.rs
@@ -4,6 +4,7 @@
 use crate::counters::count;
 use crate::exchange::{Attempt, Call, Ended, Incoming, Listed, Mark, Message, Reply, ReplyTo};
 use crate::peer::{Order, PoolHandle};
+use crate::platform_clock::PlatformClock;
 use crate::shared::Shared;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -52,6 +53,8 @@
     shared: Rc<Shared>,
     executor: Rc<LocalExecutor<'static>>,
     brain: Brain,
+    /// The decisions live in the platform's time, everything else in the router's.
+    platform: PlatformClock,
     roster: Sender<Call>,
     peers: HashMap<MemberId, PoolHandle>,
     open: HashMap<RequestId, Open>,
@@ -69,6 +72,7 @@
     ) -> Result<Decider, SettingsError> {
         Ok(Decider {
             brain: Brain::new(shared.config.seed, shared.config.site.settings.clone())?,
+            platform: PlatformClock::default(),
             shared,
             executor,
             roster,
@@ -166,7 +170,7 @@
             }
             Message::Ended { request, attempt, ended } => self.resolve(request, attempt, ended),
             Message::Probed { member, ended } => {
-                let report = ended.report;
+                let report = self.believed(&member, ended.report);
                 self.events.push_back(Event::Probed { member, ending: ended.ending, report });
             }
             Message::List { kind, listed } => self.on_list(kind, listed),
@@ -219,7 +223,7 @@
             class: incoming.class,
             group: incoming.group,
             session: incoming.session,
-            since_write: incoming.after.map(|at| now.saturating_sub(at)),
+            since_write: incoming.after.map(|at| self.platform.platform(now).saturating_sub(at)),
             tenant: None,
             work: None,
             is_retry: incoming.is_retry,
@@ -237,6 +241,7 @@
             self.peers.retain(|member, _| named.contains(member));
         }
         for Listed { entry, endpoint } in &listed {
+            self.platform.on_start(now, entry.started);
             if entry.state == State::Gone {
                 if binds {
                     self.peers.remove(&entry.member);
@@ -258,7 +263,7 @@
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             let now = self.shared.clock.now();
-            self.brain.handle(now, event, &mut actions);
+            self.brain.handle(self.platform.platform(now), event, &mut actions);
             for action in actions.drain(..) {
                 self.act(now, action);
             }
@@ -267,7 +272,10 @@
 
     fn act(&mut self, now: Time, action: Action) {
         match action {
-            Action::Send { request, member, limit, by } => self.send(now, request, member, limit, by),
+            Action::Send { request, member, limit, by } => {
+                let by = by.map(|by| self.platform.own(by));
+                self.send(now, request, member, limit, by);
+            }
             Action::Refuse { request, cause, retry_after } => {
                 self.given_up(request, cause);
                 self.answer(request, Reply::Refused { retry_after });
@@ -393,6 +401,15 @@
             Ending::Rejected => &c.unfit,
         });
         let latency = self.shared.clock.now().saturating_sub(out.sent);
+        let class = self.shared.config.site.settings.classes.get(open.class as usize);
+        let is_commit = ending == Ending::Served && class.is_some_and(|c| c.need == Need::Write);
+        let mut standing = self.believed(&out.member, ended.standing);
+        if is_commit {
+            // Its session's reads must see it. It is no evidence of how far the endpoint is.
+            standing.position = ended.standing.position;
+        }
+        let report = self.believed(&out.member, ended.report);
+        let Some(open) = self.open.get(&request) else { return };
         debug!(self.shared.log, "attempt ended"; "request" => format_args!("{:016x}", open.id),
                "class" => open.class, "number" => number, "member" => &*out.member,
                "ending" => ?ending, "ns" => latency, "position" => ?ended.standing.position);
@@ -405,14 +422,21 @@
             member: out.member,
             attempt: number,
             ending,
-            standing: ended.standing,
-            report: ended.report,
+            standing,
+            report,
             latency,
             closed,
         }));
         self.forget(request);
     }
 
+    /// What can be believed of what an endpoint tells of itself.
+    fn believed(&mut self, member: &MemberId, told: Standing) -> Standing {
+        let (now, is_only) = (self.shared.clock.now(), self.peers.len() <= 1);
+        let position = told.position.and_then(|at| self.platform.on_position(now, member, at, is_only));
+        Standing { position, ..told }
+    }
+
     /// Nothing is owed for the request from now on; returns where its answer was to go.
     fn conclude(&mut self, request: RequestId) -> Option<ReplyTo> {
         let open = self.open.get_mut(&request)?;
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -16,6 +16,7 @@
 mod log;
 mod members;
 mod peer;
+mod platform_clock;
 mod roster;
 mod shared;
 mod shutdown;
--- a/router/tests/acceptance.rs
+++ b/router/tests/acceptance.rs
@@ -9,7 +9,7 @@
 use std::io::{Read as _, Write as _};
 use std::os::unix::net::UnixStream;
 use std::process::Command;
-use std::time::{Duration, Instant};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Settings in which no class has a longer deadline than this.
 fn with_longest_deadline(deadline: Duration) -> Value {
@@ -177,3 +177,23 @@
     assert!(last.calls.wait_for(LIMIT, |c| (!c.is_empty()).then_some(())).is_some());
     assert_eq!(router.client().ask(&read(1, 5000)).value, "0000000000000001");
 }
+
+/// A router whose clock is an hour behind the platform's when it starts: the latest start that it is told of lies in the
+/// past, and an endpoint that started a minute earlier is warm.
+#[test]
+fn a_clock_that_is_behind_takes_no_warm_endpoint_for_a_cold_one() {
+    const HOUR_MS: u64 = 3_600_000;
+    let [warm, cold] = [(); 2].map(|()| Instance::start("replica", Act::Serve));
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
+    let mut list = vec![target("s-1", warm.address, "ready"), target("s-2", cold.address, "ready")];
+    list[0]["boot_ms"] = (now + HOUR_MS - 60_000).into();
+    list[1]["boot_ms"] = (now + HOUR_MS).into();
+    let discovery = Discovery::start(Some(list.clone()));
+    let router = start(&discovery, &list, 1024);
+    let mut client = router.client();
+    for id in 1..=200 {
+        assert_eq!(client.ask(&read(id, 5000)).value, format!("{id:016x}"));
+    }
+    let asked = |i: &Instance| i.seen.change(|s| s.queries.len());
+    assert!(asked(&warm) > 2 * asked(&cold), "{} and {}", asked(&warm), asked(&cold));
+}
