--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -150,6 +150,8 @@
             }
             Err(e) => error!(shared.log, "signals"; "error" => %e),
         }
+        // A flood of signals is always ready: without a pause it would keep all other tasks from running.
+        futures_lite::future::yield_now().await;
     }
     futures_lite::future::pending().await
 }
