--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -177,24 +177,44 @@
     (0..n).map(|i| Host::seeded(set.clone(), seed * 7919 + i)).collect()
 }
 
+/// A day on which some endpoints are cold.
+struct Case {
+    name: &'static str,
+    cold: &'static [&'static str],
+    /// Requests a second, in capacities of one endpoint.
+    rate: f64,
+    rejected: f64,
+    writes: f64,
+    /// The routers have known the endpoints for a while.
+    is_warm: bool,
+}
+
+const CASES: [Case; 8] = [
+    Case { name: "burst", cold: &["b"], rate: 1.5 * 4.0, rejected: 0.0, writes: 0.1, is_warm: true },
+    Case { name: "start of all", cold: &["b", "c"], rate: 3.0, rejected: 0.0, writes: 0.1, is_warm: false },
+    Case { name: "zone", cold: &["c", "d", "e"], rate: 3.0, rejected: 0.0, writes: 0.1, is_warm: true },
+    Case { name: "rejected", cold: &["b", "c"], rate: 4.0, rejected: 0.5, writes: 0.1, is_warm: true },
+    Case { name: "primary", cold: &["a"], rate: 4.0, rejected: 0.0, writes: 0.15, is_warm: true },
+    Case {
+        name: "primary, burst",
+        cold: &["a"],
+        rate: 1.5 * 4.0,
+        rejected: 0.0,
+        writes: 0.15,
+        is_warm: true,
+    },
+    Case { name: "primary, rejected", cold: &["a"], rate: 4.0, rejected: 0.5, writes: 0.15, is_warm: true },
+    Case { name: "primary, full load", cold: &["a"], rate: 4.0, rejected: 0.0, writes: 0.25, is_warm: true },
+];
+
 /// Guards cold endpoints against the sum of what all routers send: beyond its budget of N requests in the rule's time
 /// only the allowance is chance. A burst of half as much again than all can do; all routers start with the endpoints;
 /// a whole zone of endpoints returns; a cold endpoint that rejects half of it; and a cold primary, up to writes that fill it
 /// when it is warm.
 #[test]
 fn cold_endpoints_get_no_more_than_their_allowance_from_any_fleet() {
-    let cases: [(&str, &[&str], f64, f64, f64, bool); 8] = [
-        ("burst", &["b"], 1.5 * 4.0, 0.0, 0.1, true),
-        ("start of all", &["b", "c"], 3.0, 0.0, 0.1, false),
-        ("zone", &["c", "d", "e"], 3.0, 0.0, 0.1, true),
-        ("rejected", &["b", "c"], 4.0, 0.5, 0.1, true),
-        ("primary", &["a"], 4.0, 0.0, 0.15, true),
-        ("primary, burst", &["a"], 1.5 * 4.0, 0.0, 0.15, true),
-        ("primary, rejected", &["a"], 4.0, 0.5, 0.15, true),
-        ("primary, full load", &["a"], 4.0, 0.0, 0.25, true),
-    ];
     let mut beyond = Vec::new();
-    for (name, cold, rate, rejected, writes, is_warm) in cases {
+    for Case { name, cold, rate, rejected, writes, is_warm } in CASES {
         for (n, capacity) in FLEET_SIZES.iter().flat_map(|n| CAPACITIES.map(|capacity| (*n, capacity))) {
             for seed in 0..4 {
                 let mut hosts = fleet(n, seed);
