--- a/router/tests/acceptance.rs
+++ b/router/tests/acceptance.rs
@@ -5,6 +5,7 @@
 
 use common::*;
 use reelrill_standin::client::{query, startup};
+use rstest::rstest;
 use serde_json::Value;
 use std::io::{Read as _, Write as _};
 use std::os::unix::net::UnixStream;
@@ -197,3 +198,80 @@
     let asked = |i: &Instance| i.seen.change(|s| s.queries.len());
     assert!(asked(&warm) > 2 * asked(&cold), "{} and {}", asked(&warm), asked(&cold));
 }
+
+/// What a client has sent when it stops.
+#[derive(Clone, Copy, Debug)]
+enum StopsAfter {
+    Nothing,
+    HalfStartup,
+    Startup,
+    HalfFirstQuery,
+    HeaderOfFirstQuery,
+    HalfNextQuery,
+    QueryAndHalf,
+    LyingLength,
+}
+
+/// Clients that stop in the middle of a request and stay get their error, or the end of their connection, within the
+/// 3 s that they are owed; one that drips single bytes gains nothing by it.
+#[rstest]
+fn a_client_that_stops_and_stays_meets_an_end(
+    #[values(
+        StopsAfter::Nothing,
+        StopsAfter::HalfStartup,
+        StopsAfter::Startup,
+        StopsAfter::HalfFirstQuery,
+        StopsAfter::HeaderOfFirstQuery,
+        StopsAfter::HalfNextQuery,
+        StopsAfter::QueryAndHalf,
+        StopsAfter::LyingLength
+    )]
+    stops: StopsAfter,
+    #[values(false, true)] drips: bool,
+) {
+    let (_instance, _discovery, router) = one_endpoint(Act::Serve, settings());
+    let mut client = Client::connect(router.address);
+    let (hello, first, next) = (startup(), query(&read(1, 5000)), query(&read(2, 5000)));
+    let half = |message: &[u8]| message[..message.len() / 2].to_vec();
+    if matches!(stops, StopsAfter::HalfNextQuery) {
+        client.start();
+        assert_eq!(client.ask(&read(3, 5000)).value, "0000000000000003");
+    }
+    client.send(&match stops {
+        StopsAfter::Nothing => Vec::new(),
+        StopsAfter::HalfStartup => half(&hello),
+        StopsAfter::Startup => hello,
+        StopsAfter::HalfFirstQuery => [hello, half(&first)].concat(),
+        StopsAfter::HeaderOfFirstQuery => [hello, first[..5].to_vec()].concat(),
+        StopsAfter::HalfNextQuery => half(&next),
+        StopsAfter::QueryAndHalf => [hello, first, half(&next)].concat(),
+        StopsAfter::LyingLength => [hello, vec![b'Q', 0, 1, 0, 0]].concat(),
+    });
+    let stopped = Instant::now();
+    let mut writer = client.stream.try_clone().unwrap();
+    let is_inside = !matches!(stops, StopsAfter::Nothing | StopsAfter::Startup | StopsAfter::HalfStartup);
+    let dripping = std::thread::spawn(move || {
+        while drips && is_inside && stopped.elapsed() < LIMIT && writer.write_all(b"x").is_ok() {
+            std::thread::sleep(Duration::from_millis(100));
+        }
+    });
+    while client.answer().is_some() {}
+    assert!(stopped.elapsed() < Duration::from_secs(3), "{:?}", stopped.elapsed());
+    drop(client);
+    dripping.join().unwrap();
+}
+
+/// Signals in a flood (EINTR from any call) break nothing that is served.
+#[test]
+fn a_flood_of_signals_breaks_nothing() {
+    let (_instance, _discovery, router) = one_endpoint(Act::ServeLarge, settings());
+    let flood = format!("for i in $(seq 2000); do kill -USR1 {}; done", router.id());
+    let mut flooding = Command::new("sh").args(["-c", &flood]).spawn().unwrap();
+    let mut client = router.client();
+    let mut id = 0;
+    while id < 50 || flooding.try_wait().unwrap().is_none() {
+        id += 1;
+        assert_eq!(client.ask(&read(id, 5000)).value, format!("{id:016x}").repeat(4096));
+    }
+    assert!(router.counted("reset=0"));
+}
