--- a/router/src/decider.rs
+++ b/router/src/decider.rs
@@ -170,7 +170,7 @@
             }
             Message::Ended { request, attempt, ended } => self.resolve(request, attempt, ended),
             Message::Probed { member, ended } => {
-                let report = self.believed(&member, ended.report);
+                let report = self.believed(&member, ended.ending, ended.report);
                 self.events.push_back(Event::Probed { member, ending: ended.ending, report });
             }
             Message::List { kind, listed } => self.on_list(kind, listed),
@@ -403,12 +403,12 @@
         let latency = self.shared.clock.now().saturating_sub(out.sent);
         let class = self.shared.config.site.settings.classes.get(open.class as usize);
         let is_commit = ending == Ending::Served && class.is_some_and(|c| c.need == Need::Write);
-        let mut standing = self.believed(&out.member, ended.standing);
+        let mut standing = self.believed(&out.member, ending, ended.standing);
         if is_commit {
             // Its session's reads must see it. It is no evidence of how far the endpoint is.
             standing.position = ended.standing.position;
         }
-        let report = self.believed(&out.member, ended.report);
+        let report = self.believed(&out.member, ending, ended.report);
         let Some(open) = self.open.get(&request) else { return };
         debug!(self.shared.log, "attempt ended"; "request" => format_args!("{:016x}", open.id),
                "class" => open.class, "number" => number, "member" => &*out.member,
@@ -430,10 +430,13 @@
         self.forget(request);
     }
 
-    /// What can be believed of what an endpoint tells of itself.
-    fn believed(&mut self, member: &MemberId, told: Standing) -> Standing {
+    /// What can be believed of what an endpoint tells of itself, in an attempt or a probe that ended so.
+    fn believed(&mut self, member: &MemberId, ending: Ending, told: Standing) -> Standing {
         let (now, is_only) = (self.shared.clock.now(), self.peers.len() <= 1);
-        let position = told.position.and_then(|at| self.platform.on_position(now, member, at, is_only));
+        let position = told.position.and_then(|at| match ending {
+            Ending::Spoilt => self.platform.plausible(now, at),
+            _ => self.platform.on_position(now, member, at, is_only),
+        });
         Standing { position, ..told }
     }
 
--- a/router/src/platform_clock.rs
+++ b/router/src/platform_clock.rs
@@ -39,6 +39,11 @@
         platform.saturating_sub(self.ahead)
     }
 
+    /// What can be believed of a position that proves nothing: one that came with a malformed answer.
+    pub fn plausible(&self, own: Time, position: Time) -> Option<Time> {
+        (position <= self.platform(own).saturating_add(TOLERANCE)).then_some(position)
+    }
+
     /// An endpoint has told its position. Returns what can be believed of it; `is_only`: no other endpoint is known
     /// that could confirm it.
     pub fn on_position(
@@ -48,7 +53,7 @@
         position: Time,
         is_only: bool,
     ) -> Option<Time> {
-        if position <= self.platform(own).saturating_add(TOLERANCE) {
+        if let Some(position) = self.plausible(own, position) {
             return Some(position);
         }
         let ahead = position.saturating_sub(own);
@@ -61,7 +66,7 @@
             self.ahead = self.ahead.max(confirmed);
         }
         self.claim = Some((endpoint.clone(), ahead));
-        (position <= self.platform(own).saturating_add(TOLERANCE)).then_some(position)
+        self.plausible(own, position)
     }
 
     /// Discovery has told when an endpoint started.
--- a/router/src/platform_clock/tests.rs
+++ b/router/src/platform_clock/tests.rs
@@ -66,3 +66,12 @@
     }
     assert_eq!(clock.platform(NOW), NOW + HOUR);
 }
+
+/// Guards the estimate against malformed answers, of which many may come from several endpoints.
+#[test]
+fn what_proves_nothing_raises_nothing() {
+    let clock = PlatformClock::default();
+    assert_eq!(clock.plausible(NOW, NOW + HOUR), None);
+    assert_eq!(clock.plausible(NOW, NOW - HOUR), Some(NOW - HOUR));
+    assert_eq!(clock.platform(NOW), NOW);
+}
