--- a/lab/src/extended.rs
+++ b/crates/experiments/src/extended.rs
@@ -4,8 +4,8 @@
 use anyhow::{Context as _, ensure};
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
-use reelrill_standin::client::{parse, query, run, sync};
-use reelrill_standin::{Client, Discovery, Fault, Group, Instance, Router, Stage, settings};
+use reelrill_test_support::client::{parse, query, run, sync};
+use reelrill_test_support::{Client, Discovery, Fault, Group, Instance, Router, Stage, settings};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
--- a/lab/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,6 +1,6 @@
 //! The lab: experiments with the real router as a process, against stand-ins on loopback.
 //!
-//! `reelrill-lab measure NAME` prints a table with each figure beside its aim, the same as one JSON object on its
+//! `reelrill-experiments measure NAME` prints a table with each figure beside its aim, the same as one JSON object on its
 //! last line, and exits 1 if an aim is missed.
 #![forbid(unsafe_code)]
 
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "reelrill-lab", version, about)]
+#[command(name = "reelrill-experiments", version, about)]
 struct Cli {
     /// The router's program; by default the one beside this program
     #[arg(long, global = true, value_name = "FILE")]
--- a/lab/src/membership.rs
+++ b/crates/experiments/src/membership.rs
@@ -4,10 +4,10 @@
 use anyhow::{Context as _, ensure};
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
-use reelrill_membership::wheel::{Handle, Wheel};
-use reelrill_membership::{Claim, Input, Kind, Members, Settings, Word};
-use reelrill_standin::dns::{self, Server, Zone};
-use reelrill_standin::{Client, Discovery, Group, Instance, Router, settings};
+use reelrill_service_discovery::wheel::{Handle, Wheel};
+use reelrill_service_discovery::{Claim, Input, Kind, Members, Settings, Word};
+use reelrill_test_support::dns::{self, Server, Zone};
+use reelrill_test_support::{Client, Discovery, Group, Instance, Router, settings};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::SocketAddr;
@@ -326,7 +326,7 @@
     fn publish(&self, draining: Option<usize>) {
         let line = |(n, i): (usize, &Instance)| {
             let state = if Some(n) == draining { "draining" } else { "ready" };
-            reelrill_standin::target(&format!("s-{n}"), i.address, state)
+            reelrill_test_support::target(&format!("s-{n}"), i.address, state)
         };
         self.discovery.publish(self.instances.iter().enumerate().map(line).collect());
     }
@@ -393,7 +393,7 @@
         let (new, came) = (member(&site.group, number), Instant::now());
         let at = format!("db-{number}");
         site.server.zone.change(|z| z.instances.insert(at.clone(), record(number, &new)));
-        let used = |s: &mut reelrill_standin::Seen| (!s.queries.is_empty()).then_some(());
+        let used = |s: &mut reelrill_test_support::Seen| (!s.queries.is_empty()).then_some(());
         let was_used = new.seen.wait_for(Duration::from_secs(10), used).is_some();
         ensure!(
             was_used,
--- a/pgwire/src/lib.rs
+++ b/crates/pg-protocol/src/lib.rs
@@ -9,7 +9,7 @@
 //! | [`code`] | the error codes that this project gives, and what each stands for |
 //!
 //! ```
-//! use reelrill_pgwire::{frame, frontend::{self, Command}};
+//! use reelrill_pg_protocol::{frame, frontend::{self, Command}};
 //! let mut out = Vec::new();
 //! frontend::put_execute(&mut out, "", 0);
 //! let (tag, body, len) = frame::command(&out, true).unwrap().unwrap();
--- a/statements/src/admit.rs
+++ b/crates/pg-session/src/admit.rs
@@ -2,7 +2,7 @@
 
 use crate::Wrong;
 use crate::form::{self, Form, FormError, Place};
-use reelrill::{Class, Need, Repeat, Span, Time};
+use reelrill_routing::{Class, Need, Repeat, Span, Time};
 use std::ops::Range;
 use std::sync::Arc;
 
@@ -120,7 +120,7 @@
 #[cfg(test)]
 pub(crate) mod tests {
     use super::*;
-    use reelrill::Scope;
+    use reelrill_routing::Scope;
     use rstest::rstest;
 
     const READ: &str = "SELECT data FROM facts WHERE code = '7f3a' \
--- a/statements/src/bound.rs
+++ b/crates/pg-session/src/bound.rs
@@ -6,9 +6,9 @@
 use crate::admit::Named;
 use crate::form::{self, Place};
 use crate::template::{Kind, Request, Slot, Template};
-use reelrill::Span;
-use reelrill_pgwire::frontend::{self, Bind};
-use reelrill_pgwire::{Format, oid};
+use reelrill_routing::Span;
+use reelrill_pg_protocol::frontend::{self, Bind};
+use reelrill_pg_protocol::{Format, oid};
 use std::borrow::Cow;
 use std::fmt::Write as _;
 use std::ops::Range;
@@ -370,8 +370,8 @@
     use crate::admit::tests::catalog;
     use crate::template::Templates;
     use proptest::prelude::*;
-    use reelrill_pgwire::frame;
-    use reelrill_pgwire::frontend::Command;
+    use reelrill_pg_protocol::frame;
+    use reelrill_pg_protocol::frontend::Command;
     use rstest::rstest;
 
     const WRITE: &str = "INSERT INTO facts (code, data) VALUES ($1, $2) RETURNING data \
--- a/statements/src/lib.rs
+++ b/crates/pg-session/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod queue;
 pub mod template;
 
-use reelrill_pgwire::code;
+use reelrill_pg_protocol::code;
 
 /// Why a command is refused. The text names the thing at fault; [`Wrong::code`] is what the client gets with it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
--- a/statements/src/plan.rs
+++ b/crates/pg-session/src/plan.rs
@@ -15,8 +15,8 @@
 use crate::admit::{Admitted, Catalog};
 use crate::bound::{Ask, Bound};
 use crate::template::{Kind, Template, Templates, Utility};
-use reelrill_pgwire::Format;
-use reelrill_pgwire::frontend::{Bind, Command, Object};
+use reelrill_pg_protocol::Format;
+use reelrill_pg_protocol::frontend::{Bind, Command, Object};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
--- a/statements/src/queue.rs
+++ b/crates/pg-session/src/queue.rs
@@ -6,7 +6,7 @@
 
 use crate::admit::Admitted;
 use crate::bound::Ask;
-use reelrill::Time;
+use reelrill_routing::Time;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
--- a/statements/src/template.rs
+++ b/crates/pg-session/src/template.rs
@@ -6,8 +6,8 @@
 
 use crate::Wrong;
 use crate::form::{Form, FormError, Place, Word};
-use reelrill_pgwire::frontend::MOST_PARAMETERS;
-use reelrill_pgwire::oid;
+use reelrill_pg_protocol::frontend::MOST_PARAMETERS;
+use reelrill_pg_protocol::oid;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
--- a/statements/tests/plan.rs
+++ b/crates/pg-session/tests/plan.rs
@@ -2,15 +2,15 @@
 //! client must get what it would have got one by one, and nothing may start too early.
 
 use proptest::prelude::*;
-use reelrill::{Class, Need, Repeat};
-use reelrill_pgwire::Format;
-use reelrill_pgwire::frontend::{Bind, Command, Object};
-use reelrill_pgwire::oid;
-use reelrill_statements::Wrong;
-use reelrill_statements::account::{Accounts, Limits};
-use reelrill_statements::admit::Catalog;
-use reelrill_statements::plan::{Common, Output, Plan, Start};
-use reelrill_statements::template::Templates;
+use reelrill_routing::{Class, Need, Repeat};
+use reelrill_pg_protocol::Format;
+use reelrill_pg_protocol::frontend::{Bind, Command, Object};
+use reelrill_pg_protocol::oid;
+use reelrill_pg_session::Wrong;
+use reelrill_pg_session::account::{Accounts, Limits};
+use reelrill_pg_session::admit::Catalog;
+use reelrill_pg_session::plan::{Common, Output, Plan, Start};
+use reelrill_pg_session::template::Templates;
 use rstest::rstest;
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/statements/tests/queue.rs
+++ b/crates/pg-session/tests/queue.rs
@@ -1,8 +1,8 @@
 //! A client's simple queries: what may start, and in what order answers go out.
 
-use reelrill_statements::admit::Admitted;
-use reelrill_statements::bound::{Ask, Simple};
-use reelrill_statements::queue::{Limits, Output, Queue};
+use reelrill_pg_session::admit::Admitted;
+use reelrill_pg_session::bound::{Ask, Simple};
+use reelrill_pg_session::queue::{Limits, Output, Queue};
 use rstest::rstest;
 use std::rc::Rc;
 
--- a/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -53,7 +53,7 @@
     #[error(transparent)]
     Edge(#[from] EdgeError),
     #[error("{0}: settings: {1}")]
-    Settings(String, reelrill::SettingsError),
+    Settings(String, reelrill_routing::SettingsError),
 }
 
 /// Reads a file as `serve` would. Returns what it is.
--- a/router/src/client/pipeline.rs
+++ b/crates/router/src/client/pipeline.rs
@@ -8,13 +8,13 @@
 use crate::shared::Shared;
 use async_channel::{Receiver, Sender};
 use futures_lite::future::or;
-use reelrill::RequestId;
-use reelrill_pgwire::backend::{self, Column};
-use reelrill_pgwire::frontend::{self, Command};
-use reelrill_pgwire::{Format, frame, put};
-use reelrill_statements::Wrong;
-use reelrill_statements::bound::convert;
-use reelrill_statements::plan::{Output, Plan};
+use reelrill_routing::RequestId;
+use reelrill_pg_protocol::backend::{self, Column};
+use reelrill_pg_protocol::frontend::{self, Command};
+use reelrill_pg_protocol::{Format, frame, put};
+use reelrill_pg_session::Wrong;
+use reelrill_pg_session::bound::convert;
+use reelrill_pg_session::plan::{Output, Plan};
 
 /// What is written at once, so that a long pipeline's answers do not pile up.
 const PIECE: usize = 64 * 1024;
--- a/router/src/client/simple.rs
+++ b/crates/router/src/client/simple.rs
@@ -7,12 +7,12 @@
 use crate::log::CloseReason;
 use async_channel::{Receiver, Sender};
 use futures_lite::future::or;
-use reelrill::RequestId;
-use reelrill_pgwire::{backend, code, frame};
-use reelrill_statements::Wrong;
-use reelrill_statements::admit::{Admitted, Named};
-use reelrill_statements::bound::{Ask, Simple};
-use reelrill_statements::queue::{Limits, Output, Queue};
+use reelrill_routing::RequestId;
+use reelrill_pg_protocol::{backend, code, frame};
+use reelrill_pg_session::Wrong;
+use reelrill_pg_session::admit::{Admitted, Named};
+use reelrill_pg_session::bound::{Ask, Simple};
+use reelrill_pg_session::queue::{Limits, Output, Queue};
 use std::rc::Rc;
 
 /// What is written at once, so that many answers do not pile up.
@@ -218,7 +218,7 @@
             match output {
                 Output::Answer(Reply::Served(answer)) => put_answer(out, &answer),
                 Output::Answer(other) => put_failure(out, &other),
-                Output::Said(Said::Ready) => reelrill_pgwire::put(out, b'I', &[]),
+                Output::Said(Said::Ready) => reelrill_pg_protocol::put(out, b'I', &[]),
                 Output::Said(Said::Complete(tag)) => backend::put_complete(out, tag),
                 Output::Said(Said::Wrong { code, why }) => {
                     count(&self.shared.counters.rejected);
--- a/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -4,7 +4,7 @@
 use crate::edge::{Edge, EdgeError};
 use crate::exchange::Listed;
 use crate::list::{self, ListError};
-use reelrill_settings::Site;
+use reelrill_routing_config::Site;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -119,7 +119,7 @@
             text(variable, key).and_then(|t| t.parse().ok()).ok_or_else(wrong)
         };
         let settings = value.get("settings").cloned().unwrap_or_default();
-        let site = reelrill_settings::read(&settings)
+        let site = reelrill_routing_config::read(&settings)
             .map_err(|what| ConfigError::Settings { path: path.clone(), what })?;
         let known = match value.get("known").filter(|k| !k.is_null()) {
             Some(known) => {
--- a/router/src/edge.rs
+++ b/crates/router/src/edge.rs
@@ -1,8 +1,8 @@
 //! The project's own settings, in YAML: what the platform's configuration does not know. All of it is off or has
 //! a default; `deploy/edge.example.yaml` shows it whole.
 
-use reelrill_pgwire::oid;
-use reelrill_statements::account::Limits;
+use reelrill_pg_protocol::oid;
+use reelrill_pg_session::account::Limits;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -284,7 +284,7 @@
 
     #[test]
     fn the_example_shows_every_setting_with_its_default() {
-        let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/edge.example.yaml"));
+        let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/edge.example.yaml"));
         assert_eq!(Edge::load(path).unwrap(), Edge::default());
         let text = std::fs::read_to_string(path).unwrap();
         for name in format!("{:?}", Edge::default()).split([' ', '{']).filter_map(|w| w.strip_suffix(':')) {
--- a/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -2,10 +2,10 @@
 //! front protocol, so that another one can be put before the same decisions.
 
 use crate::edge::Discovery;
-use reelrill::{Ending, Entry, ListKind, MemberId, RequestId, Span, Standing, Time};
-use reelrill_membership::Source;
-use reelrill_pgwire::Format;
-use reelrill_statements::bound::Ask;
+use reelrill_routing::{Ending, Entry, ListKind, MemberId, RequestId, Span, Standing, Time};
+use reelrill_service_discovery::Source;
+use reelrill_pg_protocol::Format;
+use reelrill_pg_session::bound::Ask;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -1,7 +1,7 @@
 //! A list in discovery's form: read from the configuration and from the roster's answers.
 
 use crate::exchange::Listed;
-use reelrill::{Entry, State};
+use reelrill_routing::{Entry, State};
 use serde_json::Value;
 use std::net::{Ipv4Addr, SocketAddr};
 
--- a/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, thiserror::Error)]
 enum StartError {
     #[error("settings: {0}")]
-    Settings(#[from] reelrill::SettingsError),
+    Settings(#[from] reelrill_routing::SettingsError),
     #[error("{0}: {1}")]
     Listen(SocketAddr, std::io::Error),
     #[error(transparent)]
--- a/router/src/peer/mod.rs
+++ b/crates/router/src/peer/mod.rs
@@ -17,7 +17,7 @@
 use fault::Blame;
 use futures_lite::future::or;
 use link::{Fault, Link};
-use reelrill::{Ending, MemberId, Span, Time};
+use reelrill_routing::{Ending, MemberId, Span, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/router/src/platform_clock.rs
+++ b/crates/router/src/platform_clock.rs
@@ -14,7 +14,7 @@
 //! ahead of the estimate counts once a second endpoint has told one, too; until then it tells nothing. Discovery is
 //! one service for all and is believed.
 
-use reelrill::{MemberId, Span, Time};
+use reelrill_routing::{MemberId, Span, Time};
 
 /// Positions and starts are rounded to milliseconds; less than this ahead is no evidence of another clock.
 const TOLERANCE: Span = 20_000_000;
--- a/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -9,7 +9,7 @@
 //! | `last_answer` | a request that was forwarded gets its answer; a later one is rejected as soon as it is read |
 //! | `last_read` | whatever comes is still read; after that connections are only closed |
 
-use reelrill::Span;
+use reelrill_routing::Span;
 
 const MILLISECOND: Span = 1_000_000;
 /// What counts at most of the longest deadline.
--- a/router/tests/acceptance.rs
+++ b/crates/router/tests/acceptance.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use reelrill_standin::client::{query, startup};
+use reelrill_test_support::client::{query, startup};
 use rstest::rstest;
 use serde_json::Value;
 use std::io::{Read as _, Write as _};
--- a/router/tests/edges.rs
+++ b/crates/router/tests/edges.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::*;
-use reelrill_pgwire::frontend;
-use reelrill_standin::client::{query, startup};
+use reelrill_pg_protocol::frontend;
+use reelrill_test_support::client::{query, startup};
 use rstest::rstest;
 use serde_json::Value;
 use std::io::{Read, Write};
--- a/router/tests/extended.rs
+++ b/crates/router/tests/extended.rs
@@ -4,9 +4,9 @@
 
 use common::*;
 use futures_util::future::join_all;
-use reelrill_pgwire::frontend::{self, Object};
-use reelrill_pgwire::{Format, oid};
-use reelrill_standin::client::{parse, query, run, sync};
+use reelrill_pg_protocol::frontend::{self, Object};
+use reelrill_pg_protocol::{Format, oid};
+use reelrill_test_support::client::{parse, query, run, sync};
 use rstest::rstest;
 use std::time::Duration;
 
--- a/router/tests/membership.rs
+++ b/crates/router/tests/membership.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use reelrill_standin::dns::{self, Manner, Server, Zone};
+use reelrill_test_support::dns::{self, Manner, Server, Zone};
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::os::unix::fs::PermissionsExt as _;
--- a/router/tests/pushed_lists.rs
+++ b/crates/router/tests/pushed_lists.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use reelrill_standin::client::query;
+use reelrill_test_support::client::query;
 use rstest::rstest;
 use serde_json::Value;
 use std::io::Write;
--- a/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use reelrill_standin::client::{parse, query, run, startup, sync};
+use reelrill_test_support::client::{parse, query, run, startup, sync};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
--- a/settings/src/lib.rs
+++ b/crates/routing-config/src/lib.rs
@@ -2,7 +2,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use reelrill::*;
+use reelrill_routing::*;
 use serde_json::Value;
 
 /// What a host needs of the settings: the brain's part, and what only the host itself uses.
--- a/src/brain.rs
+++ b/crates/routing/src/brain.rs
@@ -1,4 +1,4 @@
-//! All decisions of reelrill. Types, events and actions: `src/interface.rs`.
+//! All decisions of reelrill. Types, events and actions: `crates/routing/src/interface.rs`.
 //!
 //! The ordinary path is the query cost calibrator's: a member's calibrated cost is its running average
 //! of observed over estimated latency, a read rotates over the fit replicas within 20% of the cheapest
--- a/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -12,6 +12,6 @@
 pub use brain::Brain;
 pub use interface::*;
 
-#[doc = include_str!("../README.md")]
+#[doc = include_str!("../../../README.md")]
 #[cfg(doctest)]
 struct ReadmeExamples;
--- a/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small cluster for tests: settings, and a host that keeps what the brain asked for.
 #![allow(dead_code)]
 
-use reelrill::*;
+use reelrill_routing::*;
 use std::sync::Arc;
 
 pub const MS: Time = 1_000_000;
--- a/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use reelrill::*;
+use reelrill_routing::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const MEMBERS: [&str; 5] = ["a", "b", "c", "d", "e"];
--- a/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -6,7 +6,7 @@
 
 mod common;
 use common::{KEYED, MS, T0, WRITE, class};
-use reelrill::*;
+use reelrill_routing::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use reelrill::*;
+use reelrill_routing::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/membership/src/browse.rs
+++ b/crates/service-discovery/src/browse.rs
@@ -15,7 +15,7 @@
 use hickory_proto::rr::{Name, RData, Record, RecordType};
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
-use reelrill::{Span, Time};
+use reelrill_routing::{Span, Time};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
--- a/membership/src/lib.rs
+++ b/crates/service-discovery/src/lib.rs
@@ -2,7 +2,7 @@
 //! members' own answers and the time come in as arguments, changes of the list come out.
 //!
 //! ```
-//! use reelrill_membership::{Claim, Input, Kind, Members, Settings, Word};
+//! use reelrill_service_discovery::{Claim, Input, Kind, Members, Settings, Word};
 //! let mut members = Members::new(Settings::default(), 0);
 //! members.handle(0, Input::Source { source: 0, kind: Kind::Roster }, &mut Vec::new());
 //! let claim = Claim::new("s-1", "127.0.0.1:7001".parse().unwrap(), 1);
--- a/membership/src/members.rs
+++ b/crates/service-discovery/src/members.rs
@@ -1,7 +1,7 @@
 //! The claims, the rules, and the list.
 
 use crate::wheel::{Handle, Wheel};
-use reelrill::{Span, Time};
+use reelrill_routing::{Span, Time};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/membership/src/watch.rs
+++ b/crates/service-discovery/src/watch.rs
@@ -2,7 +2,7 @@
 //! what follows it. The spans keep every way in which news can be late within the time by which it counts as told;
 //! `docs/design/edges.md` has the table.
 
-use reelrill::{Span, Time};
+use reelrill_routing::{Span, Time};
 
 const MS: Span = 1_000_000;
 
--- a/membership/src/wheel.rs
+++ b/crates/service-discovery/src/wheel.rs
@@ -5,7 +5,7 @@
 //! the same few steps however many there are. As the wheel turns, a slot that is reached is dealt out to lower levels;
 //! a timer is touched once a level at most.
 
-use reelrill::Time;
+use reelrill_routing::Time;
 
 const BITS: u32 = 6;
 const SLOTS: usize = 1 << BITS;
--- a/membership/tests/browse.rs
+++ b/crates/service-discovery/tests/browse.rs
@@ -2,9 +2,9 @@
 
 use hickory_proto::rr::Name;
 use proptest::prelude::*;
-use reelrill_membership::browse::{Browser, Config, Output};
-use reelrill_membership::{Change, Input, Kind, Members, Settings, View, Word};
-use reelrill_standin::dns::{DOMAIN, Instance, Manner, SERVICE, SUBTYPE, Zone};
+use reelrill_service_discovery::browse::{Browser, Config, Output};
+use reelrill_service_discovery::{Change, Input, Kind, Members, Settings, View, Word};
+use reelrill_test_support::dns::{DOMAIN, Instance, Manner, SERVICE, SUBTYPE, Zone};
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/membership/tests/reference.rs
+++ b/crates/service-discovery/tests/reference.rs
@@ -1,7 +1,7 @@
 //! The members against a plain reference: claims in one vector, and all judged anew after every input.
 
 use proptest::prelude::*;
-use reelrill_membership::{Change, Claim, Held, Input, Kind, Members, Removal, Settings, View, Word};
+use reelrill_service_discovery::{Change, Claim, Held, Input, Kind, Members, Removal, Settings, View, Word};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/membership/tests/watch.rs
+++ b/crates/service-discovery/tests/watch.rs
@@ -1,7 +1,7 @@
 //! The clocks by which a change of the list counts as told, on made-up time.
 
-use reelrill::Time;
-use reelrill_membership::watch::{
+use reelrill_routing::Time;
+use reelrill_service_discovery::watch::{
     Ask, Call, Ended, LATE, LOCAL_LATE, LOCAL_RETRY, LOCAL_WAIT, ListService, TOLD, TOLD_AFTER_WAIT, Then,
     Watch,
 };
--- a/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -2,7 +2,7 @@
 #![forbid(unsafe_code)]
 
 use base64::Engine as _;
-use reelrill::*;
+use reelrill_routing::*;
 use std::collections::HashMap;
 use std::fmt::Write as _;
 use std::io::{BufRead, Write};
@@ -153,7 +153,7 @@
                     if rest.is_empty() { text.to_owned() } else { format!("{text}\t{}", rest.join("\t")) };
                 let wrong = |e: &dyn std::fmt::Display| format!("field bootInfo: {e}");
                 let value = serde_json::from_str(&text).map_err(|e| wrong(&e))?;
-                let site = reelrill_settings::read(&value).map_err(|e| wrong(&e))?;
+                let site = reelrill_routing_config::read(&value).map_err(|e| wrong(&e))?;
                 let brain = Brain::new(seed, site.settings).map_err(|e| wrong(&e))?;
                 self.instances.insert(inst, Instance { brain, origin: site.origin });
             }
@@ -361,7 +361,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("reelrill-benchlink: {text}");
+            eprintln!("reelrill-simulator-adapter: {text}");
             ExitCode::FAILURE
         }
     }
--- a/standin/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -1,7 +1,7 @@
 //! A client that writes and reads whole messages.
 
 use crate::watched::LIMIT;
-use reelrill_pgwire::{Format, backend, frame, frontend};
+use reelrill_pg_protocol::{Format, backend, frame, frontend};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
--- a/standin/src/instance.rs
+++ b/crates/test-support/src/instance.rs
@@ -3,9 +3,9 @@
 use crate::client::Reader;
 use crate::group::{Group, now_ms};
 use crate::watched::{LIMIT, Watched};
-use reelrill_pgwire::backend::{self, Column};
-use reelrill_pgwire::frontend::{self, Bind, Command, Object};
-use reelrill_pgwire::{Format, oid, put};
+use reelrill_pg_protocol::backend::{self, Column};
+use reelrill_pg_protocol::frontend::{self, Bind, Command, Object};
+use reelrill_pg_protocol::{Format, oid, put};
 use socket2::SockRef;
 use std::collections::{HashMap, VecDeque};
 use std::io::Write;
--- a/standin/tests/change_feed.rs
+++ b/crates/test-support/tests/change_feed.rs
@@ -1,6 +1,6 @@
 //! The fake discovery that tells changes.
 
-use reelrill_standin::{ChangeFeed, target};
+use reelrill_test_support::{ChangeFeed, target};
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
--- a/example/toy_cluster.rs
+++ b/example/toy_cluster.rs
@@ -2,7 +2,7 @@
 //! 127.0.0.1:7001 (the primary) to 7003. Replicas lag a quarter of a second behind. It takes simple and extended
 //! queries, and prints what each instance is asked.
 
-use reelrill_standin::{Discovery, Group, Instance, LIMIT};
+use reelrill_test_support::{Discovery, Group, Instance, LIMIT};
 use std::net::SocketAddr;
 use std::time::Duration;
 
