--- a/crates/experiments/src/extended.rs
+++ b/crates/experiments/src/extended.rs
@@ -11,8 +11,7 @@
 
 const ON: &str = "extended: {mode: on}";
 const READ: &str = "SELECT data FROM facts WHERE code = $1 /* id=$2,c=board,d=$3,cluster=2 */";
-const WRITE: &str =
-    "INSERT INTO facts (code, data) VALUES ($1, $2) RETURNING data /* c=book,d=$3,cluster=2,k=$4 */";
+const WRITE: &str = "INSERT INTO facts (code, data) VALUES ($1, $2) RETURNING data /* c=book,d=$3,cluster=2,k=$4 */";
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
 /// A group of four, and the router before it.
@@ -26,16 +25,25 @@
 impl Bench {
     fn start(program: &str, work: Duration, edge: Option<&str>) -> Bench {
         let group = Group::new(NAMES[0], Duration::ZERO, Duration::from_secs(2));
-        let join = |name: &&str| Instance::join(&group, name, ([127, 0, 0, 1], 0).into(), work, false);
+        let join =
+            |name: &&str| Instance::join(&group, name, ([127, 0, 0, 1], 0).into(), work, false);
         let members: Vec<Instance> = NAMES.iter().map(join).collect();
         let list: Vec<_> = members.iter().map(|m| m.target(2, "ready")).collect();
         let discovery = Discovery::start(Some(list.clone()));
         let router = Router::start(program, &discovery, &list, 1024, settings(), edge);
-        Bench { group, members, _discovery: discovery, router }
+        Bench {
+            group,
+            members,
+            _discovery: discovery,
+            router,
+        }
     }
 
     fn connections(&self) -> usize {
-        self.members.iter().map(|m| m.seen.change(|s| s.connections)).sum()
+        self.members
+            .iter()
+            .map(|m| m.seen.change(|s| s.connections))
+            .sum()
     }
 
     /// Processor time of the router so far, in seconds.
@@ -49,8 +57,16 @@
     fn memory(&self) -> anyhow::Result<f64> {
         let path = format!("/proc/{}/status", self.router.id());
         let text = std::fs::read_to_string(&path).context(path)?;
-        let line = text.lines().find(|l| l.starts_with("VmRSS")).context("no VmRSS")?;
-        Ok(line.split_whitespace().nth(1).unwrap_or_default().parse::<f64>()? / 1024.0)
+        let line = text
+            .lines()
+            .find(|l| l.starts_with("VmRSS"))
+            .context("no VmRSS")?;
+        Ok(line
+            .split_whitespace()
+            .nth(1)
+            .unwrap_or_default()
+            .parse::<f64>()?
+            / 1024.0)
     }
 }
 
@@ -59,12 +75,17 @@
 }
 
 fn read_of(statement: &str, id: u64) -> Vec<u8> {
-    run(statement, &[Some("k"), Some(&format!("{id:016x}")), Some("5000")])
+    run(
+        statement,
+        &[Some("k"), Some(&format!("{id:016x}")), Some("5000")],
+    )
 }
 
 /// The same request as a simple query.
 fn simple(id: u64) -> Vec<u8> {
-    query(&format!("SELECT data FROM facts WHERE code = 'k' /* id={id:016x},c=board,d=5000,cluster=2,v=7 */"))
+    query(&format!(
+        "SELECT data FROM facts WHERE code = 'k' /* id={id:016x},c=board,d=5000,cluster=2,v=7 */"
+    ))
 }
 
 pub fn measure(program: &str, quick: bool) -> anyhow::Result<Report> {
@@ -72,8 +93,12 @@
     type Part<'a> = (&'a str, &'a dyn Fn(&mut Report) -> anyhow::Result<()>);
     let parts: [Part; 5] = [
         ("parses", &|r| parses(program, r)),
-        ("processor time", &|r| cpu(program, if quick { 11 } else { 41 }, r)),
-        ("pipeline", &|r| pipeline(program, if quick { 3 } else { 9 }, r)),
+        ("processor time", &|r| {
+            cpu(program, if quick { 11 } else { 41 }, r)
+        }),
+        ("pipeline", &|r| {
+            pipeline(program, if quick { 3 } else { 9 }, r)
+        }),
         ("kills", &|r| kills(program, if quick { 90 } else { 40 }, r)),
         ("memory", &|r| memory(program, if quick { 2 } else { 5 }, r)),
     ];
@@ -90,8 +115,13 @@
     const RUNS: usize = 20_000;
     let bench = Bench::start(program, Duration::ZERO, Some(ON));
     let mut client = bench.router.client();
-    let all: Vec<u8> = (0..50).flat_map(|n| parse(&format!("s{n}"), &text(n), &[])).collect();
-    ensure!(client.extended(&[all]).code.is_empty(), "the statements were not prepared");
+    let all: Vec<u8> = (0..50)
+        .flat_map(|n| parse(&format!("s{n}"), &text(n), &[]))
+        .collect();
+    ensure!(
+        client.extended(&[all]).code.is_empty(),
+        "the statements were not prepared"
+    );
     let mut random = StdRng::seed_from_u64(1);
     for id in 0..RUNS {
         let name = format!("s{}", random.random_range(0..50));
@@ -99,11 +129,25 @@
         ensure!(answer.tags == "2DCZ", "run {id}: {answer:?}");
     }
     let counts = bench.group.ledger(|l| l.total());
-    ensure!(counts.executes == RUNS, "{} executes for {RUNS} runs", counts.executes);
+    ensure!(
+        counts.executes == RUNS,
+        "{} executes for {RUNS} runs",
+        counts.executes
+    );
     let bound = (50 * bench.connections()) as f64;
-    report.add("Parses / (statements x connections)", "", &[counts.parses as f64 / bound], Aim::AtMost(1.0));
+    report.add(
+        "Parses / (statements x connections)",
+        "",
+        &[counts.parses as f64 / bound],
+        Aim::AtMost(1.0),
+    );
     let saved = 100.0 * (1.0 - counts.parses as f64 / RUNS as f64);
-    report.add("Parses saved of 20,000 runs", "%", &[saved], Aim::AtLeast(99.0));
+    report.add(
+        "Parses saved of 20,000 runs",
+        "%",
+        &[saved],
+        Aim::AtLeast(99.0),
+    );
     Ok(())
 }
 
@@ -112,13 +156,23 @@
     const REQUESTS: u64 = 1_000;
     let bench = Bench::start(program, Duration::ZERO, Some(ON));
     let mut client = bench.router.client();
-    ensure!(client.extended(&[parse("s", &text(7), &[])]).code.is_empty(), "not prepared");
+    ensure!(
+        client
+            .extended(&[parse("s", &text(7), &[])])
+            .code
+            .is_empty(),
+        "not prepared"
+    );
     let mut id = 0;
     let mut turn = |prepared: bool, client: &mut Client| -> anyhow::Result<f64> {
         let before = bench.cpu()?;
         for _ in 0..REQUESTS {
             id += 1;
-            let bytes = if prepared { [read_of("s", id), sync()].concat() } else { simple(id) };
+            let bytes = if prepared {
+                [read_of("s", id), sync()].concat()
+            } else {
+                simple(id)
+            };
             client.send(&bytes);
             let answer = client.answer().context("no answer")?;
             ensure!(answer.code.is_empty(), "{answer:?}");
@@ -136,7 +190,12 @@
     }
     report.add("router CPU a prepared request", "us", &prepared, Aim::None);
     report.add("router CPU a simple request", "us", &plain, Aim::None);
-    report.add("router CPU, prepared / simple", "", &ratios, Aim::AtMost(1.10));
+    report.add(
+        "router CPU, prepared / simple",
+        "",
+        &ratios,
+        Aim::AtMost(1.10),
+    );
     Ok(())
 }
 
@@ -145,7 +204,10 @@
     const READS: u64 = 16;
     let bench = Bench::start(program, Duration::from_millis(2), Some(ON));
     let mut client = bench.router.client();
-    ensure!(client.extended(&[parse("s", READ, &[])]).code.is_empty(), "not prepared");
+    ensure!(
+        client.extended(&[parse("s", READ, &[])]).code.is_empty(),
+        "not prepared"
+    );
     let mut id = 0;
     let mut batch = |at_once: bool, client: &mut Client| -> anyhow::Result<f64> {
         let began = Instant::now();
@@ -173,8 +235,13 @@
     Ok(())
 }
 
-const STAGES: [Stage; 5] =
-    [Stage::Parse, Stage::Bind, Stage::HalfExecute, Stage::Executed, Stage::Unanswered];
+const STAGES: [Stage; 5] = [
+    Stage::Parse,
+    Stage::Bind,
+    Stage::HalfExecute,
+    Stage::Executed,
+    Stage::Unanswered,
+];
 const FAULTS: [Fault; 4] = [Fault::Kill, Fault::Reset, Fault::Silence, Fault::Spoil];
 
 /// 5,000 bookings by sixteen clients, each tried again by its client as long as it is refused, while one after another is
@@ -184,8 +251,16 @@
     const BOOKINGS: usize = 5_000;
     let bench = Bench::start(program, Duration::from_millis(1), Some(ON));
     let (next, ended) = (AtomicUsize::new(0), AtomicBool::new(false));
-    let (unanswered, doubled, hits) = (AtomicUsize::new(0), AtomicUsize::new(0), AtomicUsize::new(0));
-    let (served, refused, failed) = (AtomicUsize::new(0), AtomicUsize::new(0), AtomicUsize::new(0));
+    let (unanswered, doubled, hits) = (
+        AtomicUsize::new(0),
+        AtomicUsize::new(0),
+        AtomicUsize::new(0),
+    );
+    let (served, refused, failed) = (
+        AtomicUsize::new(0),
+        AtomicUsize::new(0),
+        AtomicUsize::new(0),
+    );
     let add = |count: &AtomicUsize| count.fetch_add(1, Ordering::Relaxed);
     std::thread::scope(|scope| {
         scope.spawn(|| {
@@ -193,7 +268,8 @@
             for round in 0.. {
                 let begun = next.load(Ordering::Relaxed);
                 // A while of undisturbed bookings between the faults.
-                while next.load(Ordering::Relaxed) < begun + apart && !ended.load(Ordering::Relaxed) {
+                while next.load(Ordering::Relaxed) < begun + apart && !ended.load(Ordering::Relaxed)
+                {
                     std::thread::sleep(Duration::from_millis(2));
                 }
                 if ended.load(Ordering::Relaxed) {
@@ -206,7 +282,11 @@
                 }
                 member.faults.change(|f| f.push_back((stage, fault)));
                 let hit = |f: &mut std::collections::VecDeque<_>| f.is_empty().then_some(());
-                if member.faults.wait_for(Duration::from_secs(5), hit).is_none() {
+                if member
+                    .faults
+                    .wait_for(Duration::from_secs(5), hit)
+                    .is_none()
+                {
                     continue;
                 }
                 add(&hits);
@@ -231,7 +311,8 @@
                         }
                         let key = format!("k{n}");
                         for _ in 0..20 {
-                            let command = run("w", &[Some(&key), Some(&key), Some("700"), Some(&key)]);
+                            let command =
+                                run("w", &[Some(&key), Some(&key), Some("700"), Some(&key)]);
                             client.send(&[command, sync()].concat());
                             let Some(answer) = client.answer() else {
                                 add(&unanswered);
@@ -268,29 +349,55 @@
     let twice = bench.group.ledger(|l| l.run_twice().len()) as f64;
     let never = BOOKINGS as f64 - bench.group.ledger(|l| l.bookings.len()) as f64;
     report.add("bookings run twice", "", &[twice], Aim::AtMost(0.0));
-    report.add("bookings without an answer", "", &count(&unanswered), Aim::AtMost(0.0));
-    report.add("bookings with two answers", "", &count(&doubled), Aim::AtMost(0.0));
+    report.add(
+        "bookings without an answer",
+        "",
+        &count(&unanswered),
+        Aim::AtMost(0.0),
+    );
+    report.add(
+        "bookings with two answers",
+        "",
+        &count(&doubled),
+        Aim::AtMost(0.0),
+    );
     report.add("bookings that never ran", "", &[never], Aim::None);
     report.add("faults that came", "", &count(&hits), Aim::AtLeast(40.0));
     report.add("bookings served", "", &count(&served), Aim::None);
     report.add("tries refused", "", &count(&refused), Aim::None);
-    report.add("bookings failed, which may have run", "", &count(&failed), Aim::None);
+    report.add(
+        "bookings failed, which may have run",
+        "",
+        &count(&failed),
+        Aim::None,
+    );
     Ok(())
 }
 
 /// 300 clients with 100 statements of 50 texts, against the same clients without, each on a router of its own.
 fn memory(program: &str, rounds: usize, report: &mut Report) -> anyhow::Result<()> {
-    let all: Vec<u8> = (0..100).flat_map(|n| parse(&format!("s{n}"), &text(n % 50), &[])).collect();
+    let all: Vec<u8> = (0..100)
+        .flat_map(|n| parse(&format!("s{n}"), &text(n % 50), &[]))
+        .collect();
     let resident = |statements: bool| -> anyhow::Result<f64> {
         let bench = Bench::start(program, Duration::ZERO, Some(ON));
         let mut clients = Vec::new();
         for id in 0..300 {
             let mut client = bench.router.client();
             if statements {
-                ensure!(client.extended(&[&all[..]].map(<[u8]>::to_vec)).code.is_empty(), "not prepared");
+                ensure!(
+                    client
+                        .extended(&[&all[..]].map(<[u8]>::to_vec))
+                        .code
+                        .is_empty(),
+                    "not prepared"
+                );
             }
             client.send(&simple(id));
-            ensure!(client.answer().is_some_and(|a| a.code.is_empty()), "client {id} was not served");
+            ensure!(
+                client.answer().is_some_and(|a| a.code.is_empty()),
+                "client {id} was not served"
+            );
             clients.push(client);
         }
         bench.memory()
@@ -301,7 +408,12 @@
         without.push(resident(false)?);
         over.push(with[with.len() - 1] - without[without.len() - 1]);
     }
-    report.add("memory, 300 clients x 100 statements", "MB", &with, Aim::None);
+    report.add(
+        "memory, 300 clients x 100 statements",
+        "MB",
+        &with,
+        Aim::None,
+    );
     report.add("memory, 300 clients without", "MB", &without, Aim::None);
     report.add("memory of the statements", "MB", &over, Aim::AtMost(8.0));
     Ok(())
--- a/crates/experiments/src/figures.rs
+++ b/crates/experiments/src/figures.rs
@@ -42,7 +42,11 @@
 
 impl Report {
     pub fn new(measure: &'static str, quick: bool) -> Report {
-        Report { measure, quick, figures: Vec::new() }
+        Report {
+            measure,
+            quick,
+            figures: Vec::new(),
+        }
     }
 
     /// Adds a figure with the values of its rounds.
@@ -53,9 +57,20 @@
             Aim::AtLeast(least) => value >= least,
             Aim::None => true,
         };
-        let (least, most) = rounds.iter().fold((f64::MAX, f64::MIN), |(a, b), v| (a.min(*v), b.max(*v)));
+        let (least, most) = rounds
+            .iter()
+            .fold((f64::MAX, f64::MIN), |(a, b), v| (a.min(*v), b.max(*v)));
         let (name, rounds) = (name.to_owned(), rounds.len());
-        self.figures.push(Figure { name, unit, value, least, most, rounds, aim, met });
+        self.figures.push(Figure {
+            name,
+            unit,
+            value,
+            least,
+            most,
+            rounds,
+            aim,
+            met,
+        });
     }
 
     pub fn is_met(&self) -> bool {
@@ -65,7 +80,11 @@
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        writeln!(f, "{:<52} {:>10} {:<8} {:>23} {:>3}  aim", "figure", "median", "", "least to most", "n")?;
+        writeln!(
+            f,
+            "{:<52} {:>10} {:<8} {:>23} {:>3}  aim",
+            "figure", "median", "", "least to most", "n"
+        )?;
         for x in &self.figures {
             let aim = match x.aim {
                 Aim::AtMost(most) => format!("at most {most}"),
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -46,8 +46,18 @@
 }
 
 impl Fleet {
-    const fn of(endpoints: usize, replica_set_size: usize, routers: u32, request_rate: f64) -> Fleet {
-        Fleet { endpoints, replica_set_size, routers, request_rate }
+    const fn of(
+        endpoints: usize,
+        replica_set_size: usize,
+        routers: u32,
+        request_rate: f64,
+    ) -> Fleet {
+        Fleet {
+            endpoints,
+            replica_set_size,
+            routers,
+            request_rate,
+        }
     }
 
     fn replica_sets(&self) -> usize {
@@ -57,7 +67,11 @@
 
 impl std::fmt::Display for Fleet {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "{}/s, {} in sets of {}", self.request_rate, self.endpoints, self.replica_set_size)?;
+        write!(
+            f,
+            "{}/s, {} in sets of {}",
+            self.request_rate, self.endpoints, self.replica_set_size
+        )?;
         write!(f, ", {} routers", self.routers)
     }
 }
@@ -71,9 +85,16 @@
 const COMPARISONS: [Comparison; 2] = [
     Comparison {
         usual: Fleet::of(200, 5, 300, 4.0),
-        others: &[Fleet::of(200, 5, 900, 4.0), Fleet::of(3_200, 5, 300, 4.0), Fleet::of(3_200, 5, 900, 4.0)],
+        others: &[
+            Fleet::of(200, 5, 900, 4.0),
+            Fleet::of(3_200, 5, 300, 4.0),
+            Fleet::of(3_200, 5, 900, 4.0),
+        ],
+    },
+    Comparison {
+        usual: Fleet::of(200, 5, 300, 40.0),
+        others: &[Fleet::of(3_200, 80, 900, 40.0)],
     },
-    Comparison { usual: Fleet::of(200, 5, 300, 40.0), others: &[Fleet::of(3_200, 80, 900, 40.0)] },
 ];
 
 /// What one router used over a run.
@@ -152,18 +173,26 @@
 pub fn measure(program: &str, quick: bool) -> anyhow::Result<Report> {
     let rounds = if quick { 1 } else { 3 };
     let span = Duration::from_secs(if quick { 24 } else { 60 });
-    let fleets: Vec<Fleet> = COMPARISONS.iter().flat_map(|c| [&[c.usual], c.others].concat()).collect();
+    let fleets: Vec<Fleet> = COMPARISONS
+        .iter()
+        .flat_map(|c| [&[c.usual], c.others].concat())
+        .collect();
     let mut usages: Vec<Vec<Usage>> = vec![Vec::new(); fleets.len()];
     for round in 0..rounds {
-        for (of_fleet, usage) in usages.iter_mut().zip(run_all(program, &fleets, span, round)?) {
+        for (of_fleet, usage) in usages
+            .iter_mut()
+            .zip(run_all(program, &fleets, span, round)?)
+        {
             of_fleet.push(usage);
         }
     }
     let mut report = Report::new("fleet", quick);
     let mut measured = fleets.iter().zip(&usages);
     for comparison in &COMPARISONS {
-        let compared: Vec<(&Fleet, &Vec<Usage>)> =
-            measured.by_ref().take(1 + comparison.others.len()).collect();
+        let compared: Vec<(&Fleet, &Vec<Usage>)> = measured
+            .by_ref()
+            .take(1 + comparison.others.len())
+            .collect();
         add_comparison(&mut report, &compared);
     }
     Ok(report)
@@ -180,7 +209,12 @@
                 Some(base) => Aim::AtMost(bound.at(base, fleet.endpoints)),
             };
             base = base.or(Some(median(&values)));
-            report.add(&format!("{}, {fleet}", bound.name), bound.unit, &values, aim);
+            report.add(
+                &format!("{}, {fleet}", bound.name),
+                bound.unit,
+                &values,
+                aim,
+            );
         }
     }
     let mut base = None;
@@ -193,7 +227,12 @@
 }
 
 /// One run of each fleet, all at the same time, so that the host's load is the same for each.
-fn run_all(program: &str, fleets: &[Fleet], span: Duration, seed: u64) -> anyhow::Result<Vec<Usage>> {
+fn run_all(
+    program: &str,
+    fleets: &[Fleet],
+    span: Duration,
+    seed: u64,
+) -> anyhow::Result<Vec<Usage>> {
     std::thread::scope(|scope| {
         let start = |fleet: &Fleet| {
             let fleet = *fleet;
@@ -220,24 +259,47 @@
     fn start(fleet: Fleet) -> Endpoints {
         const NAMES: [&str; 4] = ["primary", "replica-1", "replica-2", "replica-3"];
         let group = Group::new(NAMES[0], Duration::ZERO, Duration::from_secs(2));
-        let join =
-            |name: &&str| Instance::join(&group, name, ([127, 0, 0, 1], 0).into(), SERVICE_TIME, false);
+        let join = |name: &&str| {
+            Instance::join(
+                &group,
+                name,
+                ([127, 0, 0, 1], 0).into(),
+                SERVICE_TIME,
+                false,
+            )
+        };
         let servers: Vec<Instance> = NAMES.iter().map(join).collect();
         let line = |index: usize| {
-            let (replica_set, place) = (index / fleet.replica_set_size, index % fleet.replica_set_size);
-            let server = if place == 0 { 0 } else { 1 + index % (NAMES.len() - 1) };
+            let (replica_set, place) = (
+                index / fleet.replica_set_size,
+                index % fleet.replica_set_size,
+            );
+            let server = if place == 0 {
+                0
+            } else {
+                1 + index % (NAMES.len() - 1)
+            };
             let mut line = target(&format!("s-{index:08x}"), servers[server].address, "ready");
             line["pod_group"] = replica_set.into();
             line["part"] = if place == 0 { "master" } else { "replica" }.into();
             line
         };
         let lines = (0..fleet.endpoints).map(line).collect();
-        let restless = (RESTLESS_OFFSET..fleet.endpoints).step_by(RESTLESS_PERIOD).collect();
-        Endpoints { servers, lines, restless }
+        let restless = (RESTLESS_OFFSET..fleet.endpoints)
+            .step_by(RESTLESS_PERIOD)
+            .collect();
+        Endpoints {
+            servers,
+            lines,
+            restless,
+        }
     }
 
     fn connections(&self) -> usize {
-        self.servers.iter().map(|server| server.seen.change(|seen| seen.connections)).sum()
+        self.servers
+            .iter()
+            .map(|server| server.seen.change(|seen| seen.connections))
+            .sum()
     }
 
     /// The next restless endpoint begins to drain, or has started again; returns its line.
@@ -267,8 +329,14 @@
     let feed = ChangeFeed::start(&endpoints.lines);
     let mut settings = settings();
     settings["groupSize"] = fleet.routers.into();
-    let router =
-        Router::start_with(program, feed.address, &endpoints.lines, DESCRIPTOR_LIMIT, settings, None);
+    let router = Router::start_with(
+        program,
+        feed.address,
+        &endpoints.lines,
+        DESCRIPTOR_LIMIT,
+        settings,
+        None,
+    );
     let traffic = Traffic::default();
     let began = Instant::now();
     let mut peak_descriptors = 0;
@@ -302,14 +370,24 @@
 }
 
 /// One client's part of the open loop: its requests are due at fixed times, whether or not earlier ones were slow.
-fn send_requests(router: &Router, fleet: Fleet, number: usize, seed: u64, began: Instant, traffic: &Traffic) {
+fn send_requests(
+    router: &Router,
+    fleet: Fleet,
+    number: usize,
+    seed: u64,
+    began: Instant,
+    traffic: &Traffic,
+) {
     let mut client: Client = router.client();
     let mut random = StdRng::seed_from_u64(seed * CLIENTS as u64 + number as u64);
     for turn in 0_u64.. {
         let place = turn * CLIENTS as u64 + number as u64;
         let due = began + Duration::from_secs_f64(place as f64 / fleet.request_rate);
         while Instant::now() < due && !traffic.has_ended.load(Ordering::Relaxed) {
-            std::thread::sleep(due.saturating_duration_since(Instant::now()).min(WATCH_EVENT_INTERVAL));
+            std::thread::sleep(
+                due.saturating_duration_since(Instant::now())
+                    .min(WATCH_EVENT_INTERVAL),
+            );
         }
         if traffic.has_ended.load(Ordering::Relaxed) {
             return;
@@ -323,7 +401,9 @@
         if answer.is_none() {
             client = router.client();
         }
-        traffic.served.fetch_add(u64::from(is_served), Ordering::Relaxed);
+        traffic
+            .served
+            .fetch_add(u64::from(is_served), Ordering::Relaxed);
     }
 }
 
@@ -331,10 +411,17 @@
 fn statement(number: u64, replica_sets: usize, random: &mut StdRng) -> String {
     let replica_set = random.random_range(0..replica_sets);
     let deadline_ms = CLIENT_DEADLINE.as_millis();
-    let request = |class: &str| format!("id={number:016x},c={class},d={deadline_ms},cluster={replica_set}");
+    let request =
+        |class: &str| format!("id={number:016x},c={class},d={deadline_ms},cluster={replica_set}");
     match random.random_range(0..100) {
-        0..60 => format!("SELECT data FROM facts WHERE code = 'k' /* {} */", request("board")),
-        60..85 => format!("SELECT data FROM facts WHERE code = 'k' /* {} */", request("own")),
+        0..60 => format!(
+            "SELECT data FROM facts WHERE code = 'k' /* {} */",
+            request("board")
+        ),
+        60..85 => format!(
+            "SELECT data FROM facts WHERE code = 'k' /* {} */",
+            request("own")
+        ),
         _ => format!(
             "INSERT INTO facts (code, data) VALUES ('k', 'v') RETURNING data /* {},k=w{number:x} */",
             request("book")
@@ -346,9 +433,17 @@
 fn cpu_seconds(process: u32) -> anyhow::Result<f64> {
     let path = format!("/proc/{process}/stat");
     let text = std::fs::read_to_string(&path).with_context(|| path.clone())?;
-    let fields: Vec<&str> = text.rsplit(") ").next().context("no fields")?.split(' ').collect();
+    let fields: Vec<&str> = text
+        .rsplit(") ")
+        .next()
+        .context("no fields")?
+        .split(' ')
+        .collect();
     let field = |index: usize| -> anyhow::Result<f64> {
-        fields.get(index).and_then(|text| text.parse().ok()).with_context(|| format!("{path}: {text}"))
+        fields
+            .get(index)
+            .and_then(|text| text.parse().ok())
+            .with_context(|| format!("{path}: {text}"))
     };
     Ok((field(USER_TIME_FIELD)? + field(USER_TIME_FIELD + 1)?) / TICKS_PER_SECOND)
 }
@@ -357,6 +452,14 @@
 fn peak_memory_mb(process: u32) -> anyhow::Result<f64> {
     let path = format!("/proc/{process}/status");
     let text = std::fs::read_to_string(&path).with_context(|| path.clone())?;
-    let line = text.lines().find(|line| line.starts_with("VmHWM")).context("no VmHWM")?;
-    Ok(line.split_whitespace().nth(1).unwrap_or_default().parse::<f64>()? / 1024.0)
+    let line = text
+        .lines()
+        .find(|line| line.starts_with("VmHWM"))
+        .context("no VmHWM")?;
+    Ok(line
+        .split_whitespace()
+        .nth(1)
+        .unwrap_or_default()
+        .parse::<f64>()?
+        / 1024.0)
 }
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -64,5 +64,9 @@
     };
     print!("{report}");
     println!("{}", serde_json::to_string(&report)?);
-    Ok(if report.is_met() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if report.is_met() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
--- a/crates/experiments/src/membership.rs
+++ b/crates/experiments/src/membership.rs
@@ -24,7 +24,11 @@
     wheel(if quick { 3 } else { 9 }, &mut report);
     changes(if quick { 5 } else { 15 }, &mut report)?;
     memory(&mut report)?;
-    flips(program, Duration::from_secs(if quick { 10 } else { 60 }), &mut report)?;
+    flips(
+        program,
+        Duration::from_secs(if quick { 10 } else { 60 }),
+        &mut report,
+    )?;
     Ok(report)
 }
 
@@ -34,18 +38,29 @@
     const REFRESHES: u64 = 5 * RECORDS;
     const SECOND: u64 = 1_000_000_000;
     let mut random = StdRng::seed_from_u64(1);
-    let spans: Vec<u64> = (0..RECORDS).map(|_| random.random_range(SECOND..60 * SECOND)).collect();
-    let order: Vec<usize> = (0..REFRESHES).map(|_| random.random_range(0..RECORDS as usize)).collect();
+    let spans: Vec<u64> = (0..RECORDS)
+        .map(|_| random.random_range(SECOND..60 * SECOND))
+        .collect();
+    let order: Vec<usize> = (0..REFRESHES)
+        .map(|_| random.random_range(0..RECORDS as usize))
+        .collect();
     let mut results: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     let mut note = |name, began: Instant, n: u64| {
-        results.entry(name).or_default().push(began.elapsed().as_nanos() as f64 / n as f64);
+        results
+            .entry(name)
+            .or_default()
+            .push(began.elapsed().as_nanos() as f64 / n as f64);
     };
     let at = |step: usize| step as u64 * 20_000;
     let end = 200 * SECOND;
     for _ in 0..rounds {
         let began = Instant::now();
         let mut wheel = Wheel::new(0);
-        let handles: Vec<Handle> = spans.iter().enumerate().map(|(i, s)| wheel.insert(*s, i)).collect();
+        let handles: Vec<Handle> = spans
+            .iter()
+            .enumerate()
+            .map(|(i, s)| wheel.insert(*s, i))
+            .collect();
         note("wheel, insert", began, RECORDS);
         let began = Instant::now();
         for (step, i) in order.iter().enumerate() {
@@ -122,20 +137,55 @@
 
 fn names(n: usize) -> Names {
     let ids = (0..n).map(|i| format!("s-{i:08x}").into()).collect();
-    Names { ids, records: (0..n).map(|i| format!("db-{i}._postgresql._tcp.example.org.").into()).collect() }
+    Names {
+        ids,
+        records: (0..n)
+            .map(|i| format!("db-{i}._postgresql._tcp.example.org.").into())
+            .collect(),
+    }
 }
 
 fn filled(names: &Names) -> Members {
-    let mut members = Members::new(Settings { most: 1 << 20, ..Settings::default() }, 0);
+    let mut members = Members::new(
+        Settings {
+            most: 1 << 20,
+            ..Settings::default()
+        },
+        0,
+    );
     let mut out = Vec::new();
     for (source, kind) in [(0, Kind::Roster), (1, Kind::Records)] {
         members.handle(0, Input::Source { source, kind }, &mut out);
     }
     for (n, id) in names.ids.iter().enumerate() {
-        let claim = Claim { uid: Some(id.clone()), version: 1, ..Claim::new("", endpoint(n), n as u32 / 5) };
-        members.handle(0, Input::Told { source: 0, name: id.clone(), claim: claim.clone() }, &mut out);
-        let claim = Claim { version: 0, until: Some(60_000_000_000), ..claim };
-        members.handle(0, Input::Told { source: 1, name: names.records[n].clone(), claim }, &mut out);
+        let claim = Claim {
+            uid: Some(id.clone()),
+            version: 1,
+            ..Claim::new("", endpoint(n), n as u32 / 5)
+        };
+        members.handle(
+            0,
+            Input::Told {
+                source: 0,
+                name: id.clone(),
+                claim: claim.clone(),
+            },
+            &mut out,
+        );
+        let claim = Claim {
+            version: 0,
+            until: Some(60_000_000_000),
+            ..claim
+        };
+        members.handle(
+            0,
+            Input::Told {
+                source: 1,
+                name: names.records[n].clone(),
+                claim,
+            },
+            &mut out,
+        );
         out.clear();
     }
     members
@@ -159,7 +209,10 @@
             let word = if drains { Word::Draining } else { Word::Ready };
             list.insert(id.clone(), (best.endpoint, word, best.group));
         }
-        let changed = list.iter().filter(|(id, view)| self.list.get(*id) != Some(*view)).count();
+        let changed = list
+            .iter()
+            .filter(|(id, view)| self.list.get(*id) != Some(*view))
+            .count();
         self.list = list;
         changed
     }
@@ -176,9 +229,21 @@
             for _ in 0..changes {
                 version += 1;
                 let n = random.random_range(0..n);
-                let word = if random.random() { Word::Ready } else { Word::Draining };
-                let claim = Claim { word, version, ..Claim::new(&names.ids[n], endpoint(n), n as u32 / 5) };
-                inputs.push(Input::Told { source: 0, name: names.ids[n].clone(), claim });
+                let word = if random.random() {
+                    Word::Ready
+                } else {
+                    Word::Draining
+                };
+                let claim = Claim {
+                    word,
+                    version,
+                    ..Claim::new(&names.ids[n], endpoint(n), n as u32 / 5)
+                };
+                inputs.push(Input::Told {
+                    source: 0,
+                    name: names.ids[n].clone(),
+                    claim,
+                });
             }
             out.clear();
             let began = Instant::now();
@@ -189,15 +254,27 @@
             if round > 0 {
                 all.push(began.elapsed().as_nanos() as f64 / changes as f64 / 1000.0);
             }
-            ensure!(out.len() > changes / 4, "{} changes of the list for {changes}", out.len());
+            ensure!(
+                out.len() > changes / 4,
+                "{} changes of the list for {changes}",
+                out.len()
+            );
         }
         Ok(all)
     };
-    let (mut small, mut large, mut flat, mut over) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+    let (mut small, mut large, mut flat, mut over) =
+        (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     let names = names(10_000);
     let claims = |n: usize, id: &Arc<str>| Claim::new(id, endpoint(n), n as u32 / 5);
-    let all = names.ids.iter().enumerate().map(|(n, id)| (id.clone(), [claims(n, id), claims(n, id)]));
-    let mut plain = Plain { claims: all.collect(), list: HashMap::new() };
+    let all = names
+        .ids
+        .iter()
+        .enumerate()
+        .map(|(n, id)| (id.clone(), [claims(n, id), claims(n, id)]));
+    let mut plain = Plain {
+        claims: all.collect(),
+        list: HashMap::new(),
+    };
     let mut rebuilt = Vec::new();
     for round in 0..rounds {
         small.push(median(&took(1_000, 3, 5_000)?));
@@ -205,8 +282,14 @@
         let began = Instant::now();
         for n in 0..20 {
             let n = (round * 20 + n) * 7 % 10_000;
-            let claim = Claim { word: Word::Draining, ..claims(n, &names.ids[n]) };
-            ensure!(plain.change(&names.ids[n], claim) > 0, "the plain list did not change");
+            let claim = Claim {
+                word: Word::Draining,
+                ..claims(n, &names.ids[n])
+            };
+            ensure!(
+                plain.change(&names.ids[n], claim) > 0,
+                "the plain list did not change"
+            );
         }
         rebuilt.push(began.elapsed().as_nanos() as f64 / 20.0 / 1000.0);
         flat.push(large[round] / small[round]);
@@ -218,13 +301,23 @@
     report.add("made anew / by changes", "", &over, Aim::AtLeast(20.0));
     report.add("10,000 / 1,000 members", "", &flat, Aim::AtMost(1.5));
     let share = median(&large) * 1000.0 / 1e6 * 100.0;
-    report.add("processor for 1,000 changes a second", "%", &[share], Aim::None);
+    report.add(
+        "processor for 1,000 changes a second",
+        "%",
+        &[share],
+        Aim::None,
+    );
     Ok(())
 }
 
 fn resident() -> anyhow::Result<f64> {
     let text = std::fs::read_to_string("/proc/self/statm")?;
-    Ok(text.split(' ').nth(1).context("no resident pages")?.parse::<f64>()? * 4096.0)
+    Ok(text
+        .split(' ')
+        .nth(1)
+        .context("no resident pages")?
+        .parse::<f64>()?
+        * 4096.0)
 }
 
 /// Memory of members with two sources each, names and all.
@@ -234,7 +327,12 @@
     let members = filled(&names(MEMBERS));
     let bytes = (resident()? - before) / MEMBERS as f64;
     ensure!(members.len() == MEMBERS, "{} members", members.len());
-    report.add("memory a member, two sources", "bytes", &[bytes], Aim::AtMost(1024.0));
+    report.add(
+        "memory a member, two sources",
+        "bytes",
+        &[bytes],
+        Aim::AtMost(1024.0),
+    );
     Ok(())
 }
 
@@ -249,7 +347,12 @@
 impl Load {
     fn start(router: &Router, clients: usize) -> Load {
         let (ended, asked, served) = (Arc::default(), Arc::default(), Arc::default());
-        let load = Load { ended, asked, served, threads: Vec::new() };
+        let load = Load {
+            ended,
+            asked,
+            served,
+            threads: Vec::new(),
+        };
         let next = Arc::new(AtomicU64::new(1));
         let address = router.address;
         let threads = (0..clients).map(|_| {
@@ -279,7 +382,8 @@
         for thread in self.threads {
             let _ = thread.join();
         }
-        self.served.load(Ordering::Relaxed) as f64 / self.asked.load(Ordering::Relaxed).max(1) as f64
+        self.served.load(Ordering::Relaxed) as f64
+            / self.asked.load(Ordering::Relaxed).max(1) as f64
     }
 }
 
@@ -293,19 +397,34 @@
 
 /// A request takes it 10 ms, so that clients spread.
 fn member(group: &Group, n: usize) -> Instance {
-    Instance::join(group, &format!("s-{n}"), ([127, 0, 0, 1], 0).into(), Duration::from_millis(10), false)
+    Instance::join(
+        group,
+        &format!("s-{n}"),
+        ([127, 0, 0, 1], 0).into(),
+        Duration::from_millis(10),
+        false,
+    )
 }
 
 fn record(n: usize, instance: &Instance) -> dns::Instance {
-    dns::Instance { ttl: 0, ..dns::Instance::new(&format!("s-{n}"), instance.address, 2) }
+    dns::Instance {
+        ttl: 0,
+        ..dns::Instance::new(&format!("s-{n}"), instance.address, 2)
+    }
 }
 
 impl Site {
     fn start(program: &str) -> Site {
         let group = Group::new("s-0", Duration::ZERO, Duration::from_secs(2));
         let instances: Vec<Instance> = (0..6).map(|n| member(&group, n)).collect();
-        let records = instances.iter().enumerate().map(|(n, i)| (format!("db-{n}"), record(n, i)));
-        let server = Server::start(Zone { instances: records.collect(), ..Zone::default() });
+        let records = instances
+            .iter()
+            .enumerate()
+            .map(|(n, i)| (format!("db-{n}"), record(n, i)));
+        let server = Server::start(Zone {
+            instances: records.collect(),
+            ..Zone::default()
+        });
         let discovery = Discovery::start(None);
         let edge = format!(
             "discovery:\n  dns_sd: {{servers: [\"{}\"], services: [\"{}\"], domain: \"{}\", ttl_floor_ms: {}}}\n",
@@ -315,7 +434,13 @@
             FLOOR.as_millis()
         );
         let router = Router::start(program, &discovery, &[], 1024, settings(), Some(&edge));
-        let site = Site { group, instances, server, discovery, router };
+        let site = Site {
+            group,
+            instances,
+            server,
+            discovery,
+            router,
+        };
         site.publish(None);
         let mut client = site.router.client();
         client.ask("");
@@ -325,10 +450,15 @@
     /// The roster's list, with one that drains.
     fn publish(&self, draining: Option<usize>) {
         let line = |(n, i): (usize, &Instance)| {
-            let state = if Some(n) == draining { "draining" } else { "ready" };
+            let state = if Some(n) == draining {
+                "draining"
+            } else {
+                "ready"
+            };
             reelrill_test_support::target(&format!("s-{n}"), i.address, state)
         };
-        self.discovery.publish(self.instances.iter().enumerate().map(line).collect());
+        self.discovery
+            .publish(self.instances.iter().enumerate().map(line).collect());
     }
 
     fn asked(&self, n: usize) -> usize {
@@ -373,13 +503,21 @@
             site.publish(Some(n));
             // The watch is answered at once; its next call shows that it was read.
             let read = |c: &mut Vec<String>| (c.len() > calls).then_some(());
-            ensure!(site.discovery.calls.wait_for(Duration::from_secs(10), read).is_some(), "no watch");
+            ensure!(
+                site.discovery
+                    .calls
+                    .wait_for(Duration::from_secs(10), read)
+                    .is_some(),
+                "no watch"
+            );
             Instant::now()
         } else {
             let drains = record(n, &site.instances[n])
                 .with("state", Some("draining"))
                 .with("boot_ms", Some(&boot.to_string()));
-            site.server.zone.change(|z| z.instances.insert(label.clone(), drains));
+            site.server
+                .zone
+                .change(|z| z.instances.insert(label.clone(), drains));
             site.told_by_records()?
         };
         drains += 1;
@@ -392,7 +530,9 @@
         let number = 6 + round;
         let (new, came) = (member(&site.group, number), Instant::now());
         let at = format!("db-{number}");
-        site.server.zone.change(|z| z.instances.insert(at.clone(), record(number, &new)));
+        site.server
+            .zone
+            .change(|z| z.instances.insert(at.clone(), record(number, &new)));
         let used = |s: &mut reelrill_test_support::Seen| (!s.queries.is_empty()).then_some(());
         let was_used = new.seen.wait_for(Duration::from_secs(10), used).is_some();
         ensure!(
@@ -419,16 +559,39 @@
     let share = load.end();
     let forgotten = site.router.log.change(|l| {
         let healthy = |l: &&String| (0..6).any(|n| l.contains(&format!("member: s-{n},")));
-        l.iter().filter(|l| l.contains("member gone")).filter(healthy).count()
+        l.iter()
+            .filter(|l| l.contains("member gone"))
+            .filter(healthy)
+            .count()
     });
     first_use.sort_by(f64::total_cmp);
     let p99 = first_use[(first_use.len() * 99).div_ceil(100).saturating_sub(1)];
     report.add("drains told", "", &[f64::from(drains)], Aim::AtLeast(4.0));
-    report.add("sends after told + 250 ms", "", &[late as f64], Aim::AtMost(0.0));
-    report.add("healthy members forgotten", "", &[forgotten as f64], Aim::AtMost(0.0));
+    report.add(
+        "sends after told + 250 ms",
+        "",
+        &[late as f64],
+        Aim::AtMost(0.0),
+    );
+    report.add(
+        "healthy members forgotten",
+        "",
+        &[forgotten as f64],
+        Aim::AtMost(0.0),
+    );
     report.add("record to first use, median", "ms", &first_use, Aim::None);
-    report.add("record to first use, p99", "ms", &[p99], Aim::AtMost(FLOOR.as_secs_f64() * 1000.0 + 200.0));
+    report.add(
+        "record to first use, p99",
+        "ms",
+        &[p99],
+        Aim::AtMost(FLOOR.as_secs_f64() * 1000.0 + 200.0),
+    );
     report.add("served, quiet run", "%", &[quiet * 100.0], Aim::None);
-    report.add("served, with flips", "%", &[share * 100.0], Aim::AtLeast(quiet * 100.0 - 1.0));
+    report.add(
+        "served, with flips",
+        "%",
+        &[share * 100.0],
+        Aim::AtLeast(quiet * 100.0 - 1.0),
+    );
     Ok(())
 }
--- a/crates/pg-protocol/src/backend.rs
+++ b/crates/pg-protocol/src/backend.rs
@@ -3,8 +3,11 @@
 use crate::{Format, put, text};
 
 /// The bodies of a few parameters that a welcome tells.
-const TOLD: [&[u8]; 3] =
-    [b"server_version\x0015.0\0", b"client_encoding\0UTF8\0", b"standard_conforming_strings\0on\0"];
+const TOLD: [&[u8]; 3] = [
+    b"server_version\x0015.0\0",
+    b"client_encoding\0UTF8\0",
+    b"standard_conforming_strings\0on\0",
+];
 
 /// Appends ReadyForQuery, outside a transaction.
 pub fn put_ready(out: &mut Vec<u8>) {
@@ -14,7 +17,11 @@
 /// Appends the whole welcome: no password, and the numbers that a CancelRequest must name (0: none will do).
 pub fn put_welcome(out: &mut Vec<u8>, minor: u16, process: u32, secret: u32) {
     if minor > 0 {
-        put(out, b'v', &[&(3u32 << 16).to_be_bytes(), &0u32.to_be_bytes()]);
+        put(
+            out,
+            b'v',
+            &[&(3u32 << 16).to_be_bytes(), &0u32.to_be_bytes()],
+        );
     }
     put(out, b'R', &[&0u32.to_be_bytes()]);
     for parameter in TOLD {
@@ -40,9 +47,14 @@
 pub fn put_error(out: &mut Vec<u8>, fatal: bool, code: &str, message: &str, detail: Option<&str>) {
     let severity = if fatal { "FATAL" } else { "ERROR" };
     let mut body = Vec::with_capacity(64 + message.len());
-    for (field, text) in [(b'S', severity), (b'V', severity), (b'C', code), (b'M', message)]
-        .into_iter()
-        .chain(detail.map(|d| (b'D', d)))
+    for (field, text) in [
+        (b'S', severity),
+        (b'V', severity),
+        (b'C', code),
+        (b'M', message),
+    ]
+    .into_iter()
+    .chain(detail.map(|d| (b'D', d)))
     {
         body.push(field);
         body.extend_from_slice(text.as_bytes());
@@ -66,7 +78,11 @@
 
 /// The code of an ErrorResponse that is whole.
 pub fn error_code(body: &[u8]) -> Option<&str> {
-    let is_code = |c: &&str| c.len() == 5 && c.bytes().all(|b| b.is_ascii_digit() || b.is_ascii_uppercase());
+    let is_code = |c: &&str| {
+        c.len() == 5
+            && c.bytes()
+                .all(|b| b.is_ascii_digit() || b.is_ascii_uppercase())
+    };
     error_field(body, b'C').filter(is_code)
 }
 
@@ -103,13 +119,21 @@
     let (name, rest) = text(body.strip_prefix(&[0, 1])?)?;
     let (kind, format) = rest.split_first_chunk::<16>()?;
     let format: &[u8; 2] = format.try_into().ok()?;
-    Some(Column { name, kind: *kind, format: Format::of(u16::from_be_bytes(*format))? })
+    Some(Column {
+        name,
+        kind: *kind,
+        format: Format::of(u16::from_be_bytes(*format))?,
+    })
 }
 
 /// Appends a RowDescription of one column.
 pub fn put_column(out: &mut Vec<u8>, column: &Column) {
     let format = column.format.code().to_be_bytes();
-    put(out, b'T', &[&[0, 1], column.name.as_bytes(), &[0], &column.kind, &format]);
+    put(
+        out,
+        b'T',
+        &[&[0, 1], column.name.as_bytes(), &[0], &column.kind, &format],
+    );
 }
 
 /// Appends a ParameterDescription.
@@ -120,7 +144,11 @@
 
 /// Appends a DataRow of one column.
 pub fn put_value(out: &mut Vec<u8>, value: &[u8]) {
-    put(out, b'D', &[&[0, 1], &(value.len() as u32).to_be_bytes(), value]);
+    put(
+        out,
+        b'D',
+        &[&[0, 1], &(value.len() as u32).to_be_bytes(), value],
+    );
 }
 
 /// The value of a DataRow of exactly one column that is not null.
@@ -138,7 +166,9 @@
 
 /// The text of a message that holds one text and nothing else.
 pub fn only_text(body: &[u8]) -> Option<&str> {
-    text(body).filter(|(_, rest)| rest.is_empty()).map(|(t, _)| t)
+    text(body)
+        .filter(|(_, rest)| rest.is_empty())
+        .map(|(t, _)| t)
 }
 
 #[cfg(test)]
@@ -160,7 +190,10 @@
 
     #[test]
     fn a_column_is_read_as_it_was_put() {
-        let (mut out, column) = (Vec::new(), Column::new("data", crate::oid::BYTEA, Format::Binary));
+        let (mut out, column) = (
+            Vec::new(),
+            Column::new("data", crate::oid::BYTEA, Format::Binary),
+        );
         put_column(&mut out, &column);
         let (_, body, _) = frame::answer(&out).unwrap().unwrap();
         assert_eq!(one_column(body), Some(column.clone()));
--- a/crates/pg-protocol/src/frame.rs
+++ b/crates/pg-protocol/src/frame.rs
@@ -21,7 +21,9 @@
 }
 
 pub(crate) fn length(bytes: &[u8], least: usize, most: usize) -> Result<Option<usize>, FrameError> {
-    let Some(field) = bytes.first_chunk::<4>() else { return Ok(None) };
+    let Some(field) = bytes.first_chunk::<4>() else {
+        return Ok(None);
+    };
     let len = u32::from_be_bytes(*field) as usize;
     match len {
         _ if len < least => Err(FrameError::Malformed),
@@ -35,8 +37,12 @@
 
 /// The first message in `bytes`, once it is whole; its length field may say `most` bytes.
 pub fn within(bytes: &[u8], most: usize) -> Result<Option<Frame<'_>>, FrameError> {
-    let Some((&tag, rest)) = bytes.split_first() else { return Ok(None) };
-    let Some(len) = length(rest, 4, most)? else { return Ok(None) };
+    let Some((&tag, rest)) = bytes.split_first() else {
+        return Ok(None);
+    };
+    let Some(len) = length(rest, 4, most)? else {
+        return Ok(None);
+    };
     Ok(rest.get(4..len).map(|body| (tag, body, len + 1)))
 }
 
@@ -52,7 +58,14 @@
 
 /// The first message of an instance's answer. Only a row may be large, and its value has 64 KiB at most.
 pub fn answer(bytes: &[u8]) -> Result<Option<Frame<'_>>, FrameError> {
-    within(bytes, if bytes.first() == Some(&b'D') { LARGEST_ROW } else { LARGEST_WORD })
+    within(
+        bytes,
+        if bytes.first() == Some(&b'D') {
+            LARGEST_ROW
+        } else {
+            LARGEST_WORD
+        },
+    )
 }
 
 #[cfg(test)]
--- a/crates/pg-protocol/src/frontend.rs
+++ b/crates/pg-protocol/src/frontend.rs
@@ -29,12 +29,22 @@
 
 /// Reads the message that opens a connection, which has no tag, and its length.
 pub fn startup(bytes: &[u8]) -> Result<Option<(Startup, usize)>, FrameError> {
-    let Some(len) = frame::length(bytes, 8, frame::LARGEST_STARTUP)? else { return Ok(None) };
-    let Some(body) = bytes.get(4..len) else { return Ok(None) };
-    let word = |at: usize| body.get(at..at + 4)?.first_chunk::<4>().map(|b| u32::from_be_bytes(*b));
+    let Some(len) = frame::length(bytes, 8, frame::LARGEST_STARTUP)? else {
+        return Ok(None);
+    };
+    let Some(body) = bytes.get(4..len) else {
+        return Ok(None);
+    };
+    let word = |at: usize| {
+        body.get(at..at + 4)?
+            .first_chunk::<4>()
+            .map(|b| u32::from_be_bytes(*b))
+    };
     let kind = match word(0).ok_or(FrameError::Malformed)? {
         80_877_102 => match (word(4), word(8)) {
-            (Some(process), Some(secret)) if body.len() == 12 => Startup::Cancel { process, secret },
+            (Some(process), Some(secret)) if body.len() == 12 => {
+                Startup::Cancel { process, secret }
+            }
             _ => return Err(FrameError::Malformed),
         },
         80_877_103 | 80_877_104 => Startup::Encryption,
@@ -203,7 +213,12 @@
     let (what, mut f) = (name_of(tag), Fields(body));
     let wrong = || CommandError::Fields(what);
     let formats = |f: &mut Fields| {
-        counted(what, f, |f| f.u16().ok_or(wrong()).map(Format::of)?.ok_or(CommandError::Format(what)))
+        counted(what, f, |f| {
+            f.u16()
+                .ok_or(wrong())
+                .map(Format::of)?
+                .ok_or(CommandError::Format(what))
+        })
     };
     let command = match tag {
         b'Q' => Command::Query(f.text().ok_or_else(wrong)?),
@@ -223,7 +238,10 @@
         b'E' => Command::Execute {
             portal: f.text().ok_or_else(wrong)?,
             // A negative limit is none, as servers of this protocol take it.
-            rows: f.u32().ok_or_else(wrong).map(|n| if n as i32 > 0 { n } else { 0 })?,
+            rows: f
+                .u32()
+                .ok_or_else(wrong)
+                .map(|n| if n as i32 > 0 { n } else { 0 })?,
         },
         b'C' => Command::Close(f.object().ok_or_else(wrong)?, f.text().ok_or_else(wrong)?),
         b'H' => Command::Flush,
@@ -231,7 +249,11 @@
         b'X' => return Ok(Command::Terminate),
         other => return Err(CommandError::Unknown(other)),
     };
-    if f.0.is_empty() { Ok(command) } else { Err(wrong()) }
+    if f.0.is_empty() {
+        Ok(command)
+    } else {
+        Err(wrong())
+    }
 }
 
 fn name_of(tag: u8) -> &'static str {
@@ -272,7 +294,11 @@
 pub fn put_parse(out: &mut Vec<u8>, name: &str, text: &str, types: &[u32]) {
     let types: Vec<u8> = types.iter().flat_map(|t| t.to_be_bytes()).collect();
     let count = (types.len() as u16 / 4).to_be_bytes();
-    put(out, b'P', &[name.as_bytes(), &[0], text.as_bytes(), &[0], &count, &types]);
+    put(
+        out,
+        b'P',
+        &[name.as_bytes(), &[0], text.as_bytes(), &[0], &count, &types],
+    );
 }
 
 /// Appends a Bind whose parameters have a format each, and whose results have one format for all.
@@ -358,20 +384,37 @@
         let values = [(Format::Text, Some(&b"k"[..])), (Format::Binary, None)];
         put_bind(&mut out, "p", "s", values.into_iter(), Format::Binary);
         let (tag, body, len) = frame::command(&out, true).unwrap().unwrap();
-        let Ok(Command::Bind(bind)) = read(tag, body) else { panic!("no bind") };
+        let Ok(Command::Bind(bind)) = read(tag, body) else {
+            panic!("no bind")
+        };
         assert_eq!((bind.portal, bind.statement, len), ("p", "s", out.len()));
         assert_eq!(bind.values, [Some(&b"k"[..]), None]);
-        assert_eq!((bind.format(1), bind.result(5)), (Format::Binary, Format::Binary));
+        assert_eq!(
+            (bind.format(1), bind.result(5)),
+            (Format::Binary, Format::Binary)
+        );
     }
 
     #[test]
     fn startup_and_cancel_are_told_apart() {
         let mut out = Vec::new();
         put_startup(&mut out);
-        assert_eq!(startup(&out), Ok(Some((Startup::Session { minor: 0 }, out.len()))));
+        assert_eq!(
+            startup(&out),
+            Ok(Some((Startup::Session { minor: 0 }, out.len())))
+        );
         out.clear();
         put_cancel(&mut out, 7, 9);
-        assert_eq!(startup(&out), Ok(Some((Startup::Cancel { process: 7, secret: 9 }, 16))));
+        assert_eq!(
+            startup(&out),
+            Ok(Some((
+                Startup::Cancel {
+                    process: 7,
+                    secret: 9
+                },
+                16
+            )))
+        );
         assert_eq!(startup(&out[..11]), Ok(None));
     }
 
@@ -379,13 +422,21 @@
     #[rstest]
     #[case(b'P', b"\0x\0\xff\xff", CommandError::TooMany("Parse", 65_535))]
     #[case(b'P', b"\0x\0\0\x01", CommandError::Fields("Parse"))]
-    #[case(b'B', b"\0\0\0\0\0\x01\xff\xff\xff\xfe\0\0", CommandError::Fields("Bind"))]
+    #[case(
+        b'B',
+        b"\0\0\0\0\0\x01\xff\xff\xff\xfe\0\0",
+        CommandError::Fields("Bind")
+    )]
     #[case(b'B', b"\0\0\0\0\0\x01\0\0\0\x09a\0\0", CommandError::Fields("Bind"))]
     #[case(b'B', b"\0\0\0\x01\0\x02\0\0\0\0", CommandError::Format("Bind"))]
     #[case(b'D', b"X\0", CommandError::Fields("Describe"))]
     #[case(b'S', b"x", CommandError::Fields("Sync"))]
     #[case(b'd', b"", CommandError::Unknown(b'd'))]
-    fn what_does_not_fit_is_named(#[case] tag: u8, #[case] body: &[u8], #[case] wanted: CommandError) {
+    fn what_does_not_fit_is_named(
+        #[case] tag: u8,
+        #[case] body: &[u8],
+        #[case] wanted: CommandError,
+    ) {
         assert_eq!(read(tag, body), Err(wanted));
     }
 
--- a/crates/pg-session/src/account.rs
+++ b/crates/pg-session/src/account.rs
@@ -20,14 +20,24 @@
 impl Account {
     /// An account of `most`, in whatever unit its holders count.
     pub fn new(most: usize) -> Rc<Account> {
-        Rc::new(Account { used: Cell::new(0), most })
+        Rc::new(Account {
+            used: Cell::new(0),
+            most,
+        })
     }
 
     /// Sets `amount` aside; none if that much is not left.
     pub fn take(self: &Rc<Self>, amount: usize) -> Option<Share> {
-        let used = self.used.get().checked_add(amount).filter(|used| *used <= self.most)?;
+        let used = self
+            .used
+            .get()
+            .checked_add(amount)
+            .filter(|used| *used <= self.most)?;
         self.used.set(used);
-        Some(Share { account: self.clone(), amount })
+        Some(Share {
+            account: self.clone(),
+            amount,
+        })
     }
 
     /// How much is in use.
@@ -98,6 +108,9 @@
 impl Accounts {
     /// Accounts with nothing in use.
     pub fn new(limits: &Limits) -> Accounts {
-        Accounts { statements: Account::new(limits.all_statements), values: Account::new(limits.value_bytes) }
+        Accounts {
+            statements: Account::new(limits.all_statements),
+            values: Account::new(limits.value_bytes),
+        }
     }
 }
--- a/crates/pg-session/src/admit.rs
+++ b/crates/pg-session/src/admit.rs
@@ -38,7 +38,9 @@
         let form = Form::read(text, false)?;
         let field = |place: Place| form.text(place).ok_or(FormError::Field(place.name()));
         let (_, wait_digits) = form.word(Place::Wait).ok_or(FormError::Field("d"))?;
-        let after = form.text(Place::After).map(|v| form::number(v).ok_or(FormError::Field("after")));
+        let after = form
+            .text(Place::After)
+            .map(|v| form::number(v).ok_or(FormError::Field("after")));
         let named = Named {
             id: Some(form::id(field(Place::Id)?).ok_or(FormError::Field("id"))?),
             class: field(Place::Class)?,
@@ -93,7 +95,10 @@
         let index = self.names.iter().position(|name| name == named.class);
         let known = index.and_then(|i| Some((i, self.classes.get(i)?)));
         let (index, class) = known.ok_or_else(|| Wrong::Class(named.class.to_owned()))?;
-        if named.wait_ms.is_some_and(|ms| ms == 0 || ms > LONGEST_WAIT_MS) {
+        if named
+            .wait_ms
+            .is_some_and(|ms| ms == 0 || ms > LONGEST_WAIT_MS)
+        {
             return Err(Wrong::Value("d"));
         }
         if named.is_write != (class.need == Need::Write) {
@@ -103,7 +108,9 @@
             return Err(Wrong::Value("k"));
         }
         let has_session = matches!(class.need, Need::Session | Need::Write);
-        let after = named.after_ms.filter(|ms| *ms > 0 && class.need == Need::Session);
+        let after = named
+            .after_ms
+            .filter(|ms| *ms > 0 && class.need == Need::Session);
         Ok(Admitted {
             id: named.id,
             class: index as u32,
@@ -111,7 +118,9 @@
             session: has_session.then(|| named.key.into()),
             after: after.map(|ms| ms.saturating_mul(1_000_000)),
             is_retry: named.is_retry,
-            wait: named.wait_ms.map_or(class.deadline, |ms| (ms * 1_000_000).min(class.deadline)),
+            wait: named
+                .wait_ms
+                .map_or(class.deadline, |ms| (ms * 1_000_000).min(class.deadline)),
             is_write: named.is_write,
         })
     }
@@ -150,10 +159,19 @@
     #[test]
     fn a_simple_query_names_its_request() {
         let (named, digits) = Named::simple(READ).unwrap();
-        assert_eq!((named.id, named.group, &READ[digits]), (Some(0x9b1f_03aa_5c7e_2d41), 2, "480"));
+        assert_eq!(
+            (named.id, named.group, &READ[digits]),
+            (Some(0x9b1f_03aa_5c7e_2d41), 2, "480")
+        );
         let admitted = catalog().admit(&named).unwrap();
-        assert_eq!((admitted.class, admitted.session.as_deref()), (1, Some("7f3a")));
-        assert_eq!((admitted.after, admitted.wait), (Some(1_767_225_600_123_000_000), 480_000_000));
+        assert_eq!(
+            (admitted.class, admitted.session.as_deref()),
+            (1, Some("7f3a"))
+        );
+        assert_eq!(
+            (admitted.after, admitted.wait),
+            (Some(1_767_225_600_123_000_000), 480_000_000)
+        );
     }
 
     #[rstest]
@@ -167,21 +185,69 @@
     #[case("cluster=2", "cluster=x", "cluster")]
     #[case("c=own,", "", "c")]
     #[case("after=1", "after=x", "after")]
-    fn what_is_wrong_is_named(#[case] part: &str, #[case] other: &str, #[case] wanted: &'static str) {
-        assert_eq!(Named::simple(&READ.replacen(part, other, 1)).err(), Some(FormError::Field(wanted)));
+    fn what_is_wrong_is_named(
+        #[case] part: &str,
+        #[case] other: &str,
+        #[case] wanted: &'static str,
+    ) {
+        assert_eq!(
+            Named::simple(&READ.replacen(part, other, 1)).err(),
+            Some(FormError::Field(wanted))
+        );
     }
 
     #[test]
     fn a_request_must_fit_its_class() {
         let (named, _) = Named::simple(READ).unwrap();
         let admit = |n: Named| catalog().admit(&n);
-        assert_eq!(admit(Named { class: "x", ..named.clone() }), Err(Wrong::Class("x".into())));
-        assert_eq!(admit(Named { class: "book", ..named.clone() }), Err(Wrong::Kind("book".into())));
-        assert_eq!(admit(Named { class: "book", is_write: true, ..named.clone() }), Err(Wrong::Value("k")));
+        assert_eq!(
+            admit(Named {
+                class: "x",
+                ..named.clone()
+            }),
+            Err(Wrong::Class("x".into()))
+        );
+        assert_eq!(
+            admit(Named {
+                class: "book",
+                ..named.clone()
+            }),
+            Err(Wrong::Kind("book".into()))
+        );
+        assert_eq!(
+            admit(Named {
+                class: "book",
+                is_write: true,
+                ..named.clone()
+            }),
+            Err(Wrong::Value("k"))
+        );
         for wrong in [0, LONGEST_WAIT_MS + 1] {
-            assert_eq!(admit(Named { wait_ms: Some(wrong), ..named.clone() }), Err(Wrong::Value("d")));
+            assert_eq!(
+                admit(Named {
+                    wait_ms: Some(wrong),
+                    ..named.clone()
+                }),
+                Err(Wrong::Value("d"))
+            );
         }
-        assert_eq!(admit(Named { wait_ms: None, ..named.clone() }).unwrap().wait, 1_000_000_000);
-        assert_eq!(admit(Named { wait_ms: Some(9000), ..named }).unwrap().wait, 1_000_000_000);
+        assert_eq!(
+            admit(Named {
+                wait_ms: None,
+                ..named.clone()
+            })
+            .unwrap()
+            .wait,
+            1_000_000_000
+        );
+        assert_eq!(
+            admit(Named {
+                wait_ms: Some(9000),
+                ..named
+            })
+            .unwrap()
+            .wait,
+            1_000_000_000
+        );
     }
 }
--- a/crates/pg-session/src/bound.rs
+++ b/crates/pg-session/src/bound.rs
@@ -6,9 +6,9 @@
 use crate::admit::Named;
 use crate::form::{self, Place};
 use crate::template::{Kind, Request, Slot, Template};
-use reelrill_routing::Span;
 use reelrill_pg_protocol::frontend::{self, Bind};
 use reelrill_pg_protocol::{Format, oid};
+use reelrill_routing::Span;
 use std::borrow::Cow;
 use std::fmt::Write as _;
 use std::ops::Range;
@@ -40,7 +40,11 @@
 impl Simple {
     /// `wait_digits` is where the waiting time, in milliseconds, stands in `text`.
     pub fn new(text: Vec<u8>, wait_digits: Range<usize>) -> Simple {
-        Simple { text, wait_digits, _share: None }
+        Simple {
+            text,
+            wait_digits,
+            _share: None,
+        }
     }
 
     /// The text with the time that the router will wait.
@@ -84,9 +88,18 @@
 /// A whole number in a parameter's type and format; one that does not fit is the largest that does.
 fn number_in(oid: u32, format: Format, number: u64) -> Vec<u8> {
     match (oid, format) {
-        (oid::INT2, Format::Binary) => i16::try_from(number).unwrap_or(i16::MAX).to_be_bytes().into(),
-        (oid::INT4, Format::Binary) => i32::try_from(number).unwrap_or(i32::MAX).to_be_bytes().into(),
-        (oid::INT8, Format::Binary) => i64::try_from(number).unwrap_or(i64::MAX).to_be_bytes().into(),
+        (oid::INT2, Format::Binary) => i16::try_from(number)
+            .unwrap_or(i16::MAX)
+            .to_be_bytes()
+            .into(),
+        (oid::INT4, Format::Binary) => i32::try_from(number)
+            .unwrap_or(i32::MAX)
+            .to_be_bytes()
+            .into(),
+        (oid::INT8, Format::Binary) => i64::try_from(number)
+            .unwrap_or(i64::MAX)
+            .to_be_bytes()
+            .into(),
         (oid::INT2, Format::Text) => number.min(i16::MAX as u64).to_string().into_bytes(),
         _ => number.to_string().into_bytes(),
     }
@@ -111,7 +124,10 @@
     ) -> Result<Bound, Wrong> {
         let takes = template.types().len();
         if bind.values.len() != takes {
-            return Err(Wrong::Count { brought: bind.values.len(), takes });
+            return Err(Wrong::Count {
+                brought: bind.values.len(),
+                takes,
+            });
         }
         if bind.formats.len() > 1 && bind.formats.len() != takes {
             return Err(Wrong::Formats(bind.formats.len()));
@@ -121,7 +137,10 @@
         }
         let len = bind.values.iter().flatten().map(|v| v.len()).sum();
         let most = accounts.values.most();
-        let share = accounts.values.take(len).ok_or(Wrong::Limit { what: "bytes of values", most })?;
+        let share = accounts.values.take(len).ok_or(Wrong::Limit {
+            what: "bytes of values",
+            most,
+        })?;
         let mut bytes = Vec::with_capacity(len);
         let mut keep = |(i, value): (usize, &Option<&[u8]>)| {
             let range = value.map(|v| {
@@ -131,7 +150,14 @@
             (bind.format(i), range)
         };
         let values = bind.values.iter().enumerate().map(&mut keep).collect();
-        Ok(Bound { template: template.clone(), bytes, values, result: bind.result(0), drawn, _share: share })
+        Ok(Bound {
+            template: template.clone(),
+            bytes,
+            values,
+            result: bind.result(0),
+            drawn,
+            _share: share,
+        })
     }
 
     /// The statement.
@@ -145,11 +171,19 @@
     }
 
     fn request(&self) -> Option<&Request> {
-        if let Kind::Request(r) = &self.template.kind { Some(r) } else { None }
+        if let Kind::Request(r) = &self.template.kind {
+            Some(r)
+        } else {
+            None
+        }
     }
 
     fn value(&self, index: usize) -> Option<&[u8]> {
-        self.values.get(index)?.1.clone().and_then(|range| self.bytes.get(range))
+        self.values
+            .get(index)?
+            .1
+            .clone()
+            .and_then(|range| self.bytes.get(range))
     }
 
     fn format(&self, index: usize) -> Format {
@@ -171,23 +205,35 @@
     }
 
     fn number<T: std::str::FromStr>(&self, r: &Request, place: Place) -> Result<Option<T>, Wrong> {
-        let Some(word) = self.word(r, place)? else { return Ok(None) };
-        form::number(&word).map(Some).ok_or(Wrong::Value(place.name()))
+        let Some(word) = self.word(r, place)? else {
+            return Ok(None);
+        };
+        form::number(&word)
+            .map(Some)
+            .ok_or(Wrong::Value(place.name()))
     }
 
     /// The request's name as the client brought it.
     fn id(&self, r: &Request) -> Result<Option<u64>, Wrong> {
-        let Some(word) = self.word(r, Place::Id)? else { return Ok(None) };
+        let Some(word) = self.word(r, Place::Id)? else {
+            return Ok(None);
+        };
         let is_integer = r.slots.iter().any(
             |(place, slot)| matches!(slot, Slot::Param(i) if *place == Place::Id && r.types[*i] == oid::INT8),
         );
-        let id = if is_integer { word.parse::<i64>().ok().map(|i| i as u64) } else { form::id(&word) };
+        let id = if is_integer {
+            word.parse::<i64>().ok().map(|i| i as u64)
+        } else {
+            form::id(&word)
+        };
         id.map(Some).ok_or(Wrong::Value("id"))
     }
 
     /// Reads what the request says of itself and has `use_it` judge it.
     pub fn named<T>(&self, use_it: impl FnOnce(&Named) -> Result<T, Wrong>) -> Result<T, Wrong> {
-        let Some(r) = self.request() else { return Err(Wrong::Value("statement")) };
+        let Some(r) = self.request() else {
+            return Err(Wrong::Value("statement"));
+        };
         let needed = |place: Place| self.word(r, place)?.ok_or(Wrong::Null(place.name()));
         let (class, key) = (needed(Place::Class)?, needed(Place::Key)?);
         if r.is_write {
@@ -200,11 +246,15 @@
         let named = Named {
             id: Some(self.id(r)?.unwrap_or(self.drawn)),
             class: &class,
-            group: self.number(r, Place::Group)?.ok_or(Wrong::Null("cluster"))?,
+            group: self
+                .number(r, Place::Group)?
+                .ok_or(Wrong::Null("cluster"))?,
             wait_ms: self.number(r, Place::Wait)?.or(self.fixed_wait(r)?),
             after_ms: self.number(r, Place::After)?,
             is_retry: retry.is_some_and(|r| ["1", "t", "true"].contains(&&*r)),
-            has_key: self.word(r, Place::Idempotency)?.is_some_and(|k| !k.is_empty()),
+            has_key: self
+                .word(r, Place::Idempotency)?
+                .is_some_and(|k| !k.is_empty()),
             is_write: r.is_write,
             key: &key,
         };
@@ -226,15 +276,25 @@
         } else {
             std::str::from_utf8(value).is_ok_and(form::is_value)
         };
-        if is_good { Ok(()) } else { Err(Wrong::Value("data")) }
+        if is_good {
+            Ok(())
+        } else {
+            Err(Wrong::Value("data"))
+        }
     }
 
     /// Appends the Bind of the unnamed portal, with the time that the router will wait.
     pub fn put_bind(&self, out: &mut Vec<u8>, wait: Span) {
         let Some(r) = self.request() else { return };
         let wait = number_in(r.types[r.wait], self.format(r.wait), wait_ms(wait));
-        let id_at = r.marks.iter().find(|(_, place, _)| *place == Place::Id).map(|m| m.2);
-        let id = id_at.map_or(Vec::new(), |i| id_in(r.types[i], self.format(i), self.drawn));
+        let id_at = r
+            .marks
+            .iter()
+            .find(|(_, place, _)| *place == Place::Id)
+            .map(|m| m.2);
+        let id = id_at.map_or(Vec::new(), |i| {
+            id_in(r.types[i], self.format(i), self.drawn)
+        });
         let value = |i: usize| {
             let brought = self.value(i);
             let value = match brought {
@@ -250,7 +310,9 @@
 
     /// The same as a simple query: values become literals where that can be done without doubt, else it is refused.
     pub fn literally(&self, accounts: &Accounts) -> Result<Simple, Wrong> {
-        let Some(r) = self.request() else { return Err(Wrong::Value("statement")) };
+        let Some(r) = self.request() else {
+            return Err(Wrong::Value("statement"));
+        };
         let (mut out, mut from, mut digits) = (String::with_capacity(r.text.len() + 64), 0, 0..0);
         for (range, place, index) in &r.marks {
             out.push_str(&r.text[from..range.start]);
@@ -271,13 +333,26 @@
         out.push_str(&r.text[from..]);
         let text = out.into_bytes();
         let most = accounts.values.most();
-        let share = accounts.values.take(text.len()).ok_or(Wrong::Limit { what: "bytes of values", most })?;
-        Ok(Simple { text, wait_digits: digits, _share: Some(share) })
+        let share = accounts.values.take(text.len()).ok_or(Wrong::Limit {
+            what: "bytes of values",
+            most,
+        })?;
+        Ok(Simple {
+            text,
+            wait_digits: digits,
+            _share: Some(share),
+        })
     }
 
     /// A quoted literal. Instances may read a backslash in one way or another, so there must be none but the one
     /// that begins the digits of bytes.
-    fn put_literal(&self, out: &mut String, r: &Request, place: Place, index: usize) -> Result<(), Wrong> {
+    fn put_literal(
+        &self,
+        out: &mut String,
+        r: &Request,
+        place: Place,
+        index: usize,
+    ) -> Result<(), Wrong> {
         let value = self.value(index).ok_or(Wrong::Null(place.name()))?;
         out.push('\'');
         if r.types[index] == oid::BYTEA && self.format(index) == Format::Binary {
@@ -299,7 +374,13 @@
 
     /// A word in the comment: nothing that could end it, or make another pair of it. A comment can't say that a
     /// word is not there; where 0 means the same, a null becomes one.
-    fn put_word(&self, out: &mut String, r: &Request, place: Place, index: usize) -> Result<(), Wrong> {
+    fn put_word(
+        &self,
+        out: &mut String,
+        r: &Request,
+        place: Place,
+        index: usize,
+    ) -> Result<(), Wrong> {
         let word = match self.value(index) {
             Some(value) => words(r.types[index], self.format(index), value),
             None if matches!(place, Place::After | Place::Retry) => Some(Cow::Borrowed("0")),
@@ -329,9 +410,13 @@
         }
         return Some(Cow::Owned(text.into_bytes()));
     }
-    let Some(digits) = value.strip_prefix(b"\\x") else { return unescape(value) };
+    let Some(digits) = value.strip_prefix(b"\\x") else {
+        return unescape(value);
+    };
     let digit = |d: u8| char::from(d).to_digit(16).map(|d| d as u8);
-    let (pairs, []) = digits.as_chunks::<2>() else { return None };
+    let (pairs, []) = digits.as_chunks::<2>() else {
+        return None;
+    };
     pairs
         .iter()
         .map(|[a, b]| Some((digit(*a)? << 4) | digit(*b)?))
@@ -385,7 +470,13 @@
     ) -> Result<Bound, Wrong> {
         let template = Templates::new(1 << 20, oid::BYTEA).get(text, types)?;
         let (formats, values) = (formats.to_vec(), values.to_vec());
-        let bind = Bind { portal: "", statement: "", formats, values, results: vec![Format::Binary] };
+        let bind = Bind {
+            portal: "",
+            statement: "",
+            formats,
+            values,
+            results: vec![Format::Binary],
+        };
         Bound::new(&template, &bind, 0xabc, &accounts())
     }
 
@@ -400,27 +491,50 @@
         let mut out = Vec::new();
         bound.put_bind(&mut out, wait);
         let (tag, body, _) = frame::command(&out, true).unwrap().unwrap();
-        let Ok(Command::Bind(bind)) = frontend::read(tag, body) else { panic!("no bind") };
+        let Ok(Command::Bind(bind)) = frontend::read(tag, body) else {
+            panic!("no bind")
+        };
         bind.values.iter().map(|v| v.map(<[u8]>::to_vec)).collect()
     }
 
     #[test]
     fn text_and_binary_integers_name_the_same_request() {
         let id = 0xfedc_ba98_7654_3210_u64;
-        let text: [Option<&[u8]>; 6] =
-            [Some(b"s"), Some(b"\\x01"), Some(b"fedcba9876543210"), Some(b"480"), Some(b"2"), Some(b"k1")];
+        let text: [Option<&[u8]>; 6] = [
+            Some(b"s"),
+            Some(b"\\x01"),
+            Some(b"fedcba9876543210"),
+            Some(b"480"),
+            Some(b"2"),
+            Some(b"k1"),
+        ];
         let (wait, group) = (480i64.to_be_bytes(), 2i16.to_be_bytes());
-        let binary: [Option<&[u8]>; 6] =
-            [Some(b"s"), Some(b"\x01"), Some(&id.to_be_bytes()), Some(&wait), Some(&group), Some(b"k1")];
+        let binary: [Option<&[u8]>; 6] = [
+            Some(b"s"),
+            Some(b"\x01"),
+            Some(&id.to_be_bytes()),
+            Some(&wait),
+            Some(&group),
+            Some(b"k1"),
+        ];
         let types = [0, 0, oid::INT8, oid::INT8, oid::INT2];
         let admit = |b: &Bound| b.named(|n| catalog().admit(n)).unwrap();
         let one = bound(WRITE, &[], &[], &text).unwrap();
         let other = bound(WRITE, &types, &BINARY, &binary).unwrap();
         assert_eq!(admit(&one), admit(&other));
-        assert_eq!((admit(&one).id, admit(&one).group, admit(&one).wait), (Some(id), 2, 480_000_000));
+        assert_eq!(
+            (admit(&one).id, admit(&one).group, admit(&one).wait),
+            (Some(id), 2, 480_000_000)
+        );
         assert_eq!(sent(&one, 77_900_000)[3], Some(b"77".to_vec()));
-        assert_eq!(sent(&other, 77_900_000)[3], Some(77i64.to_be_bytes().to_vec()));
-        let (one, other) = (one.literally(&accounts()).unwrap(), other.literally(&accounts()).unwrap());
+        assert_eq!(
+            sent(&other, 77_900_000)[3],
+            Some(77i64.to_be_bytes().to_vec())
+        );
+        let (one, other) = (
+            one.literally(&accounts()).unwrap(),
+            other.literally(&accounts()).unwrap(),
+        );
         assert_eq!(one.with_wait(5_000_000), other.with_wait(5_000_000));
         assert_eq!(
             String::from_utf8(one.with_wait(5_000_000)).unwrap(),
@@ -468,20 +582,42 @@
         #[case] k: &[u8],
         #[case] at: Option<&'static str>,
     ) {
-        let b = bound(WRITE, &[], &[], &[Some(code), Some(b"v"), None, None, Some(b"2"), Some(k)]).unwrap();
+        let b = bound(
+            WRITE,
+            &[],
+            &[],
+            &[Some(code), Some(b"v"), None, None, Some(b"2"), Some(k)],
+        )
+        .unwrap();
         assert_eq!(b.literally(&accounts()).err(), at.map(Wrong::Literal));
     }
 
     #[test]
     fn values_come_in_the_format_that_was_asked_for() {
-        let turn = |v: &'static [u8], from, to| convert(v, oid::BYTEA, from, to).map(Cow::into_owned);
-        assert_eq!(turn(b"\\x9F03", Format::Text, Format::Binary), Some(vec![0x9f, 3]));
-        assert_eq!(turn(&[0x9f, 3], Format::Binary, Format::Text), Some(b"\\x9f03".to_vec()));
+        let turn =
+            |v: &'static [u8], from, to| convert(v, oid::BYTEA, from, to).map(Cow::into_owned);
+        assert_eq!(
+            turn(b"\\x9F03", Format::Text, Format::Binary),
+            Some(vec![0x9f, 3])
+        );
+        assert_eq!(
+            turn(&[0x9f, 3], Format::Binary, Format::Text),
+            Some(b"\\x9f03".to_vec())
+        );
         assert_eq!(turn(b"\\x9", Format::Text, Format::Binary), None);
-        assert_eq!(turn(b"lane 3", Format::Text, Format::Binary), Some(b"lane 3".to_vec()));
-        assert_eq!(turn(b"a\\\\\\237", Format::Text, Format::Binary), Some(vec![b'a', b'\\', 0x9f]));
+        assert_eq!(
+            turn(b"lane 3", Format::Text, Format::Binary),
+            Some(b"lane 3".to_vec())
+        );
+        assert_eq!(
+            turn(b"a\\\\\\237", Format::Text, Format::Binary),
+            Some(vec![b'a', b'\\', 0x9f])
+        );
         assert_eq!(turn(b"a\\9", Format::Text, Format::Binary), None);
-        assert_eq!(convert(b"a", oid::TEXT, Format::Text, Format::Binary), Some(Cow::Borrowed(&b"a"[..])));
+        assert_eq!(
+            convert(b"a", oid::TEXT, Format::Text, Format::Binary),
+            Some(Cow::Borrowed(&b"a"[..]))
+        );
     }
 
     proptest! {
--- a/crates/pg-session/src/form.rs
+++ b/crates/pg-session/src/form.rs
@@ -6,7 +6,11 @@
 
 const READ: &str = "SELECT data FROM facts WHERE code = ";
 /// Around the two values of a write.
-const WRITE: [&str; 3] = ["INSERT INTO facts (code, data) VALUES (", ", ", ") RETURNING data"];
+const WRITE: [&str; 3] = [
+    "INSERT INTO facts (code, data) VALUES (",
+    ", ",
+    ") RETURNING data",
+];
 /// The largest value, in bytes.
 pub const LARGEST_VALUE: usize = 64 * 1024;
 /// The most names that a comment may hold.
@@ -131,7 +135,10 @@
 
 /// Digits and nothing else: the standard library's own reading also takes a sign.
 pub fn number<T: FromStr>(value: &str) -> Option<T> {
-    value.bytes().all(|b| b.is_ascii_digit()).then(|| value.parse().ok())?
+    value
+        .bytes()
+        .all(|b| b.is_ascii_digit())
+        .then(|| value.parse().ok())?
 }
 
 /// Whether this is a value as text: up to 64 KiB of it, or `\x` and whole bytes in hexadecimal digits.
@@ -164,7 +171,10 @@
                 words.push((place, Word::Text(inside), start..at(rest)));
                 return Some(rest);
             }
-            let end = 1 + text.get(1..)?.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len() - 1);
+            let end = 1 + text
+                .get(1..)?
+                .find(|c: char| !c.is_ascii_digit())
+                .unwrap_or(text.len() - 1);
             let number = param(text.get(..end)?).filter(|_| prepared)?;
             words.push((place, Word::Param(number), start..start + end));
             text.get(end..)
@@ -173,37 +183,63 @@
         let rest = if let Some(rest) = statement.strip_prefix(READ) {
             word(Place::Key, rest).ok_or(FormError::Form)?
         } else {
-            let rest = statement.strip_prefix(WRITE[0]).and_then(|rest| word(Place::Key, rest));
-            let rest = rest.and_then(|r| r.strip_prefix(WRITE[1])).and_then(|r| word(Place::Value, r));
-            rest.and_then(|r| r.strip_prefix(WRITE[2])).ok_or(FormError::Form)?
+            let rest = statement
+                .strip_prefix(WRITE[0])
+                .and_then(|rest| word(Place::Key, rest));
+            let rest = rest
+                .and_then(|r| r.strip_prefix(WRITE[1]))
+                .and_then(|r| word(Place::Value, r));
+            rest.and_then(|r| r.strip_prefix(WRITE[2]))
+                .ok_or(FormError::Form)?
         };
-        if words.iter().any(|(p, w, _)| matches!((p, w), (Place::Value, Word::Text(v)) if !is_value(v))) {
+        if words
+            .iter()
+            .any(|(p, w, _)| matches!((p, w), (Place::Value, Word::Text(v)) if !is_value(v)))
+        {
             return Err(FormError::Value);
         }
         let ending = |c: char| c.is_ascii_whitespace() || c == ';';
-        let inside = rest.trim_start().strip_prefix("/*").ok_or(FormError::Missing)?;
-        let inside = inside.trim_end_matches(ending).strip_suffix("*/").ok_or(FormError::Missing)?;
+        let inside = rest
+            .trim_start()
+            .strip_prefix("/*")
+            .ok_or(FormError::Missing)?;
+        let inside = inside
+            .trim_end_matches(ending)
+            .strip_suffix("*/")
+            .ok_or(FormError::Missing)?;
         if inside.contains("*/") || inside.contains("/*") {
             return Err(FormError::Missing);
         }
         let mut names: Vec<&str> = Vec::with_capacity(8);
         for part in inside.split(',') {
-            let (name, value) =
-                part.trim().split_once('=').filter(|p| !p.1.is_empty()).ok_or(FormError::Pair)?;
+            let (name, value) = part
+                .trim()
+                .split_once('=')
+                .filter(|p| !p.1.is_empty())
+                .ok_or(FormError::Pair)?;
             if names.contains(&name) || names.len() >= MOST_NAMES {
                 return Err(FormError::Pair);
             }
             names.push(name);
-            let word = param(value).filter(|_| prepared).map_or(Word::Text(value), Word::Param);
+            let word = param(value)
+                .filter(|_| prepared)
+                .map_or(Word::Text(value), Word::Param);
             words.push((Place::of(name), word, at(value)..at(value) + value.len()));
         }
         let comment_end = at(inside) + inside.trim_end().len();
-        Ok(Form { words, is_write, comment_end })
+        Ok(Form {
+            words,
+            is_write,
+            comment_end,
+        })
     }
 
     /// The word at a place, and where it stands.
     pub fn word(&self, wanted: Place) -> Option<(Word<'a>, Range<usize>)> {
-        self.words.iter().find(|(place, ..)| *place == wanted).map(|(_, w, range)| (*w, range.clone()))
+        self.words
+            .iter()
+            .find(|(place, ..)| *place == wanted)
+            .map(|(_, w, range)| (*w, range.clone()))
     }
 
     /// The word at a place, if it stands there as text.
@@ -225,10 +261,13 @@
 
     #[test]
     fn words_are_found_where_they_stand() {
-        let text =
-            "INSERT INTO facts (code, data) VALUES ($1, 'a''b') RETURNING data /* id=$2, c=order,d=$13 */;";
+        let text = "INSERT INTO facts (code, data) VALUES ($1, 'a''b') RETURNING data /* id=$2, c=order,d=$13 */;";
         let form = Form::read(text, true).unwrap();
-        let found: Vec<_> = form.words.iter().map(|(p, w, r)| (*p, *w, &text[r.clone()])).collect();
+        let found: Vec<_> = form
+            .words
+            .iter()
+            .map(|(p, w, r)| (*p, *w, &text[r.clone()]))
+            .collect();
         assert_eq!(
             found,
             [
@@ -246,9 +285,15 @@
     #[test]
     fn in_a_simple_query_a_dollar_is_text() {
         let form = Form::read(SIMPLE, false).unwrap();
-        assert_eq!((form.text(Place::Key), form.text(Place::Wait)), (Some("7f3a"), Some("480")));
+        assert_eq!(
+            (form.text(Place::Key), form.text(Place::Wait)),
+            (Some("7f3a"), Some("480"))
+        );
         let dollar = SIMPLE.replace("d=480", "d=$1");
-        assert_eq!(Form::read(&dollar, false).unwrap().text(Place::Wait), Some("$1"));
+        assert_eq!(
+            Form::read(&dollar, false).unwrap().text(Place::Wait),
+            Some("$1")
+        );
     }
 
     #[rstest]
@@ -266,8 +311,15 @@
     #[case(" */", " */ /* c=x */", Some(FormError::Missing))]
     #[case("d=480", "d=480,d=480", Some(FormError::Pair))]
     #[case("d=480", "d=", Some(FormError::Pair))]
-    fn what_is_wrong_is_named(#[case] part: &str, #[case] other: &str, #[case] wanted: Option<FormError>) {
-        assert_eq!(Form::read(&SIMPLE.replacen(part, other, 1), true).err(), wanted);
+    fn what_is_wrong_is_named(
+        #[case] part: &str,
+        #[case] other: &str,
+        #[case] wanted: Option<FormError>,
+    ) {
+        assert_eq!(
+            Form::read(&SIMPLE.replacen(part, other, 1), true).err(),
+            wanted
+        );
     }
 
     #[rstest]
@@ -278,8 +330,9 @@
     #[case(&format!("\\x{}", "00".repeat(LARGEST_VALUE)), true)]
     #[case(&format!("\\x{}", "00".repeat(LARGEST_VALUE + 1)), false)]
     fn a_value_is_text_or_whole_bytes_of_64_kib_at_most(#[case] value: &str, #[case] good: bool) {
-        let text =
-            format!("INSERT INTO facts (code, data) VALUES ('k', '{value}') RETURNING data /* c=order */");
+        let text = format!(
+            "INSERT INTO facts (code, data) VALUES ('k', '{value}') RETURNING data /* c=order */"
+        );
         assert_eq!(Form::read(&text, false).is_ok_and(|f| f.is_write), good);
     }
 }
--- a/crates/pg-session/src/plan.rs
+++ b/crates/pg-session/src/plan.rs
@@ -90,7 +90,10 @@
 
 #[derive(Clone)]
 enum Runs {
-    Request { ask: Rc<Ask>, admitted: Rc<Admitted> },
+    Request {
+        ask: Rc<Ask>,
+        admitted: Rc<Admitted>,
+    },
     Utility(Rc<Template>),
     Empty,
 }
@@ -112,7 +115,13 @@
 
 enum Item<A> {
     Said(Output<A>),
-    Part { state: State<A>, ask: Rc<Ask>, admitted: Rc<Admitted>, result: Format, suspended: bool },
+    Part {
+        state: State<A>,
+        ask: Rc<Ask>,
+        admitted: Rc<Admitted>,
+        result: Format,
+        suspended: bool,
+    },
 }
 
 /// One client's names and pipeline; `A` is whatever its host takes for a final answer.
@@ -176,8 +185,20 @@
     }
 
     fn has_open_part(&self) -> bool {
-        let is_open = |i: &Item<A>| matches!(i, Item::Part { state: State::Waiting | State::Running, .. });
-        self.items.iter().rev().take_while(|(n, _)| *n >= self.segment.1).any(|(_, i)| is_open(i))
+        let is_open = |i: &Item<A>| {
+            matches!(
+                i,
+                Item::Part {
+                    state: State::Waiting | State::Running,
+                    ..
+                }
+            )
+        };
+        self.items
+            .iter()
+            .rev()
+            .take_while(|(n, _)| *n >= self.segment.1)
+            .any(|(_, i)| is_open(i))
     }
 
     /// Takes a command of an extended query. `drawn` names its request, should the client leave that open.
@@ -187,7 +208,11 @@
             self.portals.clear();
             self.push(Item::Said(Output::Ready));
             (self.is_skipping, self.is_closed, self.segment) = (false, true, (0, self.next));
-            if !self.items.iter().any(|(_, i)| matches!(i, Item::Part { state, .. } if !is_done(state))) {
+            if !self
+                .items
+                .iter()
+                .any(|(_, i)| matches!(i, Item::Part { state, .. } if !is_done(state)))
+            {
                 self.undo.clear();
             }
             return;
@@ -199,7 +224,10 @@
         self.segment.0 += 1;
         let most = self.common.limits.segment;
         let done = if self.segment.0 > most {
-            Err(Wrong::Limit { what: "commands in a segment", most })
+            Err(Wrong::Limit {
+                what: "commands in a segment",
+                most,
+            })
         } else {
             self.take(command, drawn)
         };
@@ -220,8 +248,10 @@
                 Output::Bound
             }
             Command::Describe(Object::Statement, name) => {
-                let held =
-                    self.statements.get(*name).ok_or_else(|| Wrong::NoStatement((*name).to_owned()))?;
+                let held = self
+                    .statements
+                    .get(*name)
+                    .ok_or_else(|| Wrong::NoStatement((*name).to_owned()))?;
                 let template = held.template.clone();
                 self.push(Item::Said(Output::Parameters(template.types().to_vec())));
                 match template.kind {
@@ -230,7 +260,10 @@
                 }
             }
             Command::Describe(Object::Portal, name) => {
-                let portal = self.portals.get(*name).ok_or_else(|| Wrong::NoPortal((*name).to_owned()))?;
+                let portal = self
+                    .portals
+                    .get(*name)
+                    .ok_or_else(|| Wrong::NoPortal((*name).to_owned()))?;
                 match portal.runs {
                     Runs::Request { .. } => Output::Column(portal.result),
                     _ => Output::NoData,
@@ -268,15 +301,28 @@
             return Err(Wrong::StatementExists(name.to_owned()));
         }
         let limits = &self.common.limits;
-        if self.statements.len() + self.undo.len() >= limits.statements && !self.statements.contains_key(name)
+        if self.statements.len() + self.undo.len() >= limits.statements
+            && !self.statements.contains_key(name)
         {
-            return Err(Wrong::Limit { what: "prepared statements of one client", most: limits.statements });
+            return Err(Wrong::Limit {
+                what: "prepared statements of one client",
+                most: limits.statements,
+            });
         }
         let most = limits.all_statements;
-        let all = Wrong::Limit { what: "prepared statements of all clients", most };
+        let all = Wrong::Limit {
+            what: "prepared statements of all clients",
+            most,
+        };
         let share = self.common.accounts.statements.take(1).ok_or(all)?;
         let template = self.common.templates.get(text, types)?;
-        self.set(name, Some(Rc::new(Held { template, _share: share })));
+        self.set(
+            name,
+            Some(Rc::new(Held {
+                template,
+                _share: share,
+            })),
+        );
         Ok(())
     }
 
@@ -288,7 +334,10 @@
         }
         let most = self.common.limits.portals;
         if self.portals.len() >= most && !self.portals.contains_key(bind.portal) {
-            return Err(Wrong::Limit { what: "portals of one client", most });
+            return Err(Wrong::Limit {
+                what: "portals of one client",
+                most,
+            });
         }
         let bound = Bound::new(&held.template, bind, drawn, &self.common.accounts)?;
         let runs = match &held.template.kind {
@@ -299,17 +348,30 @@
                 } else {
                     Ask::Bound(bound)
                 };
-                Runs::Request { ask: Rc::new(ask), admitted }
+                Runs::Request {
+                    ask: Rc::new(ask),
+                    admitted,
+                }
             }
             Kind::Utility(_) => Runs::Utility(held.template.clone()),
             Kind::Empty => Runs::Empty,
         };
-        self.portals.insert(bind.portal.into(), Portal { runs, result: bind.result(0), done: None });
+        self.portals.insert(
+            bind.portal.into(),
+            Portal {
+                runs,
+                result: bind.result(0),
+                done: None,
+            },
+        );
         Ok(())
     }
 
     fn execute(&mut self, name: &str, rows: u32) -> Result<(), Wrong> {
-        let portal = self.portals.get_mut(name).ok_or_else(|| Wrong::NoPortal(name.to_owned()))?;
+        let portal = self
+            .portals
+            .get_mut(name)
+            .ok_or_else(|| Wrong::NoPortal(name.to_owned()))?;
         let runs = portal.runs.clone();
         let before = portal.done;
         // There is one row: a limit of one is reached with it, and only the next Execute finds that it was the last.
@@ -318,13 +380,19 @@
         let item = match (runs, before) {
             (Runs::Empty, _) => Item::Said(Output::Empty),
             (Runs::Utility(template), _) => {
-                let Kind::Utility(utility) = &template.kind else { return Ok(()) };
+                let Kind::Utility(utility) = &template.kind else {
+                    return Ok(());
+                };
                 self.run(utility)?;
                 Item::Said(Output::Complete(utility.tag()))
             }
-            (Runs::Request { ask, admitted }, None) => {
-                Item::Part { state: State::Waiting, ask, admitted, result: portal.result, suspended }
-            }
+            (Runs::Request { ask, admitted }, None) => Item::Part {
+                state: State::Waiting,
+                ask,
+                admitted,
+                result: portal.result,
+                suspended,
+            },
             (Runs::Request { admitted, .. }, Some(true)) if admitted.is_write => {
                 Item::Said(Output::Complete("INSERT 0 1"))
             }
@@ -376,7 +444,16 @@
     pub fn start(&mut self) -> Option<Start> {
         let mut ahead = 0;
         for (part, item) in &mut self.items {
-            let Item::Part { state, ask, admitted, result, .. } = item else { continue };
+            let Item::Part {
+                state,
+                ask,
+                admitted,
+                result,
+                ..
+            } = item
+            else {
+                continue;
+            };
             match state {
                 State::Done(_) => {}
                 State::Running if admitted.is_write => return None,
@@ -387,7 +464,12 @@
                     *state = State::Running;
                     self.running += 1;
                     let (admitted, ask) = (admitted.clone(), ask.clone());
-                    return Some(Start { part: *part, admitted, ask, result: *result });
+                    return Some(Start {
+                        part: *part,
+                        admitted,
+                        ask,
+                        result: *result,
+                    });
                 }
             }
         }
@@ -397,8 +479,12 @@
     /// A part has its final answer. Returns the parts behind it that were out and are owed nothing any more; a
     /// part that is not known, because it was taken back, changes nothing.
     pub fn finish(&mut self, part: u64, answer: A, served: bool) -> Vec<u64> {
-        let Ok(at) = self.items.binary_search_by_key(&part, |(n, _)| *n) else { return Vec::new() };
-        let Item::Part { state, .. } = &mut self.items[at].1 else { return Vec::new() };
+        let Ok(at) = self.items.binary_search_by_key(&part, |(n, _)| *n) else {
+            return Vec::new();
+        };
+        let Item::Part { state, .. } = &mut self.items[at].1 else {
+            return Vec::new();
+        };
         if is_done(state) {
             return Vec::new();
         }
@@ -409,11 +495,20 @@
         let mut called_off = Vec::new();
         if !served {
             let is_ready = |(_, i): &(u64, Item<A>)| matches!(i, Item::Said(Output::Ready));
-            let end = self.items.iter().skip(at).position(is_ready).map(|n| n + at);
+            let end = self
+                .items
+                .iter()
+                .skip(at)
+                .position(is_ready)
+                .map(|n| n + at);
             self.is_skipping |= end.is_none();
             let sync = end.map_or(u64::MAX, |at| self.items[at].0);
             for (n, item) in self.items.drain(at + 1..end.unwrap_or(self.items.len())) {
-                if let Item::Part { state: State::Running, .. } = item {
+                if let Item::Part {
+                    state: State::Running,
+                    ..
+                } = item
+                {
                     self.running -= 1;
                     called_off.push(n);
                 }
@@ -425,7 +520,8 @@
                 };
             }
         }
-        let is_open = |(_, i): &(u64, Item<A>)| matches!(i, Item::Part { state, .. } if !is_done(state));
+        let is_open =
+            |(_, i): &(u64, Item<A>)| matches!(i, Item::Part { state, .. } if !is_done(state));
         if !self.items.iter().any(is_open) {
             self.undo.clear();
         }
@@ -435,8 +531,14 @@
     /// The first part that has no answer yet, and whether it has been started: what a CancelRequest is about.
     pub fn first_open(&self) -> Option<(u64, bool)> {
         self.items.iter().find_map(|(n, item)| match item {
-            Item::Part { state: State::Waiting, .. } => Some((*n, false)),
-            Item::Part { state: State::Running, .. } => Some((*n, true)),
+            Item::Part {
+                state: State::Waiting,
+                ..
+            } => Some((*n, false)),
+            Item::Part {
+                state: State::Running,
+                ..
+            } => Some((*n, true)),
             _ => None,
         })
     }
@@ -448,7 +550,11 @@
         }
         Some(match self.items.pop_front()?.1 {
             Item::Said(said) => said,
-            Item::Part { state: State::Done(answer), suspended, .. } => Output::Answer { answer, suspended },
+            Item::Part {
+                state: State::Done(answer),
+                suspended,
+                ..
+            } => Output::Answer { answer, suspended },
             Item::Part { .. } => return None,
         })
     }
--- a/crates/pg-session/src/prepared.rs
+++ b/crates/pg-session/src/prepared.rs
@@ -36,7 +36,13 @@
             return Need::Ready;
         }
         let is_full = self.0.len() >= self.0.cap().get();
-        Need::Prepare { evict: if is_full { self.0.pop_lru().map(|(id, ())| id) } else { None } }
+        Need::Prepare {
+            evict: if is_full {
+                self.0.pop_lru().map(|(id, ())| id)
+            } else {
+                None
+            },
+        }
     }
 
     /// The instance has confirmed it.
--- a/crates/pg-session/src/queue.rs
+++ b/crates/pg-session/src/queue.rs
@@ -23,7 +23,11 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { queries: 128, bytes: 32 * 1024, running: 32 }
+        Limits {
+            queries: 128,
+            bytes: 32 * 1024,
+            running: 32,
+        }
     }
 }
 
@@ -77,7 +81,13 @@
 impl<A, S> Queue<A, S> {
     /// An empty queue.
     pub fn new(limits: Limits) -> Queue<A, S> {
-        Queue { limits, items: VecDeque::new(), first: 0, bytes: 0, running: 0 }
+        Queue {
+            limits,
+            items: VecDeque::new(),
+            first: 0,
+            bytes: 0,
+            running: 0,
+        }
     }
 
     /// Nothing waits for an answer.
@@ -94,7 +104,8 @@
     pub fn request(&mut self, admitted: Admitted, ask: Rc<Ask>, arrived: Time, bytes: usize) {
         self.bytes += bytes;
         let state = State::Waiting { ask, arrived };
-        self.items.push_back((bytes, Item::Request { admitted, state }));
+        self.items
+            .push_back((bytes, Item::Request { admitted, state }));
     }
 
     /// A query was read that needs no instance.
@@ -108,30 +119,54 @@
             return None;
         }
         let at = (0..self.items.len()).find(|at| self.may_start(*at))?;
-        let Item::Request { admitted, state } = &mut self.items[at].1 else { return None };
-        let State::Waiting { ask, arrived } = std::mem::replace(state, State::Running) else { return None };
+        let Item::Request { admitted, state } = &mut self.items[at].1 else {
+            return None;
+        };
+        let State::Waiting { ask, arrived } = std::mem::replace(state, State::Running) else {
+            return None;
+        };
         self.running += 1;
-        Some(Start { part: self.first + at as u64, admitted: admitted.clone(), ask, arrived })
+        Some(Start {
+            part: self.first + at as u64,
+            admitted: admitted.clone(),
+            ask,
+            arrived,
+        })
     }
 
     fn may_start(&self, at: usize) -> bool {
-        let Item::Request { admitted, state: State::Waiting { .. } } = &self.items[at].1 else {
+        let Item::Request {
+            admitted,
+            state: State::Waiting { .. },
+        } = &self.items[at].1
+        else {
             return false;
         };
-        let Some(session) = &admitted.session else { return true };
+        let Some(session) = &admitted.session else {
+            return true;
+        };
         let bars = |(_, item): &(usize, Item<A, S>)| match item {
-            Item::Request { state: State::Done(_), .. } | Item::Said(_) => false,
-            Item::Request { admitted: ahead, .. } => {
-                ahead.session.as_ref() == Some(session) && (ahead.is_write || admitted.is_write)
+            Item::Request {
+                state: State::Done(_),
+                ..
             }
+            | Item::Said(_) => false,
+            Item::Request {
+                admitted: ahead, ..
+            } => ahead.session.as_ref() == Some(session) && (ahead.is_write || admitted.is_write),
         };
         !self.items.iter().take(at).any(bars)
     }
 
     /// A request has its final answer. One that is not known, or has its answer, keeps what it has.
     pub fn finish(&mut self, part: u64, answer: A) {
-        let at = part.checked_sub(self.first).and_then(|at| usize::try_from(at).ok());
-        let Some((_, Item::Request { state, .. })) = at.and_then(|at| self.items.get_mut(at)) else { return };
+        let at = part
+            .checked_sub(self.first)
+            .and_then(|at| usize::try_from(at).ok());
+        let Some((_, Item::Request { state, .. })) = at.and_then(|at| self.items.get_mut(at))
+        else {
+            return;
+        };
         match state {
             State::Done(_) => return,
             State::Running => self.running -= 1,
@@ -146,13 +181,19 @@
             Item::Request { state, .. } => !matches!(state, State::Done(_)),
             Item::Said(_) => false,
         };
-        self.items.iter().position(is_open).map(|at| self.first + at as u64)
+        self.items
+            .iter()
+            .position(is_open)
+            .map(|at| self.first + at as u64)
     }
 
     /// What is said next, if it is the turn of something that can be; `may_say`: whether that can be said now.
     pub fn output(&mut self, may_say: impl Fn(&S) -> bool) -> Option<Output<A, S>> {
         match &self.items.front()?.1 {
-            Item::Request { state: State::Done(_), .. } => {}
+            Item::Request {
+                state: State::Done(_),
+                ..
+            } => {}
             Item::Said(said) if may_say(said) => {}
             _ => return None,
         }
@@ -160,7 +201,10 @@
         self.first += 1;
         self.bytes -= bytes;
         match item {
-            Item::Request { state: State::Done(answer), .. } => Some(Output::Answer(answer)),
+            Item::Request {
+                state: State::Done(answer),
+                ..
+            } => Some(Output::Answer(answer)),
             Item::Request { .. } => None,
             Item::Said(said) => Some(Output::Said(said)),
         }
--- a/crates/pg-session/src/template.rs
+++ b/crates/pg-session/src/template.rs
@@ -38,9 +38,14 @@
         Some(Ok(match &*first {
             "SET" => Utility::Setting("SET"),
             "RESET" => Utility::Setting("RESET"),
-            "DISCARD" if rest.len() == 1 && rest[0].eq_ignore_ascii_case("all") => Utility::DiscardAll,
+            "DISCARD" if rest.len() == 1 && rest[0].eq_ignore_ascii_case("all") => {
+                Utility::DiscardAll
+            }
             "DEALLOCATE" => {
-                if rest.first().is_some_and(|w| w.eq_ignore_ascii_case("prepare")) {
+                if rest
+                    .first()
+                    .is_some_and(|w| w.eq_ignore_ascii_case("prepare"))
+                {
                     rest.remove(0);
                 }
                 match &rest[..] {
@@ -53,9 +58,11 @@
                     _ => return None,
                 }
             }
-            "BEGIN" | "START" | "COMMIT" | "END" | "ROLLBACK" | "ABORT" | "SAVEPOINT" | "RELEASE"
-            | "COPY" | "DECLARE" | "FETCH" | "MOVE" | "CLOSE" | "PREPARE" | "EXECUTE" | "LISTEN"
-            | "NOTIFY" | "LOCK" | "DISCARD" => return Some(Err(Wrong::Unsupported(first))),
+            "BEGIN" | "START" | "COMMIT" | "END" | "ROLLBACK" | "ABORT" | "SAVEPOINT"
+            | "RELEASE" | "COPY" | "DECLARE" | "FETCH" | "MOVE" | "CLOSE" | "PREPARE"
+            | "EXECUTE" | "LISTEN" | "NOTIFY" | "LOCK" | "DISCARD" => {
+                return Some(Err(Wrong::Unsupported(first)));
+            }
             _ => return None,
         }))
     }
@@ -146,7 +153,9 @@
 
 impl Drop for Template {
     fn drop(&mut self) {
-        let Some(store) = self.store.upgrade() else { return };
+        let Some(store) = self.store.upgrade() else {
+            return;
+        };
         let mut store = store.borrow_mut();
         store.bytes -= self.cost;
         if let Some(bucket) = store.buckets.get_mut(&self.hash) {
@@ -177,7 +186,14 @@
     /// A store for `most` bytes; `data` is the type of the column that is read and written.
     pub fn new(most: usize, data: u32) -> Templates {
         let (buckets, hasher) = (HashMap::new(), RandomState::new());
-        Templates(Rc::new(RefCell::new(Inner { buckets, hasher, bytes: 0, most, next: 1, data })))
+        Templates(Rc::new(RefCell::new(Inner {
+            buckets,
+            hasher,
+            bytes: 0,
+            most,
+            next: 1,
+            data,
+        })))
     }
 
     /// The one template for a text and the types that its Parse declares (0: left open).
@@ -191,19 +207,38 @@
             return Ok(known);
         }
         let kind = read(text, declared, self.0.borrow().data)?;
-        let sent = if let Kind::Request(r) = &kind { r.text.len() } else { 0 };
+        let sent = if let Kind::Request(r) = &kind {
+            r.text.len()
+        } else {
+            0
+        };
         let cost = OVERHEAD + text.len() + sent;
         let mut inner = self.0.borrow_mut();
         if inner.bytes + cost > inner.most {
-            return Err(Wrong::Limit { what: "bytes of statement texts", most: inner.most });
+            return Err(Wrong::Limit {
+                what: "bytes of statement texts",
+                most: inner.most,
+            });
         }
         inner.bytes += cost;
         let id = inner.next;
         inner.next += 1;
         let store = Rc::downgrade(&self.0);
         let (source, declared) = (text.into(), declared.into());
-        let template = Rc::new(Template { id, kind, source, declared, hash, cost, store });
-        inner.buckets.entry(hash).or_default().push(Rc::downgrade(&template));
+        let template = Rc::new(Template {
+            id,
+            kind,
+            source,
+            declared,
+            hash,
+            cost,
+            store,
+        });
+        inner
+            .buckets
+            .entry(hash)
+            .or_default()
+            .push(Rc::downgrade(&template));
         Ok(template)
     }
 
@@ -218,7 +253,9 @@
 fn usual_type(place: Place, data: u32) -> Option<u32> {
     match place {
         Place::Value => Some(data),
-        Place::Key | Place::Id | Place::Class | Place::Idempotency | Place::Retry => Some(oid::TEXT),
+        Place::Key | Place::Id | Place::Class | Place::Idempotency | Place::Retry => {
+            Some(oid::TEXT)
+        }
         Place::Group | Place::Wait => Some(oid::INT4),
         Place::After => Some(oid::INT8),
         Place::Other => None,
@@ -239,7 +276,10 @@
 }
 
 fn read(text: &str, declared: &[u32], data: u32) -> Result<Kind, Wrong> {
-    if text.trim_matches(|c: char| c.is_whitespace() || c == ';').is_empty() {
+    if text
+        .trim_matches(|c: char| c.is_whitespace() || c == ';')
+        .is_empty()
+    {
         return Ok(Kind::Empty);
     }
     if let Some(utility) = Utility::read(text) {
@@ -249,19 +289,42 @@
     for needed in [Place::Class, Place::Group] {
         form.word(needed).ok_or(FormError::Field(needed.name()))?;
     }
-    let number = |w: &(Place, Word, _)| if let Word::Param(n) = w.1 { n as usize } else { 0 };
-    let given = form.words.iter().map(number).max().unwrap_or(0).max(declared.len());
+    let number = |w: &(Place, Word, _)| {
+        if let Word::Param(n) = w.1 {
+            n as usize
+        } else {
+            0
+        }
+    };
+    let given = form
+        .words
+        .iter()
+        .map(number)
+        .max()
+        .unwrap_or(0)
+        .max(declared.len());
     if given + 2 > MOST_PARAMETERS {
-        return Err(Wrong::Limit { what: "parameters", most: MOST_PARAMETERS - 2 });
+        return Err(Wrong::Limit {
+            what: "parameters",
+            most: MOST_PARAMETERS - 2,
+        });
     }
     let mut types = Vec::with_capacity(given + 2);
     for n in 1..=given {
-        let places = form.words.iter().filter(|w| w.1 == Word::Param(n as u16)).map(|w| w.0);
+        let places = form
+            .words
+            .iter()
+            .filter(|w| w.1 == Word::Param(n as u16))
+            .map(|w| w.0);
         let told = declared.get(n - 1).copied().filter(|t| *t != oid::UNKNOWN);
         let usual = places.clone().find_map(|place| usual_type(place, data));
         let found = told.or(usual).ok_or(Wrong::NoType(n as u16))?;
         if let Some(place) = places.clone().find(|place| !fits(*place, found)) {
-            return Err(Wrong::Type { param: n as u16, oid: found, place: place.name() });
+            return Err(Wrong::Type {
+                param: n as u16,
+                oid: found,
+                place: place.name(),
+            });
         }
         if places.clone().any(|p| p == Place::Wait) && places.count() > 1 {
             return Err(Wrong::Shared(n as u16));
@@ -294,7 +357,11 @@
         }
         slots.push((
             *place,
-            if let Word::Text(t) = word { Slot::Text((*t).into()) } else { Slot::Param(index) },
+            if let Word::Text(t) = word {
+                Slot::Text((*t).into())
+            } else {
+                Slot::Param(index)
+            },
         ));
     }
     out.push_str(&text[from..form.comment_end]);
@@ -314,7 +381,15 @@
     out.push_str(&text[form.comment_end..]);
     let wait = wait.ok_or(FormError::Field("d"))?;
     let (text, is_write) = (out.into(), form.is_write);
-    Ok(Kind::Request(Request { text, types, given, slots, marks, is_write, wait }))
+    Ok(Kind::Request(Request {
+        text,
+        types,
+        given,
+        slots,
+        marks,
+        is_write,
+        wait,
+    }))
 }
 
 #[cfg(test)]
@@ -353,7 +428,11 @@
         for (range, _, index) in &r.marks {
             assert_eq!(r.text[range.clone()], format!("${}", index + 1));
         }
-        assert!(r.marks.iter().any(|(_, place, index)| *place == Place::Wait && *index == r.wait));
+        assert!(
+            r.marks
+                .iter()
+                .any(|(_, place, index)| *place == Place::Wait && *index == r.wait)
+        );
     }
 
     #[rstest]
@@ -382,7 +461,9 @@
         let other = store.get(READ, &[oid::VARCHAR]).unwrap();
         assert!(Rc::ptr_eq(&one, &same) && !Rc::ptr_eq(&one, &other) && one.id != other.id);
         assert_eq!(store.used().0, 2);
-        let many: Vec<_> = (0..9).map(|i| store.get(&READ.replace("board", &format!("b{i}")), &[])).collect();
+        let many: Vec<_> = (0..9)
+            .map(|i| store.get(&READ.replace("board", &format!("b{i}")), &[]))
+            .collect();
         assert_eq!(many.iter().filter(|t| t.is_ok()).count(), 2);
         drop((one, same, other, many));
         assert_eq!(store.used(), (0, 0));
--- a/crates/pg-session/tests/plan.rs
+++ b/crates/pg-session/tests/plan.rs
@@ -2,7 +2,6 @@
 //! client must get what it would have got one by one, and nothing may start too early.
 
 use proptest::prelude::*;
-use reelrill_routing::{Class, Need, Repeat};
 use reelrill_pg_protocol::Format;
 use reelrill_pg_protocol::frontend::{Bind, Command, Object};
 use reelrill_pg_protocol::oid;
@@ -11,12 +10,14 @@
 use reelrill_pg_session::admit::Catalog;
 use reelrill_pg_session::plan::{Common, Output, Plan, Start};
 use reelrill_pg_session::template::Templates;
+use reelrill_routing::{Class, Need, Repeat};
 use rstest::rstest;
 use std::collections::HashMap;
 use std::rc::Rc;
 
 const READ: &str = "SELECT data FROM facts WHERE code = $1 /* c=board,cluster=1 */";
-const WRITE: &str = "INSERT INTO facts (code, data) VALUES ($1, 'v') RETURNING data /* c=book,cluster=1 */";
+const WRITE: &str =
+    "INSERT INTO facts (code, data) VALUES ($1, 'v') RETURNING data /* c=book,cluster=1 */";
 
 fn common(limits: Limits) -> Rc<Common> {
     let class = |need| Class {
@@ -71,9 +72,11 @@
 /// `id` becomes the name of a request that is bound now.
 fn give(plan: &mut Plan<bool>, op: &Op, id: usize) {
     let command = match *op {
-        Op::Parse(name, is_write) => {
-            Command::Parse { name, text: if is_write { WRITE } else { READ }, types: Vec::new() }
-        }
+        Op::Parse(name, is_write) => Command::Parse {
+            name,
+            text: if is_write { WRITE } else { READ },
+            types: Vec::new(),
+        },
         Op::Bind(portal, statement) => Command::Bind(Bind {
             portal,
             statement,
@@ -107,7 +110,9 @@
                 skipping = false;
                 "Ready"
             }
-            Op::Parse(name, _) if !name.is_empty() && statements.contains_key(name) => "StatementExists",
+            Op::Parse(name, _) if !name.is_empty() && statements.contains_key(name) => {
+                "StatementExists"
+            }
             Op::Parse(name, is_write) => {
                 statements.insert(name, is_write);
                 "Parsed"
@@ -146,7 +151,14 @@
             }
             Op::DescribeStatement(_) => "NoStatement",
         };
-        let errors = ["StatementExists", "NoStatement", "PortalExists", "NoPortal", "PortalDone", "failed"];
+        let errors = [
+            "StatementExists",
+            "NoStatement",
+            "PortalExists",
+            "NoPortal",
+            "PortalDone",
+            "failed",
+        ];
         skipping |= errors.contains(&word);
         said.push(word.to_owned());
     }
@@ -156,8 +168,16 @@
 fn word(output: &Output<bool>) -> String {
     match output {
         Output::Answer { answer, .. } => if *answer { "served" } else { "failed" }.to_owned(),
-        Output::Wrong(wrong) => format!("{wrong:?}").split(['(', ' ']).next().unwrap_or("").to_owned(),
-        other => format!("{other:?}").split(['(', ' ']).next().unwrap_or("").to_owned(),
+        Output::Wrong(wrong) => format!("{wrong:?}")
+            .split(['(', ' '])
+            .next()
+            .unwrap_or("")
+            .to_owned(),
+        other => format!("{other:?}")
+            .split(['(', ' '])
+            .next()
+            .unwrap_or("")
+            .to_owned(),
     }
 }
 
@@ -231,7 +251,9 @@
         while let Some(output) = plan.output() {
             said.push(word(&output));
         }
-        let Some(start) = plan.start() else { return said };
+        let Some(start) = plan.start() else {
+            return said;
+        };
         plan.finish(start.part, true, true);
     }
 }
@@ -242,8 +264,20 @@
     for op in [Op::Parse("", false), Op::Bind("", "")] {
         give(&mut plan, &op, 1);
     }
-    plan.command(&Command::Execute { portal: "", rows: 1 }, 1);
-    plan.command(&Command::Execute { portal: "", rows: 1 }, 1);
+    plan.command(
+        &Command::Execute {
+            portal: "",
+            rows: 1,
+        },
+        1,
+    );
+    plan.command(
+        &Command::Execute {
+            portal: "",
+            rows: 1,
+        },
+        1,
+    );
     plan.command(&Command::Describe(Object::Portal, ""), 1);
     let start = plan.start().unwrap();
     assert!(plan.start().is_none());
@@ -252,7 +286,13 @@
         [Some(Output::Parsed), Some(Output::Bound), None]
     );
     plan.finish(start.part, true, true);
-    assert_eq!(plan.output(), Some(Output::Answer { answer: true, suspended: true }));
+    assert_eq!(
+        plan.output(),
+        Some(Output::Answer {
+            answer: true,
+            suspended: true
+        })
+    );
     assert_eq!(plan.output(), Some(Output::Complete("SELECT 0")));
     assert_eq!(plan.output(), Some(Output::Column(Format::Binary)));
 }
@@ -266,14 +306,36 @@
 fn utilities_run_without_an_instance(#[case] text: &str, #[case] wanted: &str) {
     let mut plan: Plan<bool> = Plan::new(common(Limits::default()));
     give(&mut plan, &Op::Parse("a", false), 1);
-    plan.command(&Command::Parse { name: "u", text, types: Vec::new() }, 1);
-    let bind = Bind { portal: "", statement: "u", formats: vec![], values: vec![], results: vec![] };
+    plan.command(
+        &Command::Parse {
+            name: "u",
+            text,
+            types: Vec::new(),
+        },
+        1,
+    );
+    let bind = Bind {
+        portal: "",
+        statement: "u",
+        formats: vec![],
+        values: vec![],
+        results: vec![],
+    };
     plan.command(&Command::Bind(bind), 1);
-    plan.command(&Command::Execute { portal: "", rows: 0 }, 1);
+    plan.command(
+        &Command::Execute {
+            portal: "",
+            rows: 0,
+        },
+        1,
+    );
     plan.command(&Command::Sync, 1);
     let said = settle(&mut plan);
     assert_eq!(&said[..3], ["Parsed", "Parsed", "Bound"]);
-    assert!(said[3] == wanted || (wanted == "Wrong" && said[3] == "NoStatement"), "{said:?}");
+    assert!(
+        said[3] == wanted || (wanted == "Wrong" && said[3] == "NoStatement"),
+        "{said:?}"
+    );
     assert_eq!(
         plan.statements(),
         match text {
@@ -287,7 +349,13 @@
 /// Guards the bounds: what is over one is refused by name, and what was there before goes on.
 #[test]
 fn bounds_are_kept_and_named() {
-    let limits = Limits { statements: 3, all_statements: 5, portals: 2, segment: 6, ..Limits::default() };
+    let limits = Limits {
+        statements: 3,
+        all_statements: 5,
+        portals: 2,
+        segment: 6,
+        ..Limits::default()
+    };
     let common = common(limits);
     let mut plans: Vec<Plan<bool>> = (0..2).map(|_| Plan::new(common.clone())).collect();
     let limit = |what, most| Some(Output::Wrong(Wrong::Limit { what, most }));
@@ -299,10 +367,10 @@
         }
         last
     };
-    for (plan, wanted) in plans
-        .iter_mut()
-        .zip([limit("prepared statements of one client", 3), limit("prepared statements of all clients", 5)])
-    {
+    for (plan, wanted) in plans.iter_mut().zip([
+        limit("prepared statements of one client", 3),
+        limit("prepared statements of all clients", 5),
+    ]) {
         for name in names {
             give(plan, &Op::Parse(name, false), 1);
         }
@@ -325,13 +393,19 @@
     give(plan, &Op::Execute(""), 1);
     assert_eq!(settle(plan).last().unwrap(), "served");
     drop(plans);
-    assert_eq!((common.accounts.statements.used(), common.templates.used()), (0, (0, 0)));
+    assert_eq!(
+        (common.accounts.statements.used(), common.templates.used()),
+        (0, (0, 0))
+    );
 }
 
 /// Guards the memory of bound values, whether they are kept as values or as literals; a Sync gives it back.
 #[rstest]
 fn bound_values_are_bounded(#[values(false, true)] translate: bool) {
-    let limits = Limits { value_bytes: 1000, ..Limits::default() };
+    let limits = Limits {
+        value_bytes: 1000,
+        ..Limits::default()
+    };
     let mut common = Rc::try_unwrap(common(limits)).unwrap();
     common.translate = translate;
     let common = Rc::new(common);
@@ -341,7 +415,13 @@
         let names: Vec<String> = (0..20).map(|n| format!("p{n}")).collect();
         for portal in &names {
             let (formats, values) = (Vec::new(), vec![Some(&[b'k'; 100][..])]);
-            let bind = Bind { portal, statement: "", formats, values, results: Vec::new() };
+            let bind = Bind {
+                portal,
+                statement: "",
+                formats,
+                values,
+                results: Vec::new(),
+            };
             plan.command(&Command::Bind(bind), 1);
         }
         assert!(common.accounts.values.used() <= 1000);
@@ -350,7 +430,10 @@
         while let Some(output) = plan.output() {
             said.push(output);
         }
-        let wanted = Wrong::Limit { what: "bytes of values", most: 1000 };
+        let wanted = Wrong::Limit {
+            what: "bytes of values",
+            most: 1000,
+        };
         assert_eq!(said[said.len() - 2], Output::Wrong(wanted), "round {round}");
         assert!(said.len() > 4 && said.len() < 14, "{said:?}");
         assert_eq!(common.accounts.values.used(), 0);
--- a/crates/pg-session/tests/queue.rs
+++ b/crates/pg-session/tests/queue.rs
@@ -20,7 +20,11 @@
 }
 
 fn queue(requests: &[(Option<&str>, bool)]) -> Queue<u32, &'static str> {
-    let mut queue = Queue::new(Limits { queries: 100, bytes: 1000, running: 100 });
+    let mut queue = Queue::new(Limits {
+        queries: 100,
+        bytes: 1000,
+        running: 100,
+    });
     for (at, (session, is_write)) in requests.iter().enumerate() {
         let ask = Rc::new(Ask::Simple(Simple::new(Vec::new(), 0..0)));
         queue.request(request(*session, *is_write), ask, at as u64, 10);
@@ -38,14 +42,18 @@
 fn queries_start_as_they_come_and_are_answered_in_order() {
     let mut q = queue(&[(None, false), (None, false), (Some("a"), true)]);
     q.say("empty");
-    let starts: Vec<(u64, u64)> = std::iter::from_fn(|| q.start().map(|s| (s.part, s.arrived))).collect();
+    let starts: Vec<(u64, u64)> =
+        std::iter::from_fn(|| q.start().map(|s| (s.part, s.arrived))).collect();
     assert_eq!(starts, [(0, 0), (1, 1), (2, 2)]);
     q.finish(2, 12);
     q.finish(1, 11);
     assert_eq!(q.output(|_| true), None);
     q.finish(0, 10);
     let said: Vec<_> = std::iter::from_fn(|| q.output(|_| false)).collect();
-    assert_eq!(said, [Output::Answer(10), Output::Answer(11), Output::Answer(12)]);
+    assert_eq!(
+        said,
+        [Output::Answer(10), Output::Answer(11), Output::Answer(12)]
+    );
     assert!(!q.is_empty());
     assert_eq!(q.output(|_| true), Some(Output::Said("empty")));
     assert!(q.is_empty());
@@ -70,7 +78,11 @@
 /// Guards the bounds: nothing more is read or started than they allow, and what is answered makes room.
 #[test]
 fn the_bounds_hold_and_answers_make_room() {
-    let mut q: Queue<u32, &str> = Queue::new(Limits { queries: 3, bytes: 100, running: 2 });
+    let mut q: Queue<u32, &str> = Queue::new(Limits {
+        queries: 3,
+        bytes: 100,
+        running: 2,
+    });
     let ask = Rc::new(Ask::Simple(Simple::new(Vec::new(), 0..0)));
     for _ in 0..3 {
         assert!(!q.is_full());
--- a/crates/router/src/buffer.rs
+++ b/crates/router/src/buffer.rs
@@ -19,7 +19,10 @@
 
 impl Memory {
     pub fn new(most: usize) -> Rc<Memory> {
-        Rc::new(Memory { large: Cell::new(0), most })
+        Rc::new(Memory {
+            large: Cell::new(0),
+            most,
+        })
     }
 }
 
@@ -31,7 +34,9 @@
 impl MemoryLimitReached {
     /// Whether this is why a buffer could not be filled.
     pub fn caused(error: &io::Error) -> bool {
-        error.get_ref().is_some_and(|e| e.is::<MemoryLimitReached>())
+        error
+            .get_ref()
+            .is_some_and(|e| e.is::<MemoryLimitReached>())
     }
 }
 
@@ -54,7 +59,12 @@
 
 impl Buffer {
     pub fn new(memory: &Rc<Memory>) -> Buffer {
-        Buffer { memory: memory.clone(), data: Vec::new(), start: 0, end: 0 }
+        Buffer {
+            memory: memory.clone(),
+            data: Vec::new(),
+            start: 0,
+            end: 0,
+        }
     }
 
     /// What has been read and not consumed.
@@ -75,7 +85,9 @@
 
     /// Throws everything away and gives the memory back.
     pub fn release(&mut self) {
-        self.memory.large.set(self.memory.large.get() - large(self.data.len()));
+        self.memory
+            .large
+            .set(self.memory.large.get() - large(self.data.len()));
         (self.data, self.start, self.end) = (Vec::new(), 0, 0);
     }
 
@@ -88,7 +100,10 @@
             let len = (self.data.len() * 2).max(FIRST);
             let all = self.memory.large.get() + large(len) - large(self.data.len());
             if all > self.memory.most {
-                return Err(io::Error::new(io::ErrorKind::OutOfMemory, MemoryLimitReached));
+                return Err(io::Error::new(
+                    io::ErrorKind::OutOfMemory,
+                    MemoryLimitReached,
+                ));
             }
             self.memory.large.set(all);
             self.data.resize(len, 0);
@@ -153,7 +168,10 @@
         assert_eq!((fill(&mut one), fill(&mut other)), (64 * 1024, 32 * 1024));
         let error = one.room().unwrap_err();
         assert!(MemoryLimitReached::caused(&error));
-        assert!(!MemoryLimitReached::caused(&io::ErrorKind::OutOfMemory.into()), "ENOMEM of a system call");
+        assert!(
+            !MemoryLimitReached::caused(&io::ErrorKind::OutOfMemory.into()),
+            "ENOMEM of a system call"
+        );
         drop(one);
         assert_eq!(fill(&mut other), 64 * 1024);
         other.release();
--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -42,7 +42,9 @@
 
     /// The project's own settings; the defaults, if there is no file.
     pub fn settings(&self) -> Result<Edge, EdgeError> {
-        self.edge.as_deref().map_or_else(|| Ok(Edge::default()), Edge::load)
+        self.edge
+            .as_deref()
+            .map_or_else(|| Ok(Edge::default()), Edge::load)
     }
 }
 
@@ -61,7 +63,9 @@
     if file.extension().is_some_and(|e| e == "json") {
         let config = Config::check(&file.display().to_string())?;
         let settings = &config.site.settings;
-        settings.check().map_err(|e| CheckError::Settings(file.display().to_string(), e))?;
+        settings
+            .check()
+            .map_err(|e| CheckError::Settings(file.display().to_string(), e))?;
         return Ok("a configuration of the platform");
     }
     Edge::load(file)?;
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -15,12 +15,12 @@
 use async_io::{Async, Timer};
 use futures_lite::future::or;
 use pipeline::Pipeline;
-use reelrill_routing::{Span, Time};
 use reelrill_pg_protocol::frame::{self, FrameError};
 use reelrill_pg_protocol::frontend::{self, CommandError, Startup};
 use reelrill_pg_protocol::{backend, code};
 use reelrill_pg_session::admit::Admitted;
 use reelrill_pg_session::bound::Ask;
+use reelrill_routing::{Span, Time};
 use simple::Simples;
 use slog::{info, warn};
 use std::io::{ErrorKind, Read as _};
@@ -53,7 +53,11 @@
 const AHEAD: usize = 64 * 1024;
 
 /// Accepts until the process ends. Without a free slot, connections wait in the kernel's backlog.
-pub async fn listen(shared: Rc<Shared>, executor: Rc<LocalExecutor<'static>>, listener: Async<TcpListener>) {
+pub async fn listen(
+    shared: Rc<Shared>,
+    executor: Rc<LocalExecutor<'static>>,
+    listener: Async<TcpListener>,
+) {
     loop {
         let slot = loop {
             if let Some(slot) = shared.clients.take() {
@@ -73,7 +77,9 @@
                 // Counted from here on, not from when its task first runs: in a burst that is many connections
                 // later, and a connection in use would be asked to make room for those that say nothing.
                 let fresh = shared.clients.fresh();
-                executor.spawn(serve(shared.clone(), stream, slot, fresh)).detach();
+                executor
+                    .spawn(serve(shared.clone(), stream, slot, fresh))
+                    .detach();
                 if shared.clients.is_short() {
                     // Ahead of the need: the next one must not wait in the backlog for room to be made.
                     shared.clients.want();
@@ -113,11 +119,17 @@
         cancel,
         process,
     };
-    let reason = client.session().await.err().unwrap_or(CloseReason::Terminate);
+    let reason = client
+        .session()
+        .await
+        .err()
+        .unwrap_or(CloseReason::Terminate);
     if reason.is_ours() {
         // One that has never asked anything is not likely to do so just now, and its place is wanted.
         let is_useless = client.fresh.is_some() && reason == CloseReason::Evicted;
-        client.linger(if is_useless { CLOSING_USELESS } else { CLOSING }).await;
+        client
+            .linger(if is_useless { CLOSING_USELESS } else { CLOSING })
+            .await;
     }
     if let Some(process) = client.process {
         client.shared.cancels.remove(process);
@@ -162,17 +174,18 @@
         self.startup().await?;
         self.has_started = true;
         loop {
-            let (tag, body, len) = match frame::command(self.buffer.bytes(), self.pipeline.is_some()) {
-                Ok(Some(message)) => {
-                    self.begun = None;
-                    message
-                }
-                Ok(None) => {
-                    self.next().await?;
-                    continue;
-                }
-                Err(e) => return Err(self.broken_frame(&e).await),
-            };
+            let (tag, body, len) =
+                match frame::command(self.buffer.bytes(), self.pipeline.is_some()) {
+                    Ok(Some(message)) => {
+                        self.begun = None;
+                        message
+                    }
+                    Ok(None) => {
+                        self.next().await?;
+                        continue;
+                    }
+                    Err(e) => return Err(self.broken_frame(&e).await),
+                };
             match tag {
                 b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'S' if self.pipeline.is_some() => {
                     if let Err(e) = frontend::read(tag, body) {
@@ -225,7 +238,9 @@
                     }
                     return Err(CloseReason::CancelRequest);
                 }
-                Startup::Version => return Err(self.fatal("this protocol version is not spoken").await),
+                Startup::Version => {
+                    return Err(self.fatal("this protocol version is not spoken").await);
+                }
                 Startup::Session { minor } => {
                     let mut out = Vec::new();
                     let (mut process, mut secret) = (0, 0);
@@ -273,7 +288,11 @@
 
     /// Whether the buffer begins with a message that is complete, or can't be read: either is owed an answer.
     fn has_whole_message(&self) -> bool {
-        is_whole(self.buffer.bytes(), self.has_started, self.pipeline.is_some())
+        is_whole(
+            self.buffer.bytes(),
+            self.has_started,
+            self.pipeline.is_some(),
+        )
     }
 
     /// Whether its client has gone: it has closed the connection, or said goodbye behind what it has sent.
@@ -294,7 +313,11 @@
         let shared = self.shared.clone();
         let is_between = self.buffer.bytes().is_empty();
         if self.has_ended {
-            return Err(if is_between { CloseReason::Eof } else { CloseReason::Truncated });
+            return Err(if is_between {
+                CloseReason::Eof
+            } else {
+                CloseReason::Truncated
+            });
         }
         if is_between && shared.is_closed_to_new() {
             return Err(CloseReason::Shutdown);
@@ -307,9 +330,17 @@
         // A message that has stalled or drips in, or a connection that says nothing, must not hold a slot.
         let now = shared.clock.now();
         let (holder, since, limit) = match (self.fresh.is_some(), is_between) {
-            (true, _) => (Holder::Useless, self.accepted, Some(CloseReason::StartupTimeout)),
+            (true, _) => (
+                Holder::Useless,
+                self.accepted,
+                Some(CloseReason::StartupTimeout),
+            ),
             (false, true) => (resting, now, None),
-            (false, false) => (Holder::Useless, *self.begun.get_or_insert(now), Some(CloseReason::Stalled)),
+            (false, false) => (
+                Holder::Useless,
+                *self.begun.get_or_insert(now),
+                Some(CloseReason::Stalled),
+            ),
         };
         let _resting = (holder == Holder::Idle).then(|| shared.clients.resting());
         let since = shared.clock.instant(since);
@@ -323,7 +354,15 @@
             }
         };
         let evicted = async {
-            Timer::at(since + if holder == Holder::Useless { GRACE } else { IDLE }).await;
+            Timer::at(
+                since
+                    + if holder == Holder::Useless {
+                        GRACE
+                    } else {
+                        IDLE
+                    },
+            )
+            .await;
             shared.clients.wanted(holder).await;
             Waited::Done(CloseReason::Evicted)
         };
@@ -346,7 +385,9 @@
         };
         let read = async { Waited::Read(self.buffer.fill(&self.stream).await) };
         match or(read, or(late, or(ending, evicted))).await {
-            Waited::Read(Err(e)) if e.kind() == ErrorKind::OutOfMemory => Err(self.no_memory().await),
+            Waited::Read(Err(e)) if e.kind() == ErrorKind::OutOfMemory => {
+                Err(self.no_memory().await)
+            }
             Waited::Read(Err(e)) if e.kind() == ErrorKind::Interrupted => Ok(()),
             Waited::Read(read) => self.gone(&read).map_or(Ok(()), Err),
             Waited::Done(reason) => {
@@ -387,7 +428,10 @@
     async fn on_unsupported(&mut self, tag: u8) -> Result<(), CloseReason> {
         count(&self.shared.counters.rejected);
         let mut out = Vec::new();
-        let why = format!("message '{}' is not supported: use simple queries", char::from(tag));
+        let why = format!(
+            "message '{}' is not supported: use simple queries",
+            char::from(tag)
+        );
         backend::put_error(&mut out, false, code::UNSUPPORTED, &why, None);
         self.write(&out).await
     }
@@ -407,7 +451,8 @@
 
     /// The request was never taken: trying again is harmless.
     async fn no_memory(&mut self) -> CloseReason {
-        self.last_words(code::TOO_MANY, "no memory for a message of this size now").await;
+        self.last_words(code::TOO_MANY, "no memory for a message of this size now")
+            .await;
         CloseReason::NoMemory
     }
 
@@ -490,7 +535,14 @@
 /// A served answer to a simple query.
 fn put_answer(out: &mut Vec<u8>, answer: &Answer) {
     if let Some(c) = &answer.column {
-        backend::put_column(out, &backend::Column { name: &c.name, kind: c.kind, format: c.format });
+        backend::put_column(
+            out,
+            &backend::Column {
+                name: &c.name,
+                kind: c.kind,
+                format: c.format,
+            },
+        );
     }
     backend::put_value(out, &answer.value);
     backend::put_complete(out, &answer.tag);
@@ -506,7 +558,13 @@
         }
         Reply::Failed(why) => backend::put_error(out, false, code::FAILED, why, None),
         Reply::Cancelled => {
-            backend::put_error(out, false, code::CANCELED, "called off by its client; it may have run", None);
+            backend::put_error(
+                out,
+                false,
+                code::CANCELED,
+                "called off by its client; it may have run",
+                None,
+            );
         }
         Reply::Served(_) => {}
     }
--- a/crates/router/src/client/pipeline.rs
+++ b/crates/router/src/client/pipeline.rs
@@ -8,13 +8,13 @@
 use crate::shared::Shared;
 use async_channel::{Receiver, Sender};
 use futures_lite::future::or;
-use reelrill_routing::RequestId;
 use reelrill_pg_protocol::backend::{self, Column};
 use reelrill_pg_protocol::frontend::{self, Command};
 use reelrill_pg_protocol::{Format, frame, put};
 use reelrill_pg_session::Wrong;
 use reelrill_pg_session::bound::convert;
 use reelrill_pg_session::plan::{Output, Plan};
+use reelrill_routing::RequestId;
 
 /// What is written at once, so that a long pipeline's answers do not pile up.
 const PIECE: usize = 64 * 1024;
@@ -49,7 +49,13 @@
         // Room for the parts that are out, and for those that were called off and answered at the same moment.
         let (to, answers) = async_channel::bounded(shared.common.limits.reads * 4 + 16);
         let data = shared.config.edge.extended.data_type.oid();
-        Pipeline { plan: Plan::new(shared.common.clone()), parts: Vec::new(), to, answers, data }
+        Pipeline {
+            plan: Plan::new(shared.common.clone()),
+            parts: Vec::new(),
+            to,
+            answers,
+            data,
+        }
     }
 
     /// Its client would miss something if the connection were closed now.
@@ -67,7 +73,9 @@
 
     /// The reply in the format that its client wants.
     fn in_format(&self, reply: Reply, wanted: Format) -> Reply {
-        let Reply::Served(mut answer) = reply else { return reply };
+        let Reply::Served(mut answer) = reply else {
+            return reply;
+        };
         let given = answer.column.as_ref().map_or(wanted, |c| c.format);
         let Some(value) = convert(&answer.value, self.data, given, wanted) else {
             return Reply::Failed("it has run; its value can't be given in the format asked for");
@@ -80,14 +88,19 @@
 
     /// A part has its reply. Returns the requests that are owed nothing any more.
     fn on_reply(&mut self, part: u64, reply: Reply) -> Vec<RequestId> {
-        let Some(at) = self.parts.iter().position(|p| p.number == part) else { return Vec::new() };
+        let Some(at) = self.parts.iter().position(|p| p.number == part) else {
+            return Vec::new();
+        };
         let result = self.parts.swap_remove(at).result;
         let reply = self.in_format(reply, result);
         let served = matches!(reply, Reply::Served(_));
         let called_off = self.plan.finish(part, reply, served);
         let is_off = |p: &mut Part| called_off.contains(&p.number);
         let called_off = self.parts.extract_if(.., is_off);
-        called_off.inspect(|p| p.left.raise()).map(|p| p.request).collect()
+        called_off
+            .inspect(|p| p.left.raise())
+            .map(|p| p.request)
+            .collect()
     }
 }
 
@@ -98,12 +111,20 @@
         self.fresh = None;
         self.cancel.reset();
         let ended = self.flow().await;
-        let Some(pipeline) = &mut self.pipeline else { return ended };
+        let Some(pipeline) = &mut self.pipeline else {
+            return ended;
+        };
         // Only a client that has gone leaves parts behind.
         let parts = std::mem::take(&mut pipeline.parts);
         parts.iter().for_each(|p| p.left.raise());
         for part in parts {
-            let _ = self.shared.decider.send(Message::ClientLeft { request: part.request }).await;
+            let _ = self
+                .shared
+                .decider
+                .send(Message::ClientLeft {
+                    request: part.request,
+                })
+                .await;
         }
         ended
     }
@@ -130,7 +151,9 @@
                 // What came meanwhile is looked at before the next wait.
                 continue;
             }
-            let Some(pipeline) = &mut self.pipeline else { return Ok(()) };
+            let Some(pipeline) = &mut self.pipeline else {
+                return Ok(());
+            };
             if is_idle {
                 return Ok(());
             }
@@ -146,7 +169,9 @@
                 Woken::Cancelled
             };
             // What is pipelined stays in the buffer, which must not grow without an end.
-            let read = async { Woken::Read(read_ahead(&self.shared, &mut self.buffer, &self.stream).await) };
+            let read = async {
+                Woken::Read(read_ahead(&self.shared, &mut self.buffer, &self.stream).await)
+            };
             match or(reply, or(cancelled, read)).await {
                 Woken::Reply(part, reply) => self.finish(part, reply).await,
                 Woken::Cancelled => {
@@ -166,7 +191,9 @@
     /// Gives the plan the whole commands at the head of the buffer, until it is full or something comes that is for
     /// the time after the pipeline.
     fn feed(&mut self) {
-        let Some(pipeline) = &mut self.pipeline else { return };
+        let Some(pipeline) = &mut self.pipeline else {
+            return;
+        };
         let mut any = false;
         while !pipeline.plan.is_full() {
             let (command, len) = match frame::command(self.buffer.bytes(), true) {
@@ -186,21 +213,33 @@
     }
 
     async fn take_replies(&mut self) {
-        while let Some((part, reply)) = self.pipeline.as_ref().and_then(|p| p.answers.try_recv().ok()) {
+        while let Some((part, reply)) = self
+            .pipeline
+            .as_ref()
+            .and_then(|p| p.answers.try_recv().ok())
+        {
             self.finish(part, reply).await;
         }
     }
 
     async fn finish(&mut self, part: u64, reply: Reply) {
-        let Some(pipeline) = &mut self.pipeline else { return };
+        let Some(pipeline) = &mut self.pipeline else {
+            return;
+        };
         for request in pipeline.on_reply(part, reply) {
-            let _ = self.shared.decider.send(Message::ClientLeft { request }).await;
+            let _ = self
+                .shared
+                .decider
+                .send(Message::ClientLeft { request })
+                .await;
         }
     }
 
     /// Its client calls a part off: it fails at once, and the decider owes it nothing any more.
     async fn call_off(&mut self, part: u64) {
-        let Some(pipeline) = &mut self.pipeline else { return };
+        let Some(pipeline) = &mut self.pipeline else {
+            return;
+        };
         let mut requests = Vec::new();
         match pipeline.parts.iter().find(|p| p.number == part) {
             Some(out) => {
@@ -212,7 +251,11 @@
             None => drop(pipeline.plan.finish(part, Reply::Cancelled, false)),
         }
         for request in requests {
-            let _ = self.shared.decider.send(Message::ClientLeft { request }).await;
+            let _ = self
+                .shared
+                .decider
+                .send(Message::ClientLeft { request })
+                .await;
         }
     }
 
@@ -221,12 +264,29 @@
             let left = Mark::default();
             let now = self.shared.clock.now();
             let incoming = self.incoming(&start.admitted, start.ask, now, left.clone());
-            let Some(pipeline) = &mut self.pipeline else { return };
+            let Some(pipeline) = &mut self.pipeline else {
+                return;
+            };
             let (request, result) = (incoming.request, start.result);
-            pipeline.parts.push(Part { number: start.part, request, left, result });
-            let reply = ReplyTo { part: start.part, to: pipeline.to.clone() };
-            if self.shared.decider.send(Message::Request { incoming, reply }).await.is_err() {
-                self.finish(start.part, Reply::Failed("the router is ending")).await;
+            pipeline.parts.push(Part {
+                number: start.part,
+                request,
+                left,
+                result,
+            });
+            let reply = ReplyTo {
+                part: start.part,
+                to: pipeline.to.clone(),
+            };
+            if self
+                .shared
+                .decider
+                .send(Message::Request { incoming, reply })
+                .await
+                .is_err()
+            {
+                self.finish(start.part, Reply::Failed("the router is ending"))
+                    .await;
             }
         }
     }
@@ -234,7 +294,9 @@
     /// Puts what can be said already, up to a piece of it. Says whether the client waits for it: it ends with a
     /// Sync or a Flush, or there was an error.
     fn speak(&mut self, out: &mut Vec<u8>) -> bool {
-        let Some(pipeline) = &mut self.pipeline else { return false };
+        let Some(pipeline) = &mut self.pipeline else {
+            return false;
+        };
         let mut is_due = false;
         while out.len() < PIECE
             && let Some(output) = pipeline.plan.output()
@@ -250,7 +312,10 @@
                     backend::put_column(out, &Column::new("data", pipeline.data, format));
                 }
                 Output::Complete(tag) => backend::put_complete(out, tag),
-                Output::Answer { answer: Reply::Served(answer), suspended } => {
+                Output::Answer {
+                    answer: Reply::Served(answer),
+                    suspended,
+                } => {
                     backend::put_value(out, &answer.value);
                     if suspended {
                         put(out, b's', &[]);
--- a/crates/router/src/client/simple.rs
+++ b/crates/router/src/client/simple.rs
@@ -7,12 +7,12 @@
 use crate::log::CloseReason;
 use async_channel::{Receiver, Sender};
 use futures_lite::future::or;
-use reelrill_routing::RequestId;
 use reelrill_pg_protocol::{backend, code, frame};
 use reelrill_pg_session::Wrong;
 use reelrill_pg_session::admit::{Admitted, Named};
 use reelrill_pg_session::bound::{Ask, Simple};
 use reelrill_pg_session::queue::{Limits, Output, Queue};
+use reelrill_routing::RequestId;
 use std::rc::Rc;
 
 /// What is written at once, so that many answers do not pile up.
@@ -56,7 +56,12 @@
         let limits = Limits::default();
         // Room for those that are out, and for those that were called off and answered at the same moment.
         let (to, answers) = async_channel::bounded(limits.running * 2);
-        Simples { queue: Queue::new(limits), parts: Vec::new(), to, answers }
+        Simples {
+            queue: Queue::new(limits),
+            parts: Vec::new(),
+            to,
+            answers,
+        }
     }
 }
 
@@ -71,7 +76,13 @@
         let parts = std::mem::take(&mut self.simple.parts);
         parts.iter().for_each(|p| p.left.raise());
         for part in parts {
-            let _ = self.shared.decider.send(Message::ClientLeft { request: part.request }).await;
+            let _ = self
+                .shared
+                .decider
+                .send(Message::ClientLeft {
+                    request: part.request,
+                })
+                .await;
         }
         ended
     }
@@ -119,7 +130,9 @@
                 shared.ready.wait().await;
                 Woken::Ready
             };
-            let read = async { Woken::Read(read_ahead(&self.shared, &mut self.buffer, &self.stream).await) };
+            let read = async {
+                Woken::Read(read_ahead(&self.shared, &mut self.buffer, &self.stream).await)
+            };
             match or(reply, or(cancelled, or(ready, read))).await {
                 Woken::Reply(part, reply) => self.finish_simple(part, reply),
                 Woken::Cancelled => {
@@ -155,19 +168,30 @@
         if let Some(pipeline) = &mut self.pipeline {
             pipeline.on_simple();
         }
-        if text.trim_matches(|c: char| c.is_whitespace() || c == ';').is_empty() {
+        if text
+            .trim_matches(|c: char| c.is_whitespace() || c == ';')
+            .is_empty()
+        {
             return self.simple.queue.say(Said::Ready);
         }
         match self.read_request(&text) {
             Ok((admitted, ask)) => {
-                self.simple.queue.request(admitted, ask, self.shared.clock.now(), len);
+                self.simple
+                    .queue
+                    .request(admitted, ask, self.shared.clock.now(), len);
             }
             Err(e) => {
                 let said = match self.pipeline.as_mut().and_then(|p| p.simple(&text)) {
                     Some(Ok(tag)) => Said::Complete(tag),
-                    Some(Err(e)) => Said::Wrong { code: e.code(), why: e.to_string() },
+                    Some(Err(e)) => Said::Wrong {
+                        code: e.code(),
+                        why: e.to_string(),
+                    },
                     // Whatever it is, a simple query that is none of ours has this code.
-                    None => Said::Wrong { code: code::SYNTAX, why: e.to_string() },
+                    None => Said::Wrong {
+                        code: code::SYNTAX,
+                        why: e.to_string(),
+                    },
                 };
                 self.simple.queue.say(said);
             }
@@ -177,7 +201,10 @@
     fn read_request(&self, text: &str) -> Result<(Admitted, Rc<Ask>), Wrong> {
         let (named, digits) = Named::simple(text)?;
         let admitted = self.shared.common.catalog.admit(&named)?;
-        Ok((admitted, Rc::new(Ask::Simple(Simple::new(text.as_bytes().to_vec(), digits)))))
+        Ok((
+            admitted,
+            Rc::new(Ask::Simple(Simple::new(text.as_bytes().to_vec(), digits))),
+        ))
     }
 
     async fn start_simple(&mut self) {
@@ -185,9 +212,22 @@
             let left = Mark::default();
             let incoming = self.incoming(&start.admitted, start.ask, start.arrived, left.clone());
             let (number, request) = (start.part, incoming.request);
-            self.simple.parts.push(Part { number, request, left });
-            let reply = ReplyTo { part: number, to: self.simple.to.clone() };
-            if self.shared.decider.send(Message::Request { incoming, reply }).await.is_err() {
+            self.simple.parts.push(Part {
+                number,
+                request,
+                left,
+            });
+            let reply = ReplyTo {
+                part: number,
+                to: self.simple.to.clone(),
+            };
+            if self
+                .shared
+                .decider
+                .send(Message::Request { incoming, reply })
+                .await
+                .is_err()
+            {
                 self.finish_simple(number, Reply::Failed("the router is ending"));
             }
         }
@@ -205,7 +245,13 @@
         // One that has not been started is only answered.
         if let Some(part) = at.map(|at| self.simple.parts.swap_remove(at)) {
             part.left.raise();
-            let _ = self.shared.decider.send(Message::ClientLeft { request: part.request }).await;
+            let _ = self
+                .shared
+                .decider
+                .send(Message::ClientLeft {
+                    request: part.request,
+                })
+                .await;
         }
     }
 
@@ -213,7 +259,10 @@
     fn speak_simple(&mut self, out: &mut Vec<u8>) {
         let is_ready = self.shared.ready.is_raised();
         while out.len() < PIECE
-            && let Some(output) = self.simple.queue.output(|s| is_ready || !matches!(s, Said::Ready))
+            && let Some(output) = self
+                .simple
+                .queue
+                .output(|s| is_ready || !matches!(s, Said::Ready))
         {
             match output {
                 Output::Answer(Reply::Served(answer)) => put_answer(out, &answer),
--- a/crates/router/src/client/socket.rs
+++ b/crates/router/src/client/socket.rs
@@ -33,7 +33,11 @@
 
 /// Writes all of `bytes`. A client that hangs up meanwhile is noticed: requests of its own may still be out.
 pub async fn write_to_client(stream: &Async<TcpStream>, bytes: &[u8]) -> Result<(), CloseReason> {
-    let write = async { write_all(stream, bytes).await.map_err(|_| CloseReason::Reset) };
+    let write = async {
+        write_all(stream, bytes)
+            .await
+            .map_err(|_| CloseReason::Reset)
+    };
     let late = async {
         Timer::after(WRITE_TIMEOUT).await;
         Err(CloseReason::NotReading)
--- a/crates/router/src/client/socket/tests.rs
+++ b/crates/router/src/client/socket/tests.rs
@@ -14,7 +14,11 @@
 }
 
 impl AsyncWrite for Scripted {
-    fn poll_write(mut self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        _: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let step = self.script.pop_front().unwrap_or(Ok(bytes.len()));
         if let Ok(n) = step {
             self.taken.extend_from_slice(&bytes[..n]);
@@ -34,9 +38,15 @@
 /// Guards an answer against EINTR and short writes.
 #[test]
 fn interrupted_and_short_writes_go_on() {
-    let script =
-        VecDeque::from([Err(ErrorKind::Interrupted.into()), Ok(2), Err(ErrorKind::Interrupted.into())]);
-    let mut writer = Scripted { script, taken: Vec::new() };
+    let script = VecDeque::from([
+        Err(ErrorKind::Interrupted.into()),
+        Ok(2),
+        Err(ErrorKind::Interrupted.into()),
+    ]);
+    let mut writer = Scripted {
+        script,
+        taken: Vec::new(),
+    };
     futures_lite::future::block_on(write_all(&mut writer, b"answer")).unwrap();
     assert_eq!(writer.taken, b"answer");
 }
@@ -45,7 +55,10 @@
 #[test]
 fn what_can_not_be_written_is_an_error() {
     for step in [Ok(0), Err(ErrorKind::BrokenPipe.into())] {
-        let mut writer = Scripted { script: VecDeque::from([step]), taken: Vec::new() };
+        let mut writer = Scripted {
+            script: VecDeque::from([step]),
+            taken: Vec::new(),
+        };
         assert!(futures_lite::future::block_on(write_all(&mut writer, b"answer")).is_err());
     }
 }
@@ -60,7 +73,8 @@
     let router = Async::new(listener.accept().unwrap().0).unwrap();
     client.shutdown(Shutdown::Write).unwrap();
     let began = Instant::now();
-    let written = futures_lite::future::block_on(write_to_client(&router, &vec![0; MORE_THAN_FITS]));
+    let written =
+        futures_lite::future::block_on(write_to_client(&router, &vec![0; MORE_THAN_FITS]));
     assert_eq!(written, Err(CloseReason::LeftWaiting));
     assert!(began.elapsed() < WRITE_TIMEOUT / 2, "{:?}", began.elapsed());
 }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -17,15 +17,25 @@
     #[error("RELAY_CONFIG is not set")]
     NoPath,
     #[error("{path}: {source}")]
-    Read { path: String, source: std::io::Error },
+    Read {
+        path: String,
+        source: std::io::Error,
+    },
     #[error("{path}: {source}")]
-    Json { path: String, source: serde_json::Error },
+    Json {
+        path: String,
+        source: serde_json::Error,
+    },
     #[error("{path}: settings: {what}")]
     Settings { path: String, what: String },
     #[error("{path}: {key} is missing or is no address")]
     Address { path: String, key: &'static str },
     #[error("{path}: limits.{key} is no whole number of {least} or more")]
-    Limit { path: String, key: &'static str, least: u64 },
+    Limit {
+        path: String,
+        key: &'static str,
+        least: u64,
+    },
     #[error(transparent)]
     Edge(#[from] EdgeError),
     #[error("{path}: known: {source}")]
@@ -57,8 +67,13 @@
     /// `edge` was read from `edge_path`, if there is such a file.
     pub fn load(edge: Edge, edge_path: Option<PathBuf>) -> Result<Config, ConfigError> {
         let path = Config::path()?;
-        let config = Config::read(&path, &Config::file(&path)?, edge, |name| std::env::var(name).ok())?;
-        Ok(Config { edge_path, ..config })
+        let config = Config::read(&path, &Config::file(&path)?, edge, |name| {
+            std::env::var(name).ok()
+        })?;
+        Ok(Config {
+            edge_path,
+            ..config
+        })
     }
 
     /// A file by itself, whatever the environment says.
@@ -74,7 +89,10 @@
             Some(named) => named.as_str().unwrap_or_default().to_owned(),
             None => self.discovery.to_string(),
         };
-        let edge = self.edge_path.as_deref().map_or_else(|| Ok(self.edge.clone()), Edge::load)?;
+        let edge = self
+            .edge_path
+            .as_deref()
+            .map_or_else(|| Ok(self.edge.clone()), Edge::load)?;
         Config::read(&path, &value, edge, |name| match name {
             "RELAY_DISCOVERY" => Some(discovery.clone()),
             _ => std::env::var(name).ok(),
@@ -99,8 +117,10 @@
 
     fn file(path: &str) -> Result<Value, ConfigError> {
         let path = path.to_owned();
-        let text = std::fs::read_to_string(&path)
-            .map_err(|source| ConfigError::Read { path: path.clone(), source })?;
+        let text = std::fs::read_to_string(&path).map_err(|source| ConfigError::Read {
+            path: path.clone(),
+            source,
+        })?;
         serde_json::from_str(&text).map_err(|source| ConfigError::Json { path, source })
     }
 
@@ -115,15 +135,26 @@
             env(variable).or_else(|| value.get(key).and_then(Value::as_str).map(str::to_owned))
         };
         let address = |variable: &'static str, key: &'static str| {
-            let wrong = || ConfigError::Address { path: path.clone(), key };
-            text(variable, key).and_then(|t| t.parse().ok()).ok_or_else(wrong)
+            let wrong = || ConfigError::Address {
+                path: path.clone(),
+                key,
+            };
+            text(variable, key)
+                .and_then(|t| t.parse().ok())
+                .ok_or_else(wrong)
         };
         let settings = value.get("settings").cloned().unwrap_or_default();
-        let site = reelrill_routing_config::read(&settings)
-            .map_err(|what| ConfigError::Settings { path: path.clone(), what })?;
+        let site =
+            reelrill_routing_config::read(&settings).map_err(|what| ConfigError::Settings {
+                path: path.clone(),
+                what,
+            })?;
         let known = match value.get("known").filter(|k| !k.is_null()) {
             Some(known) => {
-                let wrong = |source| ConfigError::Known { path: path.clone(), source };
+                let wrong = |source| ConfigError::Known {
+                    path: path.clone(),
+                    source,
+                };
                 let list = list::read_list(known, &site.zones).map_err(wrong)?;
                 (Some(list.version), list.entries)
             }
@@ -132,8 +163,14 @@
         let seed = value.get("seed").and_then(Value::as_str);
         // One that is absent has a default; one that makes no sense would be exceeded without a word.
         let limit = |key: &'static str, least: u64, default: u64| {
-            let Some(given) = value.get("limits").and_then(|l| l.get(key)) else { return Ok(default) };
-            let wrong = || ConfigError::Limit { path: path.clone(), key, least };
+            let Some(given) = value.get("limits").and_then(|l| l.get(key)) else {
+                return Ok(default);
+            };
+            let wrong = || ConfigError::Limit {
+                path: path.clone(),
+                key,
+                least,
+            };
             given.as_u64().filter(|n| *n >= least).ok_or_else(wrong)
         };
         let sockets = limit("sockets", FEWEST_SOCKETS, 1024)?;
@@ -143,7 +180,9 @@
             name: text("RELAY_NAME", "name").unwrap_or_else(|| "reelrill".to_owned()),
             listen: address("RELAY_LISTEN", "listen")?,
             discovery: address("RELAY_DISCOVERY", "discovery")?,
-            seed: seed.and_then(|s| u64::from_str_radix(s, 16).ok()).unwrap_or_default(),
+            seed: seed
+                .and_then(|s| u64::from_str_radix(s, 16).ok())
+                .unwrap_or_default(),
             sockets: usize::try_from(sockets).unwrap_or(1024),
             known,
             edge,
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -10,8 +10,8 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use futures_lite::future::or;
-use reelrill_routing::*;
 use reelrill_pg_session::bound::Ask;
+use reelrill_routing::*;
 use slog::{debug, error, warn};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
@@ -88,7 +88,10 @@
         self.on_list(ListKind::Remembered, self.shared.config.known.1.clone());
         self.settle();
         loop {
-            let next = self.due.peek().map(|Reverse((at, _))| self.shared.clock.instant(*at));
+            let next = self
+                .due
+                .peek()
+                .map(|Reverse((at, _))| self.shared.clock.instant(*at));
             let timer = async {
                 match next {
                     Some(at) => Timer::at(at).await,
@@ -112,7 +115,9 @@
 
     /// The router is ending: whatever is open has its answer before the process may be killed.
     fn on_ending(&mut self) {
-        let Some(last) = self.shared.last_answer() else { return };
+        let Some(last) = self.shared.last_answer() else {
+            return;
+        };
         for (request, open) in &mut self.open {
             if open.deadline > last {
                 open.deadline = last;
@@ -127,7 +132,9 @@
             && *at <= now
         {
             match self.due.pop() {
-                Some(Reverse((_, Due::Timer(token)))) => self.events.push_back(Event::Timer { token }),
+                Some(Reverse((_, Due::Timer(token)))) => {
+                    self.events.push_back(Event::Timer { token })
+                }
                 Some(Reverse((_, Due::Limit(request, number)))) => {
                     self.resolve(request, number, Ended::silent(Ending::TimedOut));
                 }
@@ -142,7 +149,8 @@
     fn on_deadline(&mut self, request: RequestId) {
         // Also after the final answer: where attempts may not be cancelled, a silent one would stay for ever.
         let out = self.open.get(&request);
-        let numbers: Vec<u32> = out.map_or(Vec::new(), |o| o.out.iter().map(|a| a.number).collect());
+        let numbers: Vec<u32> =
+            out.map_or(Vec::new(), |o| o.out.iter().map(|a| a.number).collect());
         for number in numbers {
             self.resolve(request, number, Ended::silent(Ending::TimedOut));
         }
@@ -152,7 +160,14 @@
             warn!(self.shared.log, "overdue"; "request" => format_args!("{:016x}", open.id));
             let was_sent = open.sends > 0;
             let never = Reply::Refused { retry_after: None };
-            self.answer(request, if was_sent { Reply::Failed("no answer in time") } else { never });
+            self.answer(
+                request,
+                if was_sent {
+                    Reply::Failed("no answer in time")
+                } else {
+                    never
+                },
+            );
             self.events.push_back(Event::ClientLeft { request });
         }
     }
@@ -168,10 +183,18 @@
                     self.withdraw(request);
                 }
             }
-            Message::Ended { request, attempt, ended } => self.resolve(request, attempt, ended),
+            Message::Ended {
+                request,
+                attempt,
+                ended,
+            } => self.resolve(request, attempt, ended),
             Message::Probed { member, ended } => {
                 let report = self.believed(&member, ended.ending, ended.report);
-                self.events.push_back(Event::Probed { member, ending: ended.ending, report });
+                self.events.push_back(Event::Probed {
+                    member,
+                    ending: ended.ending,
+                    report,
+                });
             }
             Message::List { kind, listed } => self.on_list(kind, listed),
             Message::Ending => self.on_ending(),
@@ -180,9 +203,15 @@
 
     /// What was never written is called off whatever the settings say of cancelling: the instance knows nothing of it.
     fn withdraw(&mut self, request: RequestId) {
-        let Some(open) = self.open.get(&request) else { return };
-        let unwritten: Vec<u32> =
-            open.out.iter().filter(|a| !a.written.is_raised()).map(|a| a.number).collect();
+        let Some(open) = self.open.get(&request) else {
+            return;
+        };
+        let unwritten: Vec<u32> = open
+            .out
+            .iter()
+            .filter(|a| !a.written.is_raised())
+            .map(|a| a.number)
+            .collect();
         for number in unwritten {
             self.resolve(request, number, Ended::silent(Ending::Moot));
         }
@@ -200,22 +229,40 @@
             // Its client kept a connection open that is about to close: whatever is forwarded now may find the
             // process killed.
             count(&self.shared.counters.refused);
-            let _ = reply.to.try_send((reply.part, Reply::Refused { retry_after: None }));
+            let _ = reply
+                .to
+                .try_send((reply.part, Reply::Refused { retry_after: None }));
             return;
         }
         if !self.named.insert(id) {
             // An id names one request: instances would take a second one under it for its copy.
             count(&self.shared.counters.rejected);
-            let _ = reply.to.try_send((reply.part, Reply::Failed("this id is already in use")));
+            let _ = reply
+                .to
+                .try_send((reply.part, Reply::Failed("this id is already in use")));
             return;
         }
         let now = self.shared.clock.now();
         debug!(self.shared.log, "taken"; "request" => format_args!("{id:016x}"), "class" => incoming.class,
                "group" => incoming.group, "session" => incoming.session.as_deref(), "after" => incoming.after);
-        let deadline = incoming.arrived.saturating_add(incoming.wait.saturating_sub(MARGIN));
-        let deadline = self.shared.last_answer().map_or(deadline, |last| deadline.min(last));
+        let deadline = incoming
+            .arrived
+            .saturating_add(incoming.wait.saturating_sub(MARGIN));
+        let deadline = self
+            .shared
+            .last_answer()
+            .map_or(deadline, |last| deadline.min(last));
         let (ask, left, class) = (incoming.ask, incoming.left, incoming.class);
-        let open = Open { id, reply: Some(reply), deadline, ask, left, class, sends: 0, out: Vec::new() };
+        let open = Open {
+            id,
+            reply: Some(reply),
+            deadline,
+            ask,
+            left,
+            class,
+            sends: 0,
+            out: Vec::new(),
+        };
         self.open.insert(request, open);
         self.due.push(Reverse((deadline, Due::Deadline(request))));
         self.events.push_back(Event::Request(Request {
@@ -223,7 +270,9 @@
             class: incoming.class,
             group: incoming.group,
             session: incoming.session,
-            since_write: incoming.after.map(|at| self.platform.platform(now).saturating_sub(at)),
+            since_write: incoming
+                .after
+                .map(|at| self.platform.platform(now).saturating_sub(at)),
             tenant: None,
             work: None,
             is_retry: incoming.is_retry,
@@ -248,7 +297,10 @@
                 }
                 continue;
             }
-            let pool = self.peers.entry(entry.member.clone()).or_insert_with(|| PoolHandle::new(*endpoint));
+            let pool = self
+                .peers
+                .entry(entry.member.clone())
+                .or_insert_with(|| PoolHandle::new(*endpoint));
             pool.update(*endpoint, entry.state == State::Draining, now);
         }
         if !self.peers.is_empty() {
@@ -263,7 +315,8 @@
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             let now = self.shared.clock.now();
-            self.brain.handle(self.platform.platform(now), event, &mut actions);
+            self.brain
+                .handle(self.platform.platform(now), event, &mut actions);
             for action in actions.drain(..) {
                 self.act(now, action);
             }
@@ -272,11 +325,20 @@
 
     fn act(&mut self, now: Time, action: Action) {
         match action {
-            Action::Send { request, member, limit, by } => {
+            Action::Send {
+                request,
+                member,
+                limit,
+                by,
+            } => {
                 let by = by.map(|by| self.platform.own(by));
                 self.send(now, request, member, limit, by);
             }
-            Action::Refuse { request, cause, retry_after } => {
+            Action::Refuse {
+                request,
+                cause,
+                retry_after,
+            } => {
                 self.given_up(request, cause);
                 self.answer(request, Reply::Refused { retry_after });
             }
@@ -288,14 +350,20 @@
                 self.resolve(request, attempt, Ended::silent(Ending::Cancelled));
             }
             Action::SetTimer { after, token } => {
-                self.due.push(Reverse((now.saturating_add(after), Due::Timer(token))));
+                self.due
+                    .push(Reverse((now.saturating_add(after), Due::Timer(token))));
             }
             Action::Probe { member } => {
                 let pool = self.peers.get(&member);
-                let sent = pool.map(|p| p.send(&self.shared, &self.executor, &member, Order::Probe));
+                let sent =
+                    pool.map(|p| p.send(&self.shared, &self.executor, &member, Order::Probe));
                 if sent != Some(Ok(())) {
                     let (ending, report) = (Ending::ConnectFailed, Standing::default());
-                    self.events.push_back(Event::Probed { member, ending, report });
+                    self.events.push_back(Event::Probed {
+                        member,
+                        ending,
+                        report,
+                    });
                 }
             }
             // A call that still waits in the mailbox will do for this one, too.
@@ -356,10 +424,21 @@
         let until = limit.map_or(open.deadline, |l| open.deadline.min(now.saturating_add(l)));
         let left = open.left.clone();
         let ask = open.ask.clone();
-        let attempt = Attempt { request, number, ask, until, by, given_up, left, written };
+        let attempt = Attempt {
+            request,
+            number,
+            ask,
+            until,
+            by,
+            given_up,
+            left,
+            written,
+        };
         let order = Order::Attempt(Box::new(attempt));
         let ordered = match self.peers.get(&member) {
-            Some(pool) => pool.send(&self.shared, &self.executor, &member, order).map_err(|_| Ending::Unsent),
+            Some(pool) => pool
+                .send(&self.shared, &self.executor, &member, order)
+                .map_err(|_| Ending::Unsent),
             None => Err(Ending::ConnectFailed),
         };
         if let Err(ending) = ordered {
@@ -372,19 +451,29 @@
 
     /// The one outcome of an attempt. A second one finds no attempt and changes nothing.
     fn resolve(&mut self, request: RequestId, number: u32, ended: Ended) {
-        let Some(open) = self.open.get_mut(&request) else { return };
-        let Some(at) = open.out.iter().position(|a| a.number == number) else { return };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        let Some(at) = open.out.iter().position(|a| a.number == number) else {
+            return;
+        };
         let out = open.out.swap_remove(at);
         let c = &self.shared.counters;
         let mut ending = ended.ending;
-        if !out.written.is_raised() && matches!(ending, Ending::TimedOut | Ending::Cancelled | Ending::Moot) {
+        if !out.written.is_raised()
+            && matches!(ending, Ending::TimedOut | Ending::Cancelled | Ending::Moot)
+        {
             // It was still waiting for a connection, or on its way into one that is dropped now: it has never run.
             count(&c.unwritten);
             let is_left = open.left.is_raised();
             if is_left {
                 count(&c.withdrawn);
             }
-            ending = if is_left || ending == Ending::Moot { Ending::Moot } else { Ending::Unsent };
+            ending = if is_left || ending == Ending::Moot {
+                Ending::Moot
+            } else {
+                Ending::Unsent
+            };
         }
         count(match ending {
             Ending::Served => &c.ok,
@@ -401,7 +490,13 @@
             Ending::Rejected => &c.unfit,
         });
         let latency = self.shared.clock.now().saturating_sub(out.sent);
-        let class = self.shared.config.site.settings.classes.get(open.class as usize);
+        let class = self
+            .shared
+            .config
+            .site
+            .settings
+            .classes
+            .get(open.class as usize);
         let is_commit = ending == Ending::Served && class.is_some_and(|c| c.need == Need::Write);
         let mut standing = self.believed(&out.member, ending, ended.standing);
         if is_commit {
@@ -409,7 +504,9 @@
             standing.position = ended.standing.position;
         }
         let report = self.believed(&out.member, ending, ended.report);
-        let Some(open) = self.open.get(&request) else { return };
+        let Some(open) = self.open.get(&request) else {
+            return;
+        };
         debug!(self.shared.log, "attempt ended"; "request" => format_args!("{:016x}", open.id),
                "class" => open.class, "number" => number, "member" => &*out.member,
                "ending" => ?ending, "ns" => latency, "position" => ?ended.standing.position);
@@ -450,7 +547,9 @@
 
     /// Gives the final answer, if it is still owed.
     fn answer(&mut self, request: RequestId, reply: Reply) {
-        let Some(to) = self.conclude(request) else { return };
+        let Some(to) = self.conclude(request) else {
+            return;
+        };
         let c = &self.shared.counters;
         count(match &reply {
             Reply::Served(_) => &c.served,
@@ -464,7 +563,11 @@
 
     /// A request stays in the table until it is answered and nothing is out for it.
     fn forget(&mut self, request: RequestId) {
-        if self.open.get(&request).is_some_and(|o| o.reply.is_none() && o.out.is_empty()) {
+        if self
+            .open
+            .get(&request)
+            .is_some_and(|o| o.reply.is_none() && o.out.is_empty())
+        {
             self.open.remove(&request);
         }
     }
--- a/crates/router/src/directory.rs
+++ b/crates/router/src/directory.rs
@@ -14,7 +14,9 @@
 use hickory_proto::rr::Name;
 use reelrill_routing::{Entry, ListKind, State, Time};
 use reelrill_service_discovery::browse::{Ask, Browser, Config, Output};
-use reelrill_service_discovery::{Change, Claim, Input, Kind, Members, Removal, Settings, Source, Word};
+use reelrill_service_discovery::{
+    Change, Claim, Input, Kind, Members, Removal, Settings, Source, Word,
+};
 use slog::{info, warn};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, TcpStream, UdpSocket};
@@ -93,7 +95,13 @@
             roster,
             news,
             questions,
-            members: Members::new(Settings { vouch, ..Settings::default() }, now),
+            members: Members::new(
+                Settings {
+                    vouch,
+                    ..Settings::default()
+                },
+                now,
+            ),
             services: BTreeMap::new(),
             next: ROSTER + 1,
             retry: None,
@@ -107,7 +115,14 @@
         let now = self.shared.clock.now();
         let mut changes = Vec::new();
         if self.shared.config.edge.discovery.roster {
-            self.members.handle(now, Input::Source { source: ROSTER, kind: Kind::Roster }, &mut changes);
+            self.members.handle(
+                now,
+                Input::Source {
+                    source: ROSTER,
+                    kind: Kind::Roster,
+                },
+                &mut changes,
+            );
             // The decider takes the records' changes for a list that is kept up, and would not ask.
             self.retry = Some(now);
             let (version, known) = self.shared.config.known.clone();
@@ -120,7 +135,10 @@
         self.tell(changes).await;
         loop {
             let browsers = self.services.values().map(|s| s.browser.next_due());
-            let due = browsers.chain([self.members.next_due(), self.retry]).flatten().min();
+            let due = browsers
+                .chain([self.members.next_due(), self.retry])
+                .flatten()
+                .min();
             let due = due.map(|at| self.shared.clock.instant(at));
             let timer = async {
                 match due {
@@ -144,7 +162,10 @@
                 Next::Question(question) => {
                     let name = |source| match source {
                         ROSTER => "roster".to_owned(),
-                        other => self.services.get(&other).map_or_else(String::new, |s| s.name.clone()),
+                        other => self
+                            .services
+                            .get(&other)
+                            .map_or_else(String::new, |s| s.name.clone()),
                     };
                     let _ = question.try_send(members::table(&self.members, now, name));
                 }
@@ -184,31 +205,59 @@
 
     async fn take(&mut self, now: Time, news: News, changes: &mut Vec<Change>) {
         match news {
-            News::Roster { kind: ListKind::Failed, .. } => {
-                self.members.handle(now, Input::Failed { source: ROSTER }, changes);
+            News::Roster {
+                kind: ListKind::Failed,
+                ..
+            } => {
+                self.members
+                    .handle(now, Input::Failed { source: ROSTER }, changes);
                 // The decider thinks that the list is kept up as long as changes come, also those of records.
                 let pause = PAUSE.0.as_nanos() as u64;
                 let pause = pause << self.failures.min(PAUSE.1);
                 self.failures += 1;
                 self.retry = Some(now + pause / 2 + rand::random_range(0..pause / 2));
                 let (kind, listed) = (ListKind::Failed, Vec::new());
-                let _ = self.shared.decider.send(Message::List { kind, listed }).await;
+                let _ = self
+                    .shared
+                    .decider
+                    .send(Message::List { kind, listed })
+                    .await;
             }
-            News::Roster { kind, listed, version } => {
+            News::Roster {
+                kind,
+                listed,
+                version,
+            } => {
                 (self.retry, self.failures) = (None, 0);
                 if kind == ListKind::Whole {
                     let names = listed.iter().map(|l| l.entry.member.clone()).collect();
-                    self.members.handle(now, Input::Whole { source: ROSTER, names }, changes);
+                    self.members.handle(
+                        now,
+                        Input::Whole {
+                            source: ROSTER,
+                            names,
+                        },
+                        changes,
+                    );
                 }
                 self.on_entries(now, listed, version, changes);
                 // Also without a change: the decider's call has been answered.
                 let (kind, listed) = (ListKind::Changes, Vec::new());
-                let _ = self.shared.decider.send(Message::List { kind, listed }).await;
+                let _ = self
+                    .shared
+                    .decider
+                    .send(Message::List { kind, listed })
+                    .await;
             }
             News::Answered { member, leaving } => {
-                self.members.handle(now, Input::Answered { member, leaving }, changes);
+                self.members
+                    .handle(now, Input::Answered { member, leaving }, changes);
             }
-            News::Records { source, query, bytes } => {
+            News::Records {
+                source,
+                query,
+                bytes,
+            } => {
                 let mut out = Vec::new();
                 if let Some(service) = self.services.get_mut(&source) {
                     match bytes {
@@ -222,29 +271,50 @@
                 let before: Vec<Source> = self.services.keys().copied().collect();
                 let gone = match self.services_are(&discovery) {
                     Ok(gone) => gone,
-                    Err(e) => return warn!(self.shared.log, "the new sources are not used"; "error" => %e),
+                    Err(e) => {
+                        return warn!(self.shared.log, "the new sources are not used"; "error" => %e);
+                    }
                 };
-                let new: Vec<Source> =
-                    self.services.keys().copied().filter(|s| !before.contains(s)).collect();
+                let new: Vec<Source> = self
+                    .services
+                    .keys()
+                    .copied()
+                    .filter(|s| !before.contains(s))
+                    .collect();
                 info!(self.shared.log, "sources read again"; "new" => new.len(), "gone" => gone.len());
                 // New ones first: what both name is never without a source.
                 for source in new {
                     self.start_service(now, source, changes);
                 }
                 for source in gone {
-                    self.members.handle(now, Input::NoSource { source }, changes);
+                    self.members
+                        .handle(now, Input::NoSource { source }, changes);
                 }
             }
         }
     }
 
-    fn on_entries(&mut self, now: Time, listed: Vec<Listed>, version: u64, changes: &mut Vec<Change>) {
+    fn on_entries(
+        &mut self,
+        now: Time,
+        listed: Vec<Listed>,
+        version: u64,
+        changes: &mut Vec<Change>,
+    ) {
         for Listed { entry, endpoint } in listed {
             let name = entry.member.clone();
             let input = if entry.state == State::Gone {
-                Input::Removed { source: ROSTER, name, how: Removal::Gone }
+                Input::Removed {
+                    source: ROSTER,
+                    name,
+                    how: Removal::Gone,
+                }
             } else {
-                let word = if entry.state == State::Draining { Word::Draining } else { Word::Ready };
+                let word = if entry.state == State::Draining {
+                    Word::Draining
+                } else {
+                    Word::Ready
+                };
                 let claim = Claim {
                     zone: entry.zone,
                     word,
@@ -253,7 +323,11 @@
                     weight: entry.weight,
                     ..Claim::new(&entry.member, endpoint, entry.group)
                 };
-                Input::Told { source: ROSTER, name, claim }
+                Input::Told {
+                    source: ROSTER,
+                    name,
+                    claim,
+                }
             };
             self.members.handle(now, input, changes);
         }
@@ -262,14 +336,23 @@
     /// Makes the services those of the settings; one whose settings are the same goes on. Returns those that are gone.
     fn services_are(&mut self, discovery: &Discovery) -> Result<Vec<Source>, DirectoryError> {
         // All names are read before anything changes: a wrong one must not leave half of the services behind.
-        for text in discovery.dns_sd.iter().flat_map(|d| d.services.iter().chain([&d.domain])) {
+        for text in discovery
+            .dns_sd
+            .iter()
+            .flat_map(|d| d.services.iter().chain([&d.domain]))
+        {
             name(text)?;
         }
         let mut kept = Vec::new();
         for service in discovery.dns_sd.iter().flat_map(|d| &d.services) {
-            let Some(settings) = &discovery.dns_sd else { continue };
+            let Some(settings) = &discovery.dns_sd else {
+                continue;
+            };
             let is_same = |s: &Service| {
-                let others = DnsSd { services: s.settings.services.clone(), ..settings.clone() };
+                let others = DnsSd {
+                    services: s.settings.services.clone(),
+                    ..settings.clone()
+                };
                 s.name == *service && s.settings == others
             };
             if let Some((source, _)) = self.services.iter().find(|(_, s)| is_same(s)) {
@@ -280,7 +363,10 @@
                 servers: settings.servers.clone(),
                 service: name(service)?,
                 domain: name(&settings.domain)?,
-                ttl: (settings.ttl_floor_ms * 1_000_000, settings.ttl_ceiling_ms * 1_000_000),
+                ttl: (
+                    settings.ttl_floor_ms * 1_000_000,
+                    settings.ttl_ceiling_ms * 1_000_000,
+                ),
                 timeout: settings.timeout_ms * 1_000_000,
                 budget: settings.budget.into(),
                 zones: self.shared.config.site.zones.clone(),
@@ -289,16 +375,37 @@
             self.next += 1;
             let browser = Browser::new(config, source, rand::random(), self.shared.clock.now());
             let (name, settings, queries) = (service.clone(), settings.clone(), HashMap::new());
-            self.services.insert(source, Service { name, settings, browser, queries });
+            self.services.insert(
+                source,
+                Service {
+                    name,
+                    settings,
+                    browser,
+                    queries,
+                },
+            );
             kept.push(source);
         }
-        let gone: Vec<Source> = self.services.keys().copied().filter(|s| !kept.contains(s)).collect();
-        gone.iter().for_each(|source| drop(self.services.remove(source)));
+        let gone: Vec<Source> = self
+            .services
+            .keys()
+            .copied()
+            .filter(|s| !kept.contains(s))
+            .collect();
+        gone.iter()
+            .for_each(|source| drop(self.services.remove(source)));
         Ok(gone)
     }
 
     fn start_service(&mut self, now: Time, source: Source, changes: &mut Vec<Change>) {
-        self.members.handle(now, Input::Source { source, kind: Kind::Records }, changes);
+        self.members.handle(
+            now,
+            Input::Source {
+                source,
+                kind: Kind::Records,
+            },
+            changes,
+        );
         let mut out = Vec::new();
         if let Some(service) = self.services.get_mut(&source) {
             service.browser.start(now, &mut out);
@@ -316,15 +423,21 @@
                     }
                 }
                 Output::Ask(ask) => {
-                    let Some(service) = self.services.get_mut(&source) else { continue };
+                    let Some(service) = self.services.get_mut(&source) else {
+                        continue;
+                    };
                     count(&self.shared.counters.dns_queries);
                     let (hold, given_up) = async_channel::bounded::<()>(1);
                     service.queries.insert(ask.query, hold);
-                    let Some(news) = self.shared.directory.clone() else { continue };
+                    let Some(news) = self.shared.directory.clone() else {
+                        continue;
+                    };
                     let dropped = async move {
                         let _ = given_up.recv().await;
                     };
-                    self.executor.spawn(or(send(source, ask, news), dropped)).detach();
+                    self.executor
+                        .spawn(or(send(source, ask, news), dropped))
+                        .detach();
                 }
             }
         }
@@ -367,23 +480,43 @@
                 }
             });
         }
-        let _ = self.shared.decider.send(Message::List { kind: ListKind::Changes, listed }).await;
+        let _ = self
+            .shared
+            .decider
+            .send(Message::List {
+                kind: ListKind::Changes,
+                listed,
+            })
+            .await;
     }
 }
 
 /// Sends one query from a port of its own, and passes on what comes back until it is dropped.
 async fn send(source: Source, ask: Ask, news: Sender<News>) {
     let query = ask.query;
-    let result =
-        if ask.over_tcp { over_tcp(&ask).await.map(Some) } else { over_udp(source, &ask, &news).await };
+    let result = if ask.over_tcp {
+        over_tcp(&ask).await.map(Some)
+    } else {
+        over_udp(source, &ask, &news).await
+    };
     // The client looks at the answer; one that can't be had is followed by the next server.
     let bytes = result.unwrap_or(None);
-    let _ = news.send(News::Records { source, query, bytes }).await;
+    let _ = news
+        .send(News::Records {
+            source,
+            query,
+            bytes,
+        })
+        .await;
 }
 
 /// The kernel draws the port, and passes on nothing that does not come from the server. What is no answer does not
 /// end the wait for it.
-async fn over_udp(source: Source, ask: &Ask, news: &Sender<News>) -> std::io::Result<Option<Vec<u8>>> {
+async fn over_udp(
+    source: Source,
+    ask: &Ask,
+    news: &Sender<News>,
+) -> std::io::Result<Option<Vec<u8>>> {
     let local: SocketAddr = match ask.server {
         SocketAddr::V4(_) => (Ipv4Addr::UNSPECIFIED, 0).into(),
         SocketAddr::V6(_) => (Ipv6Addr::UNSPECIFIED, 0).into(),
@@ -395,14 +528,22 @@
     loop {
         let len = socket.recv(&mut bytes).await?;
         let (query, bytes) = (ask.query, Some(bytes[..len].to_vec()));
-        let _ = news.send(News::Records { source, query, bytes }).await;
+        let _ = news
+            .send(News::Records {
+                source,
+                query,
+                bytes,
+            })
+            .await;
     }
 }
 
 async fn over_tcp(ask: &Ask) -> std::io::Result<Vec<u8>> {
     let stream = Async::<TcpStream>::connect(ask.server).await?;
     let len = u16::try_from(ask.message.len()).map_err(std::io::Error::other)?;
-    (&stream).write_all(&[&len.to_be_bytes(), &ask.message[..]].concat()).await?;
+    (&stream)
+        .write_all(&[&len.to_be_bytes(), &ask.message[..]].concat())
+        .await?;
     let mut len = [0; 2];
     (&stream).read_exact(&mut len).await?;
     let mut bytes = vec![0; u16::from_be_bytes(len).into()];
--- a/crates/router/src/edge.rs
+++ b/crates/router/src/edge.rs
@@ -11,11 +11,18 @@
 #[derive(Debug, thiserror::Error)]
 pub enum EdgeError {
     #[error("{path}: {source}")]
-    Read { path: PathBuf, source: std::io::Error },
+    Read {
+        path: PathBuf,
+        source: std::io::Error,
+    },
     #[error("{path}: {what}")]
     Yaml { path: PathBuf, what: String },
     #[error("{path}: {field}: {what}")]
-    Field { path: PathBuf, field: &'static str, what: &'static str },
+    Field {
+        path: PathBuf,
+        field: &'static str,
+        what: &'static str,
+    },
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
@@ -41,7 +48,11 @@
 
 impl Default for Discovery {
     fn default() -> Discovery {
-        Discovery { roster: true, vouch_s: 30, dns_sd: None }
+        Discovery {
+            roster: true,
+            vouch_s: 30,
+            dns_sd: None,
+        }
     }
 }
 
@@ -170,8 +181,10 @@
     /// Reads a file; names that it does not know are errors.
     pub fn load(path: &Path) -> Result<Edge, EdgeError> {
         let path = || path.to_owned();
-        let text =
-            std::fs::read_to_string(path()).map_err(|source| EdgeError::Read { path: path(), source })?;
+        let text = std::fs::read_to_string(path()).map_err(|source| EdgeError::Read {
+            path: path(),
+            source,
+        })?;
         let mut field = String::new();
         let read = serde_saphyr::with_deserializer_from_str(&text, |yaml| {
             serde_path_to_error::deserialize(yaml).map_err(|e| {
@@ -186,7 +199,13 @@
             EdgeError::Yaml { path: path(), what }
         })?;
         let l = &edge.extended.limits;
-        let wrong = |field, what| Err(EdgeError::Field { path: path(), field, what });
+        let wrong = |field, what| {
+            Err(EdgeError::Field {
+                path: path(),
+                field,
+                what,
+            })
+        };
         for (field, value) in [
             ("extended.limits.statements", l.statements),
             ("extended.limits.portals", l.portals),
@@ -203,7 +222,10 @@
             }
         }
         if l.value_bytes < 64 * 1024 {
-            return wrong("extended.limits.value_bytes", "must hold one value, 65536 bytes");
+            return wrong(
+                "extended.limits.value_bytes",
+                "must hold one value, 65536 bytes",
+            );
         }
         let d = &edge.discovery;
         if !d.roster && d.dns_sd.is_none() {
@@ -217,10 +239,26 @@
         }
         if let Some(dns) = &d.dns_sd {
             let checks = [
-                ("discovery.dns_sd.servers", !dns.servers.is_empty(), "must name a server"),
-                ("discovery.dns_sd.services", !dns.services.is_empty(), "must name a service"),
-                ("discovery.dns_sd.services", dns.services.len() <= 64, "must be at most 64"),
-                ("discovery.dns_sd.ttl_floor_ms", dns.ttl_floor_ms >= 100, "must be at least 100"),
+                (
+                    "discovery.dns_sd.servers",
+                    !dns.servers.is_empty(),
+                    "must name a server",
+                ),
+                (
+                    "discovery.dns_sd.services",
+                    !dns.services.is_empty(),
+                    "must name a service",
+                ),
+                (
+                    "discovery.dns_sd.services",
+                    dns.services.len() <= 64,
+                    "must be at most 64",
+                ),
+                (
+                    "discovery.dns_sd.ttl_floor_ms",
+                    dns.ttl_floor_ms >= 100,
+                    "must be at least 100",
+                ),
                 (
                     "discovery.dns_sd.ttl_ceiling_ms",
                     dns.ttl_ceiling_ms >= dns.ttl_floor_ms,
@@ -231,7 +269,11 @@
                     (10..=10_000).contains(&dns.timeout_ms),
                     "must be 10 to 10000",
                 ),
-                ("discovery.dns_sd.budget", (1..=10_000).contains(&dns.budget), "must be 1 to 10000"),
+                (
+                    "discovery.dns_sd.budget",
+                    (1..=10_000).contains(&dns.budget),
+                    "must be 1 to 10000",
+                ),
             ];
             if let Some((field, _, what)) = checks.into_iter().find(|c| !c.1) {
                 return wrong(field, what);
@@ -260,8 +302,17 @@
     #[test]
     fn what_is_left_out_has_its_default() {
         let edge = load("extended: {mode: translate, limits: {reads: 4}}").unwrap();
-        assert_eq!((edge.extended.mode, edge.extended.limits.reads), (Mode::Translate, 4));
-        assert_eq!(edge.extended.limits, Limits { reads: 4, ..Limits::default() });
+        assert_eq!(
+            (edge.extended.mode, edge.extended.limits.reads),
+            (Mode::Translate, 4)
+        );
+        assert_eq!(
+            edge.extended.limits,
+            Limits {
+                reads: 4,
+                ..Limits::default()
+            }
+        );
         assert_eq!(load("extended:\n  mode: off\n"), Ok(Edge::default()));
         assert_eq!(load("{}"), Ok(Edge::default()));
     }
@@ -284,10 +335,16 @@
 
     #[test]
     fn the_example_shows_every_setting_with_its_default() {
-        let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/edge.example.yaml"));
+        let path = Path::new(concat!(
+            env!("CARGO_MANIFEST_DIR"),
+            "/../../deploy/edge.example.yaml"
+        ));
         assert_eq!(Edge::load(path).unwrap(), Edge::default());
         let text = std::fs::read_to_string(path).unwrap();
-        for name in format!("{:?}", Edge::default()).split([' ', '{']).filter_map(|w| w.strip_suffix(':')) {
+        for name in format!("{:?}", Edge::default())
+            .split([' ', '{'])
+            .filter_map(|w| w.strip_suffix(':'))
+        {
             assert!(text.contains(&format!("{name}:")), "{name}");
         }
     }
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -2,10 +2,10 @@
 //! front protocol, so that another one can be put before the same decisions.
 
 use crate::edge::Discovery;
-use reelrill_routing::{Ending, Entry, ListKind, MemberId, RequestId, Span, Standing, Time};
-use reelrill_service_discovery::Source;
 use reelrill_pg_protocol::Format;
 use reelrill_pg_session::bound::Ask;
+use reelrill_routing::{Ending, Entry, ListKind, MemberId, RequestId, Span, Standing, Time};
+use reelrill_service_discovery::Source;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -97,7 +97,12 @@
 impl Ended {
     /// An ending that came without a word from the instance.
     pub fn silent(ending: Ending) -> Ended {
-        Ended { ending, standing: Standing::default(), report: Standing::default(), answer: None }
+        Ended {
+            ending,
+            standing: Standing::default(),
+            report: Standing::default(),
+            answer: None,
+        }
     }
 }
 
@@ -163,11 +168,19 @@
 /// What goes into the directory's mailbox.
 pub enum News {
     /// What the roster answered, and its version.
-    Roster { kind: ListKind, listed: Vec<Listed>, version: u64 },
+    Roster {
+        kind: ListKind,
+        listed: Vec<Listed>,
+        version: u64,
+    },
     /// A member answered for itself.
     Answered { member: MemberId, leaving: bool },
     /// What came for a query of a service; none: it could not be sent, or its connection broke.
-    Records { source: Source, query: u64, bytes: Option<Vec<u8>> },
+    Records {
+        source: Source,
+        query: u64,
+        bytes: Option<Vec<u8>>,
+    },
     /// The settings have been read again.
     Settings(Discovery),
 }
