--- a/crates/router/src/http.rs
+++ b/crates/router/src/http.rs
@@ -47,12 +47,23 @@
 }
 
 impl Connection {
-    pub async fn open(host: SocketAddr, memory: &Rc<Memory>, log: Logger) -> Result<Connection, HttpError> {
+    pub async fn open(
+        host: SocketAddr,
+        memory: &Rc<Memory>,
+        log: Logger,
+    ) -> Result<Connection, HttpError> {
         let stream = Async::<TcpStream>::connect(host).await?;
         stream.get_ref().set_nodelay(true)?;
         // Dropped inside a call: the caller took another or stopped waiting.
         let reason = CloseReason::Replaced;
-        Ok(Connection { stream, buffer: Buffer::new(memory), host, keep: true, reason, log })
+        Ok(Connection {
+            stream,
+            buffer: Buffer::new(memory),
+            host,
+            keep: true,
+            reason,
+            log,
+        })
     }
 
     /// Whether another call may follow on this connection.
@@ -81,7 +92,9 @@
     /// Why the connection will have ended if it is dropped after this.
     fn note_end(&mut self, error: Option<&HttpError>) {
         self.reason = match error {
-            Some(HttpError::Io(e)) if e.kind() == std::io::ErrorKind::UnexpectedEof => CloseReason::Eof,
+            Some(HttpError::Io(e)) if e.kind() == std::io::ErrorKind::UnexpectedEof => {
+                CloseReason::Eof
+            }
             Some(HttpError::Io(_)) => CloseReason::Reset,
             Some(HttpError::Parse(_) | HttpError::Length) => CloseReason::Malformed,
             Some(HttpError::Status(_)) => CloseReason::TurnedAway,
@@ -90,9 +103,16 @@
     }
 
     async fn send(&mut self, path: &str) -> Result<(), HttpError> {
-        let head = format!("GET {path} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n", self.host);
+        let head = format!(
+            "GET {path} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
+            self.host
+        );
         (&self.stream).write_all(head.as_bytes()).await?;
-        if self.buffer.bytes().is_empty() { self.more().await } else { Ok(()) }
+        if self.buffer.bytes().is_empty() {
+            self.more().await
+        } else {
+            Ok(())
+        }
     }
 
     async fn read_response(&mut self) -> Result<Vec<u8>, HttpError> {
@@ -117,7 +137,11 @@
                 self.buffer.bytes().to_vec()
             }
         };
-        if head.status == OK { Ok(body) } else { Err(HttpError::Status(head.status)) }
+        if head.status == OK {
+            Ok(body)
+        } else {
+            Err(HttpError::Status(head.status))
+        }
     }
 
     async fn more(&mut self) -> Result<(), HttpError> {
@@ -145,7 +169,8 @@
     async fn chunks(&mut self) -> Result<Vec<u8>, HttpError> {
         let mut body = Vec::new();
         loop {
-            let size = httparse::parse_chunk_size(self.buffer.bytes()).map_err(|_| HttpError::Length)?;
+            let size =
+                httparse::parse_chunk_size(self.buffer.bytes()).map_err(|_| HttpError::Length)?;
             let httparse::Status::Complete((line, size)) = size else {
                 self.more().await?;
                 continue;
@@ -175,18 +200,29 @@
 fn read_head(bytes: &[u8]) -> Result<Option<(usize, Head)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; 48];
     let mut response = httparse::Response::new(&mut headers);
-    let httparse::Status::Complete(len) = response.parse(bytes)? else { return Ok(None) };
+    let httparse::Status::Complete(len) = response.parse(bytes)? else {
+        return Ok(None);
+    };
     let mut keep = response.version == Some(1);
     let mut length = Length::ToEnd;
     for h in response.headers.iter() {
         let value = std::str::from_utf8(h.value).unwrap_or("").trim();
         if h.name.eq_ignore_ascii_case("content-length") {
             length = Length::Fixed(value.parse().map_err(|_| HttpError::Length)?);
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") && value.eq_ignore_ascii_case("chunked") {
+        } else if h.name.eq_ignore_ascii_case("transfer-encoding")
+            && value.eq_ignore_ascii_case("chunked")
+        {
             length = Length::Chunked;
         } else if h.name.eq_ignore_ascii_case("connection") {
             keep = !value.eq_ignore_ascii_case("close");
         }
     }
-    Ok(Some((len, Head { status: response.code.unwrap_or(0), length, keep })))
+    Ok(Some((
+        len,
+        Head {
+            status: response.code.unwrap_or(0),
+            length,
+            keep,
+        },
+    )))
 }
--- a/crates/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -20,16 +20,33 @@
 
 /// Reads a list in discovery's form.
 pub fn read_list(value: &Value, zones: &[String]) -> Result<List, ListError> {
-    let targets = value.get("targets").and_then(Value::as_array).ok_or(ListError("targets"))?;
+    let targets = value
+        .get("targets")
+        .and_then(Value::as_array)
+        .ok_or(ListError("targets"))?;
     Ok(List {
-        version: value.get("rev").and_then(Value::as_u64).ok_or(ListError("rev"))?,
-        whole: value.get("all").and_then(Value::as_bool).ok_or(ListError("all"))?,
-        entries: targets.iter().map(|t| read_target(t, zones)).collect::<Result<_, _>>()?,
+        version: value
+            .get("rev")
+            .and_then(Value::as_u64)
+            .ok_or(ListError("rev"))?,
+        whole: value
+            .get("all")
+            .and_then(Value::as_bool)
+            .ok_or(ListError("all"))?,
+        entries: targets
+            .iter()
+            .map(|t| read_target(t, zones))
+            .collect::<Result<_, _>>()?,
     })
 }
 
 fn read_target(target: &Value, zones: &[String]) -> Result<Listed, ListError> {
-    let text = |key: &'static str| target.get(key).and_then(Value::as_str).ok_or(ListError(key));
+    let text = |key: &'static str| {
+        target
+            .get(key)
+            .and_then(Value::as_str)
+            .ok_or(ListError(key))
+    };
     let state = match text("state")? {
         "ready" => State::Serving,
         "draining" => State::Draining,
@@ -42,15 +59,24 @@
         _ if state == State::Gone => SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
         _ => return Err(ListError("endpoint")),
     };
-    let zone = text("az").ok().and_then(|az| zones.iter().position(|z| z == az)).unwrap_or(0);
-    let group = target.get("pod_group").and_then(Value::as_u64).and_then(|g| u32::try_from(g).ok());
+    let zone = text("az")
+        .ok()
+        .and_then(|az| zones.iter().position(|z| z == az))
+        .unwrap_or(0);
+    let group = target
+        .get("pod_group")
+        .and_then(Value::as_u64)
+        .and_then(|g| u32::try_from(g).ok());
     let started_ms = target.get("boot_ms").and_then(Value::as_f64).unwrap_or(0.0);
     let entry = Entry {
         member: text("uid")?.into(),
         started: (started_ms.max(0.0) as u64).saturating_mul(1_000_000),
         primary: target.get("part").and_then(Value::as_str) == Some("master"),
         state,
-        weight: target.get("capacity_hint").and_then(Value::as_f64).unwrap_or(1.0),
+        weight: target
+            .get("capacity_hint")
+            .and_then(Value::as_f64)
+            .unwrap_or(1.0),
         group: group.ok_or(ListError("pod_group"))?,
         zone: zone as u32,
     };
--- a/crates/router/src/log.rs
+++ b/crates/router/src/log.rs
@@ -88,10 +88,18 @@
 
 /// The root logger and the guard that flushes it when dropped. `RELAY_LOG` sets the level (info).
 pub fn start(name: &str) -> (Logger, slog_async::AsyncGuard) {
-    let level = std::env::var("RELAY_LOG").ok().and_then(|l| l.parse().ok()).unwrap_or(slog::Level::Info);
+    let level = std::env::var("RELAY_LOG")
+        .ok()
+        .and_then(|l| l.parse().ok())
+        .unwrap_or(slog::Level::Info);
     let plain = slog_term::PlainSyncDecorator::new(std::io::stderr());
-    let format = slog_term::FullFormat::new(plain).use_utc_timestamp().build().fuse();
-    let (drain, guard) = slog_async::Async::new(format).chan_size(4096).build_with_guard();
+    let format = slog_term::FullFormat::new(plain)
+        .use_utc_timestamp()
+        .build()
+        .fuse();
+    let (drain, guard) = slog_async::Async::new(format)
+        .chan_size(4096)
+        .build_with_guard();
     let drain = slog::LevelFilter::new(drain.fuse(), level).fuse();
     (Logger::root(drain, o!("router" => name.to_owned())), guard)
 }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -73,7 +73,10 @@
         },
         cli::Command::Members { socket } => match members::print(&socket) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(e) => wrong(&format_args!("{}: {e}", socket.display()), ExitCode::FAILURE),
+            Err(e) => wrong(
+                &format_args!("{}: {e}", socket.display()),
+                ExitCode::FAILURE,
+            ),
         },
         cli::Command::Version => {
             println!("reelrill {}", env!("CARGO_PKG_VERSION"));
@@ -97,7 +100,11 @@
 
 fn listener(address: SocketAddr) -> std::io::Result<Async<TcpListener>> {
     use socket2::{Domain, Protocol, Socket, Type};
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    let socket = Socket::new(
+        Domain::for_address(address),
+        Type::STREAM,
+        Some(Protocol::TCP),
+    )?;
     // A restart must not wait for the old connections' addresses.
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
@@ -127,9 +134,13 @@
         executor.spawn(directory.run()).detach();
     }
     if shared.config.edge.discovery.roster {
-        executor.spawn(roster::run(shared.clone(), asked, places)).detach();
+        executor
+            .spawn(roster::run(shared.clone(), asked, places))
+            .detach();
     }
-    executor.spawn(client::listen(shared.clone(), executor.clone(), listener)).detach();
+    executor
+        .spawn(client::listen(shared.clone(), executor.clone(), listener))
+        .detach();
     async_io::block_on(executor.run(or(mind(&shared, signals, place), until_ended(&shared))));
     info!(log, "counters"; "all" => %shared.counters);
     Ok(())
@@ -175,7 +186,11 @@
         warn!(shared.log, "a change takes effect at the next start"; "of" => "extended");
     }
     match &shared.directory {
-        Some(directory) => drop(directory.send(exchange::News::Settings(new.edge.discovery)).await),
+        Some(directory) => drop(
+            directory
+                .send(exchange::News::Settings(new.edge.discovery))
+                .await,
+        ),
         None if new.edge.discovery != shared.config.edge.discovery => {
             warn!(shared.log, "a change takes effect at the next start"; "of" => "discovery");
         }
@@ -194,7 +209,8 @@
         let now = shared.clock.now();
         let spent = now.saturating_sub(began);
         let is_quiet = now.saturating_sub(shared.last_arrival.get()) > QUIESCENCE.as_nanos() as u64;
-        let is_drained = spent > shared.shutdown.min_drain && is_quiet || spent > shared.shutdown.last_read;
+        let is_drained =
+            spent > shared.shutdown.min_drain && is_quiet || spent > shared.shutdown.last_read;
         // The listener holds one slot for the connection that it waits for.
         if is_drained && shared.clients.used() <= 1 {
             return;
--- a/crates/router/src/members.rs
+++ b/crates/router/src/members.rs
@@ -31,7 +31,9 @@
     executor: &Rc<LocalExecutor<'static>>,
 ) -> std::io::Result<Receiver<Question>> {
     let (ask, questions) = async_channel::bounded(4);
-    let Some(path) = &shared.config.edge.members_socket else { return Ok(questions) };
+    let Some(path) = &shared.config.edge.members_socket else {
+        return Ok(questions);
+    };
     let mut making = path.clone().into_os_string();
     making.push(".new");
     let _ = std::fs::remove_file(&making);
@@ -80,13 +82,27 @@
 pub fn table(members: &Members, now: Time, name: impl Fn(Source) -> String) -> String {
     let mut out = String::new();
     for m in members.status() {
-        let state =
-            m.listed.as_ref().map_or("-", |v| if v.word == Word::Ready { "ready" } else { "draining" });
+        let state = m.listed.as_ref().map_or("-", |v| {
+            if v.word == Word::Ready {
+                "ready"
+            } else {
+                "draining"
+            }
+        });
         let place = m.listed.as_ref().map_or_else(String::new, |v| {
-            format!(" {} group {} zone {} weight {}", v.endpoint, v.group, v.zone, v.weight)
+            format!(
+                " {} group {} zone {} weight {}",
+                v.endpoint, v.group, v.zone, v.weight
+            )
         });
-        let answered = m.answered.map_or_else(|| "never".to_owned(), |at| age(now, at) + " ago");
-        let _ = writeln!(out, "{} {state}{place} rule {:?} answered {answered}", m.member, m.rule);
+        let answered = m
+            .answered
+            .map_or_else(|| "never".to_owned(), |at| age(now, at) + " ago");
+        let _ = writeln!(
+            out,
+            "{} {state}{place} rule {:?} answered {answered}",
+            m.member, m.rule
+        );
         for h in &m.claims {
             let stale = if h.is_stale { " stale" } else { "" };
             let silent = members
--- a/crates/router/src/peer/fault.rs
+++ b/crates/router/src/peer/fault.rs
@@ -44,7 +44,10 @@
         Some(errno) if is_lack_of_host(errno) => Blame::Host,
         _ => Blame::Endpoint,
     };
-    IoFault { blame, possibly_executed: stage == Stage::Read }
+    IoFault {
+        blame,
+        possibly_executed: stage == Stage::Read,
+    }
 }
 
 /// Errors that this host makes without a packet from the network.
--- a/crates/router/src/peer/fault/tests.rs
+++ b/crates/router/src/peer/fault/tests.rs
@@ -20,15 +20,30 @@
 #[case(Errno::INTR, Blame::Nobody)]
 fn every_error_has_its_blame_at_every_stage(#[case] errno: Errno, #[case] blame: Blame) {
     let error = io::Error::from_raw_os_error(errno.raw_os_error());
-    for (stage, possibly_executed) in [(Stage::Connect, false), (Stage::Write, false), (Stage::Read, true)] {
-        assert_eq!(classify(&error, stage), IoFault { blame, possibly_executed }, "{errno} at {stage:?}");
+    for (stage, possibly_executed) in [
+        (Stage::Connect, false),
+        (Stage::Write, false),
+        (Stage::Read, true),
+    ] {
+        assert_eq!(
+            classify(&error, stage),
+            IoFault {
+                blame,
+                possibly_executed
+            },
+            "{errno} at {stage:?}"
+        );
     }
 }
 
 /// An error that no system call made blames the endpoint: this host's lacks all have numbers.
 #[test]
 fn an_error_without_a_number_blames_the_endpoint() {
-    for kind in [io::ErrorKind::WriteZero, io::ErrorKind::UnexpectedEof, io::ErrorKind::OutOfMemory] {
+    for kind in [
+        io::ErrorKind::WriteZero,
+        io::ErrorKind::UnexpectedEof,
+        io::ErrorKind::OutOfMemory,
+    ] {
         assert_eq!(classify(&kind.into(), Stage::Read).blame, Blame::Endpoint);
     }
 }
--- a/crates/router/src/peer/link.rs
+++ b/crates/router/src/peer/link.rs
@@ -9,12 +9,12 @@
 use async_io::{Async, Timer};
 use futures_lite::AsyncWriteExt as _;
 use futures_lite::future::or;
-use reelrill_routing::{Ending, MemberId, Role, Span, Standing, Time};
 use reelrill_pg_protocol::frontend::{self, Object};
 use reelrill_pg_protocol::{backend, code, frame, text};
 use reelrill_pg_session::bound::{Ask, Bound};
 use reelrill_pg_session::prepared::{Need, Prepared};
 use reelrill_pg_session::template::{self, Kind};
+use reelrill_routing::{Ending, MemberId, Role, Span, Standing, Time};
 use slog::info;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -119,7 +119,10 @@
     let mut retries = 0;
     loop {
         match Async::<TcpStream>::connect(endpoint).await {
-            Err(e) if retries < HOST_RETRIES && classify(&e, Stage::Connect).blame != Blame::Endpoint => {
+            Err(e)
+                if retries < HOST_RETRIES
+                    && classify(&e, Stage::Connect).blame != Blame::Endpoint =>
+            {
                 retries += 1;
                 Timer::after(HOST_PAUSE).await;
             }
@@ -169,7 +172,14 @@
             return (ending_of(code), None);
         }
         match (self.value, self.tag) {
-            (Some(value), Some(tag)) => (Ending::Served, Some(Answer { column: self.column, value, tag })),
+            (Some(value), Some(tag)) => (
+                Ending::Served,
+                Some(Answer {
+                    column: self.column,
+                    value,
+                    tag,
+                }),
+            ),
             _ => (Ending::Spoilt, None),
         }
     }
@@ -187,10 +197,20 @@
     /// Takes one message in its place: one description, one row of one column, one end; or one error before any
     /// of these. Serving anything else would hand a client what no instance made for it.
     fn take(&mut self, tag: u8, body: &[u8]) -> Step {
-        let may_have_row = if self.is_prepared { self.confirms.is_empty() } else { self.column.is_some() };
+        let may_have_row = if self.is_prepared {
+            self.confirms.is_empty()
+        } else {
+            self.column.is_some()
+        };
         match tag {
             b'T' if !self.is_prepared && !self.has_begun() => match backend::one_column(body) {
-                Some(c) => self.column = Some(Column { name: c.name.into(), kind: c.kind, format: c.format }),
+                Some(c) => {
+                    self.column = Some(Column {
+                        name: c.name.into(),
+                        kind: c.kind,
+                        format: c.format,
+                    })
+                }
                 None => return Step::Stray,
             },
             b'D' if may_have_row && self.value.is_none() && !self.is_whole() => {
@@ -227,7 +247,9 @@
     }
 
     fn parameter(&mut self, body: &[u8]) {
-        let Some((name, rest)) = text(body) else { return };
+        let Some((name, rest)) = text(body) else {
+            return;
+        };
         let Some((value, _)) = text(rest) else { return };
         match name {
             "part" if value == "master" => self.standing.role = Some(Role::Primary),
@@ -245,10 +267,19 @@
 /// A load report: `x0=1767225600.25,x1=1,...`. Its position is taken a millisecond staler: it was rounded.
 pub fn read_report(text: &str) -> Standing {
     let mut report = Standing::default();
-    for (name, value) in text.split(',').filter_map(|pair| pair.trim().split_once('=')) {
+    for (name, value) in text
+        .split(',')
+        .filter_map(|pair| pair.trim().split_once('='))
+    {
         match (name, value.parse::<f64>()) {
             ("x0", Ok(s)) if s > 0.0 => report.position = Some((s * 1e9 - 1e6).max(0.0) as u64),
-            ("x1", Ok(x)) => report.role = Some(if x == 1.0 { Role::Primary } else { Role::Replica }),
+            ("x1", Ok(x)) => {
+                report.role = Some(if x == 1.0 {
+                    Role::Primary
+                } else {
+                    Role::Replica
+                })
+            }
             _ => {}
         }
     }
@@ -273,7 +304,11 @@
             None
         };
         let c = shared.clone();
-        let dialled = or(async { Some(Link::welcome(shared, member, endpoint, slot).await) }, within).await;
+        let dialled = or(
+            async { Some(Link::welcome(shared, member, endpoint, slot).await) },
+            within,
+        )
+        .await;
         match &dialled {
             Some(Ok(_)) => {}
             Some(Err(Ending::Full)) => count(&c.counters.dials_turned_away),
@@ -310,7 +345,9 @@
         frontend::put_startup(&mut hello);
         let mut written = 0;
         while written < hello.len() {
-            written += write_some(&link.stream, &hello[written..]).await.map_err(failed)?;
+            written += write_some(&link.stream, &hello[written..])
+                .await
+                .map_err(failed)?;
         }
         loop {
             match frame::within(link.buffer.bytes(), frame::LARGEST_WORD) {
@@ -320,7 +357,11 @@
                     }
                     let ending = backend::error_code(body).map_or(Ending::ConnectFailed, ending_of);
                     link.reason = CloseReason::TurnedAway;
-                    return Err(if ending == Ending::Full { ending } else { Ending::ConnectFailed });
+                    return Err(if ending == Ending::Full {
+                        ending
+                    } else {
+                        Ending::ConnectFailed
+                    });
                 }
                 Ok(Some((tag, _, len))) => {
                     link.buffer.consume(len);
@@ -352,7 +393,8 @@
                 peeked => break peeked,
             }
         };
-        self.buffer.bytes().is_empty() && peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
+        self.buffer.bytes().is_empty()
+            && peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Asks for what a request wants, within the time that the router will wait.
@@ -378,7 +420,8 @@
         let mut out = Vec::with_capacity(text.len() + 6);
         frontend::put_query(&mut out, text);
         let runs_from = out.len();
-        self.exchange(&out, runs_from, sent, Response::default()).await
+        self.exchange(&out, runs_from, sent, Response::default())
+            .await
     }
 
     /// Runs a prepared statement: all that it needs here in one write, a Parse only where it is lacking.
@@ -403,7 +446,11 @@
         // From here on it may run, whether or not the Sync behind it arrives.
         let runs_from = out.len();
         frontend::put_sync(&mut out);
-        let response = Response { confirms, is_prepared: true, ..Response::default() };
+        let response = Response {
+            confirms,
+            is_prepared: true,
+            ..Response::default()
+        };
         let response = self.exchange(&out, runs_from, sent, response).await?;
         if need != Need::Ready && response.confirms.len() < b"12".len() {
             self.prepared.confirmed(template.id);
@@ -436,7 +483,11 @@
                 }
                 Err(e) => {
                     self.reason = CloseReason::Reset;
-                    let stage = if written < runs_from { Stage::Write } else { Stage::Read };
+                    let stage = if written < runs_from {
+                        Stage::Write
+                    } else {
+                        Stage::Read
+                    };
                     return Err(fault_of(&e, stage));
                 }
             }
@@ -473,7 +524,11 @@
         }
         // A whole answer needs no ReadyForQuery, and a fatal error has none; what follows it spoils only the
         // connection.
-        if response.is_whole() { Ok(response) } else { Err(fault.1) }
+        if response.is_whole() {
+            Ok(response)
+        } else {
+            Err(fault.1)
+        }
     }
 
     /// Passes on that the member answers for itself: at once that it leaves, else now and then.
--- a/crates/router/src/peer/link/tests.rs
+++ b/crates/router/src/peer/link/tests.rs
@@ -6,25 +6,88 @@
 fn reports_are_read_towards_staler_data() {
     let r = read_report("x0=1767225600.25,x1=1,inflight=7,util=0.61");
     assert_eq!(r.role, Some(Role::Primary));
-    assert!(r.position.is_some_and(|p| p <= 1_767_225_600_249_000_000 && p > 1_767_225_600_248_000_000));
+    assert!(
+        r.position
+            .is_some_and(|p| p <= 1_767_225_600_249_000_000 && p > 1_767_225_600_248_000_000)
+    );
     assert_eq!(read_report("nonsense"), Standing::default());
 }
 
 /// Guards against a broken connection that reads as a malformed answer or as a lack of the router's own memory, and
 /// against a lack of this host's that counts against the endpoint.
 #[rstest]
-#[case(Errno::TIMEDOUT, Ending::ConnectFailed, Fault::NotWritten(Blame::Endpoint), Fault::Broken)]
-#[case(Errno::HOSTUNREACH, Ending::ConnectFailed, Fault::NotWritten(Blame::Endpoint), Fault::Broken)]
-#[case(Errno::PIPE, Ending::ConnectFailed, Fault::NotWritten(Blame::Endpoint), Fault::Broken)]
-#[case(Errno::CONNRESET, Ending::ConnectFailed, Fault::NotWritten(Blame::Endpoint), Fault::Broken)]
-#[case(Errno::CONNREFUSED, Ending::ConnectFailed, Fault::NotWritten(Blame::Endpoint), Fault::Broken)]
-#[case(Errno::CONNABORTED, Ending::ConnectFailed, Fault::NotWritten(Blame::Endpoint), Fault::Broken)]
-#[case(Errno::NFILE, Ending::Unsent, Fault::NotWritten(Blame::Host), Fault::Spoilt)]
-#[case(Errno::MFILE, Ending::Unsent, Fault::NotWritten(Blame::Host), Fault::Spoilt)]
-#[case(Errno::NOBUFS, Ending::Unsent, Fault::NotWritten(Blame::Host), Fault::Spoilt)]
-#[case(Errno::NOMEM, Ending::Unsent, Fault::NotWritten(Blame::Host), Fault::Spoilt)]
-#[case(Errno::ADDRNOTAVAIL, Ending::Unsent, Fault::NotWritten(Blame::Host), Fault::Spoilt)]
-#[case(Errno::NETUNREACH, Ending::Unsent, Fault::NotWritten(Blame::Host), Fault::Spoilt)]
+#[case(
+    Errno::TIMEDOUT,
+    Ending::ConnectFailed,
+    Fault::NotWritten(Blame::Endpoint),
+    Fault::Broken
+)]
+#[case(
+    Errno::HOSTUNREACH,
+    Ending::ConnectFailed,
+    Fault::NotWritten(Blame::Endpoint),
+    Fault::Broken
+)]
+#[case(
+    Errno::PIPE,
+    Ending::ConnectFailed,
+    Fault::NotWritten(Blame::Endpoint),
+    Fault::Broken
+)]
+#[case(
+    Errno::CONNRESET,
+    Ending::ConnectFailed,
+    Fault::NotWritten(Blame::Endpoint),
+    Fault::Broken
+)]
+#[case(
+    Errno::CONNREFUSED,
+    Ending::ConnectFailed,
+    Fault::NotWritten(Blame::Endpoint),
+    Fault::Broken
+)]
+#[case(
+    Errno::CONNABORTED,
+    Ending::ConnectFailed,
+    Fault::NotWritten(Blame::Endpoint),
+    Fault::Broken
+)]
+#[case(
+    Errno::NFILE,
+    Ending::Unsent,
+    Fault::NotWritten(Blame::Host),
+    Fault::Spoilt
+)]
+#[case(
+    Errno::MFILE,
+    Ending::Unsent,
+    Fault::NotWritten(Blame::Host),
+    Fault::Spoilt
+)]
+#[case(
+    Errno::NOBUFS,
+    Ending::Unsent,
+    Fault::NotWritten(Blame::Host),
+    Fault::Spoilt
+)]
+#[case(
+    Errno::NOMEM,
+    Ending::Unsent,
+    Fault::NotWritten(Blame::Host),
+    Fault::Spoilt
+)]
+#[case(
+    Errno::ADDRNOTAVAIL,
+    Ending::Unsent,
+    Fault::NotWritten(Blame::Host),
+    Fault::Spoilt
+)]
+#[case(
+    Errno::NETUNREACH,
+    Ending::Unsent,
+    Fault::NotWritten(Blame::Host),
+    Fault::Spoilt
+)]
 fn a_failed_call_means_the_same_at_each_stage(
     #[case] errno: Errno,
     #[case] dial: Ending,
--- a/crates/router/src/peer/mod.rs
+++ b/crates/router/src/peer/mod.rs
@@ -29,8 +29,10 @@
 const RETIRE: f64 = 0.9;
 /// Looks at idle connections in each such time, so that one goes that much later at the most.
 const SWEEPS: u64 = 16;
-const _: () =
-    assert!(RETIRE * (1.0 + 1.0 / SWEEPS as f64) < 1.0, "an idle connection would outlive its limit");
+const _: () = assert!(
+    RETIRE * (1.0 + 1.0 / SWEEPS as f64) < 1.0,
+    "an idle connection would outlive its limit"
+);
 /// Commands that may wait for a pool. The channel allocates all of its slots at once.
 const MAILBOX: usize = 256;
 /// A pool that has held nothing for this long is retired; a new one costs some kilobytes and no connection.
@@ -48,7 +50,9 @@
     /// It leaves, and the grace for what is on its way is over.
     fn is_closed_to_new(&self, shared: &Shared) -> bool {
         let cutoff = shared.config.site.settings.rules.drain_cutoff();
-        self.leaving.get().is_some_and(|t| shared.clock.now() >= t.saturating_add(cutoff))
+        self.leaving
+            .get()
+            .is_some_and(|t| shared.clock.now() >= t.saturating_add(cutoff))
     }
 }
 
@@ -77,8 +81,14 @@
 
 impl PoolHandle {
     pub fn new(address: SocketAddr) -> PoolHandle {
-        let told = Told { endpoint: Cell::new(address), leaving: Cell::new(None) };
-        PoolHandle { told: Rc::new(told), commands: Rc::default() }
+        let told = Told {
+            endpoint: Cell::new(address),
+            leaving: Cell::new(None),
+        };
+        PoolHandle {
+            told: Rc::new(told),
+            commands: Rc::default(),
+        }
     }
 
     /// Takes over what the list says now. A drain that is already known keeps its start.
@@ -198,7 +208,10 @@
                 Next::Spare
             };
             // Only what has no dial of its own waits for a descriptor.
-            let lacking = self.waiting.get(self.dialling).map(|(since, _)| since + self.patience());
+            let lacking = self
+                .waiting
+                .get(self.dialling)
+                .map(|(since, _)| since + self.patience());
             let late = async {
                 match lacking {
                     Some(at) => Timer::at(self.shared.clock.instant(at)).await,
@@ -221,7 +234,12 @@
                 Next::Quiet
             };
             let order = async { Next::Order(inbox.recv().await.ok()) };
-            match or(news, or(order, or(or(freed, late), or(or(spare, sweep), quiet)))).await {
+            match or(
+                news,
+                or(order, or(or(freed, late), or(or(spare, sweep), quiet))),
+            )
+            .await
+            {
                 Next::Order(Some(Order::Attempt(attempt))) => self.wait(Some(attempt)),
                 Next::Order(Some(Order::Probe)) => self.wait(None),
                 Next::Order(Some(Order::Told)) => self.drop_moved(),
@@ -316,15 +334,24 @@
     /// One dial was begun for one that waits: without other dials it gets no connection.
     async fn dial_failed(&mut self, ending: Ending) {
         while self.waiting.len() > self.dialling {
-            let Some((_, job)) = self.waiting.pop_front() else { return };
+            let Some((_, job)) = self.waiting.pop_front() else {
+                return;
+            };
             self.unsent(job, ending).await;
         }
     }
 
     async fn unsent(&self, job: Job, ending: Ending) {
         let message = match job {
-            Some(a) => Message::Ended { request: a.request, attempt: a.number, ended: Ended::silent(ending) },
-            None => Message::Probed { member: self.member.clone(), ended: Ended::silent(ending) },
+            Some(a) => Message::Ended {
+                request: a.request,
+                attempt: a.number,
+                ended: Ended::silent(ending),
+            },
+            None => Message::Probed {
+                member: self.member.clone(),
+                ended: Ended::silent(ending),
+            },
         };
         // The decider ends last; without it there is nobody to tell.
         let _ = self.shared.decider.send(message).await;
@@ -332,7 +359,8 @@
 
     /// Gives idle connections to those that wait, and dials for the rest.
     async fn dispatch(&mut self, retire: u64) {
-        self.waiting.retain(|(_, job)| job.as_ref().is_none_or(|a| a.is_wanted()));
+        self.waiting
+            .retain(|(_, job)| job.as_ref().is_none_or(|a| a.is_wanted()));
         let now = self.shared.clock.now();
         // The grace counts to the first byte: what waited for a connection meanwhile may be too late.
         if self.told.is_closed_to_new(&self.shared) {
@@ -350,10 +378,15 @@
             }
         }
         while self.dialling < self.waiting.len() {
-            let Some(slot) = self.shared.upstream.take() else { return self.shared.upstream.need() };
+            let Some(slot) = self.shared.upstream.take() else {
+                return self.shared.upstream.need();
+            };
             self.dialling += 1;
             let (member, endpoint) = (self.member.clone(), self.told.endpoint.get());
-            let (dial, news) = (Link::dial(self.shared.clone(), member, endpoint, slot), self.news.clone());
+            let (dial, news) = (
+                Link::dial(self.shared.clone(), member, endpoint, slot),
+                self.news.clone(),
+            );
             let task = async move {
                 // A link nobody takes ends with its log line.
                 let _ = news.send(News::Dialled(dial.await.map(Box::new))).await;
@@ -365,22 +398,40 @@
     fn begin(&self, link: Link, job: Job) {
         let (shared, news, member) = (self.shared.clone(), self.news.clone(), self.member.clone());
         match job {
-            Some(a) => self.executor.spawn(attempt(shared, self.told.clone(), news, link, a)).detach(),
-            None => self.executor.spawn(probe(shared, news, link, member)).detach(),
+            Some(a) => self
+                .executor
+                .spawn(attempt(shared, self.told.clone(), news, link, a))
+                .detach(),
+            None => self
+                .executor
+                .spawn(probe(shared, news, link, member))
+                .detach(),
         }
     }
 }
 
 /// One attempt on its connection. Given up, it drops the connection: a late answer has nowhere to go.
-async fn attempt(shared: Rc<Shared>, told: Rc<Told>, news: Sender<News>, mut link: Link, a: Box<Attempt>) {
+async fn attempt(
+    shared: Rc<Shared>,
+    told: Rc<Told>,
+    news: Sender<News>,
+    mut link: Link,
+    a: Box<Attempt>,
+) {
     // Looked at again in the step in which the first byte is written: this task may have waited for its turn.
     let is_late = a.by.is_some_and(|by| shared.clock.now() >= by);
     if !a.is_wanted() || is_late || told.is_closed_to_new(&shared) {
         let _ = news.send(News::Back(Box::new(link))).await;
         if a.is_wanted() {
             let ended = Ended::silent(Ending::Unsent);
-            let _ =
-                shared.decider.send(Message::Ended { request: a.request, attempt: a.number, ended }).await;
+            let _ = shared
+                .decider
+                .send(Message::Ended {
+                    request: a.request,
+                    attempt: a.number,
+                    ended,
+                })
+                .await;
         }
         return;
     }
@@ -390,7 +441,12 @@
         let _ = a.given_up.recv().await;
         None
     };
-    let Some(result) = or(async { Some(link.ask(&a.ask, wait, &a.written).await) }, given_up).await else {
+    let Some(result) = or(
+        async { Some(link.ask(&a.ask, wait, &a.written).await) },
+        given_up,
+    )
+    .await
+    else {
         return;
     };
     let ended = match result {
@@ -405,20 +461,45 @@
             if ready {
                 let _ = news.send(News::Back(Box::new(link))).await;
             }
-            Ended { ending, standing, report, answer }
+            Ended {
+                ending,
+                standing,
+                report,
+                answer,
+            }
         }
     };
-    let _ = shared.decider.send(Message::Ended { request: a.request, attempt: a.number, ended }).await;
+    let _ = shared
+        .decider
+        .send(Message::Ended {
+            request: a.request,
+            attempt: a.number,
+            ended,
+        })
+        .await;
 }
 
 async fn probe(shared: Rc<Shared>, news: Sender<News>, mut link: Link, member: MemberId) {
     count(&shared.counters.probes);
-    let limit = Duration::from_nanos(shared.config.site.settings.limits.connect_timeout.max(100_000_000));
+    let limit = Duration::from_nanos(
+        shared
+            .config
+            .site
+            .settings
+            .limits
+            .connect_timeout
+            .max(100_000_000),
+    );
     let late = async {
         Timer::after(limit).await;
         None
     };
-    let ended = match or(async { Some(link.query(b"SHOW gauges", &Mark::default()).await) }, late).await {
+    let ended = match or(
+        async { Some(link.query(b"SHOW gauges", &Mark::default()).await) },
+        late,
+    )
+    .await
+    {
         None => Ended::silent(Ending::TimedOut),
         Some(Err(_)) => Ended::silent(Ending::Reset),
         Some(Ok(response)) => {
@@ -428,7 +509,12 @@
             if ready {
                 let _ = news.send(News::Back(Box::new(link))).await;
             }
-            Ended { ending, standing, report, answer: None }
+            Ended {
+                ending,
+                standing,
+                report,
+                answer: None,
+            }
         }
     };
     let _ = shared.decider.send(Message::Probed { member, ended }).await;
--- a/crates/router/src/platform_clock/tests.rs
+++ b/crates/router/src/platform_clock/tests.rs
@@ -15,7 +15,10 @@
 fn what_lies_in_the_past_changes_nothing() {
     let mut clock = PlatformClock::default();
     for lag in [0, SECOND, HOUR] {
-        assert_eq!(clock.on_position(NOW, &endpoint("a"), NOW - lag, true), Some(NOW - lag));
+        assert_eq!(
+            clock.on_position(NOW, &endpoint("a"), NOW - lag, true),
+            Some(NOW - lag)
+        );
         clock.on_start(NOW, NOW - lag);
     }
     assert_eq!((clock.platform(NOW), clock.own(NOW)), (NOW, NOW));
@@ -26,13 +29,28 @@
 fn two_endpoints_ahead_raise_the_estimate() {
     let mut clock = PlatformClock::default();
     let (primary, replica) = (NOW + HOUR, NOW + HOUR - 2 * SECOND);
-    assert_eq!(clock.on_position(NOW, &endpoint("replica"), replica, false), None);
-    assert_eq!(clock.on_position(NOW, &endpoint("replica"), replica, false), None);
-    assert_eq!(clock.on_position(NOW, &endpoint("primary"), primary, false), None);
+    assert_eq!(
+        clock.on_position(NOW, &endpoint("replica"), replica, false),
+        None
+    );
+    assert_eq!(
+        clock.on_position(NOW, &endpoint("replica"), replica, false),
+        None
+    );
+    assert_eq!(
+        clock.on_position(NOW, &endpoint("primary"), primary, false),
+        None
+    );
     assert_eq!(clock.platform(NOW), replica);
-    assert_eq!(clock.on_position(NOW, &endpoint("other"), primary, false), Some(primary));
+    assert_eq!(
+        clock.on_position(NOW, &endpoint("other"), primary, false),
+        Some(primary)
+    );
     assert_eq!((clock.platform(NOW), clock.own(primary)), (primary, NOW));
-    assert_eq!(clock.on_position(NOW, &endpoint("replica"), replica, false), Some(replica));
+    assert_eq!(
+        clock.on_position(NOW, &endpoint("replica"), replica, false),
+        Some(replica)
+    );
 }
 
 /// Guards all endpoints against nonsense that one of them tells.
@@ -40,8 +58,14 @@
 fn one_endpoint_alone_raises_nothing() {
     let mut clock = PlatformClock::default();
     for _ in 0..3 {
-        assert_eq!(clock.on_position(NOW, &endpoint("a"), NOW + 1000 * HOUR, false), None);
-        assert_eq!(clock.on_position(NOW, &endpoint("b"), NOW - SECOND, false), Some(NOW - SECOND));
+        assert_eq!(
+            clock.on_position(NOW, &endpoint("a"), NOW + 1000 * HOUR, false),
+            None
+        );
+        assert_eq!(
+            clock.on_position(NOW, &endpoint("b"), NOW - SECOND, false),
+            Some(NOW - SECOND)
+        );
     }
     assert_eq!(clock.platform(NOW), NOW);
     // Where it is confirmed, the nearer of the two counts.
@@ -53,7 +77,10 @@
 #[test]
 fn the_only_endpoint_is_believed() {
     let mut clock = PlatformClock::default();
-    assert_eq!(clock.on_position(NOW, &endpoint("a"), NOW + HOUR, true), Some(NOW + HOUR));
+    assert_eq!(
+        clock.on_position(NOW, &endpoint("a"), NOW + HOUR, true),
+        Some(NOW + HOUR)
+    );
     assert_eq!(clock.platform(NOW), NOW + HOUR);
 }
 
--- a/crates/router/src/roster.rs
+++ b/crates/router/src/roster.rs
@@ -56,7 +56,12 @@
     };
     let mut watch = Watch::new(service, shared.config.known.0);
     let discovery = Cell::new(shared.config.discovery);
-    let roster = Roster { shared, discovery, connection: Cell::default(), began: Cell::default() };
+    let roster = Roster {
+        shared,
+        discovery,
+        connection: Cell::default(),
+        began: Cell::default(),
+    };
     // The call to be made next, and the pause before it.
     let first = watch.first_call(roster.shared.clock.now());
     let mut call: Option<(watch::Call, Span)> = first.map(|call| (call, 0));
@@ -88,7 +93,11 @@
                 };
                 // A new address ends the call to the old one, which may hang or be about to close. So does a wish
                 // for the whole list a watch that waits; one that is being opened is answered soon.
-                if keeps { or(place, or(asked, made)).await } else { or(place, made).await }
+                if keeps {
+                    or(place, or(asked, made)).await
+                } else {
+                    or(place, made).await
+                }
             }
             None => or(place, asked).await,
         };
@@ -96,13 +105,19 @@
         match next {
             Next::Answered(answer) => {
                 let ended = match &answer {
-                    Ok(l) => watch::Ended::Answered { version: l.version, news: !l.entries.is_empty() },
+                    Ok(l) => watch::Ended::Answered {
+                        version: l.version,
+                        news: !l.entries.is_empty(),
+                    },
                     Err(CallError::Silent) => watch::Ended::Silent,
                     Err(CallError::Http(HttpError::Status(_))) => watch::Ended::TurnedAway,
                     Err(_) => watch::Ended::Failed,
                 };
                 let then = watch.ended(now, ended);
-                if let watch::Then::Call { call: next, after, .. } = then {
+                if let watch::Then::Call {
+                    call: next, after, ..
+                } = then
+                {
                     call = Some((next, after));
                 }
                 // What was asked for meanwhile has its answer in this one, but for a whole list.
@@ -160,13 +175,18 @@
             Some(kept) => kept,
             None => {
                 let log = self.shared.log.new(o!());
-                let open =
-                    async { Ok(Connection::open(self.discovery.get(), &self.shared.memory, log).await?) };
+                let open = async {
+                    Ok(Connection::open(self.discovery.get(), &self.shared.memory, log).await?)
+                };
                 or(open, silent(call.connect)).await?
             }
         };
         let response = async {
-            or(async { Ok(connection.request(&path).await?) }, silent(call.patience)).await?;
+            or(
+                async { Ok(connection.request(&path).await?) },
+                silent(call.patience),
+            )
+            .await?;
             Ok(connection.response().await?)
         };
         let body = match or(response, silent(call.whole_within)).await {
@@ -181,7 +201,10 @@
         } else {
             connection.end(CloseReason::Eof);
         }
-        Ok(read_list(&serde_json::from_slice(&body)?, &self.shared.config.site.zones)?)
+        Ok(read_list(
+            &serde_json::from_slice(&body)?,
+            &self.shared.config.site.zones,
+        )?)
     }
 
     /// Counts a call that failed.
@@ -205,15 +228,35 @@
             Ok(list) => {
                 debug!(self.shared.log, "list"; "rev" => list.version, "whole" => list.whole,
                        "entries" => list.entries.len(), "ms" => took);
-                (if list.whole { ListKind::Whole } else { ListKind::Changes }, list.entries)
+                (
+                    if list.whole {
+                        ListKind::Whole
+                    } else {
+                        ListKind::Changes
+                    },
+                    list.entries,
+                )
             }
             Err(_) => (ListKind::Failed, Vec::new()),
         };
         // Where there are other sources, the directory makes the one list of all. The decider ends last; without
         // it there is nobody to tell.
         match &self.shared.directory {
-            Some(directory) => drop(directory.send(News::Roster { kind, listed, version }).await),
-            None => drop(self.shared.decider.send(Message::List { kind, listed }).await),
+            Some(directory) => drop(
+                directory
+                    .send(News::Roster {
+                        kind,
+                        listed,
+                        version,
+                    })
+                    .await,
+            ),
+            None => drop(
+                self.shared
+                    .decider
+                    .send(Message::List { kind, listed })
+                    .await,
+            ),
         }
     }
 }
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -7,11 +7,11 @@
 use crate::exchange::{Message, News};
 use crate::shutdown::ShutdownSchedule;
 use event_listener::{Event, IntoNotification as _};
-use reelrill_routing::{MemberId, Time};
 use reelrill_pg_session::account::Accounts;
 use reelrill_pg_session::admit::Catalog;
 use reelrill_pg_session::plan::Common;
 use reelrill_pg_session::template::Templates;
+use reelrill_routing::{MemberId, Time};
 use slog::Logger;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -27,8 +27,14 @@
 
 impl Clock {
     pub fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos();
-        Clock { start: Instant::now(), unix: unix as u64 }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_nanos();
+        Clock {
+            start: Instant::now(),
+            unix: unix as u64,
+        }
     }
 
     pub fn now(&self) -> Time {
@@ -67,7 +73,10 @@
 impl Tally {
     fn new(slots: &Rc<Slots>, kind: fn(&Slots) -> &Cell<usize>) -> Tally {
         kind(slots).set(kind(slots).get() + 1);
-        Tally { slots: slots.clone(), kind }
+        Tally {
+            slots: slots.clone(),
+            kind,
+        }
     }
 }
 
@@ -262,8 +271,9 @@
         let mut clients = self.clients.borrow_mut();
         // Clients are far fewer than numbers.
         let free = |n: &u32| *n != 0 && !clients.contains_key(n);
-        let process =
-            std::iter::successors(Some(self.next.get().wrapping_add(1)), |n| Some(n.wrapping_add(1)));
+        let process = std::iter::successors(Some(self.next.get().wrapping_add(1)), |n| {
+            Some(n.wrapping_add(1))
+        });
         let process = process.into_iter().find(free).unwrap_or_default();
         self.next.set(process);
         let secret = rand::random();
@@ -315,7 +325,10 @@
             templates: Templates::new(extended.limits.text_bytes, extended.data_type.oid()),
             limits: extended.limits,
             accounts: Accounts::new(&extended.limits),
-            catalog: Catalog::new(config.site.class_names.clone(), config.site.settings.classes.clone()),
+            catalog: Catalog::new(
+                config.site.class_names.clone(),
+                config.site.settings.classes.clone(),
+            ),
             translate: extended.mode == Mode::Translate,
         });
         Rc::new(Shared {
@@ -343,23 +356,33 @@
     /// A member answered for itself. A full mailbox loses nothing: it will answer again.
     pub fn vouch(&self, member: &MemberId, leaving: bool) {
         if let Some(directory) = &self.directory {
-            let _ = directory.try_send(News::Answered { member: member.clone(), leaving });
+            let _ = directory.try_send(News::Answered {
+                member: member.clone(),
+                leaving,
+            });
         }
     }
 
     /// While the router is ending: when the last answer must be out.
     pub fn last_answer(&self) -> Option<Time> {
-        self.ended_at.get().map(|at| at.saturating_add(self.shutdown.last_answer))
+        self.ended_at
+            .get()
+            .map(|at| at.saturating_add(self.shutdown.last_answer))
     }
 
     /// While the router is ending: when it stops reading.
     pub fn last_read(&self) -> Option<Time> {
-        self.ended_at.get().map(|at| at.saturating_add(self.shutdown.last_read))
+        self.ended_at
+            .get()
+            .map(|at| at.saturating_add(self.shutdown.last_read))
     }
 
     /// The router is ending, and a request that is read now is rejected.
     pub fn rejects_new(&self) -> bool {
-        let last = self.ended_at.get().map(|at| at.saturating_add(self.shutdown.last_forward));
+        let last = self
+            .ended_at
+            .get()
+            .map(|at| at.saturating_add(self.shutdown.last_forward));
         last.is_some_and(|last| self.clock.now() > last)
     }
 
--- a/crates/router/src/shutdown/tests.rs
+++ b/crates/router/src/shutdown/tests.rs
@@ -20,6 +20,12 @@
     let kill = deadline.min(LONGEST_DEADLINE) + KILL_AFTER_DEADLINE;
     assert!(schedule.last_answer + HELD_UP < kill, "{schedule:?}");
     assert!(schedule.last_forward < schedule.last_answer, "{schedule:?}");
-    assert!(schedule.last_read >= 700 * MILLISECOND && schedule.last_read <= kill, "{schedule:?}");
-    assert!(schedule.min_drain > NEW_CONNECTIONS && schedule.min_drain < kill, "{schedule:?}");
+    assert!(
+        schedule.last_read >= 700 * MILLISECOND && schedule.last_read <= kill,
+        "{schedule:?}"
+    );
+    assert!(
+        schedule.min_drain > NEW_CONNECTIONS && schedule.min_drain < kill,
+        "{schedule:?}"
+    );
 }
--- a/crates/router/tests/acceptance.rs
+++ b/crates/router/tests/acceptance.rs
@@ -46,7 +46,8 @@
     const DEADLINE_MS: u64 = 300;
     const SENT_AT_MS: [u64; 9] = [0, 100, 200, 300, 400, 500, 580, 640, 680];
     let deadline = Duration::from_millis(DEADLINE_MS);
-    let (_instance, _discovery, mut router) = one_endpoint(Act::Silence, with_longest_deadline(deadline));
+    let (_instance, _discovery, mut router) =
+        one_endpoint(Act::Silence, with_longest_deadline(deadline));
     let clients: Vec<Client> = (0..4).map(|_| router.client()).collect();
     let (mut sending, mut reading) = (Vec::new(), Vec::new());
     let terminated = Instant::now() + Duration::from_millis(60);
@@ -57,7 +58,10 @@
             let mut sent = Vec::new();
             for (id, at) in (first..).zip(SENT_AT_MS) {
                 std::thread::sleep((begun + Duration::from_millis(at)) - Instant::now());
-                if writer.write_all(&query(&book(id, &format!("{first}"), DEADLINE_MS))).is_err() {
+                if writer
+                    .write_all(&query(&book(id, &format!("{first}"), DEADLINE_MS)))
+                    .is_err()
+                {
                     break;
                 }
                 sent.push(Instant::now());
@@ -76,16 +80,24 @@
     router.signal("TERM");
     std::thread::sleep((terminated + deadline + Duration::from_millis(700)) - Instant::now());
     // It may have ended by itself.
-    let _ = Command::new("kill").args(["-KILL", &router.id().to_string()]).status();
+    let _ = Command::new("kill")
+        .args(["-KILL", &router.id().to_string()])
+        .status();
     let since = |at: &Instant| at.saturating_duration_since(terminated);
     for (sending, reading) in sending.into_iter().zip(reading) {
         let sent = sending.join().unwrap();
         let (answered, ended) = reading.join().unwrap();
         // One that crosses the close is sent again by its client.
         let crossed = ended - Duration::from_millis(30);
-        let unanswered: Vec<Duration> =
-            sent[answered.len()..].iter().filter(|at| **at < crossed).map(since).collect();
-        assert!(unanswered.is_empty(), "sent so long after SIGTERM: {unanswered:?}");
+        let unanswered: Vec<Duration> = sent[answered.len()..]
+            .iter()
+            .filter(|at| **at < crossed)
+            .map(since)
+            .collect();
+        assert!(
+            unanswered.is_empty(),
+            "sent so long after SIGTERM: {unanswered:?}"
+        );
     }
     router.exit();
 }
@@ -108,7 +120,10 @@
 fn limit_descriptors(pid: u32, most: usize) {
     // The soft limit alone.
     let limit = format!("--nofile={most}:");
-    let status = Command::new("prlimit").args(["--pid", &pid.to_string(), &limit]).status().unwrap();
+    let status = Command::new("prlimit")
+        .args(["--pid", &pid.to_string(), &limit])
+        .status()
+        .unwrap();
     assert!(status.success());
 }
 
@@ -146,7 +161,8 @@
         router
             .log
             .wait_for(LIMIT, |l| {
-                let failed = |l: &&String| l.contains("accept failed") && l.contains("socket: members");
+                let failed =
+                    |l: &&String| l.contains("accept failed") && l.contains("socket: members");
                 (l.iter().filter(failed).count() > 3).then_some(())
             })
             .is_some()
@@ -168,15 +184,27 @@
 fn the_last_of_many_new_configurations_wins() {
     let instance = Instance::start("master", Act::Serve);
     // A long list takes long to read again.
-    let list: Vec<Value> = (0..1500).map(|i| target(&format!("s-{i}"), instance.address, "ready")).collect();
-    let (first, last) = (Discovery::start(Some(list.clone())), Discovery::start(Some(list.clone())));
+    let list: Vec<Value> = (0..1500)
+        .map(|i| target(&format!("s-{i}"), instance.address, "ready"))
+        .collect();
+    let (first, last) = (
+        Discovery::start(Some(list.clone())),
+        Discovery::start(Some(list.clone())),
+    );
     let router = start(&first, &list, 1024);
     for port in 1..=40u16 {
         router.reload("discovery", format!("127.0.0.1:{port}").into());
     }
     router.reload("discovery", last.address.to_string().into());
-    assert!(last.calls.wait_for(LIMIT, |c| (!c.is_empty()).then_some(())).is_some());
-    assert_eq!(router.client().ask(&read(1, 5000)).value, "0000000000000001");
+    assert!(
+        last.calls
+            .wait_for(LIMIT, |c| (!c.is_empty()).then_some(()))
+            .is_some()
+    );
+    assert_eq!(
+        router.client().ask(&read(1, 5000)).value,
+        "0000000000000001"
+    );
 }
 
 /// A router whose clock is an hour behind the platform's when it starts: the latest start that it is told of lies in the
@@ -185,8 +213,14 @@
 fn a_clock_that_is_behind_takes_no_warm_endpoint_for_a_cold_one() {
     const HOUR_MS: u64 = 3_600_000;
     let [warm, cold] = [(); 2].map(|()| Instance::start("replica", Act::Serve));
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
-    let mut list = vec![target("s-1", warm.address, "ready"), target("s-2", cold.address, "ready")];
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64;
+    let mut list = vec![
+        target("s-1", warm.address, "ready"),
+        target("s-2", cold.address, "ready"),
+    ];
     list[0]["boot_ms"] = (now + HOUR_MS - 60_000).into();
     list[1]["boot_ms"] = (now + HOUR_MS).into();
     let discovery = Discovery::start(Some(list.clone()));
@@ -196,7 +230,12 @@
         assert_eq!(client.ask(&read(id, 5000)).value, format!("{id:016x}"));
     }
     let asked = |i: &Instance| i.seen.change(|s| s.queries.len());
-    assert!(asked(&warm) > 2 * asked(&cold), "{} and {}", asked(&warm), asked(&cold));
+    assert!(
+        asked(&warm) > 2 * asked(&cold),
+        "{} and {}",
+        asked(&warm),
+        asked(&cold)
+    );
 }
 
 /// What a client has sent when it stops.
@@ -249,14 +288,21 @@
     });
     let stopped = Instant::now();
     let mut writer = client.stream.try_clone().unwrap();
-    let is_inside = !matches!(stops, StopsAfter::Nothing | StopsAfter::Startup | StopsAfter::HalfStartup);
+    let is_inside = !matches!(
+        stops,
+        StopsAfter::Nothing | StopsAfter::Startup | StopsAfter::HalfStartup
+    );
     let dripping = std::thread::spawn(move || {
         while drips && is_inside && stopped.elapsed() < LIMIT && writer.write_all(b"x").is_ok() {
             std::thread::sleep(Duration::from_millis(100));
         }
     });
     while client.answer().is_some() {}
-    assert!(stopped.elapsed() < Duration::from_secs(3), "{:?}", stopped.elapsed());
+    assert!(
+        stopped.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        stopped.elapsed()
+    );
     drop(client);
     dripping.join().unwrap();
 }
@@ -271,7 +317,10 @@
     let mut id = 0;
     while id < 50 || flooding.try_wait().unwrap().is_none() {
         id += 1;
-        assert_eq!(client.ask(&read(id, 5000)).value, format!("{id:016x}").repeat(4096));
+        assert_eq!(
+            client.ask(&read(id, 5000)).value,
+            format!("{id:016x}").repeat(4096)
+        );
     }
     assert!(router.counted("reset=0"));
 }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -12,7 +12,14 @@
     settings: Value,
     edge: Option<&str>,
 ) -> Router {
-    Router::start(env!("CARGO_BIN_EXE_reelrill"), discovery, known, sockets, settings, edge)
+    Router::start(
+        env!("CARGO_BIN_EXE_reelrill"),
+        discovery,
+        known,
+        sockets,
+        settings,
+        edge,
+    )
 }
 
 /// The program under test.
@@ -21,5 +28,7 @@
 }
 
 pub fn read(id: u64, wait_ms: u64) -> String {
-    format!("SELECT data FROM facts WHERE code = 'k' /* id={id:016x},c=board,d={wait_ms},cluster=2 */")
+    format!(
+        "SELECT data FROM facts WHERE code = 'k' /* id={id:016x},c=board,d={wait_ms},cluster=2 */"
+    )
 }
--- a/crates/router/tests/edges.rs
+++ b/crates/router/tests/edges.rs
@@ -26,7 +26,9 @@
         match self {
             Leave::Eof => client.stream.shutdown(Shutdown::Write).unwrap(),
             Leave::Reset => {
-                socket2::SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).unwrap();
+                socket2::SockRef::from(&client.stream)
+                    .set_linger(Some(Duration::ZERO))
+                    .unwrap();
                 return None;
             }
             Leave::Terminate => (&client.stream).write_all(&[b'X', 0, 0, 0, 4]).unwrap(),
@@ -71,11 +73,21 @@
 }
 
 fn until_asked(instance: &Instance, n: usize) {
-    assert!(instance.seen.wait_for(LIMIT, |s| (s.queries.len() >= n).then_some(())).is_some());
+    assert!(
+        instance
+            .seen
+            .wait_for(LIMIT, |s| (s.queries.len() >= n).then_some(()))
+            .is_some()
+    );
 }
 
 fn until_dialled(instance: &Instance) {
-    assert!(instance.seen.wait_for(LIMIT, |s| (s.connections >= 1).then_some(())).is_some());
+    assert!(
+        instance
+            .seen
+            .wait_for(LIMIT, |s| (s.connections >= 1).then_some(()))
+            .is_some()
+    );
 }
 
 /// Guards instances against work for nobody: an attempt that waits for its connection to come up is withdrawn when its
@@ -88,12 +100,19 @@
     let (instance, _discovery, router) = one("master", Act::Serve, uncancelled());
     instance.keep_aloof(true);
     let mut client = router.client();
-    client.send(&query(&if is_write { book(ID, "s", 20_000) } else { read(ID, 20_000) }));
+    client.send(&query(&if is_write {
+        book(ID, "s", 20_000)
+    } else {
+        read(ID, 20_000)
+    }));
     until_dialled(&instance);
     let _left = how.go(client);
     assert!(router.counted("client_left=1") && router.counted("withdrawn=1"));
     instance.keep_aloof(false);
-    assert_eq!(router.client().ask(&read(2, 20_000)).value, "0000000000000002");
+    assert_eq!(
+        router.client().ask(&read(2, 20_000)).value,
+        "0000000000000002"
+    );
     assert_eq!(asked(&instance), 1);
 }
 
@@ -110,7 +129,10 @@
     drop(clients);
     assert!(router.counted("client_left=100"));
     instance.keep_aloof(false);
-    assert_eq!(router.client().ask(&read(2, 20_000)).value, "0000000000000002");
+    assert_eq!(
+        router.client().ask(&read(2, 20_000)).value,
+        "0000000000000002"
+    );
     assert_eq!(asked(&instance), 1);
 }
 
@@ -125,9 +147,15 @@
     assert!(router.counted("client_left=1"));
     let before = asked(&instance);
     instance.act.change(|a| *a = Act::Serve);
-    assert_eq!(router.client().ask(&book(2, "s", 20_000)).value, "0000000000000002");
-    let late =
-        instance.seen.change(|s| s.queries[before..].iter().any(|q| q.contains(&format!("id={ID:016x}"))));
+    assert_eq!(
+        router.client().ask(&book(2, "s", 20_000)).value,
+        "0000000000000002"
+    );
+    let late = instance.seen.change(|s| {
+        s.queries[before..]
+            .iter()
+            .any(|q| q.contains(&format!("id={ID:016x}")))
+    });
     assert!(!late);
 }
 
@@ -140,7 +168,9 @@
     let (instance, _discovery, router) = one("master", Act::Silence, uncancelled());
     let mut client = router.client();
     // Writes of one session wait for one another.
-    let all: Vec<u8> = (0..5).flat_map(|i| query(&book(ID + i, "s", 20_000))).collect();
+    let all: Vec<u8> = (0..5)
+        .flat_map(|i| query(&book(ID + i, "s", 20_000)))
+        .collect();
     client.send(&all);
     until_asked(&instance, 1);
     let _left = how.go(client);
@@ -165,7 +195,11 @@
     drop(client.stream.shutdown(Shutdown::Write));
     let began = Instant::now();
     assert!(router.counted("client_left=1"));
-    assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(5),
+        "{:?}",
+        began.elapsed()
+    );
     assert!(router.logged("reason: left_waiting"));
 }
 
@@ -176,7 +210,13 @@
     instance.keep_aloof(true);
     let list = vec![target("s-1", instance.address, "ready")];
     let discovery = Discovery::start(Some(list.clone()));
-    let router = start_with(&discovery, &list, 1024, uncancelled(), Some("extended: {mode: on}\n"));
+    let router = start_with(
+        &discovery,
+        &list,
+        1024,
+        uncancelled(),
+        Some("extended: {mode: on}\n"),
+    );
     let mut client = router.client();
     client.send(&query(&read(ID, 20_000)));
     until_dialled(&instance);
@@ -195,7 +235,11 @@
 fn pipelined_queries_do_not_wait_for_one_another() {
     let (instance, _discovery, router) = one("master", Act::Silence, unhurried(settings()));
     let mut client = router.client();
-    client.send(&(1..=8).flat_map(|id| query(&read(id, 20_000))).collect::<Vec<u8>>());
+    client.send(
+        &(1..=8)
+            .flat_map(|id| query(&read(id, 20_000)))
+            .collect::<Vec<u8>>(),
+    );
     until_asked(&instance, 8);
     instance.act.change(|a| *a = Act::Serve);
     for id in 1..=8 {
@@ -212,7 +256,10 @@
     let whole = query(&read(2, 5000));
     client.send(&whole[..40]);
     // Another connection's end says that the first half has been read.
-    assert_eq!(router.client().ask(&read(3, 5000)).value, "0000000000000003");
+    assert_eq!(
+        router.client().ask(&read(3, 5000)).value,
+        "0000000000000003"
+    );
     router.signal("TERM");
     assert!(router.logged("ending"));
     client.send(&whole[40..]);
@@ -243,7 +290,11 @@
     let (instance, discovery, mut router) = one("master", Act::Silence, unhurried(settings()));
     let mut clients: Vec<Client> = (0..5).map(|_| router.client()).collect();
     for (client, id) in clients.iter_mut().zip(10..) {
-        client.send(&query(&if id % 2 == 0 { read(id, 20_000) } else { book(id, "s", 20_000) }));
+        client.send(&query(&if id % 2 == 0 {
+            read(id, 20_000)
+        } else {
+            book(id, "s", 20_000)
+        }));
     }
     assert!(router.counted("requests=5"));
     until_asked(&instance, 1);
@@ -255,10 +306,16 @@
     assert!(router.logged("already ending"));
     // The settings' longest deadline is 30 s, of which 3 s count, and 0.7 s later it may be killed.
     for client in &mut clients {
-        let Some(answer) = client.answer() else { panic!("{:#?}", router.log.change(|l| l.clone())) };
+        let Some(answer) = client.answer() else {
+            panic!("{:#?}", router.log.change(|l| l.clone()))
+        };
         assert!(["53300", "58000"].contains(&&*answer.code), "{answer:?}");
     }
-    assert!(told.elapsed() < Duration::from_millis(3700), "{:?}", told.elapsed());
+    assert!(
+        told.elapsed() < Duration::from_millis(3700),
+        "{:?}",
+        told.elapsed()
+    );
     assert!(router.exit().success());
 }
 
@@ -280,7 +337,10 @@
     let mut answer = |client: &mut Client| {
         let answer = client.answer()?;
         // At full speed some may be refused, each in its place: a value out of place names another id.
-        assert!(answer.code == "53300" || answer.value == format!("{next:016x}"), "{next:x}: {answer:?}");
+        assert!(
+            answer.code == "53300" || answer.value == format!("{next:016x}"),
+            "{next:x}: {answer:?}"
+        );
         next += 1;
         Some(())
     };
@@ -290,7 +350,11 @@
     router.signal("TERM");
     let told = Instant::now();
     while answer(&mut client).is_some() {}
-    assert!(told.elapsed() < Duration::from_millis(3700), "{:?}", told.elapsed());
+    assert!(
+        told.elapsed() < Duration::from_millis(3700),
+        "{:?}",
+        told.elapsed()
+    );
     assert!(router.exit().success());
     drop(client);
     sending.join().unwrap();
@@ -312,8 +376,19 @@
     instance.keep_aloof(false);
     assert_eq!(client.answer().unwrap().value, format!("{ID:016x}"));
     let told = instance.seen.change(|s| s.queries[0].clone());
-    let told: u64 = told.split(",d=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
-    assert!(waited > 200 && told <= 20_000 - waited, "{told} after {waited}");
+    let told: u64 = told
+        .split(",d=")
+        .nth(1)
+        .unwrap()
+        .split(',')
+        .next()
+        .unwrap()
+        .parse()
+        .unwrap();
+    assert!(
+        waited > 200 && told <= 20_000 - waited,
+        "{told} after {waited}"
+    );
 }
 
 /// Guards keys against a copy that waits for its connection until the first is forgotten: it is not written, and its
@@ -323,21 +398,35 @@
     let mut settings = uncancelled();
     settings["classes"][2]["window"] = 600_000_000u64.into();
     let (instance, _discovery, router) = one("master", Act::Serve, settings);
-    assert_eq!(router.client().ask(&book(1, "s", 20_000)).value, "0000000000000001");
+    assert_eq!(
+        router.client().ask(&book(1, "s", 20_000)).value,
+        "0000000000000001"
+    );
     // The next one runs, its connection breaks before the answer, and the connection after that does not come up.
-    instance.faults.change(|f| f.push_back((Stage::Executed, Fault::Reset)));
+    instance
+        .faults
+        .change(|f| f.push_back((Stage::Executed, Fault::Reset)));
     instance.keep_aloof(true);
     let mut client = router.client();
     client.send(&query(&book(ID, "s", 5000)));
     let began = Instant::now();
-    assert!(instance.seen.wait_for(LIMIT, |s| (s.connections >= 2).then_some(())).is_some());
+    assert!(
+        instance
+            .seen
+            .wait_for(LIMIT, |s| (s.connections >= 2).then_some(()))
+            .is_some()
+    );
     // Another request's time passes, and with it the window.
     assert_eq!(router.client().ask(&read(2, 2500)).code, "53300");
     assert!(began.elapsed() > Duration::from_millis(650));
     instance.keep_aloof(false);
     assert_eq!(client.answer().unwrap().code, "58000");
-    let copies =
-        instance.seen.change(|s| s.queries.iter().filter(|q| q.contains(&format!("{ID:016x}"))).count());
+    let copies = instance.seen.change(|s| {
+        s.queries
+            .iter()
+            .filter(|q| q.contains(&format!("{ID:016x}")))
+            .count()
+    });
     assert_eq!(copies, 1);
 }
 
@@ -354,7 +443,12 @@
         idle.push(client);
     }
     let calls = discovery.calls.change(|c| c.len());
-    assert!(discovery.calls.wait_for(LIMIT, |c| (c.len() > calls + 2).then_some(())).is_some());
+    assert!(
+        discovery
+            .calls
+            .wait_for(LIMIT, |c| (c.len() > calls + 2).then_some(()))
+            .is_some()
+    );
     discovery.publish(vec![target("s-1", instance.address, "ready")]);
     let mut client = router.client();
     assert_eq!(client.ask("").tags, "IZ");
@@ -370,7 +464,11 @@
     if is_silent {
         discovery.manner.change(|m| *m = Manner::Silent);
     }
-    let router = start(&discovery, &[target("s-1", instance.address, "ready")], 1024);
+    let router = start(
+        &discovery,
+        &[target("s-1", instance.address, "ready")],
+        1024,
+    );
     let began = Instant::now();
     let mut client = router.client();
     assert_eq!(client.ask("").tags, "IZ");
@@ -383,42 +481,68 @@
 fn many_members_cost_little_memory() {
     let instance = Instance::start("master", Act::Serve);
     let resident_kb = |members: usize| -> u64 {
-        let list: Vec<Value> =
-            (0..members).map(|i| target(&format!("s-{i}"), instance.address, "ready")).collect();
+        let list: Vec<Value> = (0..members)
+            .map(|i| target(&format!("s-{i}"), instance.address, "ready"))
+            .collect();
         let discovery = Discovery::start(Some(list.clone()));
         let router = start(&discovery, &list, 256);
         assert_eq!(router.client().ask("").tags, "IZ");
         let status = std::fs::read_to_string(format!("/proc/{}/status", router.id())).unwrap();
-        let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
+        let line = status
+            .lines()
+            .find_map(|l| l.strip_prefix("VmHWM:"))
+            .unwrap();
         line.trim().trim_end_matches(" kB").parse().unwrap()
     };
     let (few, many) = (resident_kb(1), resident_kb(301));
-    assert!(many.saturating_sub(few) < 300 * 48, "{few} kB with one member, {many} kB with 301");
+    assert!(
+        many.saturating_sub(few) < 300 * 48,
+        "{few} kB with one member, {many} kB with 301"
+    );
 }
 
 /// Guards every owner's duty to give back what it holds, over all ends together: taken is answered or left, each attempt
 /// has its outcome, and the process ends, for which all clients' slots must be back.
 #[rstest]
-fn what_is_taken_balances(#[values(1, 2, 3, 4)] seed: u64, #[values(false, true)] may_cancel: bool) {
+fn what_is_taken_balances(
+    #[values(1, 2, 3, 4)] seed: u64,
+    #[values(false, true)] may_cancel: bool,
+) {
     let mut settings = settings();
     settings["ceilings"]["mayCancel"] = may_cancel.into();
-    let instances = [Instance::start("master", Act::Serve), Instance::start("replica", Act::Serve)];
-    let list: Vec<Value> =
-        instances.iter().enumerate().map(|(i, m)| target(&format!("s-{i}"), m.address, "ready")).collect();
+    let instances = [
+        Instance::start("master", Act::Serve),
+        Instance::start("replica", Act::Serve),
+    ];
+    let list: Vec<Value> = instances
+        .iter()
+        .enumerate()
+        .map(|(i, m)| target(&format!("s-{i}"), m.address, "ready"))
+        .collect();
     let discovery = Discovery::start(Some(list.clone()));
     let mut router = start_with(&discovery, &list, 128, settings, None);
-    let acts =
-        [Act::Serve, Act::Silence, Act::Break, Act::Code("XX000"), Act::Code("53300"), Act::ServeAndClose];
+    let acts = [
+        Act::Serve,
+        Act::Silence,
+        Act::Break,
+        Act::Code("XX000"),
+        Act::Code("53300"),
+        Act::ServeAndClose,
+    ];
     // A plain linear congruence: the same steps for the same seed.
     let mut state = seed;
     let mut draw = |n: u64| {
-        state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        state = state
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (state >> 33) % n
     };
     let mut open: Vec<Client> = Vec::new();
     for step in 0..120u64 {
         match draw(7) {
-            0 => instances[draw(2) as usize].act.change(|a| *a = acts[draw(6) as usize]),
+            0 => instances[draw(2) as usize]
+                .act
+                .change(|a| *a = acts[draw(6) as usize]),
             1 if !open.is_empty() => drop(open.swap_remove(draw(open.len() as u64) as usize)),
             2 if !open.is_empty() => open[0].shut(),
             3 => instances[draw(2) as usize].keep_aloof(draw(2) == 0),
@@ -431,7 +555,11 @@
                 let at = draw(open.len() as u64) as usize;
                 for i in 0..=draw(3) {
                     let (id, wait) = (step * 10 + i, 50 + draw(900));
-                    let text = if draw(3) == 0 { book(id, "s", wait) } else { read(id, wait) };
+                    let text = if draw(3) == 0 {
+                        book(id, "s", wait)
+                    } else {
+                        read(id, wait)
+                    };
                     open[at].send(&query(&text));
                 }
             }
@@ -444,19 +572,31 @@
     router.signal("TERM");
     assert!(router.exit().success());
     drop(open);
-    let line = router.log.change(|l| l.iter().rfind(|l| l.contains("counters")).cloned()).unwrap();
+    let line = router
+        .log
+        .change(|l| l.iter().rfind(|l| l.contains("counters")).cloned())
+        .unwrap();
     let sum = |names: &str| -> u64 {
         let count = |name: &str| -> u64 {
-            let field =
-                line.split([' ', ',']).find_map(|f| f.strip_prefix(name)?.strip_prefix('=')?.parse().ok());
+            let field = line
+                .split([' ', ','])
+                .find_map(|f| f.strip_prefix(name)?.strip_prefix('=')?.parse().ok());
             field.unwrap_or_else(|| panic!("{name}: {line}"))
         };
         names.split(' ').map(count).sum()
     };
     assert!(sum("requests") > 20, "{line}");
-    assert_eq!(sum("requests"), sum("served refused failed client_left"), "{line}");
-    let endings = "ok errors full timed_out connect_failed reset cancelled moot missed spoilt unsent unfit";
+    assert_eq!(
+        sum("requests"),
+        sum("served refused failed client_left"),
+        "{line}"
+    );
+    let endings =
+        "ok errors full timed_out connect_failed reset cancelled moot missed spoilt unsent unfit";
     // Those that were written and may not be cancelled may still be out when the process ends.
     let out = sum("attempts") - sum(endings);
-    assert!(out == 0 || !may_cancel && out <= sum("client_left"), "{line}");
+    assert!(
+        out == 0 || !may_cancel && out <= sum("client_left"),
+        "{line}"
+    );
 }
--- a/crates/router/tests/membership.rs
+++ b/crates/router/tests/membership.rs
@@ -16,8 +16,13 @@
 }
 
 fn zone(instances: &[(&str, &Instance)]) -> Zone {
-    let all = instances.iter().map(|(uid, i)| (uid.replace("s-", "db-"), record(uid, i)));
-    Zone { instances: all.collect::<BTreeMap<_, _>>(), ..Zone::default() }
+    let all = instances
+        .iter()
+        .map(|(uid, i)| (uid.replace("s-", "db-"), record(uid, i)));
+    Zone {
+        instances: all.collect::<BTreeMap<_, _>>(),
+        ..Zone::default()
+    }
 }
 
 fn edge(server: &Server, roster: bool, more: &str) -> String {
@@ -55,18 +60,36 @@
 /// Guards the way from a record to a request, without a roster; and a list that comes over TCP.
 #[rstest]
 fn members_are_found_by_records_alone(
-    #[values(Manner::Helpful, Manner::Terse, Manner::Truncated, Manner::Lossy, Manner::Slow)] manner: Manner,
+    #[values(
+        Manner::Helpful,
+        Manner::Terse,
+        Manner::Truncated,
+        Manner::Lossy,
+        Manner::Slow
+    )]
+    manner: Manner,
 ) {
     let instance = Instance::start("master", Act::Serve);
-    let server = Server::start(Zone { manner, ..zone(&[("s-1", &instance)]) });
+    let server = Server::start(Zone {
+        manner,
+        ..zone(&[("s-1", &instance)])
+    });
     let discovery = Discovery::start(None);
-    let router = start_with(&discovery, &[], 1024, settings(), Some(&edge(&server, false, "")));
+    let router = start_with(
+        &discovery,
+        &[],
+        1024,
+        settings(),
+        Some(&edge(&server, false, "")),
+    );
     let mut client = ready(&router);
     assert_eq!(client.ask(&read(1, 5000)).value, "0000000000000001");
     assert_eq!(discovery.calls.change(|c| c.len()), 0);
     // A record that comes is used, without a restart.
     let second = Instance::start("master", Act::Serve);
-    server.zone.change(|z| z.instances.insert("db-2".into(), record("s-2", &second)));
+    server
+        .zone
+        .change(|z| z.instances.insert("db-2".into(), record("s-2", &second)));
     ask_until(&mut client, &second);
 }
 
@@ -74,9 +97,17 @@
 /// goes to it, and a record that vanishes while the roster is out of reach takes nothing away.
 #[rstest]
 fn a_drain_binds_whoever_tells_it(#[values(true, false)] by_roster: bool) {
-    let (old, new) = (Instance::start("replica", Act::Serve), Instance::start("replica", Act::Serve));
+    let (old, new) = (
+        Instance::start("replica", Act::Serve),
+        Instance::start("replica", Act::Serve),
+    );
     let server = Server::start(zone(&[("s-1", &old), ("s-2", &new)]));
-    let list = |state| vec![target("s-1", old.address, state), target("s-2", new.address, "ready")];
+    let list = |state| {
+        vec![
+            target("s-1", old.address, state),
+            target("s-2", new.address, "ready"),
+        ]
+    };
     let discovery = Discovery::start(Some(list("ready")));
     let edge = edge(&server, true, "");
     let router = start_with(&discovery, &list("ready"), 1024, settings(), Some(&edge));
@@ -86,7 +117,9 @@
         discovery.publish(list("draining"));
     } else {
         let drains = record("s-1", &old).with("state", Some("draining"));
-        server.zone.change(|z| z.instances.insert("db-1".into(), drains));
+        server
+            .zone
+            .change(|z| z.instances.insert("db-1".into(), drains));
     }
     assert!(router.logged("state: Draining") && router.logged("sources contradict"));
     let before = asked(&old);
@@ -103,16 +136,29 @@
     server.zone.change(|z| z.instances.remove("db-2"));
     assert!(server.asked(3));
     assert_eq!(client.ask(&read(99, 5000)).value, format!("{:016x}", 99));
-    assert!(router.log.change(|l| !l.iter().any(|l| l.contains("member gone"))));
+    assert!(
+        router
+            .log
+            .change(|l| !l.iter().any(|l| l.contains("member gone")))
+    );
 }
 
 /// Hard case 1, further: a member that says itself that it leaves gets nothing new until it answers again.
 #[test]
 fn a_member_that_says_that_it_leaves_is_believed() {
-    let (leaving, other) = (Instance::start("replica", Act::Serve), Instance::start("replica", Act::Serve));
+    let (leaving, other) = (
+        Instance::start("replica", Act::Serve),
+        Instance::start("replica", Act::Serve),
+    );
     let server = Server::start(zone(&[("s-1", &leaving), ("s-2", &other)]));
     let discovery = Discovery::start(None);
-    let router = start_with(&discovery, &[], 1024, settings(), Some(&edge(&server, false, "")));
+    let router = start_with(
+        &discovery,
+        &[],
+        1024,
+        settings(),
+        Some(&edge(&server, false, "")),
+    );
     let mut client = ready(&router);
     ask_until(&mut client, &leaving);
     leaving.act.change(|a| *a = Act::Code("57P03"));
@@ -128,12 +174,25 @@
 /// Hard case 2 on sockets: servers that fail in each way, and then an empty answer, forget nobody.
 #[rstest]
 fn a_server_that_fails_forgets_nobody(
-    #[values(Manner::Silent, Manner::Fails, Manner::Noise, Manner::WrongId, Manner::Empty)] manner: Manner,
+    #[values(
+        Manner::Silent,
+        Manner::Fails,
+        Manner::Noise,
+        Manner::WrongId,
+        Manner::Empty
+    )]
+    manner: Manner,
 ) {
     let instance = Instance::start("master", Act::Serve);
     let server = Server::start(zone(&[("s-1", &instance)]));
     let discovery = Discovery::start(None);
-    let router = start_with(&discovery, &[], 1024, settings(), Some(&edge(&server, false, "")));
+    let router = start_with(
+        &discovery,
+        &[],
+        1024,
+        settings(),
+        Some(&edge(&server, false, "")),
+    );
     let mut client = ready(&router);
     assert_eq!(client.ask(&read(1, 5000)).value, "0000000000000001");
     server.zone.change(|z| z.manner = manner);
@@ -151,10 +210,21 @@
     let instance = Instance::start("master", Act::Serve);
     let server = Server::start(zone(&[("s-1", &instance)]));
     let discovery = Discovery::start(None);
-    let router = start_with(&discovery, &[], 1024, settings(), Some(&edge(&server, true, "")));
+    let router = start_with(
+        &discovery,
+        &[],
+        1024,
+        settings(),
+        Some(&edge(&server, true, "")),
+    );
     let mut client = ready(&router);
     assert_eq!(client.ask(&read(1, 5000)).value, "0000000000000001");
-    assert!(discovery.calls.wait_for(LIMIT, |c| (c.len() > 3).then_some(())).is_some());
+    assert!(
+        discovery
+            .calls
+            .wait_for(LIMIT, |c| (c.len() > 3).then_some(()))
+            .is_some()
+    );
     let second = Instance::start("master", Act::Serve);
     discovery.publish(vec![target("s-2", second.address, "ready")]);
     ask_until(&mut client, &second);
@@ -164,11 +234,20 @@
 /// source names is forgotten in between.
 #[test]
 fn sources_come_and_go_with_the_settings() {
-    let (one, two) = (Instance::start("master", Act::Serve), Instance::start("master", Act::Serve));
+    let (one, two) = (
+        Instance::start("master", Act::Serve),
+        Instance::start("master", Act::Serve),
+    );
     let first = Server::start(zone(&[("s-1", &one)]));
     let second = Server::start(zone(&[("s-1", &one), ("s-2", &two)]));
     let discovery = Discovery::start(None);
-    let router = start_with(&discovery, &[], 1024, settings(), Some(&edge(&first, false, "")));
+    let router = start_with(
+        &discovery,
+        &[],
+        1024,
+        settings(),
+        Some(&edge(&first, false, "")),
+    );
     let mut client = ready(&router);
     assert_eq!(client.ask(&read(1, 5000)).value, "0000000000000001");
     router.reload_edge(&edge(&second, false, ""));
@@ -192,15 +271,29 @@
     discovery.publish(vec![target("s-1", instance.address, "ready")]);
     let dir = tempfile::tempdir().unwrap();
     let socket = dir.path().join("members");
-    let edge = edge(&server, true, &format!("members_socket: {}\n", socket.display()));
+    let edge = edge(
+        &server,
+        true,
+        &format!("members_socket: {}\n", socket.display()),
+    );
     let router = start_with(&discovery, &[], 1024, settings(), Some(&edge));
     let mut client = ready(&router);
     assert_eq!(client.ask(&read(1, 5000)).value, "0000000000000001");
-    assert_eq!(std::fs::metadata(&socket).unwrap().permissions().mode() & 0o777, 0o600);
+    assert_eq!(
+        std::fs::metadata(&socket).unwrap().permissions().mode() & 0o777,
+        0o600
+    );
     let ask = |socket: &Path| {
         let mut program = std::process::Command::new(env!("CARGO_BIN_EXE_reelrill"));
-        let output = program.args(["members", "--socket"]).arg(socket).output().unwrap();
-        (output.status.success(), String::from_utf8(output.stdout).unwrap())
+        let output = program
+            .args(["members", "--socket"])
+            .arg(socket)
+            .output()
+            .unwrap();
+        (
+            output.status.success(),
+            String::from_utf8(output.stdout).unwrap(),
+        )
     };
     let began = Instant::now();
     let table = loop {
@@ -210,7 +303,10 @@
             break table;
         }
     };
-    assert!(table.starts_with("s-1 ready") && table.contains("rule Named answered"), "{table}");
+    assert!(
+        table.starts_with("s-1 ready") && table.contains("rule Named answered"),
+        "{table}"
+    );
     assert!(table.contains("1 members, 0 contradicted"), "{table}");
     assert!(!ask(&dir.path().join("none")).0);
     assert!(began.elapsed() < Duration::from_secs(30));
--- a/crates/router/tests/pushed_lists.rs
+++ b/crates/router/tests/pushed_lists.rs
@@ -30,16 +30,27 @@
 impl Site {
     /// Two instances, of which the list at hand names the first.
     fn start() -> Site {
-        let (old, new) = (Instance::start("master", Act::Serve), Instance::start("master", Act::Serve));
+        let (old, new) = (
+            Instance::start("master", Act::Serve),
+            Instance::start("master", Act::Serve),
+        );
         let known = vec![target("s-old", old.address, "ready")];
         let agent = Discovery::start(Some(known.clone()));
         let router = start_with(&agent, &known, 1024, pushed(), None);
-        Site { old, new, agent, router }
+        Site {
+            old,
+            new,
+            agent,
+            router,
+        }
     }
 
     /// The list after the first one's replacement.
     fn replaced(&self) -> Vec<Value> {
-        vec![target("s-old", self.old.address, "draining"), target("s-new", self.new.address, "ready")]
+        vec![
+            target("s-old", self.old.address, "draining"),
+            target("s-new", self.new.address, "ready"),
+        ]
     }
 
     fn calls(&self) -> usize {
@@ -50,15 +61,25 @@
     fn until_known(&self, agent: &Discovery, version: u64) -> Instant {
         let since = format!("since={version}&");
         let told = |c: &mut Vec<String>| c.iter().any(|p| p.contains(&since)).then(Instant::now);
-        agent.calls.wait_for(LIMIT, told).expect("the list was not read")
+        agent
+            .calls
+            .wait_for(LIMIT, told)
+            .expect("the list was not read")
     }
 
     fn assert_only_new_is_sent_to(&self) {
         let before = self.old.seen.change(|s| s.queries.len());
         for id in 1..=5 {
-            assert_eq!(self.router.client().ask(&read(id, 5000)).value, format!("{id:016x}"));
+            assert_eq!(
+                self.router.client().ask(&read(id, 5000)).value,
+                format!("{id:016x}")
+            );
         }
-        assert_eq!(self.old.seen.change(|s| s.queries.len()), before, "sent to a draining instance");
+        assert_eq!(
+            self.old.seen.change(|s| s.queries.len()),
+            before,
+            "sent to a draining instance"
+        );
         assert_eq!(self.new.seen.change(|s| s.queries.len()), 5);
     }
 }
@@ -66,12 +87,19 @@
 #[test]
 fn an_agent_is_watched_from_the_start() {
     let site = Site::start();
-    let first = site.agent.calls.wait_for(LIMIT, |c| c.first().cloned()).expect("no call");
+    let first = site
+        .agent
+        .calls
+        .wait_for(LIMIT, |c| c.first().cloned())
+        .expect("no call");
     assert!(first.contains("since=1&"), "{first}");
     site.agent.publish(site.replaced());
     site.until_known(&site.agent, 2);
     site.assert_only_new_is_sent_to();
-    let whole = site.agent.calls.change(|c| c.iter().filter(|p| *p == "/api/targets").count());
+    let whole = site
+        .agent
+        .calls
+        .change(|c| c.iter().filter(|p| *p == "/api/targets").count());
     assert_eq!(whole, 0, "the whole list was asked for");
 }
 
@@ -83,7 +111,10 @@
     let known = vec![target("s-old", site.old.address, "ready")];
     let router = start_with(&agent, &known, 1024, pushed(), None);
     site.until_known(&agent, 9);
-    assert_eq!(router.client().ask(&read(1, 5000)).value, "0000000000000001");
+    assert_eq!(
+        router.client().ask(&read(1, 5000)).value,
+        "0000000000000001"
+    );
     assert_eq!(site.old.seen.change(|s| s.queries.len()), 0);
 }
 
@@ -94,21 +125,36 @@
     let router = start_with(&agent, &[], 1024, pushed(), None);
     let mut client = router.client();
     client.stream.write_all(&query("")).unwrap();
-    assert!(agent.calls.wait_for(LIMIT, |c| (c.len() > 4).then_some(())).is_some());
+    assert!(
+        agent
+            .calls
+            .wait_for(LIMIT, |c| (c.len() > 4).then_some(()))
+            .is_some()
+    );
     agent.publish(vec![target("s-1", instance.address, "ready")]);
     assert_eq!(client.answer().unwrap().tags, "IZ");
     assert_eq!(client.ask(&read(1, 5000)).value, "0000000000000001");
 }
 
 #[rstest]
-fn what_an_agent_brings_at_its_return_is_known_at_once(#[values(Manner::Silent, Manner::Torn)] down: Manner) {
+fn what_an_agent_brings_at_its_return_is_known_at_once(
+    #[values(Manner::Silent, Manner::Torn)] down: Manner,
+) {
     let site = Site::start();
     site.until_known(&site.agent, 1);
     site.agent.manner.change(|m| *m = down);
     let before = site.calls();
     // Long enough for a pause that grows to have grown.
-    assert!(site.agent.calls.wait_for(LIMIT, |c| (c.len() > before + 12).then_some(())).is_some());
-    assert_eq!(site.router.client().ask(&read(99, 5000)).value, format!("{:016x}", 99));
+    assert!(
+        site.agent
+            .calls
+            .wait_for(LIMIT, |c| (c.len() > before + 12).then_some(()))
+            .is_some()
+    );
+    assert_eq!(
+        site.router.client().ask(&read(99, 5000)).value,
+        format!("{:016x}", 99)
+    );
     let back = Instant::now();
     site.agent.list.change(|l| *l = (2, Some(site.replaced())));
     site.agent.manner.change(|m| *m = Manner::Proper);
@@ -126,10 +172,17 @@
     let before = site.calls();
     let nth = |n: usize| {
         let reached = |c: &mut Vec<String>| (c.len() >= before + n).then(Instant::now);
-        site.agent.calls.wait_for(LIMIT, reached).expect("no further call")
+        site.agent
+            .calls
+            .wait_for(LIMIT, reached)
+            .expect("no further call")
     };
     let (first, last) = (nth(2), nth(12));
-    assert!(last - first >= Duration::from_millis(450), "{:?}", last - first);
+    assert!(
+        last - first >= Duration::from_millis(450),
+        "{:?}",
+        last - first
+    );
     site.agent.publish(site.replaced());
     let back = Instant::now();
     let known = site.until_known(&site.agent, 2);
@@ -144,9 +197,16 @@
     let silent = Instant::now();
     site.agent.publish(site.replaced());
     let known = site.until_known(&site.agent, 2);
-    assert!(known - silent < Duration::from_secs(2), "{:?}", known - silent);
+    assert!(
+        known - silent < Duration::from_secs(2),
+        "{:?}",
+        known - silent
+    );
     site.assert_only_new_is_sent_to();
-    let whole = site.agent.calls.change(|c| c.iter().filter(|p| *p == "/api/targets").count());
+    let whole = site
+        .agent
+        .calls
+        .change(|c| c.iter().filter(|p| *p == "/api/targets").count());
     assert_eq!(whole, 0, "the whole list was asked for");
 }
 
@@ -155,7 +215,8 @@
     let site = Site::start();
     site.until_known(&site.agent, 1);
     let next = Discovery::start(Some(site.replaced()));
-    site.router.reload("discovery", next.address.to_string().into());
+    site.router
+        .reload("discovery", next.address.to_string().into());
     site.until_known(&next, 1);
     site.assert_only_new_is_sent_to();
     let paths = next.calls.change(|c| c.clone());
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -23,12 +23,26 @@
 fn a_pipelined_query_is_served() {
     let (instance, _discovery, router) = one(Act::Serve);
     let mut client = Client::connect(router.address);
-    client.stream.write_all(&[startup(), query(&read(0xa1, 5000))].concat()).unwrap();
+    client
+        .stream
+        .write_all(&[startup(), query(&read(0xa1, 5000))].concat())
+        .unwrap();
     assert_eq!(client.answer().unwrap().tags, "RSSSKZ");
     let answer = client.answer().unwrap();
-    assert_eq!((&*answer.tags, &*answer.value), ("TDCZ", "00000000000000a1"));
+    assert_eq!(
+        (&*answer.tags, &*answer.value),
+        ("TDCZ", "00000000000000a1")
+    );
     let sent = instance.seen.change(|s| s.queries[0].clone());
-    let wait: u64 = sent.split(",d=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
+    let wait: u64 = sent
+        .split(",d=")
+        .nth(1)
+        .unwrap()
+        .split(',')
+        .next()
+        .unwrap()
+        .parse()
+        .unwrap();
     assert!(wait <= 5000 && wait > 1000, "{sent}");
     assert_eq!(sent, read(0xa1, wait));
 }
@@ -50,10 +64,13 @@
 fn values_of_64_kib_pass_whole() {
     let (instance, _discovery, router) = one(Act::ServeLarge);
     let mut client = router.client();
-    let comment =
-        |wait: &str| format!("/* id=00000000000000b1,c=book,d={wait},k=5c0f6e1a2b3d4c59,cluster=2 */");
-    let insert =
-        format!("INSERT INTO facts (code, data) VALUES ('k', '\\x{}') RETURNING data ", "9f".repeat(65_536));
+    let comment = |wait: &str| {
+        format!("/* id=00000000000000b1,c=book,d={wait},k=5c0f6e1a2b3d4c59,cluster=2 */")
+    };
+    let insert = format!(
+        "INSERT INTO facts (code, data) VALUES ('k', '\\x{}') RETURNING data ",
+        "9f".repeat(65_536)
+    );
     let answer = client.ask(&(insert.clone() + &comment("5000")));
     assert_eq!(answer.value, "00000000000000b1".repeat(4096));
     let sent = instance.seen.change(|s| s.queries[0].clone());
@@ -86,9 +103,21 @@
     assert!(kind != "spoilt" || began.elapsed() < Duration::from_millis(1500));
     let line = router.counters();
     assert!(!line.contains(&format!(" {kind}=0 ")), "{line}");
-    for other in ["errors", "full", "missed", "reset", "timed_out", "connect_failed", "spoilt", "unfit"] {
+    for other in [
+        "errors",
+        "full",
+        "missed",
+        "reset",
+        "timed_out",
+        "connect_failed",
+        "spoilt",
+        "unfit",
+    ] {
         // Further tries may have been made, but none may have ended in another way.
-        assert!(other == kind || line.contains(&format!(" {other}=0 ")), "{other}: {line}");
+        assert!(
+            other == kind || line.contains(&format!(" {other}=0 ")),
+            "{other}: {line}"
+        );
     }
 }
 
@@ -104,7 +133,10 @@
     for id in 1..=5 {
         assert_eq!(client.ask(&read(id, 5000)).value, format!("{id:016x}"));
     }
-    assert_eq!(instance.seen.change(|s| (s.connections, s.queries.len())), (5, 5));
+    assert_eq!(
+        instance.seen.change(|s| (s.connections, s.queries.len())),
+        (5, 5)
+    );
 }
 
 /// Guards against holding what was given up on, and against answers after the client has stopped waiting.
@@ -114,7 +146,11 @@
     let mut client = router.client();
     let began = Instant::now();
     let answer = client.ask(&read(1, 2000));
-    assert!(began.elapsed() >= Duration::from_millis(1500), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() >= Duration::from_millis(1500),
+        "{:?}",
+        began.elapsed()
+    );
     assert_eq!((&*answer.tags, &*answer.code), ("EZ", "53300"));
     let advice: u64 = answer.detail.unwrap().parse().unwrap();
     assert!((1..=1000).contains(&advice), "{advice}");
@@ -172,7 +208,12 @@
     let (instance, _discovery, router) = one(Act::Silence);
     let mut client = router.client();
     client.stream.write_all(&query(&read(1, 20_000))).unwrap();
-    assert!(instance.seen.wait_for(LIMIT, |s| (s.queries.len() == 1).then_some(())).is_some());
+    assert!(
+        instance
+            .seen
+            .wait_for(LIMIT, |s| (s.queries.len() == 1).then_some(()))
+            .is_some()
+    );
     match how {
         Leave::Terminate => client.stream.write_all(&[b'X', 0, 0, 0, 4]).unwrap(),
         Leave::Eof => client.stream.shutdown(std::net::Shutdown::Write).unwrap(),
@@ -188,15 +229,26 @@
     let (instance, _discovery, router) = one(Act::Silence);
     let mut owner = router.client();
     owner.stream.write_all(&query(&read(1, 20_000))).unwrap();
-    assert!(instance.seen.wait_for(LIMIT, |s| (s.queries.len() == 1).then_some(())).is_some());
+    assert!(
+        instance
+            .seen
+            .wait_for(LIMIT, |s| (s.queries.len() == 1).then_some(()))
+            .is_some()
+    );
     assert_eq!(router.client().ask(&read(1, 20_000)).code, "58000");
     let mut leaving = router.client();
-    leaving.stream.write_all(&[query(&read(1, 20_000)), vec![b'X', 0, 0, 0, 4]].concat()).unwrap();
+    leaving
+        .stream
+        .write_all(&[query(&read(1, 20_000)), vec![b'X', 0, 0, 0, 4]].concat())
+        .unwrap();
     while leaving.answer().is_some() {}
     instance.act.change(|a| *a = Act::Serve);
     assert_eq!(owner.answer().unwrap().value, "0000000000000001");
     assert_eq!(instance.seen.change(|s| s.queries.len()), 1);
-    assert_eq!(router.client().ask(&read(1, 20_000)).value, "0000000000000001");
+    assert_eq!(
+        router.client().ask(&read(1, 20_000)).value,
+        "0000000000000001"
+    );
 }
 
 /// Guards against an attempt that stays out for ever: where attempts may not be cancelled, one that a client
@@ -211,13 +263,25 @@
     let router = start_with(&discovery, &list, 1024, settings, None);
     let mut client = router.client();
     client.stream.write_all(&query(&read(1, 2000))).unwrap();
-    assert!(instance.seen.wait_for(LIMIT, |s| (s.queries.len() == 1).then_some(())).is_some());
+    assert!(
+        instance
+            .seen
+            .wait_for(LIMIT, |s| (s.queries.len() == 1).then_some(()))
+            .is_some()
+    );
     drop(client);
     assert!(
-        router.counted("client_left=1") && router.counted("timed_out=1") && router.counted("cancelled=0")
+        router.counted("client_left=1")
+            && router.counted("timed_out=1")
+            && router.counted("cancelled=0")
     );
     instance.act.change(|a| *a = Act::Serve);
-    assert!(instance.seen.wait_for(LIMIT, |s| (s.ended == 1).then_some(())).is_some());
+    assert!(
+        instance
+            .seen
+            .wait_for(LIMIT, |s| (s.ended == 1).then_some(()))
+            .is_some()
+    );
 }
 
 /// Guards against panics and silence on input that makes no sense, and against losing the connection for
@@ -246,14 +310,20 @@
 #[case(&[b'Q', 0, 0, 0, 1], "malformed")]
 #[case(&[b'?', 0, 0, 0, 4], "malformed")]
 #[case(&[b'Q', 0, 0, 0, 6, 0xff, 0], "malformed")]
-fn a_broken_message_ends_the_connection_with_its_reason(#[case] bytes: &[u8], #[case] reason: &str) {
+fn a_broken_message_ends_the_connection_with_its_reason(
+    #[case] bytes: &[u8],
+    #[case] reason: &str,
+) {
     let (_instance, _discovery, router) = one(Act::Serve);
     let mut client = router.client();
     client.stream.write_all(bytes).unwrap();
     assert_eq!(client.answer().unwrap().code, "08P01");
     assert_eq!(client.stream.read(&mut [0]).unwrap_or(0), 0);
     assert!(router.logged(&format!("reason: {reason}")));
-    assert_eq!(router.client().ask(&read(1, 5000)).value, "0000000000000001");
+    assert_eq!(
+        router.client().ask(&read(1, 5000)).value,
+        "0000000000000001"
+    );
 }
 
 /// Guards the table of clients against ones that begin a message and never end it.
@@ -262,7 +332,10 @@
     let (_instance, _discovery, router) = one(Act::Serve);
     let mut client = router.client();
     assert_eq!(client.ask(&read(1, 5000)).value, "0000000000000001");
-    client.stream.write_all(&query(&read(2, 5000))[..30]).unwrap();
+    client
+        .stream
+        .write_all(&query(&read(2, 5000))[..30])
+        .unwrap();
     assert!(client.answer().is_none());
     assert!(router.logged("reason: stalled"));
 }
@@ -288,9 +361,19 @@
     let mut client = router.client();
     client.stream.write_all(&query("")).unwrap();
     // Several calls have failed, so the router has long looked at the query.
-    assert!(discovery.calls.wait_for(LIMIT, |c| (c.len() > 4).then_some(())).is_some());
+    assert!(
+        discovery
+            .calls
+            .wait_for(LIMIT, |c| (c.len() > 4).then_some(()))
+            .is_some()
+    );
     client.stream.set_nonblocking(true).unwrap();
-    assert!(client.stream.read(&mut [0]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock));
+    assert!(
+        client
+            .stream
+            .read(&mut [0])
+            .is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
+    );
     client.stream.set_nonblocking(false).unwrap();
     discovery.publish(vec![target("s-1", instance.address, "ready")]);
     assert_eq!(client.answer().unwrap().tags, "IZ");
@@ -321,26 +404,48 @@
     let (instance, discovery, router) = one(Act::Serve);
     let calls = discovery.calls.change(|c| c.len());
     discovery.manner.change(|m| *m = Manner::Torn);
-    discovery
-        .publish(vec![target("s-1", instance.address, "ready"), target("s-2", instance.address, "ready")]);
+    discovery.publish(vec![
+        target("s-1", instance.address, "ready"),
+        target("s-2", instance.address, "ready"),
+    ]);
     assert!(router.logged("discovery call failed"));
-    assert_eq!(router.client().ask(&read(1, 5000)).value, "0000000000000001");
+    assert_eq!(
+        router.client().ask(&read(1, 5000)).value,
+        "0000000000000001"
+    );
     discovery.manner.change(|m| *m = Manner::Proper);
-    let again = |c: &mut Vec<String>| c[calls..].iter().any(|p| p.contains("since=2&")).then_some(());
+    let again = |c: &mut Vec<String>| {
+        c[calls..]
+            .iter()
+            .any(|p| p.contains("since=2&"))
+            .then_some(())
+    };
     assert!(discovery.calls.wait_for(LIMIT, again).is_some());
 }
 
 /// Guards the drain rule and the watch: told through it, the router sends nothing more to one that drains.
 #[test]
 fn a_draining_instance_gets_nothing_new() {
-    let (old, new) = (Instance::start("replica", Act::Serve), Instance::start("replica", Act::Serve));
-    let list = |state| vec![target("s-1", old.address, state), target("s-2", new.address, "ready")];
+    let (old, new) = (
+        Instance::start("replica", Act::Serve),
+        Instance::start("replica", Act::Serve),
+    );
+    let list = |state| {
+        vec![
+            target("s-1", old.address, state),
+            target("s-2", new.address, "ready"),
+        ]
+    };
     let discovery = Discovery::start(Some(list("ready")));
     let router = start(&discovery, &list("ready"), 1024);
     let mut client = router.client();
     discovery.publish(list("draining"));
     // The next call of the watch carries the version that names it as draining.
-    let told = |c: &mut Vec<String>| c.iter().any(|p| p.contains("since=2&timeout_ms=3000")).then_some(());
+    let told = |c: &mut Vec<String>| {
+        c.iter()
+            .any(|p| p.contains("since=2&timeout_ms=3000"))
+            .then_some(())
+    };
     assert!(discovery.calls.wait_for(LIMIT, told).is_some());
     let before = old.seen.change(|s| s.queries.len());
     for id in 1..=20 {
@@ -374,12 +479,27 @@
     assert!(router.logged("discovery call failed"));
     let line = router.counters();
     let count = |name: &str| -> u64 {
-        let field = line.split(' ').find_map(|f| f.strip_prefix(name)?.strip_prefix('=')?.parse().ok());
+        let field = line
+            .split(' ')
+            .find_map(|f| f.strip_prefix(name)?.strip_prefix('=')?.parse().ok());
         field.unwrap_or_else(|| panic!("{name}: {line}"))
     };
-    assert!(count("dials_broken") > 0 && count("dials_broken") == count("dials"), "{line}");
-    assert!(count("list_turned_away") > 0 && count("list_silent") == 0, "{line}");
-    let given = ["gave_late", "gave_nobody", "gave_crowded", "gave_attempts", "gave_silent", "gave_reserve"];
+    assert!(
+        count("dials_broken") > 0 && count("dials_broken") == count("dials"),
+        "{line}"
+    );
+    assert!(
+        count("list_turned_away") > 0 && count("list_silent") == 0,
+        "{line}"
+    );
+    let given = [
+        "gave_late",
+        "gave_nobody",
+        "gave_crowded",
+        "gave_attempts",
+        "gave_silent",
+        "gave_reserve",
+    ];
     assert_eq!(given.iter().map(|g| count(g)).sum::<u64>(), 1, "{line}");
 }
 
@@ -393,10 +513,17 @@
     let mut settings = settings();
     settings["ceilings"]["idleClose"] = 2_000_000_000u64.into();
     let router = start_with(&discovery, &list, 1024, settings, None);
-    assert_eq!(router.client().ask(&read(1, 5000)).value, "0000000000000001");
+    assert_eq!(
+        router.client().ask(&read(1, 5000)).value,
+        "0000000000000001"
+    );
     let since = Instant::now();
     assert!(router.logged("reason: idle"));
-    assert!(since.elapsed() >= Duration::from_millis(1600), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() >= Duration::from_millis(1600),
+        "{:?}",
+        since.elapsed()
+    );
 }
 
 /// Guards against a list that is believed for ever: a watch that breaks is asked for again.
@@ -406,10 +533,18 @@
     discovery.list.change(|l| l.1 = None);
     assert!(router.logged("discovery call failed"));
     // Meanwhile the list it has stands.
-    assert_eq!(router.client().ask(&read(1, 5000)).value, "0000000000000001");
+    assert_eq!(
+        router.client().ask(&read(1, 5000)).value,
+        "0000000000000001"
+    );
     let calls = discovery.calls.change(|c| c.len());
     discovery.publish(vec![target("s-1", instance.address, "ready")]);
-    let again = |c: &mut Vec<String>| c[calls..].iter().any(|p| p.contains("timeout_ms=8000")).then_some(());
+    let again = |c: &mut Vec<String>| {
+        c[calls..]
+            .iter()
+            .any(|p| p.contains("timeout_ms=8000"))
+            .then_some(())
+    };
     assert!(discovery.calls.wait_for(LIMIT, again).is_some());
 }
 
@@ -422,18 +557,33 @@
     let list = vec![target("s-1", instance.address, "ready")];
     let router = start(&discovery, &list, 1024);
     // A service ends a call that has waited for its turn for 2 s.
-    let calls =
-        |n: usize| discovery.calls.wait_for(Duration::from_millis(2000), |c| (c.len() >= n).then_some(()));
+    let calls = |n: usize| {
+        discovery.calls.wait_for(Duration::from_millis(2000), |c| {
+            (c.len() >= n).then_some(())
+        })
+    };
     assert!(calls(1).is_some());
     assert!(calls(2).is_none(), "repeated while it waits");
     // Meanwhile the router serves from the list it has.
-    assert_eq!(router.client().ask(&read(1, 5000)).value, "0000000000000001");
+    assert_eq!(
+        router.client().ask(&read(1, 5000)).value,
+        "0000000000000001"
+    );
     discovery.list.change(|l| l.1 = Some(list.clone()));
     discovery.manner.change(|m| *m = Manner::Proper);
     // Its answer begins the watch: no other call comes between.
-    assert!(discovery.calls.wait_for(LIMIT, |c| (c.len() >= 2).then_some(())).is_some());
+    assert!(
+        discovery
+            .calls
+            .wait_for(LIMIT, |c| (c.len() >= 2).then_some(()))
+            .is_some()
+    );
     assert!(discovery.calls.change(|c| c[1].contains("timeout_ms=3000")));
-    assert!(router.counters().contains(" list_turned_away=0 list_silent=0 list_broken=0 list_unreadable=0"));
+    assert!(
+        router
+            .counters()
+            .contains(" list_turned_away=0 list_silent=0 list_broken=0 list_unreadable=0")
+    );
 }
 
 /// Guards the clock of silence: a watch that falls silent is opened anew, on a new connection, and what it missed is
@@ -441,16 +591,29 @@
 #[test]
 fn a_silent_watch_is_opened_anew_before_its_news_count_as_told() {
     let (instance, discovery, router) = one(Act::Serve);
-    let watched = |c: &mut Vec<String>| c.iter().any(|p| p.contains("timeout_ms=3000")).then_some(());
+    let watched = |c: &mut Vec<String>| {
+        c.iter()
+            .any(|p| p.contains("timeout_ms=3000"))
+            .then_some(())
+    };
     assert!(discovery.calls.wait_for(LIMIT, watched).is_some());
     // Calls that have begun get no answer; the next ones do.
     discovery.mute();
     let silent = Instant::now();
     discovery.publish(vec![target("s-1", instance.address, "draining")]);
     let calls = discovery.calls.change(|c| c.len());
-    let told = |c: &mut Vec<String>| c[calls..].iter().any(|p| p.contains("since=2&")).then_some(());
+    let told = |c: &mut Vec<String>| {
+        c[calls..]
+            .iter()
+            .any(|p| p.contains("since=2&"))
+            .then_some(())
+    };
     assert!(discovery.calls.wait_for(LIMIT, told).is_some());
-    assert!(silent.elapsed() < Duration::from_millis(5500), "{:?}", silent.elapsed());
+    assert!(
+        silent.elapsed() < Duration::from_millis(5500),
+        "{:?}",
+        silent.elapsed()
+    );
     assert!(router.counters().contains(" list_silent=1 list_broken=0 "));
 }
 
@@ -461,9 +624,18 @@
     let (_instance, discovery, _router) = one(Act::Serve);
     discovery.manner.change(|m| *m = Manner::Hasty);
     discovery.list.change(|_| ());
-    let nth = |n: usize| discovery.calls.wait_for(LIMIT, |c| (c.len() >= n).then(Instant::now)).unwrap();
+    let nth = |n: usize| {
+        discovery
+            .calls
+            .wait_for(LIMIT, |c| (c.len() >= n).then(Instant::now))
+            .unwrap()
+    };
     let (first, last) = (nth(4), nth(14));
-    assert!(last - first >= Duration::from_millis(900), "{:?}", last - first);
+    assert!(
+        last - first >= Duration::from_millis(900),
+        "{:?}",
+        last - first
+    );
 }
 
 /// Guards SIGHUP: the router turns to the discovery that the file names now, whatever the environment said at
@@ -472,17 +644,28 @@
 fn a_new_configuration_moves_discovery() {
     let (old, discovery, mut router) = one(Act::Serve);
     discovery.publish(vec![target("s-1", old.address, "ready")]);
-    let watched = |c: &mut Vec<String>| c.iter().any(|p| p.contains("since=2&timeout_ms=3000")).then_some(());
+    let watched = |c: &mut Vec<String>| {
+        c.iter()
+            .any(|p| p.contains("since=2&timeout_ms=3000"))
+            .then_some(())
+    };
     assert!(discovery.calls.wait_for(LIMIT, watched).is_some());
     let moved = Instance::start("master", Act::Serve);
     let next = Discovery::start(Some(vec![target("s-2", moved.address, "ready")]));
     router.reload("discovery", next.address.to_string().into());
-    assert!(next.calls.wait_for(LIMIT, |c| (c.len() > 1).then_some(())).is_some());
+    assert!(
+        next.calls
+            .wait_for(LIMIT, |c| (c.len() > 1).then_some(()))
+            .is_some()
+    );
     assert_eq!(
         next.calls.change(|c| c[..2].to_vec()),
         ["/api/targets", "/api/targets?since=1&timeout_ms=3000"]
     );
-    assert_eq!(router.client().ask(&read(1, 5000)).value, "0000000000000001");
+    assert_eq!(
+        router.client().ask(&read(1, 5000)).value,
+        "0000000000000001"
+    );
     assert_eq!(moved.seen.change(|s| s.queries.len()), 1);
     // It comes again, also while the router is ending.
     router.signal("TERM");
@@ -497,12 +680,24 @@
     let silent = Discovery::start(None);
     silent.manner.change(|m| *m = Manner::Silent);
     router.reload("discovery", silent.address.to_string().into());
-    assert!(silent.calls.wait_for(LIMIT, |c| (c.len() == 1).then_some(())).is_some());
+    assert!(
+        silent
+            .calls
+            .wait_for(LIMIT, |c| (c.len() == 1).then_some(()))
+            .is_some()
+    );
     let next = Discovery::start(Some(vec![target("s-1", instance.address, "ready")]));
     router.reload("discovery", next.address.to_string().into());
-    assert!(next.calls.wait_for(LIMIT, |c| (!c.is_empty()).then_some(())).is_some());
+    assert!(
+        next.calls
+            .wait_for(LIMIT, |c| (!c.is_empty()).then_some(()))
+            .is_some()
+    );
     let line = router.counters();
-    assert!(line.contains("list_turned_away=0 list_silent=0 list_broken=0"), "{line}");
+    assert!(
+        line.contains("list_turned_away=0 list_silent=0 list_broken=0"),
+        "{line}"
+    );
 }
 
 /// Guards a router that knows no version: its call for the whole list waits for nothing, so that silence is noticed
@@ -513,10 +708,19 @@
     let hung = Discovery::start(None);
     hung.manner.change(|m| *m = Manner::Silent);
     router.reload("discovery", hung.address.to_string().into());
-    assert!(hung.calls.wait_for(LIMIT, |c| (!c.is_empty()).then_some(())).is_some());
-    let again = hung.calls.wait_for(Duration::from_secs(9), |c| (c.len() >= 2).then_some(()));
+    assert!(
+        hung.calls
+            .wait_for(LIMIT, |c| (!c.is_empty()).then_some(()))
+            .is_some()
+    );
+    let again = hung
+        .calls
+        .wait_for(Duration::from_secs(9), |c| (c.len() >= 2).then_some(()));
     assert!(again.is_some(), "the silence was not noticed");
-    assert!(hung.calls.change(|c| c.iter().all(|path| path == "/api/targets")));
+    assert!(
+        hung.calls
+            .change(|c| c.iter().all(|path| path == "/api/targets"))
+    );
 }
 
 /// Guards the old configuration against a file that makes no sense, and says what takes a restart.
@@ -524,11 +728,18 @@
 #[case("discovery", "nowhere", "discovery is missing or is no address")]
 #[case("settings", "none", "familyInfo is missing")]
 #[case("name", "n7", "takes effect at the next start")]
-fn a_reload_says_what_it_did_not_take(#[case] field: &str, #[case] value: &str, #[case] wanted: &str) {
+fn a_reload_says_what_it_did_not_take(
+    #[case] field: &str,
+    #[case] value: &str,
+    #[case] wanted: &str,
+) {
     let (_instance, _discovery, router) = one(Act::Serve);
     router.reload(field, value.into());
     assert!(router.logged(wanted));
-    assert_eq!(router.client().ask(&read(1, 5000)).value, "0000000000000001");
+    assert_eq!(
+        router.client().ask(&read(1, 5000)).value,
+        "0000000000000001"
+    );
 }
 
 /// Guards against a start on a configuration that makes no sense, without a word of what is wrong.
@@ -571,13 +782,23 @@
         let mut program = std::process::Command::new(env!("CARGO_BIN_EXE_reelrill"));
         let output = program.arg("check").arg(file.path()).output().unwrap();
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        (output.status.code(), said.contains(&*file.path().to_string_lossy()), said)
+        (
+            output.status.code(),
+            said.contains(&*file.path().to_string_lossy()),
+            said,
+        )
     };
     assert_eq!(check(&config).0, Some(0));
-    let at = config.pointer_mut(&format!("/{}", place.join("/"))).unwrap();
+    let at = config
+        .pointer_mut(&format!("/{}", place.join("/")))
+        .unwrap();
     *at = value;
     let (code, has_file, said) = check(&config);
-    assert_eq!((code, has_file, said.contains(field)), (Some(2), true, true), "{said}");
+    assert_eq!(
+        (code, has_file, said.contains(field)),
+        (Some(2), true, true),
+        "{said}"
+    );
 }
 
 /// Guards the budget of descriptors: idle connections make room, and nobody is turned away.
@@ -634,12 +855,23 @@
     assert_eq!(kept.ask(&read(1, 5000)).value, "0000000000000001");
     let mut silent: Vec<Client> = (0..100).map(|_| Client::connect(router.address)).collect();
     let began = Instant::now();
-    assert_eq!(router.client().ask(&read(2, 5000)).value, "0000000000000002");
-    assert!(began.elapsed() < Duration::from_millis(1500), "{:?}", began.elapsed());
+    assert_eq!(
+        router.client().ask(&read(2, 5000)).value,
+        "0000000000000002"
+    );
+    assert!(
+        began.elapsed() < Duration::from_millis(1500),
+        "{:?}",
+        began.elapsed()
+    );
     assert_eq!(kept.ask(&read(3, 5000)).value, "0000000000000003");
     drop(kept);
     assert!(silent.iter_mut().all(|client| client.answer().is_none()));
-    assert!(began.elapsed() < Duration::from_secs(6), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(6),
+        "{:?}",
+        began.elapsed()
+    );
     assert!(router.logged("reason: startup_timeout") && router.logged("reason: evicted"));
 }
 
@@ -660,7 +892,9 @@
 /// make room, no request fails for it, and an instance in use keeps its connection.
 #[test]
 fn more_instances_than_descriptors_are_reached_in_turn() {
-    let instances: Vec<Instance> = (0..24).map(|_| Instance::start("master", Act::Serve)).collect();
+    let instances: Vec<Instance> = (0..24)
+        .map(|_| Instance::start("master", Act::Serve))
+        .collect();
     let listed = |(i, instance): (usize, &Instance)| {
         let mut target = target(&format!("s-{i}"), instance.address, "ready");
         target["pod_group"] = i.into();
@@ -690,12 +924,19 @@
     assert_eq!(idle.ask(&read(3, 5000)).value, "0000000000000003");
     instance.act.change(|a| *a = Act::Silence);
     waiting.stream.write_all(&query(&read(1, 20_000))).unwrap();
-    assert!(instance.seen.wait_for(LIMIT, |s| (s.queries.len() == 2).then_some(())).is_some());
+    assert!(
+        instance
+            .seen
+            .wait_for(LIMIT, |s| (s.queries.len() == 2).then_some(()))
+            .is_some()
+    );
     router.signal("TERM");
     assert!(idle.answer().is_none());
     instance.act.change(|a| *a = Act::Serve);
     let mut late = Client::connect(router.address);
-    late.stream.write_all(&[startup(), query(&read(2, 5000))].concat()).unwrap();
+    late.stream
+        .write_all(&[startup(), query(&read(2, 5000))].concat())
+        .unwrap();
     assert_eq!(late.answer().unwrap().tags, "RSSSKZ");
     assert_eq!(late.answer().unwrap().value, "0000000000000002");
     assert_eq!(waiting.answer().unwrap().value, "0000000000000001");
--- a/crates/router/tests/upstream.rs
+++ b/crates/router/tests/upstream.rs
@@ -26,7 +26,10 @@
 /// The peak resident memory of a process, in kB.
 fn peak_memory_kb(process: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap();
-    let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
+    let line = status
+        .lines()
+        .find_map(|l| l.strip_prefix("VmHWM:"))
+        .unwrap();
     line.trim().trim_end_matches(" kB").parse().unwrap()
 }
 
@@ -57,7 +60,10 @@
     let (usual, large) = (idle_peak_kb(200), idle_peak_kb(3200));
     let most = usual * 3 / 2 + 8 * 1024 + 4 * 1024 * 32 / 10;
     println!("peak memory: {usual} kB at 200, {large} kB at 3,200 endpoints, {most} kB allowed");
-    assert!(large <= most, "{large} kB with 3,200 endpoints, {usual} kB with 200: {most} kB allowed");
+    assert!(
+        large <= most,
+        "{large} kB with 3,200 endpoints, {usual} kB with 200: {most} kB allowed"
+    );
 }
 
 /// One endpoint whose idle connections end after half a second.
@@ -103,12 +109,19 @@
 #[case("draining", false)]
 #[case("ready", true)]
 fn a_retired_pool_keeps_what_the_list_says(#[case] state: &str, #[case] moves: bool) {
-    let (instance, other) = (Instance::start("master", Act::Serve), Instance::start("master", Act::Serve));
+    let (instance, other) = (
+        Instance::start("master", Act::Serve),
+        Instance::start("master", Act::Serve),
+    );
     let (discovery, router) = quick_to_close(&instance);
     let mut client = router.client();
     assert_eq!(client.ask(&read(1, 5000)).value, format!("{:016x}", 1));
     assert!(router.counted("pools_retired=1"));
-    let address = if moves { other.address } else { instance.address };
+    let address = if moves {
+        other.address
+    } else {
+        instance.address
+    };
     discovery.publish(vec![target("s-1", address, state)]);
     let begun = Instant::now();
     let is_over = || match moves {
@@ -145,7 +158,9 @@
 
     /// AuthenticationOk and ReadyForQuery.
     fn welcome(&mut self) {
-        self.stream.write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I").unwrap();
+        self.stream
+            .write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I")
+            .unwrap();
     }
 
     /// What comes next; nothing if the connection ends, or if nothing comes in time.
@@ -153,7 +168,9 @@
         let until = Instant::now() + within;
         let mut bytes = vec![0; 4096];
         loop {
-            let left = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+            let left = until
+                .saturating_duration_since(Instant::now())
+                .max(Duration::from_millis(1));
             self.stream.set_read_timeout(Some(left)).unwrap();
             match self.stream.read(&mut bytes) {
                 Ok(n) => {
@@ -196,13 +213,18 @@
     assert!(discovery.calls.wait_for(LIMIT, called).is_some());
     std::thread::sleep(Duration::from_millis(after_ms));
     endpoint.welcome();
-    assert_eq!(!endpoint.read_within(Duration::from_secs(1)).is_empty(), is_sent);
+    assert_eq!(
+        !endpoint.read_within(Duration::from_secs(1)).is_empty(),
+        is_sent
+    );
 }
 
 /// Sets how many descriptors a process may have open from now on.
 fn limit_descriptors(process: u32, most: usize) {
-    let status =
-        Command::new("prlimit").arg(format!("--pid={process}")).arg(format!("--nofile={most}:")).status();
+    let status = Command::new("prlimit")
+        .arg(format!("--pid={process}"))
+        .arg(format!("--nofile={most}:"))
+        .status();
     assert!(status.unwrap().success());
 }
 
@@ -215,17 +237,29 @@
     let discovery = Discovery::start(Some(list.clone()));
     let router = start(&discovery, &list, 1024);
     let mut client = router.client();
-    assert!(discovery.calls.wait_for(LIMIT, |c| (!c.is_empty()).then_some(())).is_some());
+    assert!(
+        discovery
+            .calls
+            .wait_for(LIMIT, |c| (!c.is_empty()).then_some(()))
+            .is_some()
+    );
     limit_descriptors(router.id(), 1);
     for id in 1..=3 {
         assert_eq!(client.ask(&read(id, 1000)).code, "53300");
     }
     let counters = router.counters();
-    assert!(counters.contains(" connect_failed=0 ") && !counters.contains(" unsent=0 "), "{counters}");
+    assert!(
+        counters.contains(" connect_failed=0 ") && !counters.contains(" unsent=0 "),
+        "{counters}"
+    );
     limit_descriptors(router.id(), 1024);
     let begun = Instant::now();
     assert_eq!(client.ask(&read(4, 5000)).value, format!("{:016x}", 4));
-    assert!(begun.elapsed() < Duration::from_secs(1), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(1),
+        "{:?}",
+        begun.elapsed()
+    );
 }
 
 /// Sends a process one signal after the other until dropped.
@@ -255,9 +289,15 @@
     let mut client = router.client();
     let flood = SignalFlood::start(router.id());
     for id in 1..=100 {
-        assert_eq!(client.ask(&read(id, 5000)).value, format!("{id:016x}").repeat(4096));
+        assert_eq!(
+            client.ask(&read(id, 5000)).value,
+            format!("{id:016x}").repeat(4096)
+        );
     }
     drop(flood);
-    assert_eq!(instance.seen.change(|s| (s.connections, s.queries.len())), (1, 100));
+    assert_eq!(
+        instance.seen.change(|s| (s.connections, s.queries.len())),
+        (1, 100)
+    );
     assert!(router.counted("served=100"));
 }
--- a/crates/routing-config/src/lib.rs
+++ b/crates/routing-config/src/lib.rs
@@ -28,7 +28,11 @@
 
 impl<'a> At<'a> {
     fn get(&self, key: &str) -> Result<At<'a>, String> {
-        let path = if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) };
+        let path = if self.path.is_empty() {
+            key.to_owned()
+        } else {
+            format!("{}.{key}", self.path)
+        };
         match self.value.get(key) {
             Some(value) if !value.is_null() => Ok(At { value, path }),
             _ => Err(format!("{path} is missing")),
@@ -74,7 +78,10 @@
     fn list(&self, key: &str) -> Result<Vec<At<'a>>, String> {
         let at = self.get(key)?;
         let items = at.value.as_array().ok_or_else(|| at.wrong("a list"))?;
-        let item = |(i, value)| At { value, path: format!("{}[{i}]", at.path) };
+        let item = |(i, value)| At {
+            value,
+            path: format!("{}[{i}]", at.path),
+        };
         Ok(items.iter().enumerate().map(item).collect())
     }
 
@@ -85,13 +92,20 @@
         other: T,
         read: impl Fn(&Self, &str) -> Result<T, String>,
     ) -> Result<T, String> {
-        if self.value.get(key).is_none_or(Value::is_null) { Ok(other) } else { read(self, key) }
+        if self.value.get(key).is_none_or(Value::is_null) {
+            Ok(other)
+        } else {
+            read(self, key)
+        }
     }
 }
 
 /// Reads the settings; an error names the field and what is wrong with it.
 pub fn read(value: &Value) -> Result<Site, String> {
-    let top = At { value, path: String::new() };
+    let top = At {
+        value,
+        path: String::new(),
+    };
     let family = top.get("familyInfo")?;
     let ages = family.list("maxAge")?;
     let needs = family.list("freshness")?;
@@ -134,7 +148,9 @@
     }
     let mut tenants = Vec::new();
     for t in top.or("realms", Vec::new(), At::list)? {
-        tenants.push(Tenant { quota: t.float("quotaRps")? });
+        tenants.push(Tenant {
+            quota: t.float("quotaRps")?,
+        });
     }
     let rules = top.get("rules")?;
     let limits = top.get("ceilings")?;
@@ -201,8 +217,19 @@
     };
     let mut zones = Vec::new();
     for z in top.or("zones", Vec::new(), At::list)? {
-        zones.push(z.value.as_str().ok_or_else(|| z.wrong("a text"))?.to_owned());
+        zones.push(
+            z.value
+                .as_str()
+                .ok_or_else(|| z.wrong("a text"))?
+                .to_owned(),
+        );
     }
     let idle_close = limits.or("idleClose", 0, At::whole)?;
-    Ok(Site { settings, origin: family.whole("originTime")?, class_names, zones, idle_close })
+    Ok(Site {
+        settings,
+        origin: family.whole("originTime")?,
+        class_names,
+        zones,
+        idle_close,
+    })
 }
--- a/crates/routing/src/brain.rs
+++ b/crates/routing/src/brain.rs
@@ -196,7 +196,11 @@
             Event::List { kind, entries } => self.on_list(now, kind, entries),
             Event::Request(req) => self.on_request(now, req, out),
             Event::Outcome(o) => self.on_outcome(now, o, out),
-            Event::Started { request, attempt: _, member } => {
+            Event::Started {
+                request,
+                attempt: _,
+                member,
+            } => {
                 if let Some(p) = self.pending.get_mut(&request) {
                     p.streaming = true;
                 }
@@ -224,7 +228,10 @@
         }
         if !self.ticking && (!self.pending.is_empty() || self.subscribe_at.is_some()) {
             self.ticking = true;
-            out.push(Action::SetTimer { after: self.tick, token: TICK });
+            out.push(Action::SetTimer {
+                after: self.tick,
+                token: TICK,
+            });
         }
     }
 
@@ -236,14 +243,20 @@
 
     /// The span over which all proxies' calls to the list's one service are spread: a turn for each.
     fn turns(&self) -> Span {
-        TURN.saturating_mul(Span::from(self.set.proxies)).min(AGAIN).max(self.tick)
+        TURN.saturating_mul(Span::from(self.set.proxies))
+            .min(AGAIN)
+            .max(self.tick)
     }
 
     fn on_list(&mut self, now: Time, kind: ListKind, entries: Vec<Entry>) {
         if kind == ListKind::Failed {
             // A subscription breaks for all proxies at once: each renews it at a drawn time. While calls
             // keep failing the span grows, but when the service can be reached again is not told.
-            let span = self.turns().saturating_mul(1 << self.failures.min(6)).min(AGAIN).max(self.tick);
+            let span = self
+                .turns()
+                .saturating_mul(1 << self.failures.min(6))
+                .min(AGAIN)
+                .max(self.tick);
             self.subscribe_at = Some(now + self.rng.within(span));
             self.failures += 1;
             return;
@@ -259,7 +272,12 @@
         if kind != ListKind::Changes {
             let named: BTreeSet<&MemberId> = entries.iter().map(|e| &e.member).collect();
             let left_out = |(id, _): &(&MemberId, &usize)| binds && !named.contains(*id);
-            let left_out: Vec<usize> = self.index.iter().filter(left_out).map(|(_, m)| *m).collect();
+            let left_out: Vec<usize> = self
+                .index
+                .iter()
+                .filter(left_out)
+                .map(|(_, m)| *m)
+                .collect();
             left_out.into_iter().for_each(|m| self.unlist(now, m));
         }
         for e in entries {
@@ -312,13 +330,24 @@
     fn forget_gone(&mut self, now: Time) {
         // One that the list leaves out for a moment comes back as it was.
         let is_long_gone = |(left, _): &&(Time, usize)| now > *left + self.set.rules.warm_after;
-        let long_gone = self.unlisted.iter().take_while(is_long_gone).map(|(_, m)| *m);
-        let mut forgotten: Vec<usize> = long_gone.filter(|m| self.members[*m].out.is_empty()).collect();
+        let long_gone = self
+            .unlisted
+            .iter()
+            .take_while(is_long_gone)
+            .map(|(_, m)| *m);
+        let mut forgotten: Vec<usize> = long_gone
+            .filter(|m| self.members[*m].out.is_empty())
+            .collect();
         if forgotten.is_empty() {
             return;
         }
-        let used_by =
-            |p: &Pending| p.tried.iter().copied().chain(p.ran.iter().map(|r| r.1)).collect::<Vec<_>>();
+        let used_by = |p: &Pending| {
+            p.tried
+                .iter()
+                .copied()
+                .chain(p.ran.iter().map(|r| r.1))
+                .collect::<Vec<_>>()
+        };
         let used: BTreeSet<usize> = self.pending.values().flat_map(used_by).collect();
         forgotten.retain(|m| !used.contains(m));
         for m in forgotten {
@@ -347,13 +376,23 @@
         if m == self.members.len() {
             self.members.push(Member::default());
         }
-        self.members[m] = Member { id, group, zone, started, answered, picked, ..Member::default() };
+        self.members[m] = Member {
+            id,
+            group,
+            zone,
+            started,
+            answered,
+            picked,
+            ..Member::default()
+        };
         self.unlisted.insert((self.members[m].left, m));
         self.index.insert(e.member.clone(), m);
         let members = &self.members;
         let group = self.groups.entry(e.group).or_default();
         group.members.push(m);
-        group.members.sort_by(|&a, &b| members[a].id.cmp(&members[b].id));
+        group
+            .members
+            .sort_by(|&a, &b| members[a].id.cmp(&members[b].id));
         m
     }
 
@@ -391,25 +430,38 @@
         let (x, tau) = (&self.members[m], self.tau(now, w));
         // One that another, sent a shortest aim later, has overtaken does not queue: its work is long, or its
         // answer is lost. Over a shorter time, members with several cores overtake by chance.
-        let counts = |a: &&Attempt| w == 0 || a.sent.saturating_add(self.min_aim as Span) >= x.overtaking;
+        let counts =
+            |a: &&Attempt| w == 0 || a.sent.saturating_add(self.min_aim as Span) >= x.overtaking;
         let aim = |a: &Attempt| if w == 0 { a.aim } else { self.min_aim };
         let age = |a: &Attempt| now.saturating_sub(a.sent) as f64 / aim(a);
         let age: f64 = x.out.iter().filter(counts).map(age).sum();
         // The prior: one sample of the group, or of the pool of its role as far as that has any news.
-        let (o, e) = if w == 0 { (self.group_factor(now, x.group), PRIOR) } else { self.pooled(now, m) };
+        let (o, e) = if w == 0 {
+            (self.group_factor(now, x.group), PRIOR)
+        } else {
+            self.pooled(now, m)
+        };
         let (sum, n) = x.latency[w].now(now, tau);
         (sum + age + o) / (n + e)
     }
 
     fn leads(&self, m: usize) -> usize {
-        usize::from(self.groups.get(&self.members[m].group).is_some_and(|g| g.primary == Some(m)))
+        usize::from(
+            self.groups
+                .get(&self.members[m].group)
+                .is_some_and(|g| g.primary == Some(m)),
+        )
     }
 
     fn pooled(&self, now: Time, m: usize) -> (f64, f64) {
         let (role, group) = (self.leads(m), &self.groups[&self.members[m].group]);
         let (sum, n) = self.pool[role].now(now, self.tau(now, 2));
         let (mut o, mut e) = (sum / n.max(1.0), n.clamp(0.2, 1.0));
-        for &i in group.members.iter().filter(|&&i| i != m && self.leads(i) == role) {
+        for &i in group
+            .members
+            .iter()
+            .filter(|&&i| i != m && self.leads(i) == role)
+        {
             let (sum, n) = self.members[i].latency[1].now(now, self.tau(now, 1));
             (o, e) = (o + sum, e + n);
         }
@@ -439,7 +491,8 @@
         // restart seconds later, when all proxies together have long pushed the cold one over. A moment out
         // of reach tells nothing: the usual lag is longer, and a warm member taken for a cold one is lost.
         let gone = now.saturating_sub(x.away_since);
-        let behind = gone > self.max_aim as Span && x.position.unwrap_or(0).saturating_add(gone / 2) < now;
+        let behind =
+            gone > self.max_aim as Span && x.position.unwrap_or(0).saturating_add(gone / 2) < now;
         if x.away > 0 && behind && x.role != Some(Role::Primary) {
             x.started = x.started.max(now);
         }
@@ -524,11 +577,15 @@
     fn lead(&self, now: Time, group: u32) -> Option<usize> {
         let g = self.groups.get(&group)?;
         let named = |m: &usize| self.members[*m].listed_primary && self.members[*m].role.is_none();
-        let m = g.primary.or_else(|| g.members.iter().copied().find(named))?;
+        let m = g
+            .primary
+            .or_else(|| g.members.iter().copied().find(named))?;
         let x = &self.members[m];
         let rules = &self.set.rules;
         let drain_limit = rules.drain_cutoff().min(rules.drain_grace / 2);
-        let staying = x.leaving.is_none_or(|t| now < t.saturating_add(drain_limit));
+        let staying = x
+            .leaving
+            .is_none_or(|t| now < t.saturating_add(drain_limit));
         (x.listed && staying).then_some(m)
     }
 
@@ -550,7 +607,9 @@
             let x = &self.members[m];
             x.away > 1 || self.groups[&group].primary.is_none() && tried(m)
         });
-        let lead = self.lead_open(now, group, p).filter(|m| !lost || !tried(*m));
+        let lead = self
+            .lead_open(now, group, p)
+            .filter(|m| !lost || !tried(*m));
         // A read that must be current may look, too, where members turn away what they are behind for: with
         // little traffic the next write may be seconds away.
         let checked = self.set.guard == Guard::Refuse || self.class(p).need == Need::Write;
@@ -566,12 +625,19 @@
         if now < g.scout_at {
             return None;
         }
-        let pick = |m: &&usize| Some(**m) != g.primary && !g.scouted.contains(*m) && self.ready(now, **m, p);
+        let pick = |m: &&usize| {
+            Some(**m) != g.primary && !g.scouted.contains(*m) && self.ready(now, **m, p)
+        };
         let rank = |m: &&usize| {
             let x = &self.members[**m];
             (x.listed_primary, x.position, std::cmp::Reverse(&x.id))
         };
-        let best = g.members.iter().filter(pick).max_by(|a, b| rank(a).cmp(&rank(b))).copied();
+        let best = g
+            .members
+            .iter()
+            .filter(pick)
+            .max_by(|a, b| rank(a).cmp(&rank(b)))
+            .copied();
         let pause = (self.max_aim / 4.0) as Span;
         let g = self.groups.get_mut(&group)?;
         g.scout_at = now + pause;
@@ -588,17 +654,30 @@
     /// to a cold one: what it turns away counts as pushing, too.
     fn look(&mut self, now: Time, p: &Pending) -> Option<usize> {
         let group = p.req.group;
-        let bound =
-            self.min_bound.filter(|_| self.set.reports == ReportSource::Silent && self.set.positions)?;
+        let bound = self
+            .min_bound
+            .filter(|_| self.set.reports == ReportSource::Silent && self.set.positions)?;
         let lead = self.lead(now, group)?;
         let stale = |m: &&usize| {
             let x = &self.members[**m];
             let awake = x.out.is_empty() || now < x.answered + bound;
-            let old = x.looked.max(x.position.unwrap_or(0)).saturating_add(bound / 2) < now;
-            **m != lead && awake && old && self.cold_share(now, **m) >= 1.0 && self.ready(now, **m, p)
+            let old = x
+                .looked
+                .max(x.position.unwrap_or(0))
+                .saturating_add(bound / 2)
+                < now;
+            **m != lead
+                && awake
+                && old
+                && self.cold_share(now, **m) >= 1.0
+                && self.ready(now, **m, p)
         };
         let members = &self.groups.get(&group)?.members;
-        let m = members.iter().filter(stale).min_by_key(|m| self.members[**m].position).copied()?;
+        let m = members
+            .iter()
+            .filter(stale)
+            .min_by_key(|m| self.members[**m].position)
+            .copied()?;
         self.members[m].looked = now;
         Some(m)
     }
@@ -628,7 +707,11 @@
         let g = self.groups.get(&p.req.group)?;
         let mut fit: Vec<(f64, usize)> = Vec::new();
         let mut trial = None;
-        for &m in g.members.iter().filter(|m| !p.tried.contains(m) && self.open(now, **m)) {
+        for &m in g
+            .members
+            .iter()
+            .filter(|m| !p.tried.contains(m) && self.open(now, **m))
+        {
             let x = &self.members[m];
             if Some(m) != lead && !self.fit(now, m, p) {
                 continue;
@@ -654,8 +737,14 @@
             return Some(m);
         }
         let best = best?;
-        let within = |(i, f): &(usize, &(f64, usize))| f.0 <= if *i < 2 { FAR } else { BAND } * best;
-        let mut band: Vec<usize> = fit.iter().enumerate().filter(within).map(|(_, f)| f.1).collect();
+        let within =
+            |(i, f): &(usize, &(f64, usize))| f.0 <= if *i < 2 { FAR } else { BAND } * best;
+        let mut band: Vec<usize> = fit
+            .iter()
+            .enumerate()
+            .filter(within)
+            .map(|(_, f)| f.1)
+            .collect();
         // A cold member's turn passes whether it takes the request or not.
         band.sort_by(|&a, &b| self.members[a].picked.total_cmp(&self.members[b].picked));
         let taker = band.iter().position(|&m| self.admits(now, m, p));
@@ -666,7 +755,11 @@
         // With the band too cold for it a read goes on to a dearer member, but not to one that hangs while
         // the primary does not: such a one is the spare of every proxy.
         let dear = primary.map_or(f64::INFINITY, |m| FAR * self.cost(now, m, 0));
-        let spare = || fit.iter().find(|f| f.0 <= dear && self.admits(now, f.1, p)).map(|f| f.1);
+        let spare = || {
+            fit.iter()
+                .find(|f| f.0 <= dear && self.admits(now, f.1, p))
+                .map(|f| f.1)
+        };
         taker.map(|i| band[i]).or_else(spare).or(primary)
     }
 
@@ -675,7 +768,11 @@
     fn on_request(&mut self, now: Time, req: Request, out: &mut Vec<Action>) {
         let id = req.id;
         let Some(class) = self.set.classes.get(req.class as usize) else {
-            out.push(Action::Refuse { request: id, cause: Cause::Class, retry_after: None });
+            out.push(Action::Refuse {
+                request: id,
+                cause: Cause::Class,
+                retry_after: None,
+            });
             return;
         };
         let stretch = req.work.map_or(0.0, |w| w as f64 * class.aim_stretch) as Span;
@@ -683,8 +780,14 @@
         let token = if self.set.tokens_carried {
             req.since_write.map(|ago| now.saturating_sub(ago))
         } else {
-            let known = req.session.as_ref().and_then(|s| self.sessions.get(s)).copied();
-            known.max(self.token_floor).max(self.is_writing(now, &req).then_some(now))
+            let known = req
+                .session
+                .as_ref()
+                .and_then(|s| self.sessions.get(s))
+                .copied();
+            known
+                .max(self.token_floor)
+                .max(self.is_writing(now, &req).then_some(now))
         };
         let over_share = self.over_share(now, &req);
         self.pace.add(now, PACE * self.max_aim, 1.0);
@@ -712,10 +815,13 @@
     /// Whether the request lies beyond its tenant's share, as far as this proxy's part of it tells.
     fn over_share(&mut self, now: Time, req: &Request) -> bool {
         let i = req.tenant.map_or(usize::MAX, |t| t as usize);
-        let Some(quota) = self.set.tenants.get(i).map(|t| t.quota) else { return false };
+        let Some(quota) = self.set.tenants.get(i).map(|t| t.quota) else {
+            return false;
+        };
         let tau = 4.0 * self.max_aim;
         self.tenants[i].add(now, tau, if req.is_retry { 0.0 } else { 1.0 });
-        let rate = self.tenants[i].now(now, tau).0 / (tau / 1e9) * f64::from(self.set.proxies.max(1));
+        let rate =
+            self.tenants[i].now(now, tau).0 / (tau / 1e9) * f64::from(self.set.proxies.max(1));
         self.rng.draw() < 1.0 - quota / rate
     }
 
@@ -723,12 +829,20 @@
     fn place(&mut self, now: Time, id: RequestId, mut p: Pending, out: &mut Vec<Action>) {
         let (class, group) = (self.class(&p).clone(), p.req.group);
         // Too late to be worth anything: answered at once.
-        let end = if class.late_worth > 0.0 { p.deadline } else { p.aim_end };
+        let end = if class.late_worth > 0.0 {
+            p.deadline
+        } else {
+            p.aim_end
+        };
         let takes = p.aim as f64 * self.group_factor(now, group).min(0.5);
         let late = now + self.tick.max(takes as Span) >= end;
         let spent = p.sent >= self.set.limits.max_attempts;
         let known = self.groups.contains_key(&group);
-        let ends = [(!known, Cause::Group), (late, Cause::Late), (spent, Cause::Attempts)];
+        let ends = [
+            (!known, Cause::Group),
+            (late, Cause::Late),
+            (spent, Cause::Attempts),
+        ];
         if let Some((_, cause)) = ends.into_iter().find(|e| e.0) {
             return self.give_up(p, cause, out);
         }
@@ -737,7 +851,11 @@
         if let Some(m) = if look { self.look(now, &p) } else { None } {
             return self.send(now, id, m, p, out);
         }
-        let target = if to_lead { self.pick_lead(now, &p) } else { self.pick_read(now, &p) };
+        let target = if to_lead {
+            self.pick_lead(now, &p)
+        } else {
+            self.pick_read(now, &p)
+        };
         let Some(m) = target else {
             // Nobody to send it to before half of its time is over: better known now than then.
             if p.sent == 0 && !self.may_come(now, &p) {
@@ -776,7 +894,10 @@
     /// Whether any member of the group may be open within the first half of the request's time.
     fn may_come(&self, now: Time, p: &Pending) -> bool {
         let half = p.deadline.saturating_sub(p.req.time_left / 2).max(now);
-        let mut members = self.groups[&p.req.group].members.iter().map(|&m| &self.members[m]);
+        let mut members = self.groups[&p.req.group]
+            .members
+            .iter()
+            .map(|&m| &self.members[m]);
         members.any(|x| x.listed && x.leaving.is_none() && x.rest_until <= half)
     }
 
@@ -801,17 +922,34 @@
         let class = self.class(&p);
         let write = class.need == Need::Write;
         // The attempt may have to wait for a connection: the window holds for when it is written, too.
-        let first = p.ran.iter().map(|r| r.2).min().filter(|_| class.repeat != Repeat::Safe);
+        let first = p
+            .ran
+            .iter()
+            .map(|r| r.2)
+            .min()
+            .filter(|_| class.repeat != Repeat::Safe);
         let by = first.map(|at| at.saturating_add(class.window));
         let x = &mut self.members[m];
         let session = p.req.session.clone().filter(|_| write);
-        x.out.push(Attempt { request: id, number: p.sent, sent: now, aim: p.aim as f64, write, session });
+        x.out.push(Attempt {
+            request: id,
+            number: p.sent,
+            sent: now,
+            aim: p.aim as f64,
+            write,
+            session,
+        });
         p.ran.push((p.sent, m, now));
         p.tried.push(m);
         p.sent += 1;
         p.out += 1;
         p.held = false;
-        out.push(Action::Send { request: id, member: x.id.clone(), limit: None, by });
+        out.push(Action::Send {
+            request: id,
+            member: x.id.clone(),
+            limit: None,
+            by,
+        });
         self.pending.insert(id, p);
     }
 
@@ -819,12 +957,17 @@
     fn give_up(&mut self, p: Pending, cause: Cause, out: &mut Vec<Action>) {
         let request = p.req.id;
         let repeat = self.class(&p).repeat;
-        let harmless = p.ran.is_empty() || matches!(repeat, Repeat::Safe | Repeat::Keyed(Scope::All));
+        let harmless =
+            p.ran.is_empty() || matches!(repeat, Repeat::Safe | Repeat::Keyed(Scope::All));
         if harmless {
             let longest = self.set.limits.max_retry_advice as f64;
             let advice = (longest * (0.5 + self.rng.draw() / 2.0)) as Span;
             let retry_after = self.set.limits.retry_advice.then_some(advice);
-            out.push(Action::Refuse { request, cause, retry_after });
+            out.push(Action::Refuse {
+                request,
+                cause,
+                retry_after,
+            });
         } else {
             out.push(Action::Fail { request, cause });
         }
@@ -834,7 +977,9 @@
 
     /// The request is over: what is still out for it is called off.
     fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(p) = self.pending.remove(&id) else { return };
+        let Some(p) = self.pending.remove(&id) else {
+            return;
+        };
         if let Some(g) = self.groups.get_mut(&p.req.group).filter(|_| p.held) {
             g.held.retain(|h| *h != id);
             if g.held.is_empty() {
@@ -843,19 +988,33 @@
         }
         if p.out > 0 && self.set.limits.cancel {
             for (attempt, m, _) in p.ran {
-                if self.members[m].out.iter().any(|a| a.request == id && a.number == attempt) {
-                    out.push(Action::Cancel { request: id, attempt });
+                if self.members[m]
+                    .out
+                    .iter()
+                    .any(|a| a.request == id && a.number == attempt)
+                {
+                    out.push(Action::Cancel {
+                        request: id,
+                        attempt,
+                    });
                 }
             }
         }
     }
 
     fn on_outcome(&mut self, now: Time, o: Outcome, out: &mut Vec<Action>) {
-        let Some(&m) = self.index.get(&o.member) else { return };
+        let Some(&m) = self.index.get(&o.member) else {
+            return;
+        };
         let x = &mut self.members[m];
         let group = x.group;
-        let spot = x.out.iter().position(|a| a.request == o.request && a.number == o.attempt);
-        let Some(attempt) = spot.map(|i| x.out.swap_remove(i)) else { return };
+        let spot = x
+            .out
+            .iter()
+            .position(|a| a.request == o.request && a.number == o.attempt);
+        let Some(attempt) = spot.map(|i| x.out.swap_remove(i)) else {
+            return;
+        };
         self.judge(now, m, &attempt, &o);
         if attempt.write && !o.ending.never_ran() {
             // One that may have run binds its session, too; all that is known of its place: before now.
@@ -881,7 +1040,8 @@
 
     /// A write of the request's session is out for so long that its answer may have been lost.
     fn is_writing(&self, now: Time, req: &Request) -> bool {
-        let own = |a: &Attempt| a.session.is_some() && a.session == req.session && a.sent + HEARD <= now;
+        let own =
+            |a: &Attempt| a.session.is_some() && a.session == req.session && a.sent + HEARD <= now;
         let members = self.groups.get(&req.group).map_or(&[][..], |g| &g.members);
         members.iter().any(|&m| self.members[m].out.iter().any(own))
     }
@@ -928,7 +1088,9 @@
                 x.rest_until = now + (self.tick << x.fulls) / 2;
                 self.crowded(now, m, FAR * a.aim, false);
             }
-            Ending::Error if a.write && standing.role == Some(Role::Replica) => self.answered(now, m),
+            Ending::Error if a.write && standing.role == Some(Role::Replica) => {
+                self.answered(now, m)
+            }
             Ending::Error | Ending::Spoilt => {
                 // A quick error must not look cheap: it counts as an answer far beyond the aim.
                 self.answered(now, m);
@@ -955,7 +1117,10 @@
                 let group = x.group;
                 x.away_since = if x.away == 0 { now } else { x.away_since };
                 x.away = (x.away + 1).min(8);
-                let alone = !self.groups[&group].members.iter().any(|&i| i != m && self.open(now, i));
+                let alone = !self.groups[&group]
+                    .members
+                    .iter()
+                    .any(|&i| i != m && self.open(now, i));
                 // With the whole group out of reach a failed connect costs little, and a long rest much.
                 let longest = if alone { self.max_aim } else { TRIAL as f64 };
                 let x = &mut self.members[m];
@@ -967,9 +1132,19 @@
     }
 
     /// An attempt has failed and no other is out: another one, or the final answer.
-    fn again(&mut self, now: Time, id: RequestId, mut p: Pending, ending: Ending, out: &mut Vec<Action>) {
+    fn again(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        mut p: Pending,
+        ending: Ending,
+        out: &mut Vec<Action>,
+    ) {
         if ending == Ending::Rejected {
-            out.push(Action::Fail { request: id, cause: Cause::Unfit });
+            out.push(Action::Fail {
+                request: id,
+                cause: Cause::Unfit,
+            });
             self.pending.insert(id, p);
             return self.close(id, out);
         }
@@ -984,8 +1159,14 @@
         }
         // What never ran cost nothing; other further attempts share one small budget, so that retries
         // can't feed an overload.
-        let price =
-            if matches!(ending, Ending::Miss | Ending::ConnectFailed | Ending::Unsent) { 0.0 } else { 1.0 };
+        let price = if matches!(
+            ending,
+            Ending::Miss | Ending::ConnectFailed | Ending::Unsent
+        ) {
+            0.0
+        } else {
+            1.0
+        };
         if !allowed || self.budget < price || ending == Ending::Moot {
             let cause = match ending {
                 Ending::Moot => Cause::Late,
@@ -1000,7 +1181,11 @@
         if ending == Ending::Full {
             p.luck = 2.0 * p.luck.max(0.5);
         }
-        if let Some(g) = self.groups.get_mut(&p.req.group).filter(|g| g.primary.is_none()) {
+        if let Some(g) = self
+            .groups
+            .get_mut(&p.req.group)
+            .filter(|g| g.primary.is_none())
+        {
             g.scout_at = now;
         }
         self.place(now, id, p, out);
@@ -1008,7 +1193,9 @@
 
     /// Held requests of a group get another look, in order of arrival.
     fn release(&mut self, now: Time, group: u32, out: &mut Vec<Action>) {
-        let Some(g) = self.groups.get_mut(&group) else { return };
+        let Some(g) = self.groups.get_mut(&group) else {
+            return;
+        };
         self.holding.remove(&group);
         for id in std::mem::take(&mut g.held) {
             if let Some(p) = self.pending.remove(&id) {
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -223,7 +223,9 @@
         }
         let r = &self.rules;
         if !(r.cold_from > 0.0 && r.fall_multiple > 0.0) || r.fall == 0 || r.warm_after == 0 {
-            return bad("rules: cold_from, fall_multiple, fall and warm_after must be positive".into());
+            return bad(
+                "rules: cold_from, fall_multiple, fall and warm_after must be positive".into(),
+            );
         }
         if r.cold_from > 1.0 {
             return bad("rules: cold_from is a share of 1 at the most".into());
--- a/crates/routing/src/samples.rs
+++ b/crates/routing/src/samples.rs
@@ -21,7 +21,11 @@
     /// Takes one more sample.
     pub fn add(&mut self, now: Time, tau: f64, x: f64) {
         let (sum, n) = self.now(now, tau);
-        *self = Fading { sum: sum + x, n: n + 1.0, at: now };
+        *self = Fading {
+            sum: sum + x,
+            n: n + 1.0,
+            at: now,
+        };
     }
 }
 
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -92,9 +92,17 @@
     }
 
     pub fn seeded(set: Settings, seed: u64) -> Host {
-        let mut host = Host { brain: Brain::new(seed, set).unwrap(), now: T0, next: 1, timers: Vec::new() };
+        let mut host = Host {
+            brain: Brain::new(seed, set).unwrap(),
+            now: T0,
+            next: 1,
+            timers: Vec::new(),
+        };
         let entries = vec![entry("a", true), entry("b", false), entry("c", false)];
-        host.feed(Event::List { kind: ListKind::Remembered, entries });
+        host.feed(Event::List {
+            kind: ListKind::Remembered,
+            entries,
+        });
         host
     }
 
@@ -138,7 +146,14 @@
         (id, self.feed(Event::Request(req)))
     }
 
-    pub fn outcome(&mut self, id: RequestId, to: &str, n: u32, ending: Ending, s: Standing) -> Vec<Action> {
+    pub fn outcome(
+        &mut self,
+        id: RequestId,
+        to: &str,
+        n: u32,
+        ending: Ending,
+        s: Standing,
+    ) -> Vec<Action> {
         let o = Outcome {
             request: id,
             member: Arc::from(to),
@@ -162,7 +177,11 @@
                 out = self.outcome(id, &to, n, Ending::Miss, replica(position));
                 continue;
             }
-            let s = if to == "a" { primary(position) } else { replica(position) };
+            let s = if to == "a" {
+                primary(position)
+            } else {
+                replica(position)
+            };
             self.outcome(id, &to, n, Ending::Served, s);
             return to;
         }
@@ -178,15 +197,27 @@
 }
 
 pub fn primary(position: Time) -> Standing {
-    Standing { role: Some(Role::Primary), position: Some(position) }
+    Standing {
+        role: Some(Role::Primary),
+        position: Some(position),
+    }
 }
 
 pub fn replica(position: Time) -> Standing {
-    Standing { role: Some(Role::Replica), position: Some(position) }
+    Standing {
+        role: Some(Role::Replica),
+        position: Some(position),
+    }
 }
 
 pub fn sent(out: &[Action]) -> Option<&str> {
-    out.iter().find_map(|a| if let Action::Send { member, .. } = a { Some(&**member) } else { None })
+    out.iter().find_map(|a| {
+        if let Action::Send { member, .. } = a {
+            Some(&**member)
+        } else {
+            None
+        }
+    })
 }
 
 pub fn refused(out: &[Action]) -> bool {
--- a/crates/routing/tests/failures.rs
+++ b/crates/routing/tests/failures.rs
@@ -36,7 +36,11 @@
     h.warm_up();
     assert_eq!(h.serve(WRITE, h.now + 5 * MS), "a");
     let (id, out) = h.request(SESSION);
-    assert_eq!(sent(&out), Some("a"), "no replica is known to have the write");
+    assert_eq!(
+        sent(&out),
+        Some("a"),
+        "no replica is known to have the write"
+    );
     h.outcome(id, "a", 0, Ending::Served, primary(h.now));
 }
 
@@ -84,7 +88,11 @@
         if to == "b" {
             waiting.push(id);
         } else {
-            let s = if to == "a" { primary(h.now) } else { replica(h.now) };
+            let s = if to == "a" {
+                primary(h.now)
+            } else {
+                replica(h.now)
+            };
             h.outcome(id, &to, 0, Ending::Served, s);
         }
     }
@@ -98,7 +106,16 @@
     for request in waiting {
         let (standing, report) = (Standing::default(), Standing::default());
         let (member, ending, latency) = (Arc::from("b"), Ending::TimedOut, 2000 * MS);
-        let o = Outcome { request, member, attempt: 0, ending, standing, report, latency, closed: false };
+        let o = Outcome {
+            request,
+            member,
+            attempt: 0,
+            ending,
+            standing,
+            report,
+            latency,
+            closed: false,
+        };
         h.feed(Event::Outcome(o));
     }
     assert_ne!(h.serve(SESSION, h.now), "b", "a time-out is no good news");
@@ -106,7 +123,10 @@
         h.wait(100 * MS);
         h.serve(SESSION, h.now) == "b"
     });
-    assert!(back.is_some_and(|n| n > 2), "tried again after a while: {back:?}");
+    assert!(
+        back.is_some_and(|n| n > 2),
+        "tried again after a while: {back:?}"
+    );
 }
 
 #[test]
@@ -117,23 +137,36 @@
     for _ in 0..1500 {
         let (id, mut out) = h.request(SESSION);
         for n in 0.. {
-            let Some(to) = sent(&out).map(str::to_string) else { break };
+            let Some(to) = sent(&out).map(str::to_string) else {
+                break;
+            };
             if to == "b" {
                 tries.push(h.now);
                 out = h.outcome(id, "b", n, Ending::ConnectFailed, Standing::default());
                 // Its process may well answer a probe: its connection table is full.
                 let (member, report) = (Arc::from("b"), Standing::default());
-                out.extend(h.feed(Event::Probed { member, ending: Ending::Served, report }));
+                out.extend(h.feed(Event::Probed {
+                    member,
+                    ending: Ending::Served,
+                    report,
+                }));
                 continue;
             }
-            let s = if to == "a" { primary(h.now) } else { replica(h.now) };
+            let s = if to == "a" {
+                primary(h.now)
+            } else {
+                replica(h.now)
+            };
             h.outcome(id, &to, n, Ending::Served, s);
             break;
         }
         h.wait(10 * MS);
     }
     assert!(tries.len() < 12, "{} tries in fifteen seconds", tries.len());
-    assert!(tries.last().unwrap() > &(h.now - 9000 * MS), "never for ever");
+    assert!(
+        tries.last().unwrap() > &(h.now - 9000 * MS),
+        "never for ever"
+    );
     for _ in 0..1000 {
         h.serve(SESSION, h.now);
         h.wait(10 * MS);
@@ -157,13 +190,25 @@
             to_bad += 1;
             let out = h.outcome(id, "b", 0, Ending::Error, replica(h.now));
             if let Some(m) = sent(&out).map(str::to_string) {
-                let s = if m == "a" { primary(h.now) } else { replica(h.now) };
+                let s = if m == "a" {
+                    primary(h.now)
+                } else {
+                    replica(h.now)
+                };
                 h.outcome(id, &m, 1, Ending::Served, s);
             }
             let member: MemberId = Arc::from("b");
-            h.feed(Event::Probed { member, ending: Ending::Served, report: Standing::default() });
+            h.feed(Event::Probed {
+                member,
+                ending: Ending::Served,
+                report: Standing::default(),
+            });
         } else {
-            let s = if to == "a" { primary(h.now) } else { replica(h.now) };
+            let s = if to == "a" {
+                primary(h.now)
+            } else {
+                replica(h.now)
+            };
             h.outcome(id, &to, 0, Ending::Served, s);
         }
         if i % 4 == 0 {
@@ -190,7 +235,11 @@
     let (id, out) = h.request(KEYED);
     assert_eq!(sent(&out), Some("a"));
     let out = h.outcome(id, "a", 0, Ending::Error, primary(h.now));
-    assert_eq!(sent(&out), Some("a"), "the primary is the only one to take it");
+    assert_eq!(
+        sent(&out),
+        Some("a"),
+        "the primary is the only one to take it"
+    );
 }
 
 #[test]
@@ -200,15 +249,20 @@
     let (id, out) = h.request(WRITE);
     assert_eq!(sent(&out), Some("a"));
     let out = h.outcome(id, "a", 0, Ending::ConnectFailed, Standing::default());
-    assert!(!refused(&out) && !failed(&out), "it never ran and has time left");
+    assert!(
+        !refused(&out) && !failed(&out),
+        "it never ran and has time left"
+    );
     // A read shows who leads now.
     let (read, out) = h.request(SESSION);
     let to = sent(&out).unwrap().to_string();
     let mut moved = h.outcome(read, &to, 0, Ending::Served, primary(h.now));
     moved.extend(h.wait(60 * MS));
-    let to_new =
-        |a: &Action| matches!(a, Action::Send { request, member, .. } if *request == id && **member == *to);
-    assert!(moved.iter().any(to_new) || sent(&out) == Some(&*to), "{moved:?}");
+    let to_new = |a: &Action| matches!(a, Action::Send { request, member, .. } if *request == id && **member == *to);
+    assert!(
+        moved.iter().any(to_new) || sent(&out) == Some(&*to),
+        "{moved:?}"
+    );
 }
 
 #[test]
@@ -229,10 +283,16 @@
     h.warm_up();
     let mut e = entry("b", false);
     e.state = State::Draining;
-    h.feed(Event::List { kind: ListKind::Changes, entries: vec![e] });
+    h.feed(Event::List {
+        kind: ListKind::Changes,
+        entries: vec![e],
+    });
     let mut p = entry("a", true);
     p.state = State::Draining;
-    h.feed(Event::List { kind: ListKind::Changes, entries: vec![p] });
+    h.feed(Event::List {
+        kind: ListKind::Changes,
+        entries: vec![p],
+    });
     h.wait(1000 * MS);
     for class in [BOUNDED, SESSION, WRITE, FRESH, KEYED] {
         let (_, out) = h.request(class);
@@ -252,7 +312,10 @@
         h.warm_up();
         let mut primary = entry("a", true);
         primary.state = State::Draining;
-        h.feed(Event::List { kind: ListKind::Changes, entries: vec![primary] });
+        h.feed(Event::List {
+            kind: ListKind::Changes,
+            entries: vec![primary],
+        });
         if stop > 0 {
             h.wait((stop - 1) * MS);
             assert_eq!(sent(&h.request(WRITE).1), Some("a"), "grace {grace} ms");
@@ -268,7 +331,10 @@
     h.warm_up();
     let mut e = entry("c", false);
     e.started = h.now;
-    h.feed(Event::List { kind: ListKind::Changes, entries: vec![e] });
+    h.feed(Event::List {
+        kind: ListKind::Changes,
+        entries: vec![e],
+    });
     let (mut cold, mut warm) = (0, 0);
     for _ in 0..200 {
         match &*h.serve(SESSION, h.now) {
@@ -305,8 +371,14 @@
     for seed in 0..20 {
         let mut h = Host::seeded(set.clone(), seed);
         h.wait(1000 * MS);
-        h.feed(Event::List { kind: ListKind::Whole, entries: vec![entry("a", true)] });
-        h.feed(Event::List { kind: ListKind::Failed, entries: Vec::new() });
+        h.feed(Event::List {
+            kind: ListKind::Whole,
+            entries: vec![entry("a", true)],
+        });
+        h.feed(Event::List {
+            kind: ListKind::Failed,
+            entries: Vec::new(),
+        });
         let soon = (0..100).find(|_| h.wait(MS).contains(&Action::Subscribe));
         at.insert(soon.expect("within three ticks"));
     }
@@ -320,7 +392,10 @@
     let mut refused = 0;
     for _ in 0..400 {
         for a in h.request(SESSION).1 {
-            if let Action::Refuse { cause, retry_after, .. } = a {
+            if let Action::Refuse {
+                cause, retry_after, ..
+            } = a
+            {
                 assert_eq!((cause, retry_after.is_some()), (Cause::Crowded, true));
                 refused += 1;
             }
@@ -339,8 +414,14 @@
     assert_eq!(sent(&out), Some("a"));
     h.outcome(id, "a", 0, Ending::Miss, replica(h.now - 900 * MS));
     h.wait(6000 * MS);
-    h.feed(Event::List { kind: ListKind::Changes, entries: vec![entry("a", false)] });
-    h.feed(Event::List { kind: ListKind::Changes, entries: vec![entry("a", true)] });
+    h.feed(Event::List {
+        kind: ListKind::Changes,
+        entries: vec![entry("a", false)],
+    });
+    h.feed(Event::List {
+        kind: ListKind::Changes,
+        entries: vec![entry("a", true)],
+    });
     let (_, out) = h.request(BOUNDED);
     assert_ne!(sent(&out), Some("a"), "it may be stale");
 }
@@ -349,7 +430,13 @@
 fn contradicting_settings_are_named() {
     let mut set = settings();
     set.classes[1].aim = set.classes[1].deadline + 1;
-    assert!(Brain::new(1, set).err().unwrap().to_string().contains("classes[1]"));
+    assert!(
+        Brain::new(1, set)
+            .err()
+            .unwrap()
+            .to_string()
+            .contains("classes[1]")
+    );
     let mut set = settings();
     set.classes.clear();
     assert!(Brain::new(1, set).is_err());
@@ -372,7 +459,11 @@
     h.feed(Event::ClientLeft { request: id });
     h.outcome(id, "a", 0, Ending::Served, primary(h.now + 5 * MS));
     let (_, out) = h.request(SESSION);
-    assert_eq!(sent(&out), Some("a"), "no replica is known to have the write");
+    assert_eq!(
+        sent(&out),
+        Some("a"),
+        "no replica is known to have the write"
+    );
 }
 
 #[test]
@@ -454,10 +545,18 @@
         for n in 0..copies {
             let to = sent(&out).unwrap().to_string();
             h.wait(100 * MS);
-            let standing = if to == "a" { primary(h.now) } else { replica(h.now) };
+            let standing = if to == "a" {
+                primary(h.now)
+            } else {
+                replica(h.now)
+            };
             out = h.outcome(id, &to, n, Ending::Reset, standing);
             out.extend(h.wait(300 * MS));
-            assert_eq!(by(&out), Some(is_bound.then_some(first + 3000 * MS)), "{class} {n}");
+            assert_eq!(
+                by(&out),
+                Some(is_bound.then_some(first + 3000 * MS)),
+                "{class} {n}"
+            );
         }
     }
 }
@@ -503,7 +602,9 @@
     let other = sent(&out).unwrap().to_string();
     h.outcome(id, &other, 1, Ending::Served, replica(h.now));
     h.wait(350 * MS);
-    let got: Vec<String> = (0..24).map(|_| h.serve(SESSION, h.now - 200 * MS)).collect();
+    let got: Vec<String> = (0..24)
+        .map(|_| h.serve(SESSION, h.now - 200 * MS))
+        .collect();
     assert_eq!(got.iter().filter(|m| **m == to).count(), 12, "{got:?}");
 }
 
@@ -516,8 +617,14 @@
     let (id, out) = h.request(BOUNDED);
     let to = sent(&out).unwrap().to_string();
     let change = |name: &str, state| {
-        let entries = vec![Entry { state, ..entry(name, false) }];
-        Event::List { kind: ListKind::Changes, entries }
+        let entries = vec![Entry {
+            state,
+            ..entry(name, false)
+        }];
+        Event::List {
+            kind: ListKind::Changes,
+            entries,
+        }
     };
     h.feed(change(&to, State::Gone));
     assert_eq!(h.brain.known(), 3);
@@ -531,7 +638,10 @@
         h.feed(change(&format!("n{n}"), State::Gone));
     }
     h.wait(10_001 * MS);
-    h.feed(Event::List { kind: ListKind::Changes, entries: Vec::new() });
+    h.feed(Event::List {
+        kind: ListKind::Changes,
+        entries: Vec::new(),
+    });
     assert_eq!(h.brain.known(), 2);
     assert!((0..4).all(|_| ["a", &other].contains(&&*h.serve(SESSION, h.now))));
 }
@@ -565,10 +675,21 @@
     // No member can be reached: whatever is sent comes back at once.
     let mut lose = |h: &mut Host, mut out: Vec<Action>| {
         while let Some(action) = out.pop() {
-            let Action::Send { request, member, .. } = action else { continue };
+            let Action::Send {
+                request, member, ..
+            } = action
+            else {
+                continue;
+            };
             let n = sends.entry(request).or_insert(0);
             *n += 1;
-            out.extend(h.outcome(request, &member, *n - 1, Ending::ConnectFailed, Standing::default()));
+            out.extend(h.outcome(
+                request,
+                &member,
+                *n - 1,
+                Ending::ConnectFailed,
+                Standing::default(),
+            ));
         }
     };
     for _ in 0..200 {
@@ -582,7 +703,17 @@
         h.next += 1;
         let (session, since_write, tenant, work) = (None, None, None, None);
         let (group, is_retry) = (1, false);
-        let req = Request { id, class, group, session, since_write, tenant, work, is_retry, time_left };
+        let req = Request {
+            id,
+            class,
+            group,
+            session,
+            since_write,
+            tenant,
+            work,
+            is_retry,
+            time_left,
+        };
         h.feed(Event::Request(req))
     };
     for _ in 0..2 {
@@ -594,22 +725,35 @@
     assert!(refused(&short(&mut h)), "at once");
     let mut e = entry("b", false);
     e.started = h.now - 10_000 * MS;
-    h.feed(Event::List { kind: ListKind::Changes, entries: vec![e] });
+    h.feed(Event::List {
+        kind: ListKind::Changes,
+        entries: vec![e],
+    });
     let mut seen = Vec::new();
     for _ in 0..12 {
         seen.extend(sent(&short(&mut h)).map(str::to_string));
     }
-    assert!(seen.iter().all(|m| m == "b") && !seen.is_empty(), "it has started again, and is cold: {seen:?}");
+    assert!(
+        seen.iter().all(|m| m == "b") && !seen.is_empty(),
+        "it has started again, and is cold: {seen:?}"
+    );
     h.wait(600 * MS);
-    let again = (0..12).filter_map(|_| sent(&short(&mut h)).map(str::to_string)).any(|m| m != "b");
-    assert!(again, "the last one to go rests for one and a half longest aims at most");
+    let again = (0..12)
+        .filter_map(|_| sent(&short(&mut h)).map(str::to_string))
+        .any(|m| m != "b");
+    assert!(
+        again,
+        "the last one to go rests for one and a half longest aims at most"
+    );
 }
 
 #[test]
 fn what_is_given_up_names_its_cause() {
     let cause = |out: &[Action], id: RequestId| {
         out.iter().find_map(|a| match a {
-            Action::Refuse { request, cause, .. } | Action::Fail { request, cause } if *request == id => {
+            Action::Refuse { request, cause, .. } | Action::Fail { request, cause }
+                if *request == id =>
+            {
                 Some(*cause)
             }
             _ => None,
@@ -634,7 +778,9 @@
     let mut out = out;
     let mut last = None;
     for n in 0.. {
-        let Some(to) = sent(&out).map(str::to_string) else { break };
+        let Some(to) = sent(&out).map(str::to_string) else {
+            break;
+        };
         out = h.outcome(id, &to, n, Ending::Reset, Standing::default());
         last = cause(&out, id).or(last);
     }
@@ -651,7 +797,10 @@
         e.state = State::Gone;
         gone.push(e);
     }
-    h.feed(Event::List { kind: ListKind::Changes, entries: gone });
+    h.feed(Event::List {
+        kind: ListKind::Changes,
+        entries: gone,
+    });
     let (id, out) = h.request(SESSION);
     assert_eq!(cause(&out, id), Some(Cause::Nobody));
 }
@@ -687,13 +836,20 @@
         }
         let mut cold = entry("b", false);
         cold.started = h.now;
-        h.feed(Event::List { kind: ListKind::Changes, entries: vec![cold] });
+        h.feed(Event::List {
+            kind: ListKind::Changes,
+            entries: vec![cold],
+        });
         for _ in 0..20 {
             let (id, out) = h.request(SESSION);
             let to = sent(&out).unwrap().to_string();
             to_hung += u32::from(to == "c");
             to_lead += u32::from(to == "a");
-            let s = if to == "a" { primary(h.now) } else { replica(h.now) };
+            let s = if to == "a" {
+                primary(h.now)
+            } else {
+                replica(h.now)
+            };
             h.outcome(id, &to, 0, Ending::Served, s);
         }
     }
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -19,7 +19,10 @@
         e.started = if cold.contains(id) { since } else { 0 };
         e
     };
-    Event::List { kind: ListKind::Whole, entries: MEMBERS.iter().map(one).collect() }
+    Event::List {
+        kind: ListKind::Whole,
+        entries: MEMBERS.iter().map(one).collect(),
+    }
 }
 
 /// A plain linear congruence: the same days for the same seed.
@@ -27,14 +30,21 @@
 
 impl Draws {
     fn next(&mut self) -> f64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) as f64 / (1u64 << 31) as f64
     }
 }
 
 /// What a cold endpoint bears where the settings allow it `allowed` requests.
 fn allowance(allowed: f64) -> f64 {
-    if allowed < 30.0 { allowed + 3.0 * allowed.sqrt() + 3.0 } else { allowed + 2.0 * allowed.sqrt() + 2.0 }
+    if allowed < 30.0 {
+        allowed + 3.0 * allowed.sqrt() + 3.0
+    } else {
+        allowed + 2.0 * allowed.sqrt() + 2.0
+    }
 }
 
 /// Traffic on a fleet.
@@ -68,7 +78,9 @@
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             match action {
-                Action::Send { request, member, .. } => actions.extend(self.answer(router, request, &member)),
+                Action::Send {
+                    request, member, ..
+                } => actions.extend(self.answer(router, request, &member)),
                 Action::Refuse { request, .. } | Action::Fail { request, .. } => {
                     self.open.remove(&(router, request));
                 }
@@ -78,7 +90,9 @@
     }
 
     fn answer(&mut self, router: usize, request: RequestId, to: &str) -> Vec<Action> {
-        let Some((class, attempts)) = self.open.get_mut(&(router, request)) else { return Vec::new() };
+        let Some((class, attempts)) = self.open.get_mut(&(router, request)) else {
+            return Vec::new();
+        };
         let (class, attempt) = (*class, *attempts);
         *attempts += 1;
         let host = &mut self.hosts[router];
@@ -119,7 +133,11 @@
         let host = &mut self.hosts[router];
         let actions = host.wait(now.saturating_sub(host.now));
         self.carry_out(router, actions);
-        let class = if self.draws.next() < self.load.writes { KEYED } else { SESSION };
+        let class = if self.draws.next() < self.load.writes {
+            KEYED
+        } else {
+            SESSION
+        };
         let (id, actions) = in_own_session(&mut self.hosts[router], class);
         self.open.insert((router, id), (class, 0));
         self.carry_out(router, actions);
@@ -149,7 +167,14 @@
 fn worst(hosts: &mut [Host], cold: &[&str], load: Load, seed: u64) -> f64 {
     let (rules, start) = (settings().rules, T0 + 1000 * MS);
     let sent_at = vec![Vec::new(); cold.len()];
-    let mut play = Play { hosts, cold, load, draws: Draws(seed), sent_at, open: BTreeMap::new() };
+    let mut play = Play {
+        hosts,
+        cold,
+        load,
+        draws: Draws(seed),
+        sent_at,
+        open: BTreeMap::new(),
+    };
     let mut now = start;
     while now < start + 12_000 * MS {
         now += (-play.draws.next().max(1e-9).ln() / (load.rate * load.capacity) * 1e9) as Time;
@@ -174,7 +199,9 @@
 fn fleet(n: u64, seed: u64) -> Vec<Host> {
     let mut set = settings();
     set.proxies = n as u32;
-    (0..n).map(|i| Host::seeded(set.clone(), seed * 7919 + i)).collect()
+    (0..n)
+        .map(|i| Host::seeded(set.clone(), seed * 7919 + i))
+        .collect()
 }
 
 /// A day on which some endpoints are cold.
@@ -190,11 +217,46 @@
 }
 
 const CASES: [Case; 8] = [
-    Case { name: "burst", cold: &["b"], rate: 1.5 * 4.0, rejected: 0.0, writes: 0.1, is_warm: true },
-    Case { name: "start of all", cold: &["b", "c"], rate: 3.0, rejected: 0.0, writes: 0.1, is_warm: false },
-    Case { name: "zone", cold: &["c", "d", "e"], rate: 3.0, rejected: 0.0, writes: 0.1, is_warm: true },
-    Case { name: "rejected", cold: &["b", "c"], rate: 4.0, rejected: 0.5, writes: 0.1, is_warm: true },
-    Case { name: "primary", cold: &["a"], rate: 4.0, rejected: 0.0, writes: 0.15, is_warm: true },
+    Case {
+        name: "burst",
+        cold: &["b"],
+        rate: 1.5 * 4.0,
+        rejected: 0.0,
+        writes: 0.1,
+        is_warm: true,
+    },
+    Case {
+        name: "start of all",
+        cold: &["b", "c"],
+        rate: 3.0,
+        rejected: 0.0,
+        writes: 0.1,
+        is_warm: false,
+    },
+    Case {
+        name: "zone",
+        cold: &["c", "d", "e"],
+        rate: 3.0,
+        rejected: 0.0,
+        writes: 0.1,
+        is_warm: true,
+    },
+    Case {
+        name: "rejected",
+        cold: &["b", "c"],
+        rate: 4.0,
+        rejected: 0.5,
+        writes: 0.1,
+        is_warm: true,
+    },
+    Case {
+        name: "primary",
+        cold: &["a"],
+        rate: 4.0,
+        rejected: 0.0,
+        writes: 0.15,
+        is_warm: true,
+    },
     Case {
         name: "primary, burst",
         cold: &["a"],
@@ -203,8 +265,22 @@
         writes: 0.15,
         is_warm: true,
     },
-    Case { name: "primary, rejected", cold: &["a"], rate: 4.0, rejected: 0.5, writes: 0.15, is_warm: true },
-    Case { name: "primary, full load", cold: &["a"], rate: 4.0, rejected: 0.0, writes: 0.25, is_warm: true },
+    Case {
+        name: "primary, rejected",
+        cold: &["a"],
+        rate: 4.0,
+        rejected: 0.5,
+        writes: 0.15,
+        is_warm: true,
+    },
+    Case {
+        name: "primary, full load",
+        cold: &["a"],
+        rate: 4.0,
+        rejected: 0.0,
+        writes: 0.25,
+        is_warm: true,
+    },
 ];
 
 /// Guards cold endpoints against the sum of what all routers send: beyond its budget of N requests in the rule's time
@@ -214,8 +290,19 @@
 #[test]
 fn cold_endpoints_get_no_more_than_their_allowance_from_any_fleet() {
     let mut beyond = Vec::new();
-    for Case { name, cold, rate, rejected, writes, is_warm } in CASES {
-        for (n, capacity) in FLEET_SIZES.iter().flat_map(|n| CAPACITIES.map(|capacity| (*n, capacity))) {
+    for Case {
+        name,
+        cold,
+        rate,
+        rejected,
+        writes,
+        is_warm,
+    } in CASES
+    {
+        for (n, capacity) in FLEET_SIZES
+            .iter()
+            .flat_map(|n| CAPACITIES.map(|capacity| (*n, capacity)))
+        {
             for seed in 0..4 {
                 let mut hosts = fleet(n, seed);
                 for h in &mut hosts {
@@ -226,14 +313,30 @@
                     h.wait(T0 + 1000 * MS - h.now);
                     h.feed(listed(cold, h.now));
                 }
-                let over = worst(&mut hosts, cold, Load { capacity, rate, rejected, writes }, seed + 1);
+                let over = worst(
+                    &mut hosts,
+                    cold,
+                    Load {
+                        capacity,
+                        rate,
+                        rejected,
+                        writes,
+                    },
+                    seed + 1,
+                );
                 if over > 0.0 {
-                    beyond.push(format!("{name}, {n} routers of {capacity}/s, seed {seed}: {over:.1}"));
+                    beyond.push(format!(
+                        "{name}, {n} routers of {capacity}/s, seed {seed}: {over:.1}"
+                    ));
                 }
             }
         }
     }
-    assert!(beyond.is_empty(), "beyond the allowance:\n{}", beyond.join("\n"));
+    assert!(
+        beyond.is_empty(),
+        "beyond the allowance:\n{}",
+        beyond.join("\n")
+    );
 }
 
 /// Guards the clock of a discovery that comes back: with 300 proxies and a service that does a call in 10 ms and ends
@@ -244,10 +347,17 @@
     for seed in 0..3 {
         let mut set = settings();
         (set.must_subscribe, set.proxies) = (true, N as u32);
-        let mut hosts: Vec<Host> =
-            (0..N as u64).map(|i| Host::seeded(set.clone(), seed * 1000 + i)).collect();
-        let failed = || Event::List { kind: ListKind::Failed, entries: Vec::new() };
-        let news = || Event::List { kind: ListKind::Changes, entries: Vec::new() };
+        let mut hosts: Vec<Host> = (0..N as u64)
+            .map(|i| Host::seeded(set.clone(), seed * 1000 + i))
+            .collect();
+        let failed = || Event::List {
+            kind: ListKind::Failed,
+            entries: Vec::new(),
+        };
+        let news = || Event::List {
+            kind: ListKind::Changes,
+            entries: Vec::new(),
+        };
         let (down, back) = (8000, 13_000);
         let (mut queue, mut told): (VecDeque<(u64, usize)>, _) = (VecDeque::new(), [0u64; N]);
         for ms in 0..back + 6000 {
@@ -273,11 +383,21 @@
                 told[i] = if is_late { told[i] } else { ms };
             }
             if ms == down - 1 {
-                assert!(told.iter().all(|t| *t > 0), "seed {seed}: not all at the start");
+                assert!(
+                    told.iter().all(|t| *t > 0),
+                    "seed {seed}: not all at the start"
+                );
             }
         }
-        let last = told.iter().map(|t| t.saturating_sub(back)).max().unwrap_or(0);
+        let last = told
+            .iter()
+            .map(|t| t.saturating_sub(back))
+            .max()
+            .unwrap_or(0);
         let unaware = told.iter().filter(|t| **t < back).count();
-        assert!(unaware == 0 && last <= 5500, "seed {seed}: {unaware} unaware, the last after {last} ms");
+        assert!(
+            unaware == 0 && last <= 5500,
+            "seed {seed}: {unaware} unaware, the last after {last} ms"
+        );
     }
 }
--- a/crates/routing/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -24,14 +24,46 @@
 }
 
 const EXPECTED: [Expected; 8] = [
-    Expected { seed: 1, hash: 0xbc26_9deb_2270_1175, counts: [3447, 768, 36, 12, 901, 0, 8, 0] },
-    Expected { seed: 2, hash: 0xaf8c_8fa3_6566_6c54, counts: [3343, 684, 13, 7, 901, 0, 0, 0] },
-    Expected { seed: 3, hash: 0xadf2_88e4_44eb_2adf, counts: [4022, 869, 38, 14, 901, 0, 2, 0] },
-    Expected { seed: 4, hash: 0xdbff_22cf_d04f_555a, counts: [3308, 902, 6, 8, 900, 0, 8, 0] },
-    Expected { seed: 5, hash: 0xf0ca_99d8_9360_dd1a, counts: [3387, 575, 25, 10, 901, 0, 8, 0] },
-    Expected { seed: 6, hash: 0x3e7c_2f4f_bdf8_d02c, counts: [4170, 509, 37, 11, 900, 0, 3, 0] },
-    Expected { seed: 7, hash: 0x97b8_5be5_c2e0_93d4, counts: [3365, 876, 9, 10, 901, 0, 0, 0] },
-    Expected { seed: 8, hash: 0x219b_4a70_392f_6bc1, counts: [2924, 1079, 24, 9, 893, 0, 12, 0] },
+    Expected {
+        seed: 1,
+        hash: 0xbc26_9deb_2270_1175,
+        counts: [3447, 768, 36, 12, 901, 0, 8, 0],
+    },
+    Expected {
+        seed: 2,
+        hash: 0xaf8c_8fa3_6566_6c54,
+        counts: [3343, 684, 13, 7, 901, 0, 0, 0],
+    },
+    Expected {
+        seed: 3,
+        hash: 0xadf2_88e4_44eb_2adf,
+        counts: [4022, 869, 38, 14, 901, 0, 2, 0],
+    },
+    Expected {
+        seed: 4,
+        hash: 0xdbff_22cf_d04f_555a,
+        counts: [3308, 902, 6, 8, 900, 0, 8, 0],
+    },
+    Expected {
+        seed: 5,
+        hash: 0xf0ca_99d8_9360_dd1a,
+        counts: [3387, 575, 25, 10, 901, 0, 8, 0],
+    },
+    Expected {
+        seed: 6,
+        hash: 0x3e7c_2f4f_bdf8_d02c,
+        counts: [4170, 509, 37, 11, 900, 0, 3, 0],
+    },
+    Expected {
+        seed: 7,
+        hash: 0x97b8_5be5_c2e0_93d4,
+        counts: [3365, 876, 9, 10, 901, 0, 0, 0],
+    },
+    Expected {
+        seed: 8,
+        hash: 0x219b_4a70_392f_6bc1,
+        counts: [2924, 1079, 24, 9, 893, 0, 12, 0],
+    },
 ];
 
 /// FNV-1a over 64-bit numbers, byte by byte.
@@ -50,7 +82,10 @@
 
 impl Choices {
     fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % bound
     }
 }
@@ -58,8 +93,18 @@
 /// What comes at a point of time.
 enum Scheduled {
     Timer(u64),
-    Outcome { request: RequestId, endpoint: u64, attempt: u32, ending: Ending, sent: Time },
-    Started { request: RequestId, endpoint: u64, attempt: u32 },
+    Outcome {
+        request: RequestId,
+        endpoint: u64,
+        attempt: u32,
+        ending: Ending,
+        sent: Time,
+    },
+    Started {
+        request: RequestId,
+        endpoint: u64,
+        attempt: u32,
+    },
     ClientLeaves(RequestId),
 }
 
@@ -114,14 +159,20 @@
 fn settings_of(seed: u64) -> Settings {
     let mut set = common::settings();
     set.classes.push(class(Need::Any, Repeat::Safe));
-    set.classes.push(class(Need::Write, Repeat::Keyed(Scope::Zone)));
-    set.classes.push(class(Need::Write, Repeat::Keyed(Scope::All)));
+    set.classes
+        .push(class(Need::Write, Repeat::Keyed(Scope::Zone)));
+    set.classes
+        .push(class(Need::Write, Repeat::Keyed(Scope::All)));
     set.proxies = [1, 3, 40, 300][seed as usize % 4];
     set.guard = [Guard::Silent, Guard::Refuse, Guard::Await(100 * MS)][seed as usize % 3];
     set.tokens_carried = seed & 1 == 1;
     set.rules.only_draining_binds = seed & 4 == 4;
     set.list_role = [ListRole::Late, ListRole::Silent, ListRole::Start][seed as usize % 3];
-    set.reports = [ReportSource::Silent, ReportSource::Answers, ReportSource::Probes][seed as usize % 3];
+    set.reports = [
+        ReportSource::Silent,
+        ReportSource::Answers,
+        ReportSource::Probes,
+    ][seed as usize % 3];
     set.must_subscribe = seed & 2 == 2;
     set.rules.warm_after = 3000 * MS;
     set.tenants = vec![Tenant { quota: 20.0 }, Tenant { quota: 2000.0 }];
@@ -132,7 +183,11 @@
     fn new(seed: u64) -> Day {
         let settings = settings_of(seed);
         let new = |n: u64| Endpoint {
-            state: if n < ENDPOINTS / 2 { State::Serving } else { State::Gone },
+            state: if n < ENDPOINTS / 2 {
+                State::Serving
+            } else {
+                State::Gone
+            },
             started: 0,
             condition: 0,
             lag: n % 7 * 60 * MS,
@@ -199,7 +254,10 @@
 
     fn tell_whole_list(&mut self, kind: ListKind) {
         let is_listed = |n: &u64| self.endpoints[*n as usize].state != State::Gone;
-        let entries = (0..ENDPOINTS).filter(is_listed).map(|n| self.entry(n)).collect();
+        let entries = (0..ENDPOINTS)
+            .filter(is_listed)
+            .map(|n| self.entry(n))
+            .collect();
         self.feed(Event::List { kind, entries });
     }
 
@@ -220,12 +278,22 @@
             }
             14 => return self.tell_whole_list(ListKind::Whole),
             15 => {
-                self.feed(Event::List { kind: ListKind::Failed, entries: Vec::new() });
+                self.feed(Event::List {
+                    kind: ListKind::Failed,
+                    entries: Vec::new(),
+                });
                 return;
             }
             16 => {
-                let report = Standing { role: Some(Role::Replica), position: Some(self.now) };
-                self.feed(Event::Probed { member: name(endpoint), ending: Ending::Served, report });
+                let report = Standing {
+                    role: Some(Role::Replica),
+                    position: Some(self.now),
+                };
+                self.feed(Event::Probed {
+                    member: name(endpoint),
+                    ending: Ending::Served,
+                    report,
+                });
                 return;
             }
             _ => {
@@ -234,7 +302,10 @@
             }
         }
         let entries = vec![self.entry(endpoint)];
-        self.feed(Event::List { kind: ListKind::Changes, entries });
+        self.feed(Event::List {
+            kind: ListKind::Changes,
+            entries,
+        });
     }
 
     fn request(&mut self, id: RequestId) {
@@ -264,26 +335,57 @@
     fn on_scheduled(&mut self, scheduled: Scheduled) {
         match scheduled {
             Scheduled::Timer(token) => self.feed(Event::Timer { token }),
-            Scheduled::Started { request, endpoint, attempt } => {
-                self.feed(Event::Started { request, attempt, member: name(endpoint) });
+            Scheduled::Started {
+                request,
+                endpoint,
+                attempt,
+            } => {
+                self.feed(Event::Started {
+                    request,
+                    attempt,
+                    member: name(endpoint),
+                });
             }
             Scheduled::ClientLeaves(request) => {
                 if self.over.insert(request) {
                     self.feed(Event::ClientLeft { request });
                 }
             }
-            Scheduled::Outcome { request, endpoint, attempt, ending, sent } => {
+            Scheduled::Outcome {
+                request,
+                endpoint,
+                attempt,
+                ending,
+                sent,
+            } => {
                 self.end_attempt(request, endpoint, attempt, ending, sent);
             }
         }
     }
 
-    fn end_attempt(&mut self, request: RequestId, endpoint: u64, attempt: u32, ending: Ending, sent: Time) {
+    fn end_attempt(
+        &mut self,
+        request: RequestId,
+        endpoint: u64,
+        attempt: u32,
+        ending: Ending,
+        sent: Time,
+    ) {
         let leads = self.primaries[(endpoint % REPLICA_SETS) as usize] == endpoint;
-        let lag = if leads { 0 } else { self.endpoints[endpoint as usize].lag };
+        let lag = if leads {
+            0
+        } else {
+            self.endpoints[endpoint as usize].lag
+        };
         let role = if leads { Role::Primary } else { Role::Replica };
-        let says = matches!(ending, Ending::Served | Ending::Error | Ending::Full | Ending::Miss);
-        let status = Standing { role: Some(role), position: Some(self.now - lag) };
+        let says = matches!(
+            ending,
+            Ending::Served | Ending::Error | Ending::Full | Ending::Miss
+        );
+        let status = Standing {
+            role: Some(role),
+            position: Some(self.now - lag),
+        };
         let has_report = says && self.settings.reports == ReportSource::Answers;
         if ending == Ending::Served {
             self.over.insert(request);
@@ -294,7 +396,11 @@
             attempt,
             ending,
             standing: if says { status } else { Standing::default() },
-            report: if has_report { status } else { Standing::default() },
+            report: if has_report {
+                status
+            } else {
+                Standing::default()
+            },
             latency: self.now - sent,
             closed: self.over.contains(&request),
         }));
@@ -350,12 +456,21 @@
     /// Does what is asked, and says it in numbers, the kind first.
     fn carry_out(&mut self, action: Action) -> [u64; 4] {
         match action {
-            Action::Send { request, member, limit, by } => {
+            Action::Send {
+                request,
+                member,
+                limit,
+                by,
+            } => {
                 assert_eq!(limit, None, "not used so far: give it a code if it is");
                 self.send(request, number(&member));
                 [1, request, number(&member), by.unwrap_or(0)]
             }
-            Action::Refuse { request, cause, retry_after } => {
+            Action::Refuse {
+                request,
+                cause,
+                retry_after,
+            } => {
                 self.over.insert(request);
                 [2, request, cause_code(cause), retry_after.unwrap_or(0)]
             }
@@ -384,21 +499,54 @@
         let class = self.classes[&request];
         let (ending, after) = self.fate(class, endpoint);
         // Some reads are streamed.
-        let is_streamed =
-            ending == Ending::Served && class != WRITE && class != KEYED && request.is_multiple_of(16);
+        let is_streamed = ending == Ending::Served
+            && class != WRITE
+            && class != KEYED
+            && request.is_multiple_of(16);
         if is_streamed {
-            self.schedule(after / 2, Scheduled::Started { request, endpoint, attempt });
+            self.schedule(
+                after / 2,
+                Scheduled::Started {
+                    request,
+                    endpoint,
+                    attempt,
+                },
+            );
         }
-        self.schedule(after, Scheduled::Outcome { request, endpoint, attempt, ending, sent: self.now });
+        self.schedule(
+            after,
+            Scheduled::Outcome {
+                request,
+                endpoint,
+                attempt,
+                ending,
+                sent: self.now,
+            },
+        );
     }
 
     /// The attempt ends at once as cancelled, in place of its fate.
     fn cancel(&mut self, request: RequestId, attempt: u32) {
         let is_it = |scheduled: &Scheduled| matches!(scheduled, Scheduled::Outcome { request: r, attempt: a, .. } if *r == request && *a == attempt);
-        let key = self.queue.iter().find(|(_, scheduled)| is_it(scheduled)).map(|(key, _)| *key);
-        if let Some(Scheduled::Outcome { endpoint, sent, .. }) = key.and_then(|key| self.queue.remove(&key)) {
+        let key = self
+            .queue
+            .iter()
+            .find(|(_, scheduled)| is_it(scheduled))
+            .map(|(key, _)| *key);
+        if let Some(Scheduled::Outcome { endpoint, sent, .. }) =
+            key.and_then(|key| self.queue.remove(&key))
+        {
             let ending = Ending::Cancelled;
-            self.schedule(0, Scheduled::Outcome { request, endpoint, attempt, ending, sent });
+            self.schedule(
+                0,
+                Scheduled::Outcome {
+                    request,
+                    endpoint,
+                    attempt,
+                    ending,
+                    sent,
+                },
+            );
         }
     }
 }
@@ -409,8 +557,15 @@
     for expected in EXPECTED {
         let (hash, counts) = Day::new(expected.seed).run();
         if (hash, counts) != (expected.hash, expected.counts) {
-            changed.push(format!("seed: {}, hash: {hash:#018x}, counts: {counts:?}", expected.seed));
+            changed.push(format!(
+                "seed: {}, hash: {hash:#018x}, counts: {counts:?}",
+                expected.seed
+            ));
         }
     }
-    assert!(changed.is_empty(), "decisions have changed:\n{}", changed.join("\n"));
+    assert!(
+        changed.is_empty(),
+        "decisions have changed:\n{}",
+        changed.join("\n")
+    );
 }
