--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -52,12 +52,20 @@
     fn check(&mut self, actions: Vec<Action>) {
         for a in actions {
             match a {
-                Action::Send { request, member, .. } => {
+                Action::Send {
+                    request, member, ..
+                } => {
                     let o = self.owed.get_mut(&request).expect("a known request");
                     assert!(!o.over, "rule 1: sent after its end");
-                    assert!(o.class != WRITE || o.may_have_run == 0, "rule 2: an unsafe write repeated");
+                    assert!(
+                        o.class != WRITE || o.may_have_run == 0,
+                        "rule 2: an unsafe write repeated"
+                    );
                     if let Some(t) = self.barred.get(&*member) {
-                        assert!(self.h.now <= t + 1000 * MS, "rule 3: sent to a leaving member");
+                        assert!(
+                            self.h.now <= t + 1000 * MS,
+                            "rule 3: sent to a leaving member"
+                        );
                     }
                     if self.unchecked && o.class == BOUNDED && self.replicas.contains(&*member) {
                         let at = self.known.get(&*member).copied().unwrap_or(0);
@@ -72,7 +80,10 @@
                     let o = self.owed.get_mut(&request).expect("a known request");
                     assert!(!o.over, "rule 1: answered twice");
                     let unsure = o.class == WRITE || o.class == KEYED;
-                    assert!(!unsure || o.may_have_run == 0, "rule 2: refused though it may have run");
+                    assert!(
+                        !unsure || o.may_have_run == 0,
+                        "rule 2: refused though it may have run"
+                    );
                     o.over = true;
                 }
                 Action::Fail { request, .. } => {
@@ -104,18 +115,36 @@
                 let class = rng.below(5) as u32;
                 let id = c.h.next;
                 let deadline = c.h.now + 2000 * MS;
-                c.owed.insert(id, Owed { class, deadline, ..Owed::default() });
+                c.owed.insert(
+                    id,
+                    Owed {
+                        class,
+                        deadline,
+                        ..Owed::default()
+                    },
+                );
                 let (_, out) = c.h.request(class);
                 c.check(out);
             }
             4..8 if !c.out.is_empty() => {
                 let i = rng.below(c.out.len() as u64) as usize;
                 let (id, n, member) = c.out.swap_remove(i);
-                let ending = if rng.below(2) == 0 { Ending::Served } else { ENDINGS[rng.below(9) as usize] };
+                let ending = if rng.below(2) == 0 {
+                    Ending::Served
+                } else {
+                    ENDINGS[rng.below(9) as usize]
+                };
                 let leads = rng.below(20) == 0 || &*member == "a";
                 let position = c.h.now - rng.below(500) * MS;
-                let s = if leads { primary(position) } else { replica(position) };
-                let answers = matches!(ending, Ending::Served | Ending::Error | Ending::Full | Ending::Miss);
+                let s = if leads {
+                    primary(position)
+                } else {
+                    replica(position)
+                };
+                let answers = matches!(
+                    ending,
+                    Ending::Served | Ending::Error | Ending::Full | Ending::Miss
+                );
                 let s = if answers { s } else { Standing::default() };
                 let o = c.owed.get_mut(&id).unwrap();
                 if ending.never_ran() {
@@ -141,24 +170,37 @@
             8 if rng.below(8) == 0 => {
                 let name = ["a", "b", "c"][rng.below(3) as usize];
                 let mut e = entry(name, rng.below(2) == 0);
-                e.state =
-                    [State::Serving, State::Serving, State::Draining, State::Gone][rng.below(4) as usize];
+                e.state = [State::Serving, State::Serving, State::Draining, State::Gone]
+                    [rng.below(4) as usize];
                 e.started = if rng.below(3) == 0 { c.h.now } else { 0 };
                 if e.state == State::Serving {
                     c.barred.remove(name);
                 } else if e.state == State::Draining || !only_draining {
                     c.barred.entry(name.to_string()).or_insert(c.h.now);
                 }
-                let out = c.h.feed(Event::List { kind: ListKind::Changes, entries: vec![e] });
+                let out = c.h.feed(Event::List {
+                    kind: ListKind::Changes,
+                    entries: vec![e],
+                });
                 c.check(out);
             }
             9 => {
                 // Things that are no longer held, and unknown ones.
                 let member: MemberId = Arc::from(["a", "zz"][rng.below(2) as usize]);
-                let mut out = c.h.outcome(1 << 40, &member, 3, ENDINGS[rng.below(9) as usize], replica(1));
+                let mut out = c.h.outcome(
+                    1 << 40,
+                    &member,
+                    3,
+                    ENDINGS[rng.below(9) as usize],
+                    replica(1),
+                );
                 out.extend(c.h.feed(Event::ClientLeft { request: 1 << 41 }));
                 out.extend(c.h.feed(Event::Timer { token: 99 }));
-                out.extend(c.h.feed(Event::Probed { member, ending: Ending::Served, report: replica(1) }));
+                out.extend(c.h.feed(Event::Probed {
+                    member,
+                    ending: Ending::Served,
+                    report: replica(1),
+                }));
                 c.check(out);
             }
             _ => {
@@ -170,7 +212,10 @@
         }
         for (id, o) in &c.owed {
             let waiting = !o.over && !c.out.iter().any(|x| x.0 == *id);
-            assert!(!waiting || c.h.now <= o.deadline + 20 * MS, "rule 1: request {id} got no answer");
+            assert!(
+                !waiting || c.h.now <= o.deadline + 20 * MS,
+                "rule 1: request {id} got no answer"
+            );
         }
     }
 }
@@ -214,15 +259,26 @@
         };
         h.feed(Event::Request(req))
     };
-    assert!(refused(&odd(1, 77, 1, MS)), "a class that is not in the settings");
+    assert!(
+        refused(&odd(1, 77, 1, MS)),
+        "a class that is not in the settings"
+    );
     assert!(refused(&odd(2, 0, 55, 500 * MS)), "a group without members");
     assert!(refused(&odd(3, 0, 1, 0)), "no time to live");
     odd(4, 1, 1, Span::MAX);
-    h.feed(Event::List { kind: ListKind::Whole, entries: Vec::new() });
+    h.feed(Event::List {
+        kind: ListKind::Whole,
+        entries: Vec::new(),
+    });
     let (_, mut out) = h.request(BOUNDED);
     assert!(sent(&out).is_none());
     out.extend(h.wait(600 * MS));
-    assert!(out.iter().filter(|a| matches!(a, Action::Refuse { .. })).count() >= 1);
+    assert!(
+        out.iter()
+            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .count()
+            >= 1
+    );
 }
 
 #[test]
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -9,11 +9,17 @@
 const PROXIES: u64 = 150;
 
 fn fleet(set: &Settings) -> Vec<Host> {
-    (0..PROXIES).map(|seed| Host::seeded(set.clone(), seed * 7919 + 1)).collect()
+    (0..PROXIES)
+        .map(|seed| Host::seeded(set.clone(), seed * 7919 + 1))
+        .collect()
 }
 
 fn standing(h: &Host, member: &str) -> Standing {
-    if member == "a" { primary(h.now) } else { replica(h.now) }
+    if member == "a" {
+        primary(h.now)
+    } else {
+        replica(h.now)
+    }
 }
 
 /// One request of one proxy, served at once; returns the member.
@@ -25,7 +31,10 @@
 }
 
 fn changed(e: Entry) -> Event {
-    Event::List { kind: ListKind::Changes, entries: vec![e] }
+    Event::List {
+        kind: ListKind::Changes,
+        entries: vec![e],
+    }
 }
 
 #[test]
@@ -35,13 +44,19 @@
     for h in &mut hosts {
         *first.entry(one(h, SESSION).unwrap()).or_insert(0) += 1;
     }
-    assert!(first.values().all(|n| *n > PROXIES / 4), "after a restart: {first:?}");
+    assert!(
+        first.values().all(|n| *n > PROXIES / 4),
+        "after a restart: {first:?}"
+    );
     let mut to_new = 0;
     for h in &mut hosts {
         h.feed(changed(entry("d", false)));
         to_new += u64::from(one(h, SESSION).unwrap() == "d");
     }
-    assert!(to_new < PROXIES / 2, "{to_new} of {PROXIES} turn to the new member at once");
+    assert!(
+        to_new < PROXIES / 2,
+        "{to_new} of {PROXIES} turn to the new member at once"
+    );
 }
 
 #[test]
@@ -67,7 +82,10 @@
         }
         let (cold, warm) = (got.get("c").copied().unwrap_or(0.0), got["b"]);
         let share = 0.2 + 0.8 * second as f64 / 10.0;
-        assert!(cold <= 3.0 * share * warm, "second {second}: {cold} against {warm}");
+        assert!(
+            cold <= 3.0 * share * warm,
+            "second {second}: {cold} against {warm}"
+        );
         assert!(cold > 0.0, "second {second}: left idle");
     }
 }
@@ -126,7 +144,12 @@
             }
         }
     }
-    assert!(used[0] * 2 < used[1], "cold {}, only unreachable {}", used[0], used[1]);
+    assert!(
+        used[0] * 2 < used[1],
+        "cold {}, only unreachable {}",
+        used[0],
+        used[1]
+    );
 }
 
 #[test]
@@ -142,7 +165,16 @@
                 let (standing, report) = (Standing::default(), Standing::default());
                 let (attempt, ending, latency) = (0, Ending::TimedOut, h.now - at);
                 let closed = false;
-                let o = Outcome { request, member, attempt, ending, standing, report, latency, closed };
+                let o = Outcome {
+                    request,
+                    member,
+                    attempt,
+                    ending,
+                    standing,
+                    report,
+                    latency,
+                    closed,
+                };
                 h.feed(Event::Outcome(o));
             }
             let (id, out) = h.request(SESSION);
@@ -172,7 +204,11 @@
         let of_it = |a: &&Action| matches!(a, Action::Refuse { request, .. } if *request == id);
         refusals += out.iter().filter(of_it).count();
         if let Some(to) = sent(&out).map(str::to_string) {
-            let ending = if class == KEYED { Ending::Error } else { Ending::Served };
+            let ending = if class == KEYED {
+                Ending::Error
+            } else {
+                Ending::Served
+            };
             let out = h.outcome(id, &to, 0, ending, standing(&h, &to));
             if sent(&out).is_some() {
                 h.outcome(id, "a", 1, Ending::Served, standing(&h, "a"));
@@ -193,7 +229,10 @@
         let mut gone = entry("b", false);
         gone.state = State::Gone;
         h.feed(changed(gone));
-        h.feed(Event::List { kind: ListKind::Whole, entries: vec![entry("a", true), entry("c", false)] });
+        h.feed(Event::List {
+            kind: ListKind::Whole,
+            entries: vec![entry("a", true), entry("c", false)],
+        });
         h.wait(1100 * MS);
         let used = (0..6).filter(|_| h.serve(SESSION, h.now) == "b").count();
         assert_eq!(used > 0, !binds, "binds: {binds}");
@@ -209,7 +248,9 @@
     for _ in 0..600 {
         let (id, mut out) = h.request(SESSION);
         for n in 0.. {
-            let Some(to) = sent(&out).map(str::to_string) else { break };
+            let Some(to) = sent(&out).map(str::to_string) else {
+                break;
+            };
             if to != "ghost" {
                 h.outcome(id, &to, n, Ending::Served, standing(&h, &to));
                 break;
@@ -218,9 +259,15 @@
             out = h.outcome(id, &to, n, Ending::ConnectFailed, Standing::default());
         }
         let waited = h.wait(100 * MS);
-        probes += waited.iter().filter(|a| matches!(a, Action::Probe { .. })).count();
+        probes += waited
+            .iter()
+            .filter(|a| matches!(a, Action::Probe { .. }))
+            .count();
     }
-    assert!(tries < 25 && probes == 0, "{tries} tries, {probes} probes in a minute");
+    assert!(
+        tries < 25 && probes == 0,
+        "{tries} tries, {probes} probes in a minute"
+    );
 }
 
 #[test]
@@ -255,11 +302,24 @@
         h.next += 1;
         let (session, since_write, tenant, work) = (Some(Arc::from("s")), None, None, None);
         let (class, group, is_retry, time_left) = (SESSION, 9, false, 500 * MS);
-        let req = Request { id, class, group, session, since_write, tenant, work, is_retry, time_left };
+        let req = Request {
+            id,
+            class,
+            group,
+            session,
+            since_write,
+            tenant,
+            work,
+            is_retry,
+            time_left,
+        };
         (id, h.feed(Event::Request(req)))
     };
     assert!(refused(&out), "group 9 has no members: {out:?}");
-    h.feed(Event::List { kind: ListKind::Changes, entries: Vec::new() });
+    h.feed(Event::List {
+        kind: ListKind::Changes,
+        entries: Vec::new(),
+    });
     // Positions never go back, and one ahead of the clock must not make a replica fresh for ever.
     let (id, out) = h.request(SESSION);
     let to = sent(&out).unwrap().to_string();
@@ -270,7 +330,11 @@
     h.outcome(id, &to, 0, Ending::Served, replica(ahead));
     h.wait(2000 * MS);
     let (_, out) = h.request(BOUNDED);
-    assert_eq!(sent(&out), Some("a"), "nothing is known of the replicas by now");
+    assert_eq!(
+        sent(&out),
+        Some("a"),
+        "nothing is known of the replicas by now"
+    );
     let mut set = settings();
     set.limits.max_attempts = 0;
     assert!(Brain::new(1, set).is_err());
@@ -306,17 +370,25 @@
     let mut set = settings();
     (set.must_subscribe, set.proxies) = (true, 100);
     for seed in 0..3 {
-        let mut hosts: Vec<Host> = (0..100).map(|i| Host::seeded(set.clone(), seed * 1000 + i)).collect();
+        let mut hosts: Vec<Host> = (0..100)
+            .map(|i| Host::seeded(set.clone(), seed * 1000 + i))
+            .collect();
         let mut queue: std::collections::VecDeque<(u64, usize)> = Default::default();
         let (mut told, mut calls, mut in_vain, mut rests) = ([false; 100], 0, 0, 0);
         for ms in 0..12_000 {
             // At 6 s the service goes down for a moment: every watch breaks in the same instant.
             if ms == 6000 {
-                assert!(told.iter().all(|t| *t), "seed {seed}: {in_vain} of {calls} calls in vain");
+                assert!(
+                    told.iter().all(|t| *t),
+                    "seed {seed}: {in_vain} of {calls} calls in vain"
+                );
                 told = [false; 100];
                 queue.clear();
                 for h in &mut hosts {
-                    h.feed(Event::List { kind: ListKind::Failed, entries: Vec::new() });
+                    h.feed(Event::List {
+                        kind: ListKind::Failed,
+                        entries: Vec::new(),
+                    });
                 }
             }
             for (i, h) in hosts.iter_mut().enumerate() {
@@ -326,7 +398,10 @@
                         queue.push_back((ms, i));
                     } else {
                         in_vain += 1;
-                        h.feed(Event::List { kind: ListKind::Failed, entries: Vec::new() });
+                        h.feed(Event::List {
+                            kind: ListKind::Failed,
+                            entries: Vec::new(),
+                        });
                     }
                 }
             }
@@ -336,14 +411,23 @@
                 let (since, i) = queue.pop_front().unwrap();
                 if ms - since > 2000 {
                     in_vain += 1;
-                    hosts[i].feed(Event::List { kind: ListKind::Failed, entries: Vec::new() });
+                    hosts[i].feed(Event::List {
+                        kind: ListKind::Failed,
+                        entries: Vec::new(),
+                    });
                 } else {
                     told[i] = true;
-                    hosts[i].feed(Event::List { kind: ListKind::Changes, entries: Vec::new() });
+                    hosts[i].feed(Event::List {
+                        kind: ListKind::Changes,
+                        entries: Vec::new(),
+                    });
                 }
             }
         }
-        assert!(told.iter().all(|t| *t), "seed {seed}: {in_vain} of {calls} calls in vain");
+        assert!(
+            told.iter().all(|t| *t),
+            "seed {seed}: {in_vain} of {calls} calls in vain"
+        );
         assert!(calls < 250, "seed {seed}: {calls} calls for 200 answers");
     }
 }
@@ -359,19 +443,33 @@
             let mut h = Host::seeded(set.clone(), seed);
             let (id, mut out) = h.request(FRESH);
             if guard == Guard::Silent {
-                assert_eq!(sent(&out), None, "seed {seed}: might be answered from old data");
+                assert_eq!(
+                    sent(&out),
+                    None,
+                    "seed {seed}: might be answered from old data"
+                );
                 continue;
             }
             let mut asked = Vec::new();
             while let Some(to) = sent(&out).map(str::to_string) {
-                let (ending, s) =
-                    if to == "a" { (Ending::Served, primary(h.now)) } else { (Ending::Miss, replica(h.now)) };
+                let (ending, s) = if to == "a" {
+                    (Ending::Served, primary(h.now))
+                } else {
+                    (Ending::Miss, replica(h.now))
+                };
                 let n = asked.len() as u32;
                 asked.push(to.clone());
                 out = h.outcome(id, &to, n, ending, s);
             }
-            assert_eq!(asked.last().map(String::as_str), Some("a"), "seed {seed}: {asked:?}");
-            assert!(asked.len() <= 3, "seed {seed}: each is asked once: {asked:?}");
+            assert_eq!(
+                asked.last().map(String::as_str),
+                Some("a"),
+                "seed {seed}: {asked:?}"
+            );
+            assert!(
+                asked.len() <= 3,
+                "seed {seed}: each is asked once: {asked:?}"
+            );
         }
     }
 }
--- a/crates/service-discovery/src/browse.rs
+++ b/crates/service-discovery/src/browse.rs
@@ -231,7 +231,9 @@
 
     /// Takes what came for a query. What is no answer to it changes nothing: the true one may still come.
     pub fn answer(&mut self, now: Time, query: u64, bytes: &[u8], out: &mut Vec<Output>) {
-        let Some(asked) = self.asked.get(&query) else { return };
+        let Some(asked) = self.asked.get(&query) else {
+            return;
+        };
         let message = Message::from_vec(bytes).ok().filter(|m| {
             let fits = |q: &Query| q.name == asked.key.0 && q.query_type == asked.key.1;
             m.metadata.id == asked.id
@@ -250,7 +252,10 @@
             self.waiting.push_front((key, server, tries, true));
             return self.pump(now, out);
         }
-        if !matches!(message.metadata.response_code, ResponseCode::NoError | ResponseCode::NXDomain) {
+        if !matches!(
+            message.metadata.response_code,
+            ResponseCode::NoError | ResponseCode::NXDomain
+        ) {
             self.counts.failed += 1;
             out.push(Output::Drop(query));
             self.next_server(now, query, out);
@@ -265,7 +270,11 @@
         self.take(now, key, &message, out);
         if is_list && !self.is_failing {
             // What the answer brought along is held no more.
-            let held: Vec<Key> = self.held.drain().filter(|key| self.sets.contains_key(key)).collect();
+            let held: Vec<Key> = self
+                .held
+                .drain()
+                .filter(|key| self.sets.contains_key(key))
+                .collect();
             held.into_iter().for_each(|key| self.want(key));
         }
         self.pump(now, out);
@@ -286,11 +295,14 @@
 
     /// Asks the next server, or gives up for now.
     fn next_server(&mut self, now: Time, query: u64, out: &mut Vec<Output>) {
-        let Some(asked) = self.asked.remove(&query) else { return };
+        let Some(asked) = self.asked.remove(&query) else {
+            return;
+        };
         self.wheel.cancel(asked.timer);
         if asked.tries < self.config.servers.len() {
             let server = (asked.server + 1) % self.config.servers.len();
-            self.waiting.push_back((asked.key, server, asked.tries + 1, false));
+            self.waiting
+                .push_back((asked.key, server, asked.tries + 1, false));
             return;
         }
         self.wanted.remove(&asked.key);
@@ -299,7 +311,9 @@
 
     /// Nothing is known now that was not known before; asked again after a pause that grows.
     fn failed(&mut self, now: Time, key: Key, out: &mut Vec<Output>) {
-        out.push(Output::Tell(Input::Failed { source: self.source }));
+        out.push(Output::Tell(Input::Failed {
+            source: self.source,
+        }));
         let pause = self.config.ttl.0.max(100_000_000) << self.failures.min(8);
         self.failures += 1;
         self.is_failing |= key.1 == RecordType::PTR;
@@ -323,7 +337,9 @@
         while self.tokens >= 1.0
             && let Some((key, server, tries, over_tcp)) = self.waiting.pop_front()
         {
-            let Some(address) = self.config.servers.get(server) else { return };
+            let Some(address) = self.config.servers.get(server) else {
+                return;
+            };
             self.tokens -= 1.0;
             self.counts.queries += 1;
             self.counts.over_tcp += u64::from(over_tcp);
@@ -334,15 +350,33 @@
             let mut edns = Edns::new();
             edns.set_max_payload(PAYLOAD);
             message.set_edns(edns);
-            let Ok(bytes) = message.to_vec() else { continue };
+            let Ok(bytes) = message.to_vec() else {
+                continue;
+            };
             self.next += 1;
-            let timer = self.wheel.insert(now.saturating_add(self.config.timeout), Due::Timeout(self.next));
-            let asked = Asked { key, id: message.metadata.id, server, tries, over_tcp, timer };
+            let timer = self.wheel.insert(
+                now.saturating_add(self.config.timeout),
+                Due::Timeout(self.next),
+            );
+            let asked = Asked {
+                key,
+                id: message.metadata.id,
+                server,
+                tries,
+                over_tcp,
+                timer,
+            };
             self.asked.insert(self.next, asked);
-            out.push(Output::Ask(Ask { query: self.next, server: *address, over_tcp, message: bytes }));
+            out.push(Output::Ask(Ask {
+                query: self.next,
+                server: *address,
+                over_tcp,
+                message: bytes,
+            }));
         }
         if !self.waiting.is_empty() && !std::mem::replace(&mut self.is_paced, true) {
-            self.wheel.insert(now.saturating_add((1e9 / budget) as Span), Due::Budget);
+            self.wheel
+                .insert(now.saturating_add((1e9 / budget) as Span), Due::Budget);
         }
     }
 
@@ -387,14 +421,25 @@
         let mut along: Vec<(Name, [RecordType; 2])> = Vec::new();
         match key.1 {
             RecordType::PTR => {
-                let names: HashSet<Name> =
-                    instances(&records).filter(|n| self.config.domain.zone_of(n)).cloned().collect();
+                let names: HashSet<Name> = instances(&records)
+                    .filter(|n| self.config.domain.zone_of(n))
+                    .cloned()
+                    .collect();
                 self.counts.foreign += (records.len() - names.len()) as u64;
-                let gone: Vec<Name> = self.told.keys().filter(|n| !names.contains(*n)).cloned().collect();
+                let gone: Vec<Name> = self
+                    .told
+                    .keys()
+                    .filter(|n| !names.contains(*n))
+                    .cloned()
+                    .collect();
                 for name in gone {
                     self.untell(&name, out);
                 }
-                along.extend(names.iter().map(|n| (n.clone(), [RecordType::SRV, RecordType::TXT])));
+                along.extend(
+                    names
+                        .iter()
+                        .map(|n| (n.clone(), [RecordType::SRV, RecordType::TXT])),
+                );
                 touched.extend(names);
             }
             RecordType::SRV | RecordType::TXT => drop(touched.insert(key.0.clone())),
@@ -417,8 +462,13 @@
             }
             if pass == 0 {
                 let hosts = touched.iter().filter_map(|n| self.target(n).map(|t| t.0));
-                let hosts: HashSet<Name> = hosts.filter(|t| self.config.domain.zone_of(t)).collect();
-                along.extend(hosts.into_iter().map(|t| (t, [RecordType::A, RecordType::AAAA])));
+                let hosts: HashSet<Name> =
+                    hosts.filter(|t| self.config.domain.zone_of(t)).collect();
+                along.extend(
+                    hosts
+                        .into_iter()
+                        .map(|t| (t, [RecordType::A, RecordType::AAAA])),
+                );
             }
         }
         self.counts.foreign += (message.additionals.len().saturating_sub(used)) as u64;
@@ -467,17 +517,28 @@
 
     /// Tells what is known of an instance, or asks for what is missing.
     fn tell(&mut self, now: Time, instance: &Name, out: &mut Vec<Output>) {
-        let held = |kind| self.sets.get(&(instance.clone(), kind)).filter(|s| s.until > 0);
+        let held = |kind| {
+            self.sets
+                .get(&(instance.clone(), kind))
+                .filter(|s| s.until > 0)
+        };
         let (srv, txt) = (held(RecordType::SRV), held(RecordType::TXT));
-        let mut until = srv.map_or(Time::MAX, |s| s.until).min(txt.map_or(Time::MAX, |s| s.until));
+        let mut until = srv
+            .map_or(Time::MAX, |s| s.until)
+            .min(txt.map_or(Time::MAX, |s| s.until));
         let texts = txt.map_or(HashMap::new(), |s| texts(&s.records));
-        let missing: Vec<RecordType> = [(srv.is_none(), RecordType::SRV), (txt.is_none(), RecordType::TXT)]
-            .into_iter()
-            .filter(|m| m.0)
-            .map(|m| m.1)
-            .collect();
+        let missing: Vec<RecordType> = [
+            (srv.is_none(), RecordType::SRV),
+            (txt.is_none(), RecordType::TXT),
+        ]
+        .into_iter()
+        .filter(|m| m.0)
+        .map(|m| m.1)
+        .collect();
         if !missing.is_empty() {
-            missing.into_iter().for_each(|kind| self.want((instance.clone(), kind)));
+            missing
+                .into_iter()
+                .for_each(|kind| self.want((instance.clone(), kind)));
             return;
         }
         let Some((target, port, weight, tier)) = self.target(instance) else {
@@ -488,8 +549,12 @@
             self.counts.foreign += 1;
             return;
         }
-        self.targets.entry(target.clone()).or_default().insert(instance.clone());
-        let addresses = [RecordType::A, RecordType::AAAA].map(|kind| self.sets.get(&(target.clone(), kind)));
+        self.targets
+            .entry(target.clone())
+            .or_default()
+            .insert(instance.clone());
+        let addresses =
+            [RecordType::A, RecordType::AAAA].map(|kind| self.sets.get(&(target.clone(), kind)));
         let address = addresses.into_iter().flatten().find_map(|set| {
             let ip = set.records.iter().find_map(|r| match r {
                 RData::A(a) => Some(IpAddr::V4(a.0)),
@@ -500,7 +565,11 @@
         });
         let Some((ip, fresh)) = address else {
             for kind in [RecordType::A, RecordType::AAAA] {
-                if self.sets.get(&(target.clone(), kind)).is_none_or(|s| s.until <= now) {
+                if self
+                    .sets
+                    .get(&(target.clone(), kind))
+                    .is_none_or(|s| s.until <= now)
+                {
                     self.want((target.clone(), kind));
                 }
             }
@@ -511,28 +580,52 @@
             self.counts.incomplete += 1;
             return;
         };
-        let zone = texts.get("az").and_then(|az| self.config.zones.iter().position(|z| z == az)).unwrap_or(0);
-        let boot_ms: u64 = texts.get("boot_ms").and_then(|b| b.parse().ok()).unwrap_or(0);
+        let zone = texts
+            .get("az")
+            .and_then(|az| self.config.zones.iter().position(|z| z == az))
+            .unwrap_or(0);
+        let boot_ms: u64 = texts
+            .get("boot_ms")
+            .and_then(|b| b.parse().ok())
+            .unwrap_or(0);
         let claim = Claim {
             uid: texts.get("uid").map(|uid| Arc::from(&**uid)),
             endpoint: SocketAddr::new(ip, port),
             group,
             zone: zone as u32,
-            word: if texts.get("state").is_none_or(|s| s == "ready") { Word::Ready } else { Word::Draining },
+            word: if texts.get("state").is_none_or(|s| s == "ready") {
+                Word::Ready
+            } else {
+                Word::Draining
+            },
             started: boot_ms.saturating_mul(1_000_000),
             version: 0,
             // 100 is the usual size; 0 says nothing of it (RFC 2782).
-            weight: if weight == 0 { 1.0 } else { f64::from(weight) / 100.0 },
+            weight: if weight == 0 {
+                1.0
+            } else {
+                f64::from(weight) / 100.0
+            },
             tier,
             until: Some(until),
         };
         self.told.insert(instance.clone(), claim.clone());
-        out.push(Output::Tell(Input::Told { source: self.source, name: label(instance), claim }));
+        out.push(Output::Tell(Input::Told {
+            source: self.source,
+            name: label(instance),
+            claim,
+        }));
     }
 }
 
 fn instances(records: &[RData]) -> impl Iterator<Item = &Name> {
-    records.iter().filter_map(|r| if let RData::PTR(name) = r { Some(&name.0) } else { None })
+    records.iter().filter_map(|r| {
+        if let RData::PTR(name) = r {
+            Some(&name.0)
+        } else {
+            None
+        }
+    })
 }
 
 /// An instance's name, as the members know it: names are the same in upper and lower case.
@@ -547,11 +640,20 @@
     for record in records {
         let RData::TXT(txt) = record else { continue };
         for pair in &txt.txt_data {
-            let Some((key, value)) = std::str::from_utf8(pair).ok().and_then(|p| p.split_once('=')) else {
+            let Some((key, value)) = std::str::from_utf8(pair)
+                .ok()
+                .and_then(|p| p.split_once('='))
+            else {
                 continue;
             };
-            found.entry(key.to_ascii_lowercase()).or_insert_with(|| value.to_owned());
+            found
+                .entry(key.to_ascii_lowercase())
+                .or_insert_with(|| value.to_owned());
         }
     }
-    if found.get("txtvers").is_some_and(|v| v != "1") { HashMap::new() } else { found }
+    if found.get("txtvers").is_some_and(|v| v != "1") {
+        HashMap::new()
+    } else {
+        found
+    }
 }
--- a/crates/service-discovery/src/lib.rs
+++ b/crates/service-discovery/src/lib.rs
@@ -20,6 +20,6 @@
 pub mod wheel;
 
 pub use members::{
-    Binding, Change, Claim, Counts, Held, Input, Kind, Members, Removal, Rule, Settings, Source, Status,
-    View, Word,
+    Binding, Change, Claim, Counts, Held, Input, Kind, Members, Removal, Rule, Settings, Source,
+    Status, View, Word,
 };
--- a/crates/service-discovery/src/members.rs
+++ b/crates/service-discovery/src/members.rs
@@ -82,7 +82,12 @@
     /// Whether another says the same of the member, however old and long it holds.
     fn says_as(&self, other: &Claim) -> bool {
         let (version, until) = (other.version, other.until);
-        *other == Claim { version, until, ..self.clone() }
+        *other
+            == Claim {
+                version,
+                until,
+                ..self.clone()
+            }
     }
 }
 
@@ -300,7 +305,14 @@
     fn default() -> Settings {
         let (vouch, remember) = (30_000_000_000, 600_000_000_000);
         let (drains_hold, silence_keeps, absence_needs_all) = (true, true, true);
-        Settings { vouch, remember, most: 65_536, drains_hold, silence_keeps, absence_needs_all }
+        Settings {
+            vouch,
+            remember,
+            most: 65_536,
+            drains_hold,
+            silence_keeps,
+            absence_needs_all,
+        }
     }
 }
 
@@ -439,9 +451,13 @@
         let mut due = Vec::new();
         self.wheel.expire(now, &mut due);
         for id in due {
-            let Some(m) = self.members.get_mut(&id) else { continue };
+            let Some(m) = self.members.get_mut(&id) else {
+                continue;
+            };
             m.timer = None;
-            m.own_drain = m.own_drain.filter(|at| now < at.saturating_add(self.settings.vouch));
+            m.own_drain = m
+                .own_drain
+                .filter(|at| now < at.saturating_add(self.settings.vouch));
             for held in &mut m.claims {
                 held.is_stale |= held.claim.until.is_some_and(|until| until <= now);
             }
@@ -456,7 +472,11 @@
                 self.sources.insert(source, Heard { kind, silent: None });
             }
             Input::NoSource { source } => self.on_no_source(now, source, changes),
-            Input::Told { source, name, claim } => self.on_told(now, source, name, claim, changes),
+            Input::Told {
+                source,
+                name,
+                claim,
+            } => self.on_told(now, source, name, claim, changes),
             Input::Removed { source, name, how } => {
                 let changed = self.hear(now, source, true);
                 self.remove_all(now, source, vec![name], how, changes);
@@ -464,9 +484,14 @@
             }
             Input::Whole { source, names } => {
                 let changed = self.hear(now, source, true);
-                let is_absent = |(s, name): &&(Source, Arc<str>)| *s == source && !names.contains(name);
-                let absent: Vec<Arc<str>> =
-                    self.names.keys().filter(is_absent).map(|k| k.1.clone()).collect();
+                let is_absent =
+                    |(s, name): &&(Source, Arc<str>)| *s == source && !names.contains(name);
+                let absent: Vec<Arc<str>> = self
+                    .names
+                    .keys()
+                    .filter(is_absent)
+                    .map(|k| k.1.clone())
+                    .collect();
                 self.remove_all(now, source, absent, Removal::Absent, changes);
                 self.settle_disputed(now, changed, changes);
             }
@@ -483,7 +508,9 @@
 
     /// A source is heard again, or no longer. Says whether that is new.
     fn hear(&mut self, now: Time, source: Source, is_heard: bool) -> bool {
-        let Some(heard) = self.sources.get_mut(&source) else { return false };
+        let Some(heard) = self.sources.get_mut(&source) else {
+            return false;
+        };
         if heard.silent.is_none() == is_heard {
             return false;
         }
@@ -505,7 +532,9 @@
 
     fn on_answered(&mut self, now: Time, id: &Arc<str>, leaving: bool, changes: &mut Vec<Change>) {
         // The usual case, many times a second: one look-up, and nothing else to do.
-        let Some(m) = self.members.get_mut(id) else { return };
+        let Some(m) = self.members.get_mut(id) else {
+            return;
+        };
         m.answered = Some(now);
         // What it still finishes it answers as ever: that does not mean that it stays.
         if leaving || m.rule == Some(Rule::Unnamed) {
@@ -517,8 +546,12 @@
     fn on_no_source(&mut self, now: Time, source: Source, changes: &mut Vec<Change>) {
         self.drop_claims(now, source, changes);
         self.sources.remove(&source);
-        let bound: Vec<Arc<str>> =
-            self.members.iter().filter(|(_, m)| m.is_bound_by(source)).map(|(id, _)| id.clone()).collect();
+        let bound: Vec<Arc<str>> = self
+            .members
+            .iter()
+            .filter(|(_, m)| m.is_bound_by(source))
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in bound {
             if let Some(m) = self.members.get_mut(&id) {
                 m.drain = m.drain.filter(|b| b.by != source);
@@ -529,16 +562,29 @@
     }
 
     fn drop_claims(&mut self, now: Time, source: Source, changes: &mut Vec<Change>) {
-        let names: Vec<Arc<str>> = self.names.keys().filter(|k| k.0 == source).map(|k| k.1.clone()).collect();
+        let names: Vec<Arc<str>> = self
+            .names
+            .keys()
+            .filter(|k| k.0 == source)
+            .map(|k| k.1.clone())
+            .collect();
         self.remove_all(now, source, names, Removal::Absent, changes);
     }
 
     /// Those that a source names at an endpoint now.
     fn claimants(&self, endpoint: SocketAddr) -> Vec<Arc<str>> {
         let claims = |id: &&Arc<str>| {
-            self.members.get(*id).is_some_and(|m| m.claims.iter().any(|h| h.claim.endpoint == endpoint))
+            self.members
+                .get(*id)
+                .is_some_and(|m| m.claims.iter().any(|h| h.claim.endpoint == endpoint))
         };
-        self.endpoints.get(&endpoint).into_iter().flatten().filter(claims).cloned().collect()
+        self.endpoints
+            .get(&endpoint)
+            .into_iter()
+            .flatten()
+            .filter(claims)
+            .cloned()
+            .collect()
     }
 
     /// Which member a claim is about. Its own name says so; else the one member that has its endpoint; else it is
@@ -567,7 +613,9 @@
         claim: Claim,
         changes: &mut Vec<Change>,
     ) {
-        let Some(kind) = self.sources.get(&source).map(|s| s.kind) else { return };
+        let Some(kind) = self.sources.get(&source).map(|s| s.kind) else {
+            return;
+        };
         let changed = self.hear(now, source, true);
         let id = self.identify(source, &name, &claim);
         if !self.members.contains_key(&id) && self.members.len() >= self.settings.most {
@@ -577,17 +625,23 @@
         let key = (source, name.clone());
         let before = self.names.insert(key, id.clone());
         // The source may give the name to another member; that one is judged once the name is where it belongs.
-        let given = before
-            .filter(|before| *before != id)
-            .and_then(|before| Some((self.unclaim(source, &name, &before)?.claim.endpoint, before)));
+        let given = before.filter(|before| *before != id).and_then(|before| {
+            Some((self.unclaim(source, &name, &before)?.claim.endpoint, before))
+        });
         let serial = &mut self.serial;
         let m = self.members.entry(id.clone()).or_insert_with(|| {
             *serial += 1;
-            Member { serial: *serial, ..Member::default() }
+            Member {
+                serial: *serial,
+                ..Member::default()
+            }
         });
-        let contradicts = |h: &Held| h.source != source && !h.is_stale && h.claim.word != claim.word;
-        let is_news =
-            !m.claims.iter().any(|h| h.source == source && h.name == name && h.claim.word == claim.word);
+        let contradicts =
+            |h: &Held| h.source != source && !h.is_stale && h.claim.word != claim.word;
+        let is_news = !m
+            .claims
+            .iter()
+            .any(|h| h.source == source && h.name == name && h.claim.word == claim.word);
         if is_news && m.claims.iter().any(contradicts) {
             self.counts.contradicted += 1;
             self.contradicted = Some(id.clone());
@@ -600,9 +654,20 @@
         m.bind(now, source, kind, &claim, self.settings.drains_hold);
         let endpoint = claim.endpoint;
         let is_stale = claim.until.is_some_and(|until| until <= now);
-        let mut held = Held { source, name: name.clone(), claim, told: now, since: now, is_stale };
+        let mut held = Held {
+            source,
+            name: name.clone(),
+            claim,
+            told: now,
+            since: now,
+            is_stale,
+        };
         let mut moved = None;
-        match m.claims.iter_mut().find(|h| h.source == source && h.name == name) {
+        match m
+            .claims
+            .iter_mut()
+            .find(|h| h.source == source && h.name == name)
+        {
             Some(old) => {
                 moved = Some(old.claim.endpoint).filter(|e| *e != endpoint);
                 if old.claim.says_as(&held.claim) {
@@ -631,7 +696,10 @@
 
     /// A member has a claim of an endpoint. Nameless ones that stood for it are the same member.
     fn enter(&mut self, endpoint: SocketAddr, id: &Arc<str>, now: Time, changes: &mut Vec<Change>) {
-        let at = self.endpoints.entry(endpoint).or_insert_with(|| Vec::with_capacity(1));
+        let at = self
+            .endpoints
+            .entry(endpoint)
+            .or_insert_with(|| Vec::with_capacity(1));
         if !at.contains(id) {
             at.push(id.clone());
         }
@@ -645,11 +713,17 @@
         }
         let nameless: Vec<Arc<str>> = at.iter().filter(|id| !is_named(id)).cloned().collect();
         for other in nameless {
-            let Some(m) = self.members.get_mut(&other) else { continue };
-            let claims: Vec<Held> = m.claims.extract_if(.., |h| h.claim.endpoint == endpoint).collect();
+            let Some(m) = self.members.get_mut(&other) else {
+                continue;
+            };
+            let claims: Vec<Held> = m
+                .claims
+                .extract_if(.., |h| h.claim.endpoint == endpoint)
+                .collect();
             let (drain, answered) = (m.drain, m.answered);
             for held in &claims {
-                self.names.insert((held.source, held.name.clone()), id.clone());
+                self.names
+                    .insert((held.source, held.name.clone()), id.clone());
             }
             if let Some(m) = self.members.get_mut(id) {
                 m.claims.extend(claims);
@@ -687,8 +761,18 @@
     }
 
     /// Those that share an endpoint with a member that has changed.
-    fn settle_others(&mut self, now: Time, endpoint: SocketAddr, id: &Arc<str>, changes: &mut Vec<Change>) {
-        let Some(at) = self.endpoints.get(&endpoint).filter(|at| at.len() > 1 || !at.contains(id)) else {
+    fn settle_others(
+        &mut self,
+        now: Time,
+        endpoint: SocketAddr,
+        id: &Arc<str>,
+        changes: &mut Vec<Change>,
+    ) {
+        let Some(at) = self
+            .endpoints
+            .get(&endpoint)
+            .filter(|at| at.len() > 1 || !at.contains(id))
+        else {
             return;
         };
         let others: Vec<Arc<str>> = at.iter().filter(|other| *other != id).cloned().collect();
@@ -700,7 +784,10 @@
     /// Takes a claim out.
     fn unclaim(&mut self, source: Source, name: &Arc<str>, id: &Arc<str>) -> Option<Held> {
         let m = self.members.get_mut(id)?;
-        let at = m.claims.iter().position(|h| h.source == source && h.name == *name)?;
+        let at = m
+            .claims
+            .iter()
+            .position(|h| h.source == source && h.name == *name)?;
         Some(m.claims.swap_remove(at))
     }
 
@@ -713,17 +800,29 @@
         how: Removal,
         changes: &mut Vec<Change>,
     ) {
-        let Some(kind) = self.sources.get(&source).map(|h| h.kind) else { return };
+        let Some(kind) = self.sources.get(&source).map(|h| h.kind) else {
+            return;
+        };
         names.sort_unstable();
         let mut touched = Vec::new();
         for name in names {
-            let Some(id) = self.names.remove(&(source, name.clone())) else { continue };
-            let Some(held) = self.unclaim(source, &name, &id) else { continue };
+            let Some(id) = self.names.remove(&(source, name.clone())) else {
+                continue;
+            };
+            let Some(held) = self.unclaim(source, &name, &id) else {
+                continue;
+            };
             if let Some(m) = self.members.get_mut(&id)
                 && (how == Removal::Gone || !self.settings.absence_needs_all)
             {
                 let (started, version) = (held.claim.started, held.claim.version);
-                m.gone = Some(Binding { by: source, kind, started, version, at: now });
+                m.gone = Some(Binding {
+                    by: source,
+                    kind,
+                    started,
+                    version,
+                    at: now,
+                });
             }
             touched.push((id, held.claim.endpoint));
         }
@@ -737,10 +836,17 @@
 
     /// Judges a member anew and tells what that changes, for it and for those that depend on it.
     fn settle(&mut self, now: Time, id: &Arc<str>, changes: &mut Vec<Change>) {
-        let Some((rule, view, tier)) = self.judge(now, id) else { return };
-        let Some(m) = self.members.get_mut(id) else { return };
+        let Some((rule, view, tier)) = self.judge(now, id) else {
+            return;
+        };
+        let Some(m) = self.members.get_mut(id) else {
+            return;
+        };
         // In service and not held back by anything but its tier.
-        let ranked = view.as_ref().filter(|v| v.word == Word::Ready).map(|v| (v.group, tier));
+        let ranked = view
+            .as_ref()
+            .filter(|v| v.word == Word::Ready)
+            .map(|v| (v.group, tier));
         let before = std::mem::replace(&mut m.ranked, ranked);
         let last = view.as_ref().and_then(|view| {
             m.last_tier = tier;
@@ -780,7 +886,13 @@
 
     /// Those that would have an endpoint, but for the member that has it or had it. Each settles by the same order,
     /// so this ends.
-    fn settle_shadows(&mut self, now: Time, endpoint: SocketAddr, id: &Arc<str>, changes: &mut Vec<Change>) {
+    fn settle_shadows(
+        &mut self,
+        now: Time,
+        endpoint: SocketAddr,
+        id: &Arc<str>,
+        changes: &mut Vec<Change>,
+    ) {
         // Nearly always a member is alone at its endpoint.
         let at = match self.endpoints.get(&endpoint) {
             Some(at) if at.len() > 1 || !at.contains(id) => at.clone(),
@@ -795,7 +907,10 @@
     }
 
     fn lowest(&self, group: u32) -> Option<u16> {
-        self.tiers.get(&group)?.first_key_value().map(|((tier, _), _)| *tier)
+        self.tiers
+            .get(&group)?
+            .first_key_value()
+            .map(|((tier, _), _)| *tier)
     }
 
     fn serial_of(&self, id: &Arc<str>) -> u64 {
@@ -805,11 +920,21 @@
     fn rank(&mut self, group: u32, tier: u16, id: &Arc<str>, now: Time, changes: &mut Vec<Change>) {
         let before = self.lowest(group);
         let serial = self.serial_of(id);
-        self.tiers.entry(group).or_default().insert((tier, serial), id.clone());
+        self.tiers
+            .entry(group)
+            .or_default()
+            .insert((tier, serial), id.clone());
         self.retier(group, before, now, changes);
     }
 
-    fn unrank(&mut self, group: u32, tier: u16, id: &Arc<str>, now: Time, changes: &mut Vec<Change>) {
+    fn unrank(
+        &mut self,
+        group: u32,
+        tier: u16,
+        id: &Arc<str>,
+        now: Time,
+        changes: &mut Vec<Change>,
+    ) {
         let before = self.lowest(group);
         let serial = self.serial_of(id);
         if let Some(tiers) = self.tiers.get_mut(&group) {
@@ -828,8 +953,13 @@
             return;
         }
         let of = |tier: Option<u16>| -> Vec<Arc<str>> {
-            let (Some(tier), Some(tiers)) = (tier, self.tiers.get(&group)) else { return Vec::new() };
-            tiers.range((tier, 0)..=(tier, u64::MAX)).map(|(_, id)| id.clone()).collect()
+            let (Some(tier), Some(tiers)) = (tier, self.tiers.get(&group)) else {
+                return Vec::new();
+            };
+            tiers
+                .range((tier, 0)..=(tier, u64::MAX))
+                .map(|(_, id)| id.clone())
+                .collect()
         };
         let affected: Vec<Arc<str>> = [of(after), of(before)].concat();
         for id in affected {
@@ -847,7 +977,9 @@
         let is_standby = view.as_ref().is_some_and(|v| {
             v.word == Word::Ready && self.lowest(v.group).is_some_and(|lowest| lowest < tier)
         });
-        let Some(m) = self.members.get_mut(id) else { return };
+        let Some(m) = self.members.get_mut(id) else {
+            return;
+        };
         if is_standby {
             m.rule = Some(Rule::Standby);
         }
@@ -864,7 +996,11 @@
         m.listed.clone_from(&view);
         let member = id.clone();
         changes.push(match view {
-            Some(view) => Change::Listed { member, view, is_new },
+            Some(view) => Change::Listed {
+                member,
+                view,
+                is_new,
+            },
             None => Change::Gone { member },
         });
     }
@@ -875,14 +1011,27 @@
         if m.gone.is_some() {
             return Some((Rule::Gone, None, 0));
         }
-        let answered = m.answered.is_some_and(|at| now < at.saturating_add(self.settings.vouch));
+        let answered = m
+            .answered
+            .is_some_and(|at| now < at.saturating_add(self.settings.vouch));
         let best = m.claims.iter().max_by(|a, b| self.compare(a, b));
         let (mut rule, mut view, tier) = match (best, &m.last) {
             (Some(h), _) => {
                 let c = &h.claim;
                 let started = m.claims.iter().map(|h| h.claim.started).max().unwrap_or(0);
                 let (endpoint, group, zone, weight) = (c.endpoint, c.group, c.zone, c.weight);
-                (Rule::Named, View { endpoint, group, zone, word: Word::Ready, started, weight }, c.tier)
+                (
+                    Rule::Named,
+                    View {
+                        endpoint,
+                        group,
+                        zone,
+                        word: Word::Ready,
+                        started,
+                        weight,
+                    },
+                    c.tier,
+                )
             }
             (None, Some(last)) if answered => (Rule::Vouched, last.clone(), m.last_tier),
             _ => return Some((Rule::Unnamed, None, 0)),
@@ -900,14 +1049,21 @@
         }
         view.word = Word::Ready;
         if m.drain.is_some() || m.own_drain.is_some() {
-            rule = if m.drain.is_some() { Rule::Drain } else { Rule::OwnDrain };
+            rule = if m.drain.is_some() {
+                Rule::Drain
+            } else {
+                Rule::OwnDrain
+            };
             view.word = Word::Draining;
         }
         Some((rule, Some(view), tier))
     }
 
     fn endpoint_of(&self, m: &Member) -> Option<SocketAddr> {
-        m.claims.iter().max_by(|a, b| self.compare(a, b)).map(|h| h.claim.endpoint)
+        m.claims
+            .iter()
+            .max_by(|a, b| self.compare(a, b))
+            .map(|h| h.claim.endpoint)
     }
 
     /// How strong a member's hold of its endpoint is: a name of its own, the newest start, the newest word; the
@@ -921,24 +1077,53 @@
     /// Which of two claims about one member counts: the newer start; a fresh one of a source that is heard; the
     /// better source; the newer word, which is not the one that was repeated last.
     fn compare(&self, a: &Held, b: &Held) -> std::cmp::Ordering {
-        let heard = |h: &Held| self.sources.get(&h.source).is_some_and(|s| s.silent.is_none());
+        let heard = |h: &Held| {
+            self.sources
+                .get(&h.source)
+                .is_some_and(|s| s.silent.is_none())
+        };
         let kind = |h: &Held| self.sources.get(&h.source).map(|s| s.kind);
-        let order = |h: &Held| (h.claim.started, !h.is_stale, heard(h), kind(h), h.since, h.source);
+        let order = |h: &Held| {
+            (
+                h.claim.started,
+                !h.is_stale,
+                heard(h),
+                kind(h),
+                h.since,
+                h.source,
+            )
+        };
         order(a).cmp(&order(b)).then_with(|| a.name.cmp(&b.name))
     }
 
     /// Looks again when a claim gets stale, when vouching ends, or when the member can be forgotten.
     fn schedule(&mut self, now: Time, id: &Arc<str>) {
-        let Some(m) = self.members.get_mut(id) else { return };
-        let stale = m.claims.iter().filter(|h| !h.is_stale).filter_map(|h| h.claim.until).min();
+        let Some(m) = self.members.get_mut(id) else {
+            return;
+        };
+        let stale = m
+            .claims
+            .iter()
+            .filter(|h| !h.is_stale)
+            .filter_map(|h| h.claim.until)
+            .min();
         let (vouch, remember) = (self.settings.vouch, self.settings.remember);
         let unnamed = m.claims.is_empty();
-        let vouched = m.answered.map(|at| at.saturating_add(vouch)).filter(|at| unnamed && *at > now);
+        let vouched = m
+            .answered
+            .map(|at| at.saturating_add(vouch))
+            .filter(|at| unnamed && *at > now);
         if unnamed && m.listed.is_none() && vouched.is_none() {
-            let last = m.answered.max(m.gone.map(|b| b.at)).max(m.drain.map(|b| b.at)).unwrap_or(0);
+            let last = m
+                .answered
+                .max(m.gone.map(|b| b.at))
+                .max(m.drain.map(|b| b.at))
+                .unwrap_or(0);
             let until = last.saturating_add(remember);
             if until <= now {
-                let Some(m) = self.members.remove(id) else { return };
+                let Some(m) = self.members.remove(id) else {
+                    return;
+                };
                 self.disputed.remove(id);
                 if let Some((timer, _)) = m.timer {
                     self.wheel.cancel(timer);
@@ -952,13 +1137,20 @@
             return;
         }
         let own = m.own_drain.map(|at| at.saturating_add(vouch));
-        m.arm(&mut self.wheel, stale.into_iter().chain(vouched).chain(own).min(), id);
+        m.arm(
+            &mut self.wheel,
+            stale.into_iter().chain(vouched).chain(own).min(),
+            id,
+        );
     }
 }
 
 impl Member {
     fn is_bound_by(&self, source: Source) -> bool {
-        [self.drain, self.gone].into_iter().flatten().any(|b| b.by == source)
+        [self.drain, self.gone]
+            .into_iter()
+            .flatten()
+            .any(|b| b.by == source)
     }
 
     /// What a claim binds, and what it lifts. Newer word of the same or a better source lifts: a newer start, or
@@ -967,13 +1159,22 @@
     fn bind(&mut self, now: Time, source: Source, kind: Kind, claim: &Claim, drains_hold: bool) {
         let is_newer_version =
             |b: &Binding| source == b.by && kind == Kind::Roster && claim.version > b.version;
-        let lifts = |b: &Binding| (claim.started > b.started && kind >= b.kind) || is_newer_version(b);
-        self.gone = self.gone.filter(|b| claim.started <= b.started && !is_newer_version(b));
+        let lifts =
+            |b: &Binding| (claim.started > b.started && kind >= b.kind) || is_newer_version(b);
+        self.gone = self
+            .gone
+            .filter(|b| claim.started <= b.started && !is_newer_version(b));
         match claim.word {
             Word::Ready => self.drain = self.drain.filter(|b| drains_hold && !lifts(b)),
             Word::Draining => {
                 let (by, started, version) = (source, claim.started, claim.version);
-                let new = Binding { by, kind, started, version, at: now };
+                let new = Binding {
+                    by,
+                    kind,
+                    started,
+                    version,
+                    at: now,
+                };
                 // Of two that say so, the better source's word is the one that must be lifted.
                 let is_kept = |b: &Binding| b.kind > kind && b.started >= started;
                 self.drain = self.drain.filter(is_kept).or(Some(new));
@@ -984,7 +1185,9 @@
     fn arm(&mut self, wheel: &mut Wheel<Arc<str>>, at: Option<Time>, id: &Arc<str>) {
         match (self.timer, at) {
             (Some((_, before)), Some(at)) if before == at => {}
-            (Some((timer, _)), Some(at)) if wheel.reset(timer, at) => self.timer = Some((timer, at)),
+            (Some((timer, _)), Some(at)) if wheel.reset(timer, at) => {
+                self.timer = Some((timer, at))
+            }
             (timer, at) => {
                 if let Some((timer, _)) = timer {
                     wheel.cancel(timer);
--- a/crates/service-discovery/src/watch.rs
+++ b/crates/service-discovery/src/watch.rs
@@ -44,12 +44,14 @@
 pub const LOCAL_REST: Span = 1000 * MS;
 
 // A watch whose call has fallen silent is open again, after one further call, before what it missed counts as told.
-const _: () = assert!(WAIT + LATE + LATE < TOLD && LATE + LATE < TOLD_AFTER_WAIT && BUSY_WAIT > TOLD);
+const _: () =
+    assert!(WAIT + LATE + LATE < TOLD && LATE + LATE < TOLD_AFTER_WAIT && BUSY_WAIT > TOLD);
 // So is one whose first call fell silent, also if a connection that does not come up is in between.
 const _: () = assert!(OPENING + TURN + LATE + CONNECT + LATE < TOLD);
 // A silent local agent is called anew so often that the shortest usual drain grace, 250 ms, is kept at its return, with
 // 150 ms for which the process may be held up.
-const _: () = assert!(LOCAL_OPENING + LOCAL_LATE <= 100 * MS && LOCAL_LATE + LOCAL_RETRY <= 110 * MS);
+const _: () =
+    assert!(LOCAL_OPENING + LOCAL_LATE <= 100 * MS && LOCAL_LATE + LOCAL_RETRY <= 110 * MS);
 const _: () = assert!(LOCAL_WAIT + LOCAL_LATE + LOCAL_OPENING + LOCAL_LATE < TOLD);
 
 /// Who serves the list.
@@ -136,7 +138,14 @@
 impl Watch {
     /// Of this service, with a list of this version, if there is one.
     pub fn new(service: ListService, version: Option<u64>) -> Watch {
-        Watch { service, version, began: 0, wait: 0, is_open: false, busy_until: 0 }
+        Watch {
+            service,
+            version,
+            began: 0,
+            wait: 0,
+            is_open: false,
+            busy_until: 0,
+        }
     }
 
     /// The call that is made at the start without being asked for.
@@ -177,23 +186,40 @@
 
     fn begin(&mut self, now: Time, ask: Ask, wait: Span, turn: Span) -> Call {
         // One call less for a busy service: the first one is the watch already.
-        let (wait, turn) = if now < self.busy_until { (BUSY_WAIT, 0) } else { (wait, turn) };
+        let (wait, turn) = if now < self.busy_until {
+            (BUSY_WAIT, 0)
+        } else {
+            (wait, turn)
+        };
         let since = self.since(now, ask, wait);
         // The whole list waits for nothing but its turn.
         let patience = if since.is_some() { wait + turn } else { TURN };
         let patience = patience + LATE;
-        Call { since, patience, whole_within: patience, connect: CONNECT }
+        Call {
+            since,
+            patience,
+            whole_within: patience,
+            connect: CONNECT,
+        }
     }
 
     fn begin_local(&mut self, now: Time, ask: Ask, wait: Span) -> Call {
         let since = self.since(now, ask, wait);
         let patience = since.map_or(LOCAL_OPENING, |(_, wait)| wait) + LOCAL_LATE;
-        Call { since, patience, whole_within: patience + LOCAL_REST, connect: LOCAL_LATE }
+        Call {
+            since,
+            patience,
+            whole_within: patience + LOCAL_REST,
+            connect: LOCAL_LATE,
+        }
     }
 
     /// Records the beginning of a call; says what it asks for and how long it may wait.
     fn since(&mut self, now: Time, ask: Ask, wait: Span) -> Option<(u64, Span)> {
-        let since = self.version.filter(|_| ask == Ask::Changes).map(|version| (version, wait));
+        let since = self
+            .version
+            .filter(|_| ask == Ask::Changes)
+            .map(|version| (version, wait));
         (self.began, self.wait) = (now, since.map_or(0, |s| s.1));
         since
     }
@@ -205,21 +231,29 @@
             (Ended::Answered { version, news }, _) => self.answered(now, version, news),
             // What has fallen silent is called anew at once, on a new connection: there is no time for a drawn
             // pause, and the routers' calls are out of step. A watch's first silence is no failure yet.
-            (Ended::Silent, ListService::Shared) => {
-                Then::Call { call: self.open(now, Ask::Changes), after: 0, quietly: was_open }
-            }
+            (Ended::Silent, ListService::Shared) => Then::Call {
+                call: self.open(now, Ask::Changes),
+                after: 0,
+                quietly: was_open,
+            },
             (Ended::TurnedAway, ListService::Shared) => {
                 self.busy_until = now + BUSY;
                 Then::Rest
             }
             (Ended::Failed, ListService::Shared) => Then::Rest,
             // A local agent that can't be reached learns nothing meanwhile: there is nothing to tell of it.
-            (Ended::Silent, ListService::LocalAgent) => {
-                Then::Call { call: self.open(now, Ask::Changes), after: 0, quietly: true }
-            }
+            (Ended::Silent, ListService::LocalAgent) => Then::Call {
+                call: self.open(now, Ask::Changes),
+                after: 0,
+                quietly: true,
+            },
             (Ended::TurnedAway | Ended::Failed, ListService::LocalAgent) => {
                 let call = self.open(now + LOCAL_RETRY, Ask::Changes);
-                Then::Call { call, after: LOCAL_RETRY, quietly: true }
+                Then::Call {
+                    call,
+                    after: LOCAL_RETRY,
+                    quietly: true,
+                }
             }
         }
     }
@@ -229,6 +263,10 @@
         // Answered early without news: calls that follow at once would keep both sides busy for nothing.
         let is_early = !news && now.saturating_sub(self.began) < self.wait / 2;
         let after = if is_early { PAUSE } else { 0 };
-        Then::Call { call: self.continue_watch(now + after), after, quietly: false }
+        Then::Call {
+            call: self.continue_watch(now + after),
+            after,
+            quietly: false,
+        }
     }
 }
--- a/crates/service-discovery/src/wheel.rs
+++ b/crates/service-discovery/src/wheel.rs
@@ -83,12 +83,22 @@
             None => {
                 assert!(self.nodes.len() < NONE as usize, "too many timers");
                 let (previous, next, slot, generation) = (NONE, NONE, 0, 0);
-                self.nodes.push(Node { at, previous, next, slot, generation, value: Some(value) });
+                self.nodes.push(Node {
+                    at,
+                    previous,
+                    next,
+                    slot,
+                    generation,
+                    value: Some(value),
+                });
                 self.nodes.len() as u32 - 1
             }
         };
         self.link(index);
-        Handle { index, generation: self.nodes[index as usize].generation }
+        Handle {
+            index,
+            generation: self.nodes[index as usize].generation,
+        }
     }
 
     /// Moves a timer; says whether it was still there.
@@ -154,7 +164,11 @@
         let level = self.occupied.iter().position(|o| *o != 0)?;
         let slot = self.occupied[level].trailing_zeros() as usize;
         let shift = BITS * level as u32;
-        let above = self.now.checked_shr(shift + BITS).and_then(|n| n.checked_shl(shift + BITS)).unwrap_or(0);
+        let above = self
+            .now
+            .checked_shr(shift + BITS)
+            .and_then(|n| n.checked_shl(shift + BITS))
+            .unwrap_or(0);
         Some((level, slot, above | ((slot as u64) << shift)))
     }
 
@@ -214,11 +228,17 @@
         let (a, b) = (wheel.insert(5 * MS, 'a'), wheel.insert(9 * MS, 'b'));
         let mut due = Vec::new();
         wheel.expire(5 * MS, &mut due);
-        assert_eq!((&due[..], wheel.cancel(a), wheel.len()), (&['a'][..], None, 1));
+        assert_eq!(
+            (&due[..], wheel.cancel(a), wheel.len()),
+            (&['a'][..], None, 1)
+        );
         let c = wheel.insert(u64::MAX, 'c');
         assert!(!wheel.reset(a, MS) && wheel.reset(b, 7 * MS) && a != c);
         assert_eq!(wheel.next_due(), Some(7 * MS));
-        assert_eq!((wheel.cancel(b), wheel.cancel(c), wheel.is_empty()), (Some('b'), Some('c'), true));
+        assert_eq!(
+            (wheel.cancel(b), wheel.cancel(c), wheel.is_empty()),
+            (Some('b'), Some('c'), true)
+        );
         assert_eq!(wheel.next_due(), None);
     }
 
--- a/crates/service-discovery/tests/browse.rs
+++ b/crates/service-discovery/tests/browse.rs
@@ -31,12 +31,22 @@
 }
 
 fn zone(instances: u16) -> Zone {
-    let all = (0..instances).map(|n| (format!("db-{n}"), Instance::new(&format!("s-{n}"), endpoint(n), 1)));
-    Zone { instances: all.collect(), ..Zone::default() }
+    let all = (0..instances).map(|n| {
+        (
+            format!("db-{n}"),
+            Instance::new(&format!("s-{n}"), endpoint(n), 1),
+        )
+    });
+    Zone {
+        instances: all.collect(),
+        ..Zone::default()
+    }
 }
 
 fn servers(n: usize) -> Vec<SocketAddr> {
-    (0..n).map(|n| ([127, 0, 0, 53], n as u16 + 1).into()).collect()
+    (0..n)
+        .map(|n| ([127, 0, 0, 53], n as u16 + 1).into())
+        .collect()
 }
 
 impl World {
@@ -60,10 +70,26 @@
             zones: vec!["a".into()],
         };
         let mut members = Members::new(Settings::default(), now);
-        members.handle(now, Input::Source { source: 1, kind: Kind::Records }, &mut Vec::new());
+        members.handle(
+            now,
+            Input::Source {
+                source: 1,
+                kind: Kind::Records,
+            },
+            &mut Vec::new(),
+        );
         let browser = Browser::new(config, 1, 7, now);
         let (list, on_way) = (BTreeMap::new(), Vec::new());
-        let mut world = World { zones, browser, members, list, now, on_way, asked: 0, most_told: 0 };
+        let mut world = World {
+            zones,
+            browser,
+            members,
+            list,
+            now,
+            on_way,
+            asked: 0,
+            most_told: 0,
+        };
         let mut out = Vec::new();
         world.browser.start(now, &mut out);
         world.carry(out);
@@ -75,7 +101,10 @@
             match output {
                 Output::Ask(ask) => {
                     self.asked += 1;
-                    let server = servers(self.zones.len()).iter().position(|s| *s == ask.server).unwrap();
+                    let server = servers(self.zones.len())
+                        .iter()
+                        .position(|s| *s == ask.server)
+                        .unwrap();
                     if let Some(answer) = self.zones[server].answer(&ask.message, ask.over_tcp) {
                         self.on_way.push((self.now + TRIP, ask.query, answer));
                     }
@@ -93,7 +122,9 @@
     fn apply(&mut self, changes: Vec<Change>) {
         for change in changes {
             match change {
-                Change::Listed { member, view, .. } => drop(self.list.insert(member.to_string(), view)),
+                Change::Listed { member, view, .. } => {
+                    drop(self.list.insert(member.to_string(), view))
+                }
                 Change::Gone { member } => drop(self.list.remove(&*member)),
             }
         }
@@ -106,7 +137,9 @@
         loop {
             let answer = self.on_way.iter().map(|w| w.0).min();
             let due = [answer, self.browser.next_due(), self.members.next_due()];
-            let Some(next) = due.into_iter().flatten().min().filter(|n| *n <= end) else { break };
+            let Some(next) = due.into_iter().flatten().min().filter(|n| *n <= end) else {
+                break;
+            };
             // The wheel's clock goes in ticks.
             self.now = self.now.max(next);
             let (mut out, mut changes) = (Vec::new(), Vec::new());
@@ -141,7 +174,14 @@
     assert_eq!(world.list["s-3"].endpoint, endpoint(3));
     if manner != Manner::Truncated {
         let queries = world.browser.counts().queries;
-        assert_eq!(queries, if manner == Manner::Helpful { 1 } else { 1 + 2 * 10 + 2 * 10 });
+        assert_eq!(
+            queries,
+            if manner == Manner::Helpful {
+                1
+            } else {
+                1 + 2 * 10 + 2 * 10
+            }
+        );
     }
 }
 
@@ -150,9 +190,13 @@
 fn changes_are_seen_within_the_floor_of_ttls() {
     let mut world = World::new(vec![zone(5)]);
     world.run(5 * SECOND, |_, _| {});
-    world.zones[0].instances.insert("db-9".into(), Instance::new("s-9", endpoint(9), 1));
+    world.zones[0]
+        .instances
+        .insert("db-9".into(), Instance::new("s-9", endpoint(9), 1));
     world.zones[0].instances.remove("db-0");
-    let db1 = world.zones[0].instances["db-1"].clone().with("state", Some("draining"));
+    let db1 = world.zones[0].instances["db-1"]
+        .clone()
+        .with("state", Some("draining"));
     world.zones[0].instances.insert("db-1".into(), db1);
     let (began, mut came, mut drained) = (world.now, None, None);
     world.run(3 * SECOND, |now, list| {
@@ -164,11 +208,16 @@
     assert_eq!(world.names(), ["s-1", "s-2", "s-3", "s-4", "s-9"]);
     // An older record that still points there lifts nothing; a newer start does.
     let db1 = world.zones[0].instances["db-1"].clone();
-    world.zones[0].instances.insert("db-1".into(), db1.clone().with("state", Some("ready")));
-    world.run(3 * SECOND, |_, list| assert_eq!(list["s-1"].word, Word::Draining));
     world.zones[0]
         .instances
-        .insert("db-1".into(), db1.with("state", Some("ready")).with("boot_ms", Some("9")));
+        .insert("db-1".into(), db1.clone().with("state", Some("ready")));
+    world.run(3 * SECOND, |_, list| {
+        assert_eq!(list["s-1"].word, Word::Draining)
+    });
+    world.zones[0].instances.insert(
+        "db-1".into(),
+        db1.with("state", Some("ready")).with("boot_ms", Some("9")),
+    );
     world.run(3 * SECOND, |_, _| {});
     assert_eq!(world.list["s-1"].word, Word::Ready);
 }
@@ -202,7 +251,10 @@
     while world.asked == before {
         world.run(100 * MS, &mut watch);
     }
-    world.zones.iter_mut().for_each(|z| z.manner = Manner::Helpful);
+    world
+        .zones
+        .iter_mut()
+        .for_each(|z| z.manner = Manner::Helpful);
     world.run(120 * SECOND, &mut watch);
     assert_eq!((least, world.list.len()), (5, 5));
     assert!(world.members.silent_since(1).is_none());
@@ -222,8 +274,13 @@
 /// Hard case 4: records that nobody asked for change nothing.
 #[test]
 fn foreign_records_are_not_believed() {
-    let mut world = World::new(vec![Zone { manner: Manner::Foreign, ..zone(2) }]);
-    world.run(10 * SECOND, |_, list| assert!(list.values().all(|v| v.endpoint.port() != 9)));
+    let mut world = World::new(vec![Zone {
+        manner: Manner::Foreign,
+        ..zone(2)
+    }]);
+    world.run(10 * SECOND, |_, list| {
+        assert!(list.values().all(|v| v.endpoint.port() != 9))
+    });
     assert_eq!(world.names(), ["s-0", "s-1"]);
     assert!(world.browser.counts().foreign > 0);
 }
@@ -236,7 +293,10 @@
     let mut least = usize::MAX;
     for round in 0..60 {
         let ttl = [0, 1, 86_400][round % 3];
-        world.zones[0].instances.values_mut().for_each(|i| i.ttl = ttl);
+        world.zones[0]
+            .instances
+            .values_mut()
+            .for_each(|i| i.ttl = ttl);
         world.run(7 * SECOND, |_, list| least = least.min(list.len()));
     }
     assert_eq!(least, 4);
@@ -252,7 +312,13 @@
 /// Guards the first server's users: when it says nothing the next one is asked, within its time-out.
 #[test]
 fn the_next_server_is_asked_in_time() {
-    let mut world = World::new(vec![Zone { manner: Manner::Silent, ..zone(3) }, zone(3)]);
+    let mut world = World::new(vec![
+        Zone {
+            manner: Manner::Silent,
+            ..zone(3)
+        },
+        zone(3),
+    ]);
     world.run(510 * MS, |_, _| {});
     assert_eq!(world.list.len(), 3);
 }
@@ -260,10 +326,20 @@
 /// Guards the servers: what a large service needs is asked for within the budget.
 #[test]
 fn queries_keep_to_their_budget() {
-    let mut world = World::with_budget(vec![Zone { manner: Manner::Terse, ..zone(100) }], 50.0);
+    let mut world = World::with_budget(
+        vec![Zone {
+            manner: Manner::Terse,
+            ..zone(100)
+        }],
+        50.0,
+    );
     for second in 1..=20 {
         world.run(SECOND, |_, _| {});
-        assert!(world.asked <= 50 * (second + 1), "{} queries in {second} s", world.asked);
+        assert!(
+            world.asked <= 50 * (second + 1),
+            "{} queries in {second} s",
+            world.asked
+        );
     }
     assert_eq!(world.list.len(), 100);
 }
@@ -278,9 +354,14 @@
     }
     let mut world = World::new(vec![zone]);
     world.run(2 * SECOND, |_, _| {});
-    assert_eq!((world.names(), world.list["s-0"].weight), (vec!["s-0", "s-1", "s-2"], 0.5));
+    assert_eq!(
+        (world.names(), world.list["s-0"].weight),
+        (vec!["s-0", "s-1", "s-2"], 0.5)
+    );
     for label in ["db-0", "db-1", "db-2"] {
-        let drains = world.zones[0].instances[label].clone().with("state", Some("draining"));
+        let drains = world.zones[0].instances[label]
+            .clone()
+            .with("state", Some("draining"));
         world.zones[0].instances.insert(label.into(), drains);
     }
     world.run(2 * SECOND, |_, _| {});
@@ -292,10 +373,14 @@
 fn subtypes_and_ipv6_hosts_are_found(#[values(Manner::Helpful, Manner::Terse)] manner: Manner) {
     let mut zone = Zone { manner, ..zone(2) };
     let six: SocketAddr = "[::1]:7001".parse().unwrap();
-    zone.instances.insert("db-1".into(), Instance::new("s-1", six, 1));
+    zone.instances
+        .insert("db-1".into(), Instance::new("s-1", six, 1));
     let mut world = World::of(SUBTYPE, vec![zone], 1000.0);
     world.run(2 * SECOND, |_, _| {});
-    assert_eq!((world.names(), world.list["s-1"].endpoint), (vec!["s-0", "s-1"], six));
+    assert_eq!(
+        (world.names(), world.list["s-1"].endpoint),
+        (vec!["s-0", "s-1"], six)
+    );
 }
 
 proptest! {
--- a/crates/service-discovery/tests/model.rs
+++ b/crates/service-discovery/tests/model.rs
@@ -1,7 +1,9 @@
 //! The rules as a model: all interleavings of two sources, three members, drains, deaths, restarts, stale records,
 //! vanished records, failures and a restart of the router, to a depth.
 
-use reelrill_service_discovery::{Change, Claim, Input, Kind, Members, Removal, Rule, Settings, Word};
+use reelrill_service_discovery::{
+    Change, Claim, Input, Kind, Members, Removal, Rule, Settings, Word,
+};
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -47,19 +49,40 @@
     /// All that decides what the members do next; times by their order alone.
     fn digest(&self) -> impl Hash + Eq + use<> {
         let status = self.members.status();
-        let times: BTreeSet<u64> = status.iter().flat_map(|s| s.claims.iter().map(|h| h.since)).collect();
+        let times: BTreeSet<u64> = status
+            .iter()
+            .flat_map(|s| s.claims.iter().map(|h| h.since))
+            .collect();
         let order = |at: u64| times.iter().position(|t| *t == at);
-        let bound = |b: Option<reelrill_service_discovery::Binding>| b.map(|b| (b.by, b.started, b.version));
+        let bound = |b: Option<reelrill_service_discovery::Binding>| {
+            b.map(|b| (b.by, b.started, b.version))
+        };
         let member = |s: &reelrill_service_discovery::Status| {
             let mut claims: Vec<_> = s
                 .claims
                 .iter()
-                .map(|h| (h.source, h.claim.word, h.claim.started, h.claim.version, order(h.since)))
+                .map(|h| {
+                    (
+                        h.source,
+                        h.claim.word,
+                        h.claim.started,
+                        h.claim.version,
+                        order(h.since),
+                    )
+                })
                 .collect();
             claims.sort_unstable_by_key(|c| (c.0, c.4));
             let listed = s.listed.as_ref().map(|v| (v.word, v.started));
             let own = (s.own_drain.is_some(), s.answered.is_some());
-            (s.member.clone(), s.rule, listed, claims, bound(s.drain), bound(s.gone), own)
+            (
+                s.member.clone(),
+                s.rule,
+                listed,
+                claims,
+                bound(s.drain),
+                bound(s.gone),
+                own,
+            )
         };
         let silent = [ROSTER, RECORDS].map(|s| self.members.silent_since(s).is_some());
         let all: Vec<_> = status.iter().map(member).collect();
@@ -69,7 +92,10 @@
     fn word_of(&self, m: usize) -> Option<Word> {
         let id = name(m);
         let all = self.members.status();
-        all.iter().find(|s| s.member == id).and_then(|s| s.listed.as_ref()).map(|v| v.word)
+        all.iter()
+            .find(|s| s.member == id)
+            .and_then(|s| s.listed.as_ref())
+            .map(|v| v.word)
     }
 }
 
@@ -111,7 +137,12 @@
 
 fn claim(m: usize, word: Word, started: u64, version: u64) -> Claim {
     let endpoint = SocketAddr::from(([127, 0, 0, 1], 7000 + m as u16));
-    Claim { word, started, version, ..Claim::new(&name(m), endpoint, 1) }
+    Claim {
+        word,
+        started,
+        version,
+        ..Claim::new(&name(m), endpoint, 1)
+    }
 }
 
 fn fresh(settings: Settings, now: u64) -> Members {
@@ -127,12 +158,28 @@
         let truth = w.truth[m];
         w.version += u64::from(source == ROSTER);
         let version = if source == ROSTER { w.version } else { 0 };
-        let word = if truth.leaving { Word::Draining } else { Word::Ready };
+        let word = if truth.leaving {
+            Word::Draining
+        } else {
+            Word::Ready
+        };
         let input = if truth.alive {
-            Input::Told { source, name: name(m), claim: claim(m, word, truth.start, version) }
+            Input::Told {
+                source,
+                name: name(m),
+                claim: claim(m, word, truth.start, version),
+            }
         } else {
-            let how = if source == ROSTER { Removal::Gone } else { Removal::Absent };
-            Input::Removed { source, name: name(m), how }
+            let how = if source == ROSTER {
+                Removal::Gone
+            } else {
+                Removal::Absent
+            };
+            Input::Removed {
+                source,
+                name: name(m),
+                how,
+            }
         };
         w.ghost.named[source as usize][m] = truth.alive;
         w.ghost.synced[source as usize][m] = true;
@@ -160,10 +207,20 @@
 
     /// All is well and told by both.
     fn init_states(&self) -> Vec<World> {
-        let truth = [Truth { alive: true, leaving: false, start: 1 }; MEMBERS];
+        let truth = [Truth {
+            alive: true,
+            leaving: false,
+            start: 1,
+        }; MEMBERS];
         let now = 1 << 50;
         let (members, ghost) = (fresh(self.0, now), Ghost::default());
-        let mut world = World { truth, ghost, members, version: 0, now };
+        let mut world = World {
+            truth,
+            ghost,
+            members,
+            version: 0,
+            now,
+        };
         for m in 0..MEMBERS {
             self.told(&mut world, ROSTER, m);
             self.told(&mut world, RECORDS, m);
@@ -183,7 +240,11 @@
             if truth.start < 2 {
                 actions.push(Act::Restart(m));
             }
-            actions.extend([Act::RosterTells(m), Act::RecordsTell(m), Act::RecordsAreOld(m)]);
+            actions.extend([
+                Act::RosterTells(m),
+                Act::RecordsTell(m),
+                Act::RecordsAreOld(m),
+            ]);
         }
         actions.extend([Act::RosterFails, Act::RecordsFail, Act::RouterRestarts]);
     }
@@ -196,21 +257,41 @@
             Act::Drain(m) => w.truth[m].leaving = true,
             Act::Die(m) => w.truth[m].alive = false,
             Act::Restart(m) => {
-                w.truth[m] = Truth { alive: true, leaving: false, start: w.truth[m].start + 1 }
+                w.truth[m] = Truth {
+                    alive: true,
+                    leaving: false,
+                    start: w.truth[m].start + 1,
+                }
             }
             Act::RosterTells(m) => self.told(&mut w, ROSTER, m),
             Act::RecordsTell(m) => self.told(&mut w, RECORDS, m),
             Act::RecordsAreOld(m) => {
-                let started = w.truth[m].start.saturating_sub(u64::from(w.truth[m].start > 1));
+                let started = w.truth[m]
+                    .start
+                    .saturating_sub(u64::from(w.truth[m].start > 1));
                 let claim = claim(m, Word::Ready, started, 0);
                 w.ghost.named[RECORDS as usize][m] = true;
                 w.ghost.synced[RECORDS as usize][m] = false;
-                self.feed(&mut w, Input::Told { source: RECORDS, name: name(m), claim });
+                self.feed(
+                    &mut w,
+                    Input::Told {
+                        source: RECORDS,
+                        name: name(m),
+                        claim,
+                    },
+                );
             }
             Act::RecordVanishes(m) => {
                 w.ghost.named[RECORDS as usize][m] = false;
                 w.ghost.synced[RECORDS as usize][m] = false;
-                self.feed(&mut w, Input::Removed { source: RECORDS, name: name(m), how: Removal::Absent });
+                self.feed(
+                    &mut w,
+                    Input::Removed {
+                        source: RECORDS,
+                        name: name(m),
+                        how: Removal::Absent,
+                    },
+                );
             }
             Act::Answers(m) => {
                 let leaving = w.truth[m].leaving;
@@ -220,7 +301,13 @@
                         w.ghost.told_leaving[m] = w.truth[m].start;
                     }
                 }
-                self.feed(&mut w, Input::Answered { member: name(m), leaving });
+                self.feed(
+                    &mut w,
+                    Input::Answered {
+                        member: name(m),
+                        leaving,
+                    },
+                );
             }
             Act::RosterFails => self.feed(&mut w, Input::Failed { source: ROSTER }),
             Act::RecordsFail => self.feed(&mut w, Input::Failed { source: RECORDS }),
@@ -243,43 +330,57 @@
             Property::always("a drain that was told binds", |_, w: &World| {
                 (0..MEMBERS).all(|m| {
                     let truth = w.truth[m];
-                    let told = truth.alive && truth.leaving && w.ghost.told_leaving[m] == truth.start;
+                    let told =
+                        truth.alive && truth.leaving && w.ghost.told_leaving[m] == truth.start;
                     !told || w.word_of(m) != Some(Word::Ready)
                 })
             }),
             Property::always("no healthy member is forgotten", |_, w: &World| {
                 (0..MEMBERS).all(|m| {
                     let truth = w.truth[m];
-                    let known =
-                        w.ghost.seen[m] && (w.ghost.named.iter().any(|n| n[m]) || w.ghost.answered[m]);
+                    let known = w.ghost.seen[m]
+                        && (w.ghost.named.iter().any(|n| n[m]) || w.ghost.answered[m]);
                     // What the roster said of the start before holds until the next start is told.
-                    let gone = w.members.status().iter().any(|s| s.member == name(m) && s.rule == Rule::Gone);
+                    let gone = w
+                        .members
+                        .status()
+                        .iter()
+                        .any(|s| s.member == name(m) && s.rule == Rule::Gone);
                     let told = w.ghost.synced.iter().any(|s| s[m]);
                     let healthy = truth.alive && !truth.leaving && (told || !gone);
                     !(healthy && known) || w.word_of(m).is_some()
                 })
             }),
-            Property::always("the list is the truth once the sources agree", |_, w: &World| {
-                let agree = (0..MEMBERS).all(|m| w.ghost.synced.iter().all(|s| s[m]));
-                let is_true = |m: usize| match (w.truth[m], w.word_of(m)) {
-                    (Truth { alive: false, .. }, word) => word.is_none(),
-                    (Truth { leaving: true, .. }, word) => word == Some(Word::Draining),
-                    (_, word) => word == Some(Word::Ready),
-                };
-                !agree || (0..MEMBERS).all(is_true)
-            }),
+            Property::always(
+                "the list is the truth once the sources agree",
+                |_, w: &World| {
+                    let agree = (0..MEMBERS).all(|m| w.ghost.synced.iter().all(|s| s[m]));
+                    let is_true = |m: usize| match (w.truth[m], w.word_of(m)) {
+                        (Truth { alive: false, .. }, word) => word.is_none(),
+                        (Truth { leaving: true, .. }, word) => word == Some(Word::Draining),
+                        (_, word) => word == Some(Word::Ready),
+                    };
+                    !agree || (0..MEMBERS).all(is_true)
+                },
+            ),
         ]
     }
 }
 
 /// In the build for tests to a depth that takes seconds; the design page says how far it was explored besides.
 fn depth() -> usize {
-    std::env::var("MODEL_DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(4)
+    std::env::var("MODEL_DEPTH")
+        .ok()
+        .and_then(|d| d.parse().ok())
+        .unwrap_or(4)
 }
 
 #[test]
 fn the_rules_hold_in_all_interleavings() {
-    let checker = Rules(Settings::default()).checker().target_max_depth(depth() + 1).threads(4);
+    let checker = Rules(Settings::default())
+        .checker()
+        .target_max_depth(depth() + 1)
+        .threads(4);
     let checker = checker.spawn_bfs().join();
     println!(
         "{} states, {} of them unique, depth {}",
@@ -297,7 +398,14 @@
 #[case(Settings { silence_keeps: false, ..Settings::default() }, "no healthy member is forgotten")]
 #[case(Settings { absence_needs_all: false, ..Settings::default() }, "no healthy member is forgotten")]
 fn a_rule_that_is_taken_out_is_missed(#[case] settings: Settings, #[case] property: &'static str) {
-    let checker = Rules(settings).checker().target_max_depth(5).threads(4).spawn_bfs().join();
-    let path = checker.discovery(property).expect("the model did not find the bug");
+    let checker = Rules(settings)
+        .checker()
+        .target_max_depth(5)
+        .threads(4)
+        .spawn_bfs()
+        .join();
+    let path = checker
+        .discovery(property)
+        .expect("the model did not find the bug");
     println!("{:?}", path.into_actions());
 }
--- a/crates/service-discovery/tests/reference.rs
+++ b/crates/service-discovery/tests/reference.rs
@@ -1,7 +1,9 @@
 //! The members against a plain reference: claims in one vector, and all judged anew after every input.
 
 use proptest::prelude::*;
-use reelrill_service_discovery::{Change, Claim, Held, Input, Kind, Members, Removal, Settings, View, Word};
+use reelrill_service_discovery::{
+    Change, Claim, Held, Input, Kind, Members, Removal, Settings, View, Word,
+};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,32 +36,56 @@
 
 impl Plain {
     fn of<'a>(&'a self, uid: &'a str) -> impl Iterator<Item = &'a Held> {
-        self.claims.iter().filter(move |(u, _)| **u == *uid).map(|(_, h)| h)
+        self.claims
+            .iter()
+            .filter(move |(u, _)| **u == *uid)
+            .map(|(_, h)| h)
     }
 
     fn best<'a>(&'a self, uid: &'a str) -> Option<&'a Held> {
         let order = |h: &Held| {
             let source = self.sources.get(&h.source);
             let (heard, kind) = (source.is_some_and(|s| !s.1), source.map(|s| s.0));
-            (h.claim.started, !h.is_stale, heard, kind, h.since, h.source, h.name.clone())
+            (
+                h.claim.started,
+                !h.is_stale,
+                heard,
+                kind,
+                h.since,
+                h.source,
+                h.name.clone(),
+            )
         };
         self.of(uid).max_by_key(|h| order(h))
     }
 
     fn at(&self, endpoint: SocketAddr) -> BTreeSet<Uid> {
-        self.claims.iter().filter(|(_, h)| h.claim.endpoint == endpoint).map(|(u, _)| u.clone()).collect()
+        self.claims
+            .iter()
+            .filter(|(_, h)| h.claim.endpoint == endpoint)
+            .map(|(u, _)| u.clone())
+            .collect()
     }
 
     fn remove(&mut self, source: u16, name: &str) -> Option<(Uid, Held)> {
-        let at = self.claims.iter().position(|(_, h)| h.source == source && *h.name == *name)?;
+        let at = self
+            .claims
+            .iter()
+            .position(|(_, h)| h.source == source && *h.name == *name)?;
         Some(self.claims.remove(at))
     }
 
     fn told(&mut self, now: u64, source: u16, name: &Uid, claim: &Claim) {
-        let Some(known) = self.sources.get_mut(&source) else { return };
+        let Some(known) = self.sources.get_mut(&source) else {
+            return;
+        };
         known.1 = false;
         let kind = known.0;
-        let named: Vec<Uid> = self.at(claim.endpoint).into_iter().filter(|u| !is_nameless(u)).collect();
+        let named: Vec<Uid> = self
+            .at(claim.endpoint)
+            .into_iter()
+            .filter(|u| !is_nameless(u))
+            .collect();
         let uid = match (&claim.uid, &named[..]) {
             (Some(uid), _) => uid.clone(),
             (None, [only]) => only.clone(),
@@ -71,8 +97,15 @@
         }
         let old = self.remove(source, name).filter(|(u, _)| *u == uid);
         let same = old.filter(|(_, h)| {
-            Claim { version: 0, until: None, ..h.claim.clone() }
-                == Claim { version: 0, until: None, ..claim.clone() }
+            Claim {
+                version: 0,
+                until: None,
+                ..h.claim.clone()
+            } == Claim {
+                version: 0,
+                until: None,
+                ..claim.clone()
+            }
         });
         let since = same.map_or(now, |(_, h)| h.since);
         let lifts = |b: &(u16, Kind, u64, u64)| {
@@ -86,19 +119,26 @@
         let drain = self.drains.entry(uid.clone()).or_default();
         *drain = match claim.word {
             Word::Ready => drain.filter(|b| !lifts(b)),
-            Word::Draining => drain.filter(|b| b.1 > kind && b.2 >= claim.started).or(Some((
-                source,
-                kind,
-                claim.started,
-                claim.version,
-            ))),
+            Word::Draining => drain
+                .filter(|b| b.1 > kind && b.2 >= claim.started)
+                .or(Some((source, kind, claim.started, claim.version))),
+        };
+        let held = Held {
+            source,
+            name: name.clone(),
+            claim: claim.clone(),
+            told: now,
+            since,
+            is_stale: false,
         };
-        let held =
-            Held { source, name: name.clone(), claim: claim.clone(), told: now, since, is_stale: false };
         self.claims.push((uid.clone(), held));
         self.known.insert(uid.clone());
         // One named member at an endpoint takes what nameless ones claimed there.
-        let named: Vec<Uid> = self.at(claim.endpoint).into_iter().filter(|u| !is_nameless(u)).collect();
+        let named: Vec<Uid> = self
+            .at(claim.endpoint)
+            .into_iter()
+            .filter(|u| !is_nameless(u))
+            .collect();
         if named == [uid.clone()] {
             let mut taken = BTreeSet::new();
             for (u, h) in &mut self.claims {
@@ -123,7 +163,10 @@
             && how == Removal::Gone
         {
             let kind = self.sources[&source].0;
-            self.gone.insert(uid, Some((source, kind, held.claim.started, held.claim.version)));
+            self.gone.insert(
+                uid,
+                Some((source, kind, held.claim.started, held.claim.version)),
+            );
         }
     }
 
@@ -137,7 +180,11 @@
                     *bound = bound.filter(|b| b.0 != *source);
                 }
             }
-            Input::Told { source, name, claim } => self.told(now, *source, name, claim),
+            Input::Told {
+                source,
+                name,
+                claim,
+            } => self.told(now, *source, name, claim),
             Input::Removed { source, name, how } => {
                 if let Some(s) = self.sources.get_mut(source) {
                     s.1 = false;
@@ -148,7 +195,8 @@
                 if let Some(s) = self.sources.get_mut(source) {
                     s.1 = false;
                 }
-                self.claims.retain(|(_, h)| h.source != *source || names.contains(&h.name));
+                self.claims
+                    .retain(|(_, h)| h.source != *source || names.contains(&h.name));
             }
             Input::Failed { source } => {
                 if let Some(s) = self.sources.get_mut(source) {
@@ -179,7 +227,8 @@
             let since = p.of(uid).map(|h| h.since).max().unwrap_or(0);
             (!is_nameless(uid), started, since, uid.clone())
         };
-        let bound = |map: &BTreeMap<Uid, Bound>, uid: &Uid| map.get(uid).copied().flatten().is_some();
+        let bound =
+            |map: &BTreeMap<Uid, Bound>, uid: &Uid| map.get(uid).copied().flatten().is_some();
         let mut list: BTreeMap<Uid, (View, u16)> = BTreeMap::new();
         for uid in &uids {
             if bound(&self.gone, uid) {
@@ -191,14 +240,28 @@
                     let c = &h.claim;
                     let started = self.of(uid).map(|h| h.claim.started).max().unwrap_or(0);
                     let (endpoint, group, zone, weight) = (c.endpoint, c.group, c.zone, c.weight);
-                    (View { endpoint, group, zone, word: Word::Ready, started, weight }, c.tier)
+                    (
+                        View {
+                            endpoint,
+                            group,
+                            zone,
+                            word: Word::Ready,
+                            started,
+                            weight,
+                        },
+                        c.tier,
+                    )
                 }
                 (None, Some(last)) if answered => last.clone(),
                 _ => continue,
             };
-            let shadowed =
-                self.at(view.endpoint).iter().filter(|o| *o != uid && !bound(&self.gone, o)).any(|o| {
-                    self.best(o).is_some_and(|h| h.claim.endpoint == view.endpoint)
+            let shadowed = self
+                .at(view.endpoint)
+                .iter()
+                .filter(|o| *o != uid && !bound(&self.gone, o))
+                .any(|o| {
+                    self.best(o)
+                        .is_some_and(|h| h.claim.endpoint == view.endpoint)
                         && hold(self, o) > hold(self, uid)
                 });
             if shadowed {
@@ -219,7 +282,10 @@
         let in_use = |(_, (view, tier)): &(Uid, (View, u16))| {
             view.word == Word::Draining || lowest[&view.group] == *tier
         };
-        list.into_iter().filter(in_use).map(|(uid, (view, _))| (uid, view)).collect()
+        list.into_iter()
+            .filter(in_use)
+            .map(|(uid, (view, _))| (uid, view))
+            .collect()
     }
 }
 
@@ -235,7 +301,12 @@
 
 fn claim() -> impl Strategy<Value = Claim> {
     let uid = prop_oneof![3 => uid().prop_map(Some), 1 => Just(None)];
-    let until = prop_oneof![Just(None), Just(Some(0u64)), Just(Some(SECOND)), Just(Some(86_400 * SECOND))];
+    let until = prop_oneof![
+        Just(None),
+        Just(Some(0u64)),
+        Just(Some(SECOND)),
+        Just(Some(86_400 * SECOND))
+    ];
     let place = (1..5u16, 1..3u32, 0..2u16);
     (uid, place, proptest::bool::weighted(0.7), 0..3u64, until).prop_map(
         |(uid, place, ready, started, until)| Claim {
@@ -315,7 +386,14 @@
 /// Guards the tables that are kept beside the claims: a removed source leaves nothing behind.
 #[test]
 fn a_source_that_is_removed_takes_only_its_own() {
-    let mut members = Members::new(Settings { vouch: 0, remember: 0, ..Settings::default() }, SECOND);
+    let mut members = Members::new(
+        Settings {
+            vouch: 0,
+            remember: 0,
+            ..Settings::default()
+        },
+        SECOND,
+    );
     let mut changes = Vec::new();
     for (source, kind) in [(0, Kind::Roster), (1, Kind::Records)] {
         members.handle(SECOND, Input::Source { source, kind }, &mut changes);
@@ -326,11 +404,23 @@
         let name: Uid = format!("n{n}").into();
         members.handle(
             SECOND,
-            Input::Told { source: n % 2, name: name.clone(), claim: claim.clone() },
+            Input::Told {
+                source: n % 2,
+                name: name.clone(),
+                claim: claim.clone(),
+            },
             &mut changes,
         );
         if n < 4 {
-            members.handle(SECOND, Input::Told { source: (n + 1) % 2, name, claim }, &mut changes);
+            members.handle(
+                SECOND,
+                Input::Told {
+                    source: (n + 1) % 2,
+                    name,
+                    claim,
+                },
+                &mut changes,
+            );
         }
     }
     changes.clear();
@@ -345,14 +435,37 @@
 /// Guards the drain that a member tells itself: what it still finishes does not lift it; a newer start does, and time.
 #[test]
 fn a_member_that_leaves_may_still_answer() {
-    let mut members = Members::new(Settings { vouch: VOUCH, ..Settings::default() }, SECOND);
+    let mut members = Members::new(
+        Settings {
+            vouch: VOUCH,
+            ..Settings::default()
+        },
+        SECOND,
+    );
     let mut changes = Vec::new();
-    members.handle(SECOND, Input::Source { source: 1, kind: Kind::Records }, &mut changes);
+    members.handle(
+        SECOND,
+        Input::Source {
+            source: 1,
+            kind: Kind::Records,
+        },
+        &mut changes,
+    );
     let told = |started| {
-        let claim = Claim { started, ..Claim::new("s-1", SocketAddr::from(([127, 0, 0, 1], 1)), 1) };
-        Input::Told { source: 1, name: "n1".into(), claim }
+        let claim = Claim {
+            started,
+            ..Claim::new("s-1", SocketAddr::from(([127, 0, 0, 1], 1)), 1)
+        };
+        Input::Told {
+            source: 1,
+            name: "n1".into(),
+            claim,
+        }
+    };
+    let answered = |leaving| Input::Answered {
+        member: "s-1".into(),
+        leaving,
     };
-    let answered = |leaving| Input::Answered { member: "s-1".into(), leaving };
     let word = |m: &Members| m.status()[0].listed.as_ref().map(|v| v.word);
     let steps = [
         (told(1), Word::Ready),
--- a/crates/service-discovery/tests/watch.rs
+++ b/crates/service-discovery/tests/watch.rs
@@ -2,8 +2,8 @@
 
 use reelrill_routing::Time;
 use reelrill_service_discovery::watch::{
-    Ask, Call, Ended, LATE, LOCAL_LATE, LOCAL_RETRY, LOCAL_WAIT, ListService, TOLD, TOLD_AFTER_WAIT, Then,
-    Watch,
+    Ask, Call, Ended, LATE, LOCAL_LATE, LOCAL_RETRY, LOCAL_WAIT, ListService, TOLD,
+    TOLD_AFTER_WAIT, Then, Watch,
 };
 use rstest::rstest;
 
@@ -12,7 +12,15 @@
 fn open(version: u64) -> (Watch, Call) {
     let mut watch = Watch::new(ListService::Shared, Some(version));
     watch.ask(0, Ask::Changes);
-    let Then::Call { call, .. } = watch.ended(0, Ended::Answered { version, news: true }) else { panic!() };
+    let Then::Call { call, .. } = watch.ended(
+        0,
+        Ended::Answered {
+            version,
+            news: true,
+        },
+    ) else {
+        panic!()
+    };
     (watch, call)
 }
 
@@ -25,7 +33,11 @@
     for silent_at in (0..wait).step_by(50_000_000) {
         let (mut watch, call) = open(7);
         let told = (silent_at + TOLD).max(wait + TOLD_AFTER_WAIT);
-        let Then::Call { call: next, after, quietly: true } = watch.ended(call.patience, Ended::Silent)
+        let Then::Call {
+            call: next,
+            after,
+            quietly: true,
+        } = watch.ended(call.patience, Ended::Silent)
         else {
             panic!("it is not opened anew")
         };
@@ -40,9 +52,19 @@
 fn a_second_silence_in_a_row_is_told_and_called_anew() {
     let (mut watch, call) = open(7);
     let mut now = call.patience;
-    assert!(matches!(watch.ended(now, Ended::Silent), Then::Call { quietly: true, .. }));
+    assert!(matches!(
+        watch.ended(now, Ended::Silent),
+        Then::Call { quietly: true, .. }
+    ));
     for _ in 0..3 {
-        let Then::Call { call, after: 0, quietly: false } = watch.ended(now, Ended::Silent) else { panic!() };
+        let Then::Call {
+            call,
+            after: 0,
+            quietly: false,
+        } = watch.ended(now, Ended::Silent)
+        else {
+            panic!()
+        };
         assert!(call.patience + LATE < TOLD);
         assert!(!watch.is_open());
         now += call.patience;
@@ -57,8 +79,14 @@
 fn a_first_call_may_wait_for_its_turn(#[case] version: Option<u64>, #[case] ask: Ask) {
     let call = Watch::new(ListService::Shared, version).ask(0, ask);
     let waits = call.since.map_or(0, |s| s.1);
-    assert!(call.patience > waits + 2000 * MS && call.patience < TOLD - 2000 * MS, "{call:?}");
-    assert_eq!(call.since.is_some(), version.is_some() && ask == Ask::Changes);
+    assert!(
+        call.patience > waits + 2000 * MS && call.patience < TOLD - 2000 * MS,
+        "{call:?}"
+    );
+    assert_eq!(
+        call.since.is_some(),
+        version.is_some() && ask == Ask::Changes
+    );
 }
 
 /// Guards a busy service against calls that only wait: for a while after it has turned one away there are as few as
@@ -76,8 +104,13 @@
             "silent at {silent_at}"
         );
     }
-    let Then::Call { call, .. } = watch.ended(30_000 * MS, Ended::Answered { version: 7, news: false })
-    else {
+    let Then::Call { call, .. } = watch.ended(
+        30_000 * MS,
+        Ended::Answered {
+            version: 7,
+            news: false,
+        },
+    ) else {
         panic!("an answer ended the watch")
     };
     assert_eq!(call, usual);
@@ -116,7 +149,15 @@
 fn open_at_agent(version: u64) -> (Watch, Call) {
     let mut watch = Watch::new(ListService::LocalAgent, Some(version));
     watch.first_call(0).expect("a call at the start");
-    let Then::Call { call, .. } = watch.ended(0, Ended::Answered { version, news: true }) else { panic!() };
+    let Then::Call { call, .. } = watch.ended(
+        0,
+        Ended::Answered {
+            version,
+            news: true,
+        },
+    ) else {
+        panic!()
+    };
     (watch, call)
 }
 
@@ -124,7 +165,9 @@
 #[test]
 fn only_a_local_agent_is_called_at_the_start() {
     for version in [None, Some(7)] {
-        let call = Watch::new(ListService::LocalAgent, version).first_call(0).expect("a call");
+        let call = Watch::new(ListService::LocalAgent, version)
+            .first_call(0)
+            .expect("a call");
         assert_eq!(call.since.map(|s| s.0), version);
         assert_eq!(Watch::new(ListService::Shared, version).first_call(0), None);
     }
@@ -141,7 +184,9 @@
     assert_eq!(call.since, Some((7, LOCAL_WAIT)));
     let mut now = call.patience;
     for _ in 0..100 {
-        let Then::Call { call, after, .. } = watch.ended(now, how) else { panic!("it rests") };
+        let Then::Call { call, after, .. } = watch.ended(now, how) else {
+            panic!("it rests")
+        };
         assert!(after <= LOCAL_RETRY && call.patience <= 100 * MS && call.connect <= LOCAL_LATE);
         assert_eq!(call.since.map(|s| s.0), Some(7));
         now += after + call.patience;
@@ -152,6 +197,13 @@
 #[test]
 fn a_silent_watch_of_a_local_agent_is_opened_anew_within_half_a_second() {
     let (mut watch, call) = open_at_agent(7);
-    let Then::Call { call: next, after: 0, .. } = watch.ended(call.patience, Ended::Silent) else { panic!() };
+    let Then::Call {
+        call: next,
+        after: 0,
+        ..
+    } = watch.ended(call.patience, Ended::Silent)
+    else {
+        panic!()
+    };
     assert!(call.patience + next.connect + next.patience < 500 * MS);
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -19,7 +19,9 @@
 
 impl<'a> Fields<'a> {
     fn text(&mut self, name: &str) -> Result<&'a str, Fault> {
-        self.parts.next().ok_or_else(|| format!("field {name}: missing"))
+        self.parts
+            .next()
+            .ok_or_else(|| format!("field {name}: missing"))
     }
 
     fn maybe(&mut self, name: &str) -> Result<Option<&'a str>, Fault> {
@@ -28,14 +30,17 @@
 
     fn num<T: std::str::FromStr>(&mut self, name: &str) -> Result<T, Fault> {
         let text = self.text(name)?;
-        text.parse().map_err(|_| format!("field {name}: '{text}' is not a number of its kind"))
+        text.parse()
+            .map_err(|_| format!("field {name}: '{text}' is not a number of its kind"))
     }
 
     fn maybe_num<T: std::str::FromStr>(&mut self, name: &str) -> Result<Option<T>, Fault> {
         let Some(text) = self.maybe(name)? else {
             return Ok(None);
         };
-        text.parse().map(Some).map_err(|_| format!("field {name}: '{text}' is not a number of its kind"))
+        text.parse()
+            .map(Some)
+            .map_err(|_| format!("field {name}: '{text}' is not a number of its kind"))
     }
 
     fn hex(&mut self, name: &str) -> Result<RequestId, Fault> {
@@ -117,11 +122,15 @@
 
     /// Takes one line; true when a reply is due.
     fn line(&mut self, line: &str) -> Result<bool, Fault> {
-        let mut f = Fields { parts: line.split('\t') };
+        let mut f = Fields {
+            parts: line.split('\t'),
+        };
         let word = f.text("message")?;
         if let Some((sheet, left)) = self.open_sheet {
             if word != "ROW" {
-                return Err(format!("out of place: {left} more ROW lines were announced"));
+                return Err(format!(
+                    "out of place: {left} more ROW lines were announced"
+                ));
             }
             let entry = self.row(&mut f)?;
             self.sheets.entry(sheet).or_default().push(entry);
@@ -149,13 +158,22 @@
                 let (inst, seed) = (f.num("proxyId")?, f.num("rngSeed")?);
                 let text = f.text("bootInfo")?;
                 let rest: Vec<&str> = f.parts.by_ref().collect();
-                let text =
-                    if rest.is_empty() { text.to_owned() } else { format!("{text}\t{}", rest.join("\t")) };
+                let text = if rest.is_empty() {
+                    text.to_owned()
+                } else {
+                    format!("{text}\t{}", rest.join("\t"))
+                };
                 let wrong = |e: &dyn std::fmt::Display| format!("field bootInfo: {e}");
                 let value = serde_json::from_str(&text).map_err(|e| wrong(&e))?;
                 let site = reelrill_routing_config::read(&value).map_err(|e| wrong(&e))?;
                 let brain = Brain::new(seed, site.settings).map_err(|e| wrong(&e))?;
-                self.instances.insert(inst, Instance { brain, origin: site.origin });
+                self.instances.insert(
+                    inst,
+                    Instance {
+                        brain,
+                        origin: site.origin,
+                    },
+                );
             }
             "DESTROY" => {
                 self.instances.remove(&f.num("proxyId")?);
@@ -209,7 +227,14 @@
                 let ending = ending(f.text("ending")?)?;
                 f.num::<u64>("took")?;
                 let report = report(f.maybe("feedback")?, self.origin(inst)?)?;
-                self.feed(inst, Event::Probed { member, ending, report })?;
+                self.feed(
+                    inst,
+                    Event::Probed {
+                        member,
+                        ending,
+                        report,
+                    },
+                )?;
             }
             "FLOWING" => {
                 let inst = f.num("proxyId")?;
@@ -218,7 +243,14 @@
                 let attempt = f.num("n")?;
                 let member = f.text("member")?;
                 let member = self.name(member);
-                self.feed(inst, Event::Started { request, attempt, member })?;
+                self.feed(
+                    inst,
+                    Event::Started {
+                        request,
+                        attempt,
+                        member,
+                    },
+                )?;
             }
             "CLIENT_LEFT" => {
                 let inst = f.num("proxyId")?;
@@ -261,7 +293,16 @@
                     position: (note >= 4)
                         .then(|| origin.saturating_add((note / 4).saturating_mul(1_000_000))),
                 };
-                let o = Outcome { request, member, attempt, ending, standing, report, latency, closed };
+                let o = Outcome {
+                    request,
+                    member,
+                    attempt,
+                    ending,
+                    standing,
+                    report,
+                    latency,
+                    closed,
+                };
                 self.feed(inst, Event::Outcome(o))?;
             }
             other => return Err(format!("field message: unknown word '{other}'")),
@@ -284,7 +325,15 @@
         let group = f.num("db")?;
         f.maybe_num::<u32>("model")?;
         let zone = f.maybe_num("failureDomain")?.unwrap_or(0);
-        Ok(Entry { member, started, primary, state, weight, group, zone })
+        Ok(Entry {
+            member,
+            started,
+            primary,
+            state,
+            weight,
+            group,
+            zone,
+        })
     }
 }
 
@@ -292,13 +341,21 @@
 fn report(text: Option<&str>, origin: Time) -> Result<Standing, Fault> {
     let mut s = Standing::default();
     for pair in text.unwrap_or("").split(',').filter(|p| !p.is_empty()) {
-        let (name, value) = pair.split_once(':').ok_or(format!("field feedback: '{pair}' is not a pair"))?;
+        let (name, value) = pair
+            .split_once(':')
+            .ok_or(format!("field feedback: '{pair}' is not a pair"))?;
         let Ok(value) = value.parse::<f64>() else {
             return Err(format!("field feedback: '{value}' is not a number"));
         };
         match name {
             "x0" => s.position = Some(origin.saturating_add((value * 1e9 - 1e6).max(0.0) as u64)),
-            "x1" => s.role = Some(if value == 1.0 { Role::Primary } else { Role::Replica }),
+            "x1" => {
+                s.role = Some(if value == 1.0 {
+                    Role::Primary
+                } else {
+                    Role::Replica
+                })
+            }
             _ => {}
         }
     }
@@ -307,11 +364,20 @@
 
 fn print(reply: &mut String, inst: u64, action: Action) {
     let written = match action {
-        Action::Send { request, member, limit, by: _ } => match limit {
+        Action::Send {
+            request,
+            member,
+            limit,
+            by: _,
+        } => match limit {
             Some(limit) => writeln!(reply, "RELAY\t{inst}\t{request:016x}\t{member}\t{limit}"),
             None => writeln!(reply, "RELAY\t{inst}\t{request:016x}\t{member}\t-"),
         },
-        Action::Refuse { request, retry_after, .. } => match retry_after {
+        Action::Refuse {
+            request,
+            retry_after,
+            ..
+        } => match retry_after {
             Some(after) => writeln!(reply, "NOT_NOW\t{inst}\t{request:016x}\t{after}"),
             None => writeln!(reply, "NOT_NOW\t{inst}\t{request:016x}\t-"),
         },
@@ -334,7 +400,9 @@
     let mut text = Vec::new();
     for n in 1u64.. {
         text.clear();
-        let got = input.read_until(b'\n', &mut text).map_err(|e| format!("standard input: {e}"))?;
+        let got = input
+            .read_until(b'\n', &mut text)
+            .map_err(|e| format!("standard input: {e}"))?;
         if got == 0 {
             return match link.batch {
                 Some(_) => Err(format!("line {n}: the input ends inside a batch")),
@@ -346,10 +414,15 @@
         if line.is_empty() {
             continue;
         }
-        if link.line(line).map_err(|e| format!("line {n}: {}: {e}", line.split('\t').next().unwrap_or("")))? {
+        if link
+            .line(line)
+            .map_err(|e| format!("line {n}: {}: {e}", line.split('\t').next().unwrap_or("")))?
+        {
             let (_, sequence) = link.batch.take().unwrap_or_default();
             let _ = writeln!(link.reply, "READY\t{sequence}");
-            let sent = output.write_all(link.reply.as_bytes()).and_then(|()| output.flush());
+            let sent = output
+                .write_all(link.reply.as_bytes())
+                .and_then(|()| output.flush());
             sent.map_err(|e| format!("standard output: {e}"))?;
             link.reply.clear();
         }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -12,7 +12,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    child.stdin.take().unwrap().write_all(input.as_bytes()).unwrap();
+    child
+        .stdin
+        .take()
+        .unwrap()
+        .write_all(input.as_bytes())
+        .unwrap();
     child.wait_with_output().unwrap()
 }
 
@@ -29,7 +34,10 @@
     let out = run(&(start(SETTINGS) + order));
     let text = String::from_utf8(out.stdout).unwrap();
     assert!(out.status.success());
-    assert!(text.contains("RELAY\t3\tb3a4f6ba5d3a91c4\t10.0.0.1:80\t"), "{text}");
+    assert!(
+        text.contains("RELAY\t3\tb3a4f6ba5d3a91c4\t10.0.0.1:80\t"),
+        "{text}"
+    );
     assert!(text.ends_with("READY\t2\n"), "{text}");
 }
 
@@ -49,7 +57,10 @@
         let out = run(input);
         let text = String::from_utf8(out.stderr).unwrap();
         assert!(!out.status.success(), "{input}");
-        assert!(text.contains(line) && text.contains(field), "{input}: {text}");
+        assert!(
+            text.contains(line) && text.contains(field),
+            "{input}: {text}"
+        );
         assert!(out.stdout.is_empty());
     }
 }
@@ -58,5 +69,8 @@
 fn a_missing_necessary_setting_is_named() {
     let out = run(&start(&SETTINGS.replace("\"guards\":\"silent\",", "")));
     let text = String::from_utf8(out.stderr).unwrap();
-    assert!(!out.status.success() && text.contains("familyInfo.guards is missing"), "{text}");
+    assert!(
+        !out.status.success() && text.contains("familyInfo.guards is missing"),
+        "{text}"
+    );
 }
--- a/crates/test-support/src/change_feed.rs
+++ b/crates/test-support/src/change_feed.rs
@@ -22,7 +22,12 @@
     /// All lines that are newer than `since`; with 0 the whole list.
     fn newer_than(&self, since: u64) -> Value {
         let is_newer = |entry: &&(u64, Value)| entry.0 > since;
-        let targets: Vec<&Value> = self.entries.values().filter(is_newer).map(|entry| &entry.1).collect();
+        let targets: Vec<&Value> = self
+            .entries
+            .values()
+            .filter(is_newer)
+            .map(|entry| &entry.1)
+            .collect();
         json!({"rev": self.version, "all": since < FIRST_VERSION, "targets": targets})
     }
 }
@@ -51,10 +56,25 @@
     pub fn start(targets: &[Value]) -> ChangeFeed {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port for discovery");
         let address = listener.local_addr().expect("an address");
-        let entries = targets.iter().map(|t| (uid(t), (FIRST_VERSION, t.clone()))).collect();
-        let list = Watched::new(EndpointList { version: FIRST_VERSION, entries });
-        let feed = ChangeFeed { address, bytes_sent: Watched::new(0), calls: Watched::new(0), list };
-        let (list, bytes_sent, calls) = (feed.list.clone(), feed.bytes_sent.clone(), feed.calls.clone());
+        let entries = targets
+            .iter()
+            .map(|t| (uid(t), (FIRST_VERSION, t.clone())))
+            .collect();
+        let list = Watched::new(EndpointList {
+            version: FIRST_VERSION,
+            entries,
+        });
+        let feed = ChangeFeed {
+            address,
+            bytes_sent: Watched::new(0),
+            calls: Watched::new(0),
+            list,
+        };
+        let (list, bytes_sent, calls) = (
+            feed.list.clone(),
+            feed.bytes_sent.clone(),
+            feed.calls.clone(),
+        );
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (list, bytes_sent, calls) = (list.clone(), bytes_sent.clone(), calls.clone());
@@ -92,7 +112,10 @@
         let has_news = |list: &mut EndpointList| (list.version > since).then_some(());
         list.wait_for(wait.min(LIMIT), has_news);
         let body = list.change(|list| list.newer_than(since)).to_string();
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         bytes_sent.change(|bytes| *bytes += answer.len() as u64);
         writer.write_all(answer.as_bytes()).ok()?;
     }
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -16,7 +16,11 @@
 impl Reader {
     /// Reads from this stream.
     pub fn new(stream: TcpStream) -> Reader {
-        Reader { stream, bytes: Vec::new(), start: 0 }
+        Reader {
+            stream,
+            bytes: Vec::new(),
+            start: 0,
+        }
     }
 
     /// Reads until `find` finds something at the head of what has come, and how long it is; none: the stream has
@@ -125,7 +129,11 @@
         stream.set_read_timeout(Some(LIMIT)).expect("a limit");
         stream.set_nodelay(true).expect("no delay");
         let reader = Reader::new(stream.try_clone().expect("a second handle"));
-        Client { stream, reader, key: (0, 0) }
+        Client {
+            stream,
+            reader,
+            key: (0, 0),
+        }
     }
 
     /// Says hello and reads the welcome.
@@ -134,7 +142,11 @@
     /// If there is none.
     pub fn start(&mut self) {
         self.send(&startup());
-        assert_eq!(self.answer().map(|a| a.tags).as_deref(), Some("RSSSKZ"), "no welcome");
+        assert_eq!(
+            self.answer().map(|a| a.tags).as_deref(),
+            Some("RSSSKZ"),
+            "no welcome"
+        );
     }
 
     /// Writes bytes; whether they arrive shows in the answer.
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -66,7 +66,13 @@
                 std::thread::spawn(move || Self::serve(stream, &l, &c, &h, &m));
             }
         });
-        Discovery { address, list, calls, manner, mute }
+        Discovery {
+            address,
+            list,
+            calls,
+            manner,
+            mute,
+        }
     }
 
     fn serve(
@@ -82,12 +88,18 @@
             let path = lines.next()?.ok()?.split(' ').nth(1)?.to_owned();
             while !lines.next()?.ok()?.is_empty() {}
             calls.change(|c| c.push(path.clone()));
-            let field = |name: &str| path.split(name).nth(1).and_then(|t| t.split('&').next()?.parse().ok());
+            let field = |name: &str| {
+                path.split(name)
+                    .nth(1)
+                    .and_then(|t| t.split('&').next()?.parse().ok())
+            };
             let since: u64 = field("since=").unwrap_or(0);
             let wait = Duration::from_millis(field("timeout_ms=").unwrap_or(0));
             let manner = manner.wait_for(LIMIT, |m| (*m != Manner::Silent).then_some(*m))?;
             let hasty = manner == Manner::Hasty;
-            list.wait_for(wait, |(rev, l)| (hasty || *rev > since || l.is_none()).then_some(()));
+            list.wait_for(wait, |(rev, l)| {
+                (hasty || *rev > since || l.is_none()).then_some(())
+            });
             if mute.change(|m| *m) != made {
                 // Open and quiet, as behind a cut link.
                 let _ = lines.next();
@@ -101,15 +113,23 @@
             });
             let answer = match body {
                 // Nothing new: changes, of which there are none.
-                Some(b) if b["targets"] == json!([]) => json!({"rev": since, "all": false, "targets": []}),
+                Some(b) if b["targets"] == json!([]) => {
+                    json!({"rev": since, "all": false, "targets": []})
+                }
                 Some(b) => b,
                 None => {
-                    (&stream).write_all(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n").ok()?;
+                    (&stream)
+                        .write_all(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
+                        .ok()?;
                     continue;
                 }
             };
             let indented = || serde_json::to_string_pretty(&answer).unwrap_or_default();
-            let text = if manner == Manner::Indented { indented() } else { answer.to_string() };
+            let text = if manner == Manner::Indented {
+                indented()
+            } else {
+                answer.to_string()
+            };
             let (a, b) = text.split_at(text.len() / 2);
             let rest = match manner {
                 Manner::Chunked => format!(
@@ -122,9 +142,17 @@
                 _ => format!("Content-Length: {}\r\n\r\n{text}", text.len()),
             };
             let whole = format!("HTTP/1.1 200 OK\r\n{rest}");
-            let piece = if manner == Manner::Bytes { 1 } else { whole.len() };
+            let piece = if manner == Manner::Bytes {
+                1
+            } else {
+                whole.len()
+            };
             stream.set_nodelay(true).ok()?;
-            whole.as_bytes().chunks(piece).try_for_each(|p| (&stream).write_all(p)).ok()?;
+            whole
+                .as_bytes()
+                .chunks(piece)
+                .try_for_each(|p| (&stream).write_all(p))
+                .ok()?;
             if manner == Manner::Torn {
                 let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             }
--- a/crates/test-support/src/dns.rs
+++ b/crates/test-support/src/dns.rs
@@ -37,14 +37,21 @@
             pair("state", "ready".into()),
             pair("boot_ms", "0".into()),
         ];
-        Instance { endpoint, priority: 0, weight: 100, texts, ttl: 1 }
+        Instance {
+            endpoint,
+            priority: 0,
+            weight: 100,
+            texts,
+            ttl: 1,
+        }
     }
 
     /// The same with another value of a pair; none: without the pair.
     #[must_use]
     pub fn with(mut self, key: &str, value: Option<&str>) -> Instance {
         self.texts.retain(|(k, _)| k != key);
-        self.texts.extend(value.map(|v| (key.to_owned(), v.to_owned())));
+        self.texts
+            .extend(value.map(|v| (key.to_owned(), v.to_owned())));
         self
     }
 }
@@ -118,10 +125,18 @@
             };
             let srv = SRV::new(i.priority, i.weight, i.endpoint.port(), host.clone());
             for service in [SERVICE, SUBTYPE] {
-                all.push(Record::from_rdata(name(service), i.ttl, RData::PTR(PTR(instance.clone()))));
+                all.push(Record::from_rdata(
+                    name(service),
+                    i.ttl,
+                    RData::PTR(PTR(instance.clone())),
+                ));
             }
             all.push(Record::from_rdata(instance.clone(), i.ttl, RData::SRV(srv)));
-            all.push(Record::from_rdata(instance, i.ttl, RData::TXT(TXT::new(texts))));
+            all.push(Record::from_rdata(
+                instance,
+                i.ttl,
+                RData::TXT(TXT::new(texts)),
+            ));
             all.push(Record::from_rdata(host, i.ttl, address));
         }
         all
@@ -166,15 +181,25 @@
                     out.add_authority(soa);
                 }
                 if manner != Manner::Terse && !out.answers.is_empty() {
-                    let rest = all.iter().filter(|r| !fits(r) && r.data.record_type() != RecordType::PTR);
+                    let rest = all
+                        .iter()
+                        .filter(|r| !fits(r) && r.data.record_type() != RecordType::PTR);
                     out.add_additionals(rest.cloned());
                 }
                 if manner == Manner::Foreign {
                     let evil = name("evil.example.net.");
                     let srv = RData::SRV(SRV::new(0, 100, 9, evil.clone()));
-                    out.add_answer(Record::from_rdata(name(SERVICE), 60, RData::PTR(PTR(evil.clone()))));
+                    out.add_answer(Record::from_rdata(
+                        name(SERVICE),
+                        60,
+                        RData::PTR(PTR(evil.clone())),
+                    ));
                     out.add_additional(Record::from_rdata(evil.clone(), 60, srv));
-                    out.add_additional(Record::from_rdata(evil, 60, RData::A(A(Ipv4Addr::LOCALHOST))));
+                    out.add_additional(Record::from_rdata(
+                        evil,
+                        60,
+                        RData::A(A(Ipv4Addr::LOCALHOST)),
+                    ));
                 }
                 if manner == Manner::WrongId {
                     out.metadata.id ^= 1;
@@ -236,7 +261,9 @@
                         stream.read_exact(&mut bytes).ok()?;
                         let answer = z.change(|z| z.answer(&bytes, true))?;
                         stream
-                            .write_all(&[&(answer.len() as u16).to_be_bytes(), &answer[..]].concat())
+                            .write_all(
+                                &[&(answer.len() as u16).to_be_bytes(), &answer[..]].concat(),
+                            )
                             .ok()?;
                     }
                 });
@@ -253,6 +280,8 @@
     /// The same within a time.
     pub fn asked_within(&self, more: usize, within: Duration) -> bool {
         let before = self.zone.change(|z| z.queries);
-        self.zone.wait_for(within, |z| (z.queries >= before + more).then_some(())).is_some()
+        self.zone
+            .wait_for(within, |z| (z.queries >= before + more).then_some(()))
+            .is_some()
     }
 }
--- a/crates/test-support/src/group.rs
+++ b/crates/test-support/src/group.rs
@@ -33,7 +33,11 @@
 impl Ledger {
     /// The keys that took effect more than once.
     pub fn run_twice(&self) -> Vec<&str> {
-        self.bookings.iter().filter(|(_, by)| by.len() > 1).map(|(k, _)| &**k).collect()
+        self.bookings
+            .iter()
+            .filter(|(_, by)| by.len() > 1)
+            .map(|(k, _)| &**k)
+            .collect()
     }
 
     /// All members' counts together.
@@ -69,7 +73,10 @@
 
 /// Now, in Unix milliseconds.
 pub fn now_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 impl Group {
@@ -77,7 +84,14 @@
     /// within `window`.
     pub fn new(primary: &str, lag: Duration, window: Duration) -> Group {
         let (rows, keys, ledger) = (HashMap::new(), HashMap::new(), Ledger::default());
-        Group(Watched::new(World { primary: primary.to_owned(), lag, window, rows, keys, ledger }))
+        Group(Watched::new(World {
+            primary: primary.to_owned(),
+            lag,
+            window,
+            rows,
+            keys,
+            ledger,
+        }))
     }
 
     /// Another member leads from now on.
@@ -96,7 +110,11 @@
     }
 
     /// Waits until the ledger holds what `f` looks for.
-    pub fn wait_for<R>(&self, within: Duration, mut f: impl FnMut(&mut Ledger) -> Option<R>) -> Option<R> {
+    pub fn wait_for<R>(
+        &self,
+        within: Duration,
+        mut f: impl FnMut(&mut Ledger) -> Option<R>,
+    ) -> Option<R> {
         self.0.wait_for(within, |w| f(&mut w.ledger))
     }
 
@@ -110,18 +128,30 @@
     /// How far a member has applied the log, in Unix milliseconds.
     pub fn position(&self, member: &str) -> u64 {
         let now = now_ms();
-        self.0.change(|w| if w.primary == member { now } else { now - w.lag.as_millis() as u64 })
+        self.0.change(|w| {
+            if w.primary == member {
+                now
+            } else {
+                now - w.lag.as_millis() as u64
+            }
+        })
     }
 
     /// Runs a statement in words at a member.
     pub fn run(&self, member: &str, text: &str) -> Outcome {
         let mut quoted = literals(text);
-        let Some(row) = quoted.next() else { return Err(("08P01", "no quoted key")) };
+        let Some(row) = quoted.next() else {
+            return Err(("08P01", "no quoted key"));
+        };
         let comment = |name: &str| {
             let inside = text.rsplit_once("/*")?.1.trim_end().trim_end_matches("*/");
-            inside.split(',').find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('='))
+            inside
+                .split(',')
+                .find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('='))
         };
-        if comment("id").is_none_or(|id| id.len() != 16) || comment("d").is_none_or(|d| d.parse() == Ok(0)) {
+        if comment("id").is_none_or(|id| id.len() != 16)
+            || comment("d").is_none_or(|d| d.parse() == Ok(0))
+        {
             return Err(("08P01", "a statement that no client sends"));
         }
         let position = self.position(member);
@@ -132,9 +162,14 @@
                     return Err(("72000", "too far behind"));
                 }
                 let seen = w.rows.get(&row).filter(|(_, at)| *at <= position);
-                return Ok((seen.map_or_else(|| "(nothing)".to_owned(), |(v, _)| v.clone()), position));
+                return Ok((
+                    seen.map_or_else(|| "(nothing)".to_owned(), |(v, _)| v.clone()),
+                    position,
+                ));
             }
-            let Some(value) = quoted.next() else { return Err(("08P01", "no value")) };
+            let Some(value) = quoted.next() else {
+                return Err(("08P01", "no value"));
+            };
             if w.primary != member {
                 return Err(("25006", "this is not the primary"));
             }
@@ -145,7 +180,11 @@
                 w.ledger.repeats += 1;
                 return Ok((value.clone(), *at));
             }
-            w.ledger.bookings.entry(key.clone()).or_default().push(member.to_owned());
+            w.ledger
+                .bookings
+                .entry(key.clone())
+                .or_default()
+                .push(member.to_owned());
             w.rows.insert(row, (value.clone(), position));
             w.keys.insert(key, (now, value.clone(), position));
             Ok((value, position))
@@ -185,15 +224,20 @@
     #[test]
     fn a_repeat_is_dropped_within_the_window_and_counted_beyond_it() {
         let group = Group::new("p", Duration::ZERO, Duration::from_secs(100));
-        assert_eq!(group.run("r", WRITE), Err(("25006", "this is not the primary")));
+        assert_eq!(
+            group.run("r", WRITE),
+            Err(("25006", "this is not the primary"))
+        );
         assert_eq!(group.run("p", WRITE).map(|o| o.0), Ok("v".to_owned()));
         assert!(group.run("p", WRITE).is_ok());
         assert_eq!(group.ledger(|l| (l.repeats, l.run_twice().len())), (1, 0));
         let group = Group::new("p", Duration::ZERO, Duration::ZERO);
         assert!(group.run("p", WRITE).is_ok() && group.run("p", WRITE).is_ok());
         assert_eq!(group.ledger(|l| l.run_twice().len()), 1);
-        let read = WRITE
-            .replace("INSERT INTO facts (code, data) VALUES ('a''b', 'v') RETURNING data", "SELECT 'a''b'");
+        let read = WRITE.replace(
+            "INSERT INTO facts (code, data) VALUES ('a''b', 'v') RETURNING data",
+            "SELECT 'a''b'",
+        );
         assert_eq!(group.run("r", &read).map(|o| o.0), Ok("v".to_owned()));
     }
 }
--- a/crates/test-support/src/instance.rs
+++ b/crates/test-support/src/instance.rs
@@ -115,24 +115,54 @@
 
 /// The name of the request that a statement names.
 pub fn id_of(query: &str) -> String {
-    query.split("id=").nth(1).map_or(String::new(), |t| t.chars().take(16).collect())
+    query
+        .split("id=")
+        .nth(1)
+        .map_or(String::new(), |t| t.chars().take(16).collect())
 }
 
 impl Instance {
     /// Starts one that answers each request with its name.
     pub fn start(role: &'static str, act: Act) -> Instance {
-        Instance::listen(([127, 0, 0, 1], 0).into(), role, World::Echo(role), act, Duration::ZERO, false)
+        Instance::listen(
+            ([127, 0, 0, 1], 0).into(),
+            role,
+            World::Echo(role),
+            act,
+            Duration::ZERO,
+            false,
+        )
     }
 
     /// The same, but extended queries are errors to it.
     pub fn start_simple(role: &'static str) -> Instance {
         let at = ([127, 0, 0, 1], 0).into();
-        Instance::listen(at, role, World::Echo(role), Act::Serve, Duration::ZERO, true)
+        Instance::listen(
+            at,
+            role,
+            World::Echo(role),
+            Act::Serve,
+            Duration::ZERO,
+            true,
+        )
     }
 
     /// Starts a member of a group; each request takes it `work`.
-    pub fn join(group: &Group, name: &str, at: SocketAddr, work: Duration, simple_only: bool) -> Instance {
-        Instance::listen(at, name, World::Group(group.clone()), Act::Serve, work, simple_only)
+    pub fn join(
+        group: &Group,
+        name: &str,
+        at: SocketAddr,
+        work: Duration,
+        simple_only: bool,
+    ) -> Instance {
+        Instance::listen(
+            at,
+            name,
+            World::Group(group.clone()),
+            Act::Serve,
+            work,
+            simple_only,
+        )
     }
 
     fn listen(
@@ -161,8 +191,12 @@
         let i = inner.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let Ok(other) = stream.try_clone() else { continue };
-                let alive = i.open.change(|open| open.as_mut().map(|open| open.push(other)).is_some());
+                let Ok(other) = stream.try_clone() else {
+                    continue;
+                };
+                let alive = i
+                    .open
+                    .change(|open| open.as_mut().map(|open| open.push(other)).is_some());
                 if !alive {
                     reset(&stream);
                     continue;
@@ -174,14 +208,25 @@
                     let address = stream.peer_addr();
                     Connection::new(&i, stream).and_then(Connection::serve);
                     let is_this = |s: &TcpStream| {
-                        s.peer_addr().ok().is_none_or(|a| Some(a) == address.as_ref().ok().copied())
+                        s.peer_addr()
+                            .ok()
+                            .is_none_or(|a| Some(a) == address.as_ref().ok().copied())
                     };
-                    i.open.change(|open| open.iter_mut().for_each(|open| open.retain(|s| !is_this(s))));
+                    i.open.change(|open| {
+                        open.iter_mut()
+                            .for_each(|open| open.retain(|s| !is_this(s)))
+                    });
                     i.seen.change(|s| s.ended += 1);
                 });
             }
         });
-        Instance { address, seen, act, faults, inner }
+        Instance {
+            address,
+            seen,
+            act,
+            faults,
+            inner,
+        }
     }
 
     /// Its name.
@@ -201,7 +246,10 @@
 
     /// Waits until it is dead.
     pub fn died(&self) -> bool {
-        self.inner.open.wait_for(LIMIT, |open| open.is_none().then_some(())).is_some()
+        self.inner
+            .open
+            .wait_for(LIMIT, |open| open.is_none().then_some(()))
+            .is_some()
     }
 
     /// Whether it leaves new connections without a welcome, until it is told otherwise.
@@ -237,12 +285,20 @@
     fn fault(&self, at: Stage) -> Option<Fault> {
         self.faults.change(|f| {
             let hit = f.front().is_some_and(|(stage, _)| *stage == at);
-            if hit { f.pop_front().map(|(_, fault)| fault) } else { None }
+            if hit {
+                f.pop_front().map(|(_, fault)| fault)
+            } else {
+                None
+            }
         })
     }
 
     fn group(&self) -> Option<&Group> {
-        if let World::Group(group) = &self.world { Some(group) } else { None }
+        if let World::Group(group) = &self.world {
+            Some(group)
+        } else {
+            None
+        }
     }
 }
 
@@ -279,13 +335,17 @@
 
     fn serve(mut self) -> Option<()> {
         self.reader.next(frontend::startup)?;
-        self.inner.aloof.wait_for(LIMIT, |aloof| (!*aloof).then_some(()))?;
+        self.inner
+            .aloof
+            .wait_for(LIMIT, |aloof| (!*aloof).then_some(()))?;
         put(&mut self.out, b'R', &[&[0; 4]]);
         backend::put_ready(&mut self.out);
         self.flush()?;
         loop {
             let (tag, body) = self.reader.message()?;
-            let Ok(command) = frontend::read(tag, &body) else { return None };
+            let Ok(command) = frontend::read(tag, &body) else {
+                return None;
+            };
             match command {
                 Command::Terminate => return None,
                 Command::Query(text) => self.on_query(text)?,
@@ -300,7 +360,9 @@
                 }
                 Command::Flush => self.flush()?,
                 _ if self.is_skipping => {}
-                _ if self.inner.simple_only => self.error("08P01", "extended queries are not known here"),
+                _ if self.inner.simple_only => {
+                    self.error("08P01", "extended queries are not known here")
+                }
                 command => self.on_extended(command)?,
             }
         }
@@ -340,14 +402,21 @@
         let (role, position) = match &self.inner.world {
             World::Echo(role) => (*role, now_ms()),
             World::Group(g) => {
-                let role = if g.leads(&self.inner.name) { "master" } else { "replica" };
+                let role = if g.leads(&self.inner.name) {
+                    "master"
+                } else {
+                    "replica"
+                };
                 (role, g.position(&self.inner.name))
             }
         };
         backend::put_parameter(&mut self.out, "part", role);
         backend::put_parameter(&mut self.out, "caught_up_to", &position.to_string());
-        let gauges =
-            format!("x0={},x1={},inflight=0,util=0.1", position as f64 / 1e3, u8::from(role == "master"));
+        let gauges = format!(
+            "x0={},x1={},inflight=0,util=0.1",
+            position as f64 / 1e3,
+            u8::from(role == "master")
+        );
         backend::put_parameter(&mut self.out, "gauges", &gauges);
         backend::put_ready(&mut self.out);
     }
@@ -363,15 +432,21 @@
     }
 
     fn act(&self) -> Option<Act> {
-        self.inner.act.wait_for(LIMIT, |a| (*a != Act::Silence).then_some(*a))
+        self.inner
+            .act
+            .wait_for(LIMIT, |a| (*a != Act::Silence).then_some(*a))
     }
 
     /// Puts a value and the end of its command.
     fn put_served(&mut self, value: &str, format: Format, tag: &str) {
-        match value.strip_prefix("\\x").filter(|_| format == Format::Binary) {
+        match value
+            .strip_prefix("\\x")
+            .filter(|_| format == Format::Binary)
+        {
             Some(digits) => {
-                let byte =
-                    |i: usize| u8::from_str_radix(digits.get(i..i + 2).unwrap_or("0"), 16).unwrap_or(0);
+                let byte = |i: usize| {
+                    u8::from_str_radix(digits.get(i..i + 2).unwrap_or("0"), 16).unwrap_or(0)
+                };
                 let bytes: Vec<u8> = (0..digits.len()).step_by(2).map(byte).collect();
                 backend::put_value(&mut self.out, &bytes);
             }
@@ -416,12 +491,20 @@
                     if act == Act::ServeLarge {
                         value = value.repeat(4096);
                     }
-                    let oid = if self.inner.group().is_some() { oid::TEXT } else { oid::UNKNOWN };
+                    let oid = if self.inner.group().is_some() {
+                        oid::TEXT
+                    } else {
+                        oid::UNKNOWN
+                    };
                     backend::put_column(&mut self.out, &Column::new("data", oid, Format::Text));
                     if self.spoil(act)? {
                         return Some(());
                     }
-                    let tag = if text.starts_with("INSERT") { "INSERT 0 1" } else { "SELECT 1" };
+                    let tag = if text.starts_with("INSERT") {
+                        "INSERT 0 1"
+                    } else {
+                        "SELECT 1"
+                    };
                     self.put_served(&value, Format::Text, tag);
                 }
                 Err((code, text)) => backend::put_error(&mut self.out, false, code, text, None),
@@ -448,7 +531,8 @@
                     self.error("42P05", "the statement exists");
                     return Some(());
                 }
-                self.statements.insert(name.to_owned(), (text.to_owned(), types));
+                self.statements
+                    .insert(name.to_owned(), (text.to_owned(), types));
                 put(&mut self.out, b'1', &[]);
             }
             Command::Bind(bind) => {
@@ -462,7 +546,11 @@
                     self.error("08P01", "parameters that do not fit");
                     return Some(());
                 };
-                let portal = Portal { text, format: bind.result(0), has_run: false };
+                let portal = Portal {
+                    text,
+                    format: bind.result(0),
+                    has_run: false,
+                };
                 self.portals.insert(bind.portal.to_owned(), portal);
                 put(&mut self.out, b'2', &[]);
             }
@@ -484,7 +572,11 @@
                         if self.spoil(act)? {
                             return Some(());
                         }
-                        let tag = if text.starts_with("INSERT") { "INSERT 0 1" } else { "SELECT 1" };
+                        let tag = if text.starts_with("INSERT") {
+                            "INSERT 0 1"
+                        } else {
+                            "SELECT 1"
+                        };
                         self.put_served(&value, format, tag);
                     }
                 }
@@ -513,7 +605,9 @@
     let mut rest = text;
     while let Some((before, behind)) = rest.split_once('$') {
         out.push_str(before);
-        let end = behind.find(|c: char| !c.is_ascii_digit()).unwrap_or(behind.len());
+        let end = behind
+            .find(|c: char| !c.is_ascii_digit())
+            .unwrap_or(behind.len());
         let index = behind[..end].parse::<usize>().ok()?.checked_sub(1)?;
         rest = &behind[end..];
         // What is in the comment stands there bare, all else in quotes.
--- a/crates/test-support/src/process.rs
+++ b/crates/test-support/src/process.rs
@@ -100,15 +100,31 @@
         });
         let listening = |l: &mut Vec<String>| {
             let line = l.iter().find(|l| l.contains("listening"))?;
-            line.split("address: ").nth(1)?.split(',').next()?.parse().ok()
+            line.split("address: ")
+                .nth(1)?
+                .split(',')
+                .next()?
+                .parse()
+                .ok()
         };
-        let address = log.wait_for(LIMIT, listening).expect("the router did not start");
-        Router { child, address, log, config, dir }
+        let address = log
+            .wait_for(LIMIT, listening)
+            .expect("the router did not start");
+        Router {
+            child,
+            address,
+            log,
+            config,
+            dir,
+        }
     }
 
     /// Replaces the router's own settings and has it read them again.
     pub fn reload_edge(&self, edge: &str) {
-        let (new, path) = (self.dir.path().join("new.yaml"), self.dir.path().join("edge.yaml"));
+        let (new, path) = (
+            self.dir.path().join("new.yaml"),
+            self.dir.path().join("edge.yaml"),
+        );
         std::fs::write(&new, edge).expect("settings");
         std::fs::rename(new, path).expect("settings");
         self.signal("HUP");
@@ -122,14 +138,22 @@
     /// Sends it a signal, such as `HUP`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("sh").args(["-c", &kill]).status().is_ok_and(|s| s.success()));
+        assert!(
+            Command::new("sh")
+                .args(["-c", &kill])
+                .status()
+                .is_ok_and(|s| s.success())
+        );
     }
 
     /// Replaces a field of the configuration file and has the router read it again.
     pub fn reload(&self, field: &str, value: Value) {
         let mut config = self.config.clone();
         config[field] = value;
-        let (new, path) = (self.dir.path().join("new.json"), self.dir.path().join("config.json"));
+        let (new, path) = (
+            self.dir.path().join("new.json"),
+            self.dir.path().join("config.json"),
+        );
         std::fs::write(&new, config.to_string()).expect("a configuration");
         std::fs::rename(new, path).expect("a configuration");
         self.signal("HUP");
@@ -142,14 +166,17 @@
 
     /// Waits until a line of its log holds `text`; says whether one does.
     pub fn logged(&self, text: &str) -> bool {
-        self.log.wait_for(LIMIT, |l| l.iter().any(|l| l.contains(text)).then_some(())).is_some()
+        self.log
+            .wait_for(LIMIT, |l| l.iter().any(|l| l.contains(text)).then_some(()))
+            .is_some()
     }
 
     /// The counters as they are now, printed on request.
     pub fn counters(&self) -> String {
         let before = self.log.change(|l| l.len());
         self.signal("USR1");
-        let line = |l: &mut Vec<String>| l[before..].iter().find(|l| l.contains("counters")).cloned();
+        let line =
+            |l: &mut Vec<String>| l[before..].iter().find(|l| l.contains("counters")).cloned();
         self.log.wait_for(LIMIT, line).expect("no counters")
     }
 
@@ -166,7 +193,8 @@
 
     /// Whether its last line holds this count.
     pub fn counted_at_exit(&self, text: &str) -> bool {
-        self.log.change(|l| l.last().is_some_and(|l| l.contains(&format!(" {text} "))))
+        self.log
+            .change(|l| l.last().is_some_and(|l| l.contains(&format!(" {text} "))))
     }
 
     /// A client that has been welcomed.
--- a/crates/test-support/src/watched.rs
+++ b/crates/test-support/src/watched.rs
@@ -30,7 +30,11 @@
     }
 
     /// Waits until `f` finds what it looks for; none: it did not within that time.
-    pub fn wait_for<R>(&self, within: Duration, mut f: impl FnMut(&mut T) -> Option<R>) -> Option<R> {
+    pub fn wait_for<R>(
+        &self,
+        within: Duration,
+        mut f: impl FnMut(&mut T) -> Option<R>,
+    ) -> Option<R> {
         let until = Instant::now() + within;
         let mut value = self.0.0.lock().unwrap_or_else(PoisonError::into_inner);
         loop {
@@ -38,7 +42,12 @@
                 return Some(found);
             }
             let left = until.checked_duration_since(Instant::now())?;
-            value = self.0.1.wait_timeout(value, left).unwrap_or_else(PoisonError::into_inner).0;
+            value = self
+                .0
+                .1
+                .wait_timeout(value, left)
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         }
     }
 }
--- a/crates/test-support/tests/change_feed.rs
+++ b/crates/test-support/tests/change_feed.rs
@@ -23,21 +23,31 @@
     }
     let mut body = vec![0; length];
     reader.read_exact(&mut body).expect("a body");
-    (serde_json::from_slice(&body).expect("a list"), (bytes + length) as u64)
+    (
+        serde_json::from_slice(&body).expect("a list"),
+        (bytes + length) as u64,
+    )
 }
 
 #[test]
 fn a_caller_that_knows_a_version_gets_only_what_changed_since() {
-    let line = |n: u16, state: &str| target(&format!("s-{n}"), ([127, 0, 0, 1], 1000 + n).into(), state);
+    let line =
+        |n: u16, state: &str| target(&format!("s-{n}"), ([127, 0, 0, 1], 1000 + n).into(), state);
     let feed = ChangeFeed::start(&[line(1, "ready"), line(2, "ready")]);
     let (whole, first_bytes) = call(&feed, "since=0");
     assert_eq!((&whole["rev"], &whole["all"]), (&1.into(), &true.into()));
     assert_eq!(whole["targets"].as_array().map(Vec::len), Some(2));
     feed.publish(line(2, "draining"));
     let (changes, second_bytes) = call(&feed, "since=1&timeout_ms=5000");
-    assert_eq!((&changes["rev"], &changes["all"]), (&2.into(), &false.into()));
+    assert_eq!(
+        (&changes["rev"], &changes["all"]),
+        (&2.into(), &false.into())
+    );
     assert_eq!(changes["targets"], Value::from(vec![line(2, "draining")]));
     let (nothing, third_bytes) = call(&feed, "since=2&timeout_ms=1");
     assert_eq!(nothing["targets"], Value::from(Vec::<Value>::new()));
-    assert_eq!(feed.bytes_sent.change(|bytes| *bytes), first_bytes + second_bytes + third_bytes);
+    assert_eq!(
+        feed.bytes_sent.change(|bytes| *bytes),
+        first_bytes + second_bytes + third_bytes
+    );
 }
--- a/example/toy_cluster.rs
+++ b/example/toy_cluster.rs
@@ -9,17 +9,24 @@
 fn main() {
     let local = |port| SocketAddr::from(([127, 0, 0, 1], port));
     let group = Group::new("s-7001", Duration::from_millis(250), Duration::from_secs(2));
-    let join =
-        |port| Instance::join(&group, &format!("s-{port}"), local(port), Duration::from_millis(20), false);
+    let join = |port| {
+        Instance::join(
+            &group,
+            &format!("s-{port}"),
+            local(port),
+            Duration::from_millis(20),
+            false,
+        )
+    };
     let instances = [7001, 7002, 7003].map(join);
     let list = instances.iter().map(|i| i.target(1, "ready")).collect();
     let _discovery = Discovery::start_at(local(8500), Some(list));
     println!("discovery on 127.0.0.1:8500, instances on 7001 (the primary), 7002 and 7003");
     let watch = |instance: Instance| {
         move || loop {
-            let asked = instance
-                .seen
-                .wait_for(LIMIT, |s| (!s.queries.is_empty()).then(|| std::mem::take(&mut s.queries)));
+            let asked = instance.seen.wait_for(LIMIT, |s| {
+                (!s.queries.is_empty()).then(|| std::mem::take(&mut s.queries))
+            });
             for query in asked.unwrap_or_default() {
                 println!("{}: {query}", instance.address.port());
             }
