--- a/crates/experiments/src/extended.rs
+++ b/crates/experiments/src/extended.rs
@@ -14,33 +14,34 @@
 const WRITE: &str = "INSERT INTO facts (code, data) VALUES ($1, $2) RETURNING data /* c=book,d=$3,cluster=2,k=$4 */";
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
-/// A group of four, and the router before it.
+/// A replica set of four, and the router before it.
 struct Bench {
-    group: Group,
-    members: Vec<Instance>,
+    replica_set: Group,
+    endpoints: Vec<Instance>,
     _discovery: Discovery,
     router: Router,
 }
 
 impl Bench {
     fn start(program: &str, work: Duration, edge: Option<&str>) -> Bench {
-        let group = Group::new(NAMES[0], Duration::ZERO, Duration::from_secs(2));
-        let join =
-            |name: &&str| Instance::join(&group, name, ([127, 0, 0, 1], 0).into(), work, false);
-        let members: Vec<Instance> = NAMES.iter().map(join).collect();
-        let list: Vec<_> = members.iter().map(|m| m.target(2, "ready")).collect();
+        let replica_set = Group::new(NAMES[0], Duration::ZERO, Duration::from_secs(2));
+        let join = |name: &&str| {
+            Instance::join(&replica_set, name, ([127, 0, 0, 1], 0).into(), work, false)
+        };
+        let endpoints: Vec<Instance> = NAMES.iter().map(join).collect();
+        let list: Vec<_> = endpoints.iter().map(|m| m.target(2, "ready")).collect();
         let discovery = Discovery::start(Some(list.clone()));
         let router = Router::start(program, &discovery, &list, 1024, settings(), edge);
         Bench {
-            group,
-            members,
+            replica_set,
+            endpoints,
             _discovery: discovery,
             router,
         }
     }
 
     fn connections(&self) -> usize {
-        self.members
+        self.endpoints
             .iter()
             .map(|m| m.seen.change(|s| s.connections))
             .sum()
@@ -128,7 +129,7 @@
         let answer = client.extended(&[read_of(&name, id as u64)]);
         ensure!(answer.tags == "2DCZ", "run {id}: {answer:?}");
     }
-    let counts = bench.group.ledger(|l| l.total());
+    let counts = bench.replica_set.ledger(|l| l.total());
     ensure!(
         counts.executes == RUNS,
         "{} executes for {RUNS} runs",
@@ -199,7 +200,7 @@
     Ok(())
 }
 
-/// Sixteen reads at once against one by one, on one connection, where each takes an instance 2 ms.
+/// Sixteen reads at once against one by one, on one connection, where each takes an endpoint 2 ms.
 fn pipeline(program: &str, rounds: usize, report: &mut Report) -> anyhow::Result<()> {
     const READS: u64 = 16;
     let bench = Bench::start(program, Duration::from_millis(2), Some(ON));
@@ -276,13 +277,13 @@
                     return;
                 }
                 let (stage, fault) = (STAGES[round % 5], FAULTS[round / 5 % 4]);
-                let member = &bench.members[leader];
+                let endpoint = &bench.endpoints[leader];
                 if stage == Stage::Parse {
-                    member.forget();
+                    endpoint.forget();
                 }
-                member.faults.change(|f| f.push_back((stage, fault)));
+                endpoint.faults.change(|f| f.push_back((stage, fault)));
                 let hit = |f: &mut std::collections::VecDeque<_>| f.is_empty().then_some(());
-                if member
+                if endpoint
                     .faults
                     .wait_for(Duration::from_secs(5), hit)
                     .is_none()
@@ -291,11 +292,11 @@
                 }
                 add(&hits);
                 if fault == Fault::Kill {
-                    member.died();
-                    leader = (leader + 1) % bench.members.len();
-                    bench.group.promote(NAMES[leader]);
+                    endpoint.died();
+                    leader = (leader + 1) % bench.endpoints.len();
+                    bench.replica_set.promote(NAMES[leader]);
                     std::thread::sleep(Duration::from_millis(100));
-                    member.revive();
+                    endpoint.revive();
                 }
             }
         });
@@ -346,8 +347,8 @@
         ended.store(true, Ordering::Relaxed);
     });
     let count = |c: &AtomicUsize| [c.load(Ordering::Relaxed) as f64];
-    let twice = bench.group.ledger(|l| l.run_twice().len()) as f64;
-    let never = BOOKINGS as f64 - bench.group.ledger(|l| l.bookings.len()) as f64;
+    let twice = bench.replica_set.ledger(|l| l.run_twice().len()) as f64;
+    let never = BOOKINGS as f64 - bench.replica_set.ledger(|l| l.bookings.len()) as f64;
     report.add("bookings run twice", "", &[twice], Aim::AtMost(0.0));
     report.add(
         "bookings without an answer",
--- a/crates/experiments/src/figures.rs
+++ b/crates/experiments/src/figures.rs
@@ -23,7 +23,7 @@
     least: f64,
     most: f64,
     rounds: usize,
-    aim: Aim,
+    target: Aim,
     met: bool,
 }
 
@@ -50,9 +50,9 @@
     }
 
     /// Adds a figure with the values of its rounds.
-    pub fn add(&mut self, name: &str, unit: &'static str, rounds: &[f64], aim: Aim) {
+    pub fn add(&mut self, name: &str, unit: &'static str, rounds: &[f64], target: Aim) {
         let value = median(rounds);
-        let met = match aim {
+        let met = match target {
             Aim::AtMost(most) => value <= most,
             Aim::AtLeast(least) => value >= least,
             Aim::None => true,
@@ -68,7 +68,7 @@
             least,
             most,
             rounds,
-            aim,
+            target,
             met,
         });
     }
@@ -86,7 +86,7 @@
             "figure", "median", "", "least to most", "n"
         )?;
         for x in &self.figures {
-            let aim = match x.aim {
+            let target = match x.target {
                 Aim::AtMost(most) => format!("at most {most}"),
                 Aim::AtLeast(least) => format!("at least {least}"),
                 Aim::None => String::new(),
@@ -95,7 +95,7 @@
             let missed = if x.met { "" } else { "  MISSED" };
             writeln!(
                 f,
-                "{:<52} {:>10.3} {:<8} {spread:>23} {:>3}  {aim}{missed}",
+                "{:<52} {:>10.3} {:<8} {spread:>23} {:>3}  {target}{missed}",
                 x.name, x.value, x.unit, x.rounds
             )?;
         }
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -38,7 +38,7 @@
 /// The size of a fleet, and the traffic of one of its routers.
 #[derive(Clone, Copy)]
 struct Fleet {
-    endpoints: usize,
+    addresses: usize,
     replica_set_size: usize,
     routers: u32,
     /// Requests a second, over all clients of the router.
@@ -47,13 +47,13 @@
 
 impl Fleet {
     const fn of(
-        endpoints: usize,
+        addresses: usize,
         replica_set_size: usize,
         routers: u32,
         request_rate: f64,
     ) -> Fleet {
         Fleet {
-            endpoints,
+            addresses,
             replica_set_size,
             routers,
             request_rate,
@@ -61,7 +61,7 @@
     }
 
     fn replica_sets(&self) -> usize {
-        self.endpoints / self.replica_set_size
+        self.addresses / self.replica_set_size
     }
 }
 
@@ -70,7 +70,7 @@
         write!(
             f,
             "{}/s, {} in sets of {}",
-            self.request_rate, self.endpoints, self.replica_set_size
+            self.request_rate, self.addresses, self.replica_set_size
         )?;
         write!(f, ", {} routers", self.routers)
     }
@@ -119,8 +119,8 @@
 }
 
 impl Bound {
-    fn at(&self, usual: f64, endpoints: usize) -> f64 {
-        self.factor * usual + self.constant + self.per_thousand * endpoints as f64 / 1000.0
+    fn at(&self, usual: f64, addresses: usize) -> f64 {
+        self.factor * usual + self.constant + self.per_thousand * addresses as f64 / 1000.0
     }
 }
 
@@ -204,25 +204,25 @@
         let mut base = None;
         for (fleet, usages) in compared {
             let values: Vec<f64> = usages.iter().map(bound.read).collect();
-            let aim = match base {
+            let target = match base {
                 None => Aim::None,
-                Some(base) => Aim::AtMost(bound.at(base, fleet.endpoints)),
+                Some(base) => Aim::AtMost(bound.at(base, fleet.addresses)),
             };
             base = base.or(Some(median(&values)));
             report.add(
                 &format!("{}, {fleet}", bound.name),
                 bound.unit,
                 &values,
-                aim,
+                target,
             );
         }
     }
     let mut base = None;
     for (fleet, usages) in compared {
         let values: Vec<f64> = usages.iter().map(|usage| usage.served_share).collect();
-        let aim = Aim::AtLeast(LEAST_SERVED * base.unwrap_or(1.0));
+        let target = Aim::AtLeast(LEAST_SERVED * base.unwrap_or(1.0));
         base = base.or(Some(median(&values)));
-        report.add(&format!("share served, {fleet}"), "", &values, aim);
+        report.add(&format!("share served, {fleet}"), "", &values, target);
     }
 }
 
@@ -258,10 +258,10 @@
 impl Endpoints {
     fn start(fleet: Fleet) -> Endpoints {
         const NAMES: [&str; 4] = ["primary", "replica-1", "replica-2", "replica-3"];
-        let group = Group::new(NAMES[0], Duration::ZERO, Duration::from_secs(2));
+        let replica_set = Group::new(NAMES[0], Duration::ZERO, Duration::from_secs(2));
         let join = |name: &&str| {
             Instance::join(
-                &group,
+                &replica_set,
                 name,
                 ([127, 0, 0, 1], 0).into(),
                 SERVICE_TIME,
@@ -284,8 +284,8 @@
             line["part"] = if place == 0 { "master" } else { "replica" }.into();
             line
         };
-        let lines = (0..fleet.endpoints).map(line).collect();
-        let restless = (RESTLESS_OFFSET..fleet.endpoints)
+        let lines = (0..fleet.addresses).map(line).collect();
+        let restless = (RESTLESS_OFFSET..fleet.addresses)
             .step_by(RESTLESS_PERIOD)
             .collect();
         Endpoints {
@@ -325,14 +325,14 @@
 }
 
 fn run(program: &str, fleet: Fleet, span: Duration, seed: u64) -> anyhow::Result<Usage> {
-    let mut endpoints = Endpoints::start(fleet);
-    let feed = ChangeFeed::start(&endpoints.lines);
+    let mut addresses = Endpoints::start(fleet);
+    let feed = ChangeFeed::start(&addresses.lines);
     let mut settings = settings();
     settings["groupSize"] = fleet.routers.into();
     let router = Router::start_with(
         program,
         feed.address,
-        &endpoints.lines,
+        &addresses.lines,
         DESCRIPTOR_LIMIT,
         settings,
         None,
@@ -351,7 +351,7 @@
             if began.elapsed() >= span {
                 break;
             }
-            feed.publish(endpoints.step(event as usize));
+            feed.publish(addresses.step(event as usize));
             let descriptors = std::fs::read_dir(format!("/proc/{}/fd", router.id()));
             peak_descriptors = peak_descriptors.max(descriptors.map(Iterator::count).unwrap_or(0));
         }
@@ -363,7 +363,7 @@
         cpu_seconds: cpu_seconds(router.id())?,
         peak_memory_mb: peak_memory_mb(router.id())?,
         peak_descriptors: peak_descriptors as f64,
-        connections: endpoints.connections() as f64,
+        connections: addresses.connections() as f64,
         list_kb: feed.bytes_sent.change(|bytes| *bytes) as f64 / 1000.0,
         served_share: traffic.served.load(Ordering::Relaxed) as f64 / asked as f64,
     })
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -39,7 +39,7 @@
 enum Subsystem {
     /// Extended queries
     Extended,
-    /// Members from service records and the roster together
+    /// Endpoints from service records and the roster together
     Membership,
     /// What a router needs as the fleet grows
     Fleet,
--- a/crates/experiments/src/membership.rs
+++ b/crates/experiments/src/membership.rs
@@ -1,4 +1,4 @@
-//! What several sources of members cost and keep.
+//! What several sources of endpoints cost and keep.
 
 use crate::figures::{Aim, Report, median};
 use anyhow::{Context as _, ensure};
@@ -125,11 +125,11 @@
     }
 }
 
-fn endpoint(n: usize) -> SocketAddr {
+fn address(n: usize) -> SocketAddr {
     ([10, (n >> 16) as u8, (n >> 8) as u8, n as u8], 5432).into()
 }
 
-/// A member's names, and what both sources say of it.
+/// An endpoint's names, and what both sources say of it.
 struct Names {
     ids: Vec<Arc<str>>,
     records: Vec<Arc<str>>,
@@ -146,7 +146,7 @@
 }
 
 fn filled(names: &Names) -> Members {
-    let mut members = Members::new(
+    let mut endpoints = Members::new(
         Settings {
             most: 1 << 20,
             ..Settings::default()
@@ -155,15 +155,15 @@
     );
     let mut out = Vec::new();
     for (source, kind) in [(0, Kind::Roster), (1, Kind::Records)] {
-        members.handle(0, Input::Source { source, kind }, &mut out);
+        endpoints.handle(0, Input::Source { source, kind }, &mut out);
     }
     for (n, id) in names.ids.iter().enumerate() {
         let claim = Claim {
             uid: Some(id.clone()),
             version: 1,
-            ..Claim::new("", endpoint(n), n as u32 / 5)
+            ..Claim::new("", address(n), n as u32 / 5)
         };
-        members.handle(
+        endpoints.handle(
             0,
             Input::Told {
                 source: 0,
@@ -177,7 +177,7 @@
             until: Some(60_000_000_000),
             ..claim
         };
-        members.handle(
+        endpoints.handle(
             0,
             Input::Told {
                 source: 1,
@@ -188,7 +188,7 @@
         );
         out.clear();
     }
-    members
+    endpoints
 }
 
 /// The plain way: the list made anew from all claims after each change, and compared with the one before.
@@ -207,7 +207,7 @@
             let best = if b.started > a.started { b } else { a };
             let drains = a.word == Word::Draining || b.word == Word::Draining;
             let word = if drains { Word::Draining } else { Word::Ready };
-            list.insert(id.clone(), (best.endpoint, word, best.group));
+            list.insert(id.clone(), (best.address, word, best.replica_set));
         }
         let changed = list
             .iter()
@@ -218,11 +218,11 @@
     }
 }
 
-/// Processor time a change of one member's state, told by the roster.
+/// Processor time a change of one endpoint's state, told by the roster.
 fn changes(rounds: usize, report: &mut Report) -> anyhow::Result<()> {
     let took = |n: usize, rounds: usize, changes: usize| -> anyhow::Result<Vec<f64>> {
         let names = names(n);
-        let (mut members, mut random) = (filled(&names), StdRng::seed_from_u64(2));
+        let (mut endpoints, mut random) = (filled(&names), StdRng::seed_from_u64(2));
         let (mut out, mut version, mut all) = (Vec::new(), 1, Vec::new());
         for round in 0..=rounds {
             let mut inputs = Vec::with_capacity(changes);
@@ -237,7 +237,7 @@
                 let claim = Claim {
                     word,
                     version,
-                    ..Claim::new(&names.ids[n], endpoint(n), n as u32 / 5)
+                    ..Claim::new(&names.ids[n], address(n), n as u32 / 5)
                 };
                 inputs.push(Input::Told {
                     source: 0,
@@ -248,7 +248,7 @@
             out.clear();
             let began = Instant::now();
             for input in inputs {
-                members.handle(version, input, &mut out);
+                endpoints.handle(version, input, &mut out);
             }
             // The first round warms up.
             if round > 0 {
@@ -265,7 +265,7 @@
     let (mut small, mut large, mut flat, mut over) =
         (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     let names = names(10_000);
-    let claims = |n: usize, id: &Arc<str>| Claim::new(id, endpoint(n), n as u32 / 5);
+    let claims = |n: usize, id: &Arc<str>| Claim::new(id, address(n), n as u32 / 5);
     let all = names
         .ids
         .iter()
@@ -320,13 +320,13 @@
         * 4096.0)
 }
 
-/// Memory of members with two sources each, names and all.
+/// Memory of endpoints with two sources each, names and all.
 fn memory(report: &mut Report) -> anyhow::Result<()> {
     const MEMBERS: usize = 100_000;
     let before = resident()?;
-    let members = filled(&names(MEMBERS));
+    let endpoints = filled(&names(MEMBERS));
     let bytes = (resident()? - before) / MEMBERS as f64;
-    ensure!(members.len() == MEMBERS, "{} members", members.len());
+    ensure!(endpoints.len() == MEMBERS, "{} members", endpoints.len());
     report.add(
         "memory a member, two sources",
         "bytes",
@@ -388,7 +388,7 @@
 }
 
 struct Site {
-    group: Group,
+    replica_set: Group,
     instances: Vec<Instance>,
     server: Server,
     discovery: Discovery,
@@ -396,9 +396,9 @@
 }
 
 /// A request takes it 10 ms, so that clients spread.
-fn member(group: &Group, n: usize) -> Instance {
+fn endpoint(replica_set: &Group, n: usize) -> Instance {
     Instance::join(
-        group,
+        replica_set,
         &format!("s-{n}"),
         ([127, 0, 0, 1], 0).into(),
         Duration::from_millis(10),
@@ -415,8 +415,8 @@
 
 impl Site {
     fn start(program: &str) -> Site {
-        let group = Group::new("s-0", Duration::ZERO, Duration::from_secs(2));
-        let instances: Vec<Instance> = (0..6).map(|n| member(&group, n)).collect();
+        let replica_set = Group::new("s-0", Duration::ZERO, Duration::from_secs(2));
+        let instances: Vec<Instance> = (0..6).map(|n| endpoint(&replica_set, n)).collect();
         let records = instances
             .iter()
             .enumerate()
@@ -435,7 +435,7 @@
         );
         let router = Router::start(program, &discovery, &[], 1024, settings(), Some(&edge));
         let site = Site {
-            group,
+            replica_set,
             instances,
             server,
             discovery,
@@ -472,7 +472,7 @@
     }
 }
 
-/// Drains, vanished records and new members in turns, by one source or the other, while clients ask.
+/// Drains, vanished records and new endpoints in turns, by one source or the other, while clients ask.
 fn flips(program: &str, span: Duration, report: &mut Report) -> anyhow::Result<()> {
     const CLIENTS: usize = 24;
     let quiet = {
@@ -526,9 +526,9 @@
         let gone = site.server.zone.change(|z| z.instances.remove(&other));
         std::thread::sleep((told + GRACE).saturating_duration_since(Instant::now()));
         let before = site.asked(n);
-        // A new member comes in the meantime.
+        // A new endpoint comes in the meantime.
         let number = 6 + round;
-        let (new, came) = (member(&site.group, number), Instant::now());
+        let (new, came) = (endpoint(&site.replica_set, number), Instant::now());
         let at = format!("db-{number}");
         site.server
             .zone
--- a/crates/pg-session/src/account.rs
+++ b/crates/pg-session/src/account.rs
@@ -76,7 +76,7 @@
     pub segment: usize,
     /// Reads of one client that run at once.
     pub reads: usize,
-    /// Statements prepared on one connection to an instance.
+    /// Statements prepared on one connection to an endpoint.
     pub prepared: usize,
 }
 
--- a/crates/pg-session/src/admit.rs
+++ b/crates/pg-session/src/admit.rs
@@ -2,7 +2,7 @@
 
 use crate::Wrong;
 use crate::form::{self, Form, FormError, Place};
-use reelrill_routing::{Class, Need, Repeat, Span, Time};
+use reelrill_routing::{Class, Consistency, Idempotency, Nanos, Operation, Timestamp};
 use std::ops::Range;
 use std::sync::Arc;
 
@@ -16,8 +16,8 @@
     pub id: Option<u64>,
     /// The class, as the settings name it.
     pub class: &'a str,
-    /// The group of instances.
-    pub group: u32,
+    /// The replica set of endpoints.
+    pub replica_set: u32,
     /// How long its client waits, in milliseconds; none: as long as its class allows.
     pub wait_ms: Option<u64>,
     /// The position that must be seen, a Unix time in milliseconds.
@@ -44,7 +44,8 @@
         let named = Named {
             id: Some(form::id(field(Place::Id)?).ok_or(FormError::Field("id"))?),
             class: field(Place::Class)?,
-            group: form::number(field(Place::Group)?).ok_or(FormError::Field("cluster"))?,
+            replica_set: form::number(field(Place::ReplicaSet)?)
+                .ok_or(FormError::Field("cluster"))?,
             wait_ms: Some(form::number(field(Place::Wait)?).ok_or(FormError::Field("d"))?),
             after_ms: after.transpose()?,
             is_retry: form.text(Place::Retry) == Some("1"),
@@ -56,23 +57,23 @@
     }
 }
 
-/// A request as the decider takes it, but for when it came and what goes to instances.
+/// A request as the decider takes it, but for when it came and what goes to endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Admitted {
     /// The client's name for it; none: the router draws one.
     pub id: Option<u64>,
     /// As the settings count classes.
     pub class: u32,
-    /// The group of instances.
-    pub group: u32,
+    /// The replica set of endpoints.
+    pub replica_set: u32,
     /// Its session, in classes that have sessions.
     pub session: Option<Arc<str>>,
     /// The position that a session's read must see.
-    pub after: Option<Time>,
+    pub after: Option<Timestamp>,
     /// A client's own further try.
     pub is_retry: bool,
     /// How long the client waits, from when its turn could begin.
-    pub wait: Span,
+    pub wait: Nanos,
     /// It writes.
     pub is_write: bool,
 }
@@ -101,20 +102,23 @@
         {
             return Err(Wrong::Value("d"));
         }
-        if named.is_write != (class.need == Need::Write) {
+        if named.is_write != (class.operation == Operation::Write) {
             return Err(Wrong::Kind(named.class.to_owned()));
         }
-        if matches!(class.repeat, Repeat::Keyed(_)) && !named.has_key {
+        if matches!(class.idempotency, Idempotency::IdempotencyKey(_)) && !named.has_key {
             return Err(Wrong::Value("k"));
         }
-        let has_session = matches!(class.need, Need::Session | Need::Write);
-        let after = named
-            .after_ms
-            .filter(|ms| *ms > 0 && class.need == Need::Session);
+        let has_session = matches!(
+            class.operation,
+            Operation::Read(Consistency::ReadYourWrites) | Operation::Write
+        );
+        let after = named.after_ms.filter(|ms| {
+            *ms > 0 && class.operation == Operation::Read(Consistency::ReadYourWrites)
+        });
         Ok(Admitted {
             id: named.id,
             class: index as u32,
-            group: named.group,
+            replica_set: named.replica_set,
             session: has_session.then(|| named.key.into()),
             after: after.map(|ms| ms.saturating_mul(1_000_000)),
             is_retry: named.is_retry,
@@ -129,29 +133,38 @@
 #[cfg(test)]
 pub(crate) mod tests {
     use super::*;
-    use reelrill_routing::Scope;
+    use reelrill_routing::KeyScope;
     use rstest::rstest;
 
     const READ: &str = "SELECT data FROM facts WHERE code = '7f3a' \
                         /* id=9b1f03aa5c7e2d41,c=own,d=480,cluster=2,after=1767225600123 */";
 
     pub(crate) fn catalog() -> Catalog {
-        let class = |need, repeat| Class {
-            need,
-            repeat,
-            window: 2_000_000_000,
-            aim: 500_000_000,
-            aim_stretch: 0.0,
+        let class = |operation, idempotency| Class {
+            operation,
+            idempotency,
+            deduplication_window: 2_000_000_000,
+            latency_objective: 500_000_000,
+            objective_stretch: 0.0,
             deadline: 1_000_000_000,
-            worth: 1.0,
-            late_worth: 0.0,
+            priority_weight: 1.0,
+            late_weight: 0.0,
         };
         Catalog::new(
             ["board", "own", "book"].map(str::to_owned).into(),
             vec![
-                class(Need::Any, Repeat::Safe),
-                class(Need::Session, Repeat::Safe),
-                class(Need::Write, Repeat::Keyed(Scope::Group)),
+                class(
+                    Operation::Read(Consistency::Eventual),
+                    Idempotency::Idempotent,
+                ),
+                class(
+                    Operation::Read(Consistency::ReadYourWrites),
+                    Idempotency::Idempotent,
+                ),
+                class(
+                    Operation::Write,
+                    Idempotency::IdempotencyKey(KeyScope::ReplicaSet),
+                ),
             ],
         )
     }
@@ -160,7 +173,7 @@
     fn a_simple_query_names_its_request() {
         let (named, digits) = Named::simple(READ).unwrap();
         assert_eq!(
-            (named.id, named.group, &READ[digits]),
+            (named.id, named.replica_set, &READ[digits]),
             (Some(0x9b1f_03aa_5c7e_2d41), 2, "480")
         );
         let admitted = catalog().admit(&named).unwrap();
--- a/crates/pg-session/src/bound.rs
+++ b/crates/pg-session/src/bound.rs
@@ -1,5 +1,5 @@
-//! A statement with its values, as instances are asked: in their own form, so that any front can make one and any
-//! instance side can carry it out.
+//! A statement with its values, as endpoints are asked: in their own form, so that any front can make one and any
+//! endpoint side can carry it out.
 
 use crate::Wrong;
 use crate::account::{Accounts, Share};
@@ -8,13 +8,13 @@
 use crate::template::{Kind, Request, Slot, Template};
 use reelrill_pg_protocol::frontend::{self, Bind};
 use reelrill_pg_protocol::{Format, oid};
-use reelrill_routing::Span;
+use reelrill_routing::Nanos;
 use std::borrow::Cow;
 use std::fmt::Write as _;
 use std::ops::Range;
 use std::rc::Rc;
 
-/// What an instance is to be asked.
+/// What an endpoint is to be asked.
 #[derive(Debug)]
 pub enum Ask {
     /// A statement in words, as a simple query.
@@ -32,8 +32,8 @@
     _share: Option<Share>,
 }
 
-/// The time that the router will wait, in whole milliseconds, as instances are told it.
-fn wait_ms(wait: Span) -> u64 {
+/// The time that the router will wait, in whole milliseconds, as endpoints are told it.
+fn wait_ms(wait: Nanos) -> u64 {
     (wait / 1_000_000).max(1)
 }
 
@@ -48,7 +48,7 @@
     }
 
     /// The text with the time that the router will wait.
-    pub fn with_wait(&self, wait: Span) -> Vec<u8> {
+    pub fn with_wait(&self, wait: Nanos) -> Vec<u8> {
         let mut text = Vec::with_capacity(self.text.len() + 8);
         text.extend_from_slice(&self.text[..self.wait_digits.start]);
         text.extend_from_slice(wait_ms(wait).to_string().as_bytes());
@@ -246,8 +246,8 @@
         let named = Named {
             id: Some(self.id(r)?.unwrap_or(self.drawn)),
             class: &class,
-            group: self
-                .number(r, Place::Group)?
+            replica_set: self
+                .number(r, Place::ReplicaSet)?
                 .ok_or(Wrong::Null("cluster"))?,
             wait_ms: self.number(r, Place::Wait)?.or(self.fixed_wait(r)?),
             after_ms: self.number(r, Place::After)?,
@@ -284,7 +284,7 @@
     }
 
     /// Appends the Bind of the unnamed portal, with the time that the router will wait.
-    pub fn put_bind(&self, out: &mut Vec<u8>, wait: Span) {
+    pub fn put_bind(&self, out: &mut Vec<u8>, wait: Nanos) {
         let Some(r) = self.request() else { return };
         let wait = number_in(r.types[r.wait], self.format(r.wait), wait_ms(wait));
         let id_at = r
@@ -393,7 +393,7 @@
     }
 }
 
-/// A value that an instance gave in one format, in the format that the client asked for. None: it can't be said
+/// A value that an endpoint gave in one format, in the format that the client asked for. None: it can't be said
 /// in that format.
 pub fn convert(value: &[u8], oid: u32, from: Format, to: Format) -> Option<Cow<'_, [u8]>> {
     if from == to || oid::is_text(oid) {
@@ -486,8 +486,8 @@
 
     const BINARY: [Format; 1] = [Format::Binary];
 
-    /// The values of the Bind that an instance gets.
-    fn sent(bound: &Bound, wait: Span) -> Vec<Option<Vec<u8>>> {
+    /// The values of the Bind that an endpoint gets.
+    fn sent(bound: &Bound, wait: Nanos) -> Vec<Option<Vec<u8>>> {
         let mut out = Vec::new();
         bound.put_bind(&mut out, wait);
         let (tag, body, _) = frame::command(&out, true).unwrap().unwrap();
@@ -508,13 +508,13 @@
             Some(b"2"),
             Some(b"k1"),
         ];
-        let (wait, group) = (480i64.to_be_bytes(), 2i16.to_be_bytes());
+        let (wait, replica_set) = (480i64.to_be_bytes(), 2i16.to_be_bytes());
         let binary: [Option<&[u8]>; 6] = [
             Some(b"s"),
             Some(b"\x01"),
             Some(&id.to_be_bytes()),
             Some(&wait),
-            Some(&group),
+            Some(&replica_set),
             Some(b"k1"),
         ];
         let types = [0, 0, oid::INT8, oid::INT8, oid::INT2];
@@ -523,7 +523,7 @@
         let other = bound(WRITE, &types, &BINARY, &binary).unwrap();
         assert_eq!(admit(&one), admit(&other));
         assert_eq!(
-            (admit(&one).id, admit(&one).group, admit(&one).wait),
+            (admit(&one).id, admit(&one).replica_set, admit(&one).wait),
             (Some(id), 2, 480_000_000)
         );
         assert_eq!(sent(&one, 77_900_000)[3], Some(b"77".to_vec()));
@@ -638,7 +638,7 @@
                 let text = String::from_utf8(simple.with_wait(9_000_000)).unwrap();
                 let (named, _) = Named::simple(&text).unwrap();
                 prop_assert_eq!(named.key.replace("''", "'"), code);
-                prop_assert_eq!((named.id, named.wait_ms, named.group), (Some(0xabc), Some(9), 2));
+                prop_assert_eq!((named.id, named.wait_ms, named.replica_set), (Some(0xabc), Some(9), 2));
             }
         }
     }
--- a/crates/pg-session/src/form.rs
+++ b/crates/pg-session/src/form.rs
@@ -57,7 +57,7 @@
     /// `c`
     Class,
     /// `cluster`
-    Group,
+    ReplicaSet,
     /// `d`
     Wait,
     /// `k`
@@ -78,7 +78,7 @@
             Place::Value => "data",
             Place::Id => "id",
             Place::Class => "c",
-            Place::Group => "cluster",
+            Place::ReplicaSet => "cluster",
             Place::Wait => "d",
             Place::Idempotency => "k",
             Place::After => "after",
@@ -91,7 +91,7 @@
         match name {
             "id" => Place::Id,
             "c" => Place::Class,
-            "cluster" => Place::Group,
+            "cluster" => Place::ReplicaSet,
             "d" => Place::Wait,
             "k" => Place::Idempotency,
             "after" => Place::After,
@@ -160,7 +160,7 @@
 
 impl<'a> Form<'a> {
     /// Reads the whole statement; `prepared` says that words may be parameters. What is passed on must be what
-    /// instances take: one that they turn away, or take otherwise than it was meant, costs them work and others
+    /// endpoints take: one that they turn away, or take otherwise than it was meant, costs them work and others
     /// their time.
     pub fn read(statement: &'a str, prepared: bool) -> Result<Form<'a>, FormError> {
         let mut words = Vec::with_capacity(10);
@@ -198,13 +198,13 @@
         {
             return Err(FormError::Value);
         }
-        let ending = |c: char| c.is_ascii_whitespace() || c == ';';
+        let outcome = |c: char| c.is_ascii_whitespace() || c == ';';
         let inside = rest
             .trim_start()
             .strip_prefix("/*")
             .ok_or(FormError::Missing)?;
         let inside = inside
-            .trim_end_matches(ending)
+            .trim_end_matches(outcome)
             .strip_suffix("*/")
             .ok_or(FormError::Missing)?;
         if inside.contains("*/") || inside.contains("/*") {
--- a/crates/pg-session/src/lib.rs
+++ b/crates/pg-session/src/lib.rs
@@ -4,11 +4,11 @@
 //! | module | what it decides |
 //! | --- | --- |
 //! | [`form`] | whether a text is a statement of ours, and where its words stand |
-//! | [`template`] | a prepared statement: its parameters' types and the text that instances get; one for all clients |
+//! | [`template`] | a prepared statement: its parameters' types and the text that endpoints get; one for all clients |
 //! | [`bound`] | a statement with its values: what goes into a Bind, or into a simple query as literals |
 //! | [`admit`] | whether a request makes sense, and what the decider is told of it |
 //! | [`plan`] | a client's names and its pipeline: what may start, what is answered, what is skipped |
-//! | [`prepared`] | what a connection to an instance has prepared, and what has to go first |
+//! | [`prepared`] | what a connection to an endpoint has prepared, and what has to go first |
 //! | [`account`] | the bounds that all clients share |
 #![forbid(unsafe_code)]
 
--- a/crates/pg-session/src/plan.rs
+++ b/crates/pg-session/src/plan.rs
@@ -52,7 +52,7 @@
     NoData,
     /// EmptyQueryResponse.
     Empty,
-    /// CommandComplete of something that went to no instance.
+    /// CommandComplete of something that went to no endpoint.
     Complete(&'static str),
     /// The final answer of a part.
     Answer {
@@ -76,7 +76,7 @@
     pub part: u64,
     /// What the decider is told.
     pub admitted: Rc<Admitted>,
-    /// What instances are asked.
+    /// What endpoints are asked.
     pub ask: Rc<Ask>,
     /// The format that the client wants its value in.
     pub result: Format,
@@ -405,7 +405,7 @@
         Ok(())
     }
 
-    /// A statement without effect on instances.
+    /// A statement without effect on endpoints.
     fn run(&mut self, utility: &Utility) -> Result<(), Wrong> {
         match utility {
             Utility::Setting(_) => {}
--- a/crates/pg-session/src/prepared.rs
+++ b/crates/pg-session/src/prepared.rs
@@ -1,4 +1,4 @@
-//! What one connection to an instance has prepared. Names are never used again for another text, so a Close that
+//! What one connection to an endpoint has prepared. Names are never used again for another text, so a Close that
 //! is lost with its connection leaves nothing behind that could be mistaken.
 
 use lru::LruCache;
@@ -45,12 +45,12 @@
         }
     }
 
-    /// The instance has confirmed it.
+    /// The endpoint has confirmed it.
     pub fn confirmed(&mut self, id: u64) {
         self.0.put(id, ());
     }
 
-    /// The instance says that it does not have it.
+    /// The endpoint says that it does not have it.
     pub fn forgotten(&mut self, id: u64) {
         self.0.pop(&id);
     }
--- a/crates/pg-session/src/queue.rs
+++ b/crates/pg-session/src/queue.rs
@@ -6,7 +6,7 @@
 
 use crate::admit::Admitted;
 use crate::bound::Ask;
-use reelrill_routing::Time;
+use reelrill_routing::Timestamp;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
@@ -32,7 +32,7 @@
 }
 
 enum State<A> {
-    Waiting { ask: Rc<Ask>, arrived: Time },
+    Waiting { ask: Rc<Ask>, arrived: Timestamp },
     Running,
     Done(A),
 }
@@ -42,7 +42,7 @@
         admitted: Admitted,
         state: State<A>,
     },
-    /// Said without an instance.
+    /// Said without an endpoint.
     Said(S),
 }
 
@@ -53,10 +53,10 @@
     pub part: u64,
     /// What the decider is told.
     pub admitted: Admitted,
-    /// What instances are asked.
+    /// What endpoints are asked.
     pub ask: Rc<Ask>,
     /// When it was read.
-    pub arrived: Time,
+    pub arrived: Timestamp,
 }
 
 /// What a client gets next.
@@ -68,7 +68,7 @@
     Said(S),
 }
 
-/// Queries in the order in which they came; `A` is a final answer, `S` what is said without an instance.
+/// Queries in the order in which they came; `A` is a final answer, `S` what is said without an endpoint.
 pub struct Queue<A, S> {
     limits: Limits,
     items: VecDeque<(usize, Item<A, S>)>,
@@ -101,14 +101,14 @@
     }
 
     /// A request was read at `arrived`, in so many bytes.
-    pub fn request(&mut self, admitted: Admitted, ask: Rc<Ask>, arrived: Time, bytes: usize) {
+    pub fn request(&mut self, admitted: Admitted, ask: Rc<Ask>, arrived: Timestamp, bytes: usize) {
         self.bytes += bytes;
         let state = State::Waiting { ask, arrived };
         self.items
             .push_back((bytes, Item::Request { admitted, state }));
     }
 
-    /// A query was read that needs no instance.
+    /// A query was read that needs no endpoint.
     pub fn say(&mut self, said: S) {
         self.items.push_back((0, Item::Said(said)));
     }
--- a/crates/pg-session/src/template.rs
+++ b/crates/pg-session/src/template.rs
@@ -1,6 +1,6 @@
 //! A prepared statement, read once and shared by all that have prepared the same text with the same types.
 //!
-//! The text that instances get is the client's, but for two words. A `d` that stands there as digits becomes a
+//! The text that endpoints get is the client's, but for two words. A `d` that stands there as digits becomes a
 //! parameter, and an `id` or a `d` that is missing is added as one: each Bind can then say how long the router
 //! waits, and under which name the request runs, while the text stays the same and is prepared once.
 
@@ -17,7 +17,7 @@
 /// What a template takes beside its texts, in bytes, as the bound counts it.
 const OVERHEAD: usize = 512;
 
-/// A statement that has no effect on instances.
+/// A statement that has no effect on endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Utility {
     /// SET or RESET: taken, without effect.
@@ -90,7 +90,7 @@
 /// A prepared statement that is a request.
 #[derive(Debug)]
 pub struct Request {
-    /// What instances get, with the parameters that the router adds.
+    /// What endpoints get, with the parameters that the router adds.
     pub text: Box<str>,
     /// The types of all parameters, the added ones last.
     pub types: Vec<u32>,
@@ -109,7 +109,7 @@
 /// What a prepared statement is.
 #[derive(Debug)]
 pub enum Kind {
-    /// A request: goes to instances.
+    /// A request: goes to endpoints.
     Request(Request),
     /// Handled by the router alone.
     Utility(Utility),
@@ -140,13 +140,13 @@
         }
     }
 
-    /// Its name on connections to instances.
+    /// Its name on connections to endpoints.
     pub fn name(&self) -> String {
         name(self.id)
     }
 }
 
-/// The name of a template on connections to instances.
+/// The name of a template on connections to endpoints.
 pub fn name(id: u64) -> String {
     format!("r{id:x}")
 }
@@ -256,7 +256,7 @@
         Place::Key | Place::Id | Place::Class | Place::Idempotency | Place::Retry => {
             Some(oid::TEXT)
         }
-        Place::Group | Place::Wait => Some(oid::INT4),
+        Place::ReplicaSet | Place::Wait => Some(oid::INT4),
         Place::After => Some(oid::INT8),
         Place::Other => None,
     }
@@ -269,7 +269,7 @@
             Place::Key | Place::Class => false,
             Place::Value => declared == oid::BYTEA,
             Place::Id | Place::Idempotency => declared == oid::INT8,
-            Place::Group | Place::Wait | Place::After => is_integer,
+            Place::ReplicaSet | Place::Wait | Place::After => is_integer,
             Place::Retry => is_integer || declared == oid::BOOL,
             Place::Other => true,
         }
@@ -286,7 +286,7 @@
         return utility.map(Kind::Utility);
     }
     let form = Form::read(text, true)?;
-    for needed in [Place::Class, Place::Group] {
+    for needed in [Place::Class, Place::ReplicaSet] {
         form.word(needed).ok_or(FormError::Field(needed.name()))?;
     }
     let number = |w: &(Place, Word, _)| {
@@ -331,7 +331,7 @@
         }
         types.push(found);
     }
-    // The text for instances, piece by piece.
+    // The text for endpoints, piece by piece.
     let (mut out, mut from) = (String::with_capacity(text.len() + 24), 0);
     let (mut slots, mut marks) = (Vec::new(), Vec::new());
     let mut wait = None;
--- a/crates/pg-session/tests/plan.rs
+++ b/crates/pg-session/tests/plan.rs
@@ -10,7 +10,7 @@
 use reelrill_pg_session::admit::Catalog;
 use reelrill_pg_session::plan::{Common, Output, Plan, Start};
 use reelrill_pg_session::template::Templates;
-use reelrill_routing::{Class, Need, Repeat};
+use reelrill_routing::{Class, Consistency, Idempotency, Operation};
 use rstest::rstest;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -20,22 +20,28 @@
     "INSERT INTO facts (code, data) VALUES ($1, 'v') RETURNING data /* c=book,cluster=1 */";
 
 fn common(limits: Limits) -> Rc<Common> {
-    let class = |need| Class {
-        need,
-        repeat: Repeat::Safe,
-        window: 0,
-        aim: 1,
-        aim_stretch: 0.0,
+    let class = |operation| Class {
+        operation,
+        idempotency: Idempotency::Idempotent,
+        deduplication_window: 0,
+        latency_objective: 1,
+        objective_stretch: 0.0,
         deadline: 1_000_000_000,
-        worth: 1.0,
-        late_worth: 0.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
     };
     let names = ["board", "book"].map(str::to_owned).into();
     Rc::new(Common {
         templates: Templates::new(limits.text_bytes, oid::BYTEA),
         limits,
         accounts: Accounts::new(&limits),
-        catalog: Catalog::new(names, vec![class(Need::Any), class(Need::Write)]),
+        catalog: Catalog::new(
+            names,
+            vec![
+                class(Operation::Read(Consistency::Eventual)),
+                class(Operation::Write),
+            ],
+        ),
         translate: false,
     })
 }
--- a/crates/pg-session/tests/queue.rs
+++ b/crates/pg-session/tests/queue.rs
@@ -10,7 +10,7 @@
     Admitted {
         id: None,
         class: 0,
-        group: 1,
+        replica_set: 1,
         session: session.map(Into::into),
         after: None,
         is_retry: false,
--- a/crates/router/src/members.rs
+++ b/crates/router/src/admin_socket.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of the members: a Unix socket that tells, and the command that asks.
+//! What an operator sees of the endpoints: a Unix socket that tells, and the command that asks.
 
 use crate::accept;
 use crate::shared::Shared;
@@ -7,7 +7,7 @@
 use async_io::{Async, Timer};
 use futures_lite::AsyncWriteExt as _;
 use futures_lite::future::or;
-use reelrill_routing::Time;
+use reelrill_routing::Timestamp;
 use reelrill_service_discovery::{Members, Source, Word};
 use slog::warn;
 use std::fmt::Write as _;
@@ -74,14 +74,14 @@
     or(tell, late).await;
 }
 
-fn age(now: Time, at: Time) -> String {
+fn age(now: Timestamp, at: Timestamp) -> String {
     format!("{:.1}s", now.saturating_sub(at) as f64 / 1e9)
 }
 
-/// One line for each member, and one below it for each claim.
-pub fn table(members: &Members, now: Time, name: impl Fn(Source) -> String) -> String {
+/// One line for each endpoint, and one below it for each claim.
+pub fn table(endpoints: &Members, now: Timestamp, name: impl Fn(Source) -> String) -> String {
     let mut out = String::new();
-    for m in members.status() {
+    for m in endpoints.status() {
         let state = m.listed.as_ref().map_or("-", |v| {
             if v.word == Word::Ready {
                 "ready"
@@ -92,7 +92,7 @@
         let place = m.listed.as_ref().map_or_else(String::new, |v| {
             format!(
                 " {} group {} zone {} weight {}",
-                v.endpoint, v.group, v.zone, v.weight
+                v.address, v.replica_set, v.zone, v.weight
             )
         });
         let answered = m
@@ -101,11 +101,11 @@
         let _ = writeln!(
             out,
             "{} {state}{place} rule {:?} answered {answered}",
-            m.member, m.rule
+            m.endpoint, m.rule
         );
         for h in &m.claims {
             let stale = if h.is_stale { " stale" } else { "" };
-            let silent = members
+            let silent = endpoints
                 .silent_since(h.source)
                 .map_or_else(String::new, |at| format!(" silent {}", age(now, at)));
             let _ = writeln!(
@@ -113,18 +113,18 @@
                 "    {} says {:?} {} start {} told {} ago, the same for {}{stale}{silent}",
                 name(h.source),
                 h.claim.word,
-                h.claim.endpoint,
+                h.claim.address,
                 h.claim.started / 1_000_000,
                 age(now, h.told),
                 age(now, h.since),
             );
         }
     }
-    let counts = members.counts();
+    let counts = endpoints.counts();
     let _ = writeln!(
         out,
         "{} members, {} contradicted, {} ambiguous, {} refused",
-        members.len(),
+        endpoints.len(),
         counts.contradicted,
         counts.ambiguous,
         counts.refused
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -20,7 +20,7 @@
 use reelrill_pg_protocol::{backend, code};
 use reelrill_pg_session::admit::Admitted;
 use reelrill_pg_session::bound::Ask;
-use reelrill_routing::{Span, Time};
+use reelrill_routing::{Nanos, Timestamp};
 use simple::Simples;
 use slog::{info, warn};
 use std::io::{ErrorKind, Read as _};
@@ -41,10 +41,10 @@
 /// The pause after each piece thrown away: at full speed a client would use up the processor's share of others.
 const PACE: Duration = Duration::from_millis(3);
 /// While the router is ending, how long a new connection may take to send its first request.
-const FIRST_REQUEST: Span = 400_000_000;
+const FIRST_REQUEST: Nanos = 400_000_000;
 /// How much earlier than the end of all reading a connection is closed on which nothing whole has come: what comes in
 /// between is still read.
-const LAST_LOOK: Span = 50_000_000;
+const LAST_LOOK: Nanos = 50_000_000;
 /// How long the rest of what a client sends is thrown away where the router closes a connection between requests.
 const CLOSING: Duration = Duration::from_millis(500);
 /// The same for one that has never asked anything and makes room for another.
@@ -141,11 +141,11 @@
     shared: Rc<Shared>,
     stream: Async<TcpStream>,
     buffer: Buffer,
-    accepted: Time,
+    accepted: Timestamp,
     /// No command has come yet.
     fresh: Option<Tally>,
     /// When a part of a message came whose rest has not.
-    begun: Option<Time>,
+    begun: Option<Timestamp>,
     /// Its startup has been answered.
     has_started: bool,
     /// The client has ended its sending: nothing more will come.
@@ -366,8 +366,8 @@
             shared.clients.wanted(holder).await;
             Waited::Done(CloseReason::Evicted)
         };
-        let ending = async {
-            shared.ending.wait().await;
+        let outcome = async {
+            shared.draining.wait().await;
             let now = shared.clock.now();
             let told = shared.ended_at.get().unwrap_or(now);
             let last = shared.last_read().unwrap_or(now).saturating_sub(LAST_LOOK);
@@ -384,7 +384,7 @@
             Waited::Done(CloseReason::Shutdown)
         };
         let read = async { Waited::Read(self.buffer.fill(&self.stream).await) };
-        match or(read, or(late, or(ending, evicted))).await {
+        match or(read, or(late, or(outcome, evicted))).await {
             Waited::Read(Err(e)) if e.kind() == ErrorKind::OutOfMemory => {
                 Err(self.no_memory().await)
             }
@@ -408,12 +408,18 @@
     }
 
     /// A request that was read at `arrived`.
-    fn incoming(&self, admitted: &Admitted, ask: Rc<Ask>, arrived: Time, left: Mark) -> Incoming {
+    fn incoming(
+        &self,
+        admitted: &Admitted,
+        ask: Rc<Ask>,
+        arrived: Timestamp,
+        left: Mark,
+    ) -> Incoming {
         Incoming {
             request: self.shared.next_request(),
             id: admitted.id.unwrap_or_else(rand::random),
             class: admitted.class,
-            group: admitted.group,
+            replica_set: admitted.replica_set,
             session: admitted.session.clone(),
             after: admitted.after,
             is_retry: admitted.is_retry,
--- a/crates/router/src/client/simple.rs
+++ b/crates/router/src/client/simple.rs
@@ -25,7 +25,7 @@
     left: Mark,
 }
 
-/// What is said without an instance.
+/// What is said without an endpoint.
 enum Said {
     /// The answer to an empty query. The front sends clients once it has come: only a router that can serve says so.
     Ready,
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the brain: it turns messages into events, actions into orders, and keeps the table
+//! The actor that owns the balancer: it turns messages into events, actions into orders, and keeps the table
 //! of requests, attempt numbers, timers and deadlines. It never waits for another actor.
 
 use crate::counters::count;
@@ -18,13 +18,13 @@
 use std::rc::Rc;
 
 /// The final answer leaves this long before the client gives up: it has to travel.
-const MARGIN: Span = 8_000_000;
+const MARGIN: Nanos = 8_000_000;
 
 /// An attempt that is out. Dropping `hold` tells its peer that it has been given up.
 struct Out {
     number: u32,
-    member: MemberId,
-    sent: Time,
+    endpoint: EndpointId,
+    sent: Timestamp,
     written: Mark,
     _hold: Sender<()>,
 }
@@ -34,7 +34,7 @@
     id: u64,
     /// Taken once the final answer is given, or the client has left.
     reply: Option<ReplyTo>,
-    deadline: Time,
+    deadline: Timestamp,
     ask: Rc<Ask>,
     left: Mark,
     class: u32,
@@ -52,15 +52,15 @@
 pub struct Decider {
     shared: Rc<Shared>,
     executor: Rc<LocalExecutor<'static>>,
-    brain: Brain,
+    balancer: Balancer,
     /// The decisions live in the platform's time, everything else in the router's.
     platform: PlatformClock,
     roster: Sender<Call>,
-    peers: HashMap<MemberId, PoolHandle>,
+    peers: HashMap<EndpointId, PoolHandle>,
     open: HashMap<RequestId, Open>,
     /// The clients' names of the requests that are owed an answer.
     named: HashSet<u64>,
-    due: BinaryHeap<Reverse<(Time, Due)>>,
+    due: BinaryHeap<Reverse<(Timestamp, Due)>>,
     events: VecDeque<Event>,
 }
 
@@ -71,7 +71,7 @@
         roster: Sender<Call>,
     ) -> Result<Decider, SettingsError> {
         Ok(Decider {
-            brain: Brain::new(shared.config.seed, shared.config.site.settings.clone())?,
+            balancer: Balancer::new(shared.config.seed, shared.config.site.settings.clone())?,
             platform: PlatformClock::default(),
             shared,
             executor,
@@ -85,7 +85,7 @@
     }
 
     pub async fn run(mut self, inbox: Receiver<Message>) {
-        self.on_list(ListKind::Remembered, self.shared.config.known.1.clone());
+        self.on_list(ListKind::Cached, self.shared.config.known.1.clone());
         self.settle();
         loop {
             let next = self
@@ -114,7 +114,7 @@
     }
 
     /// The router is ending: whatever is open has its answer before the process may be killed.
-    fn on_ending(&mut self) {
+    fn on_shutdown(&mut self) {
         let Some(last) = self.shared.last_answer() else {
             return;
         };
@@ -136,7 +136,7 @@
                     self.events.push_back(Event::Timer { token })
                 }
                 Some(Reverse((_, Due::Limit(request, number)))) => {
-                    self.resolve(request, number, Ended::silent(Ending::TimedOut));
+                    self.resolve(request, number, Ended::silent(AttemptOutcome::TimedOut));
                 }
                 Some(Reverse((_, Due::Deadline(request)))) => self.on_deadline(request),
                 None => {}
@@ -145,14 +145,14 @@
         }
     }
 
-    /// What is still out has timed out; the brain then gives the final answer, or else the host does.
+    /// What is still out has timed out; the balancer then gives the final answer, or else the host does.
     fn on_deadline(&mut self, request: RequestId) {
         // Also after the final answer: where attempts may not be cancelled, a silent one would stay for ever.
         let out = self.open.get(&request);
         let numbers: Vec<u32> =
             out.map_or(Vec::new(), |o| o.out.iter().map(|a| a.number).collect());
         for number in numbers {
-            self.resolve(request, number, Ended::silent(Ending::TimedOut));
+            self.resolve(request, number, Ended::silent(AttemptOutcome::TimedOut));
         }
         self.settle();
         if let Some(open) = self.open.get(&request).filter(|o| o.reply.is_some()) {
@@ -188,20 +188,20 @@
                 attempt,
                 ended,
             } => self.resolve(request, attempt, ended),
-            Message::Probed { member, ended } => {
-                let report = self.believed(&member, ended.ending, ended.report);
-                self.events.push_back(Event::Probed {
-                    member,
-                    ending: ended.ending,
+            Message::Probed { endpoint, ended } => {
+                let report = self.believed(&endpoint, ended.outcome, ended.report);
+                self.events.push_back(Event::ProbeEnded {
+                    endpoint,
+                    outcome: ended.outcome,
                     report,
                 });
             }
             Message::List { kind, listed } => self.on_list(kind, listed),
-            Message::Ending => self.on_ending(),
+            Message::ShutdownStarted => self.on_shutdown(),
         }
     }
 
-    /// What was never written is called off whatever the settings say of cancelling: the instance knows nothing of it.
+    /// What was never written is called off whatever the settings say of cancelling: the endpoint knows nothing of it.
     fn withdraw(&mut self, request: RequestId) {
         let Some(open) = self.open.get(&request) else {
             return;
@@ -213,7 +213,7 @@
             .map(|a| a.number)
             .collect();
         for number in unwritten {
-            self.resolve(request, number, Ended::silent(Ending::Moot));
+            self.resolve(request, number, Ended::silent(AttemptOutcome::Abandoned));
         }
     }
 
@@ -235,7 +235,7 @@
             return;
         }
         if !self.named.insert(id) {
-            // An id names one request: instances would take a second one under it for its copy.
+            // An id names one request: endpoints would take a second one under it for its copy.
             count(&self.shared.counters.rejected);
             let _ = reply
                 .to
@@ -244,7 +244,7 @@
         }
         let now = self.shared.clock.now();
         debug!(self.shared.log, "taken"; "request" => format_args!("{id:016x}"), "class" => incoming.class,
-               "group" => incoming.group, "session" => incoming.session.as_deref(), "after" => incoming.after);
+               "group" => incoming.replica_set, "session" => incoming.session.as_deref(), "after" => incoming.after);
         let deadline = incoming
             .arrived
             .saturating_add(incoming.wait.saturating_sub(MARGIN));
@@ -268,7 +268,7 @@
         self.events.push_back(Event::Request(Request {
             id: request,
             class: incoming.class,
-            group: incoming.group,
+            replica_set: incoming.replica_set,
             session: incoming.session,
             since_write: incoming
                 .after
@@ -285,23 +285,23 @@
         let now = self.shared.clock.now();
         // Where only draining binds, one that has left the list may still be sent to.
         let binds = !self.shared.config.site.settings.rules.only_draining_binds;
-        if binds && matches!(kind, ListKind::Whole | ListKind::Remembered) {
-            let named: BTreeSet<&MemberId> = listed.iter().map(|l| &l.entry.member).collect();
-            self.peers.retain(|member, _| named.contains(member));
+        if binds && matches!(kind, ListKind::Full | ListKind::Cached) {
+            let named: BTreeSet<&EndpointId> = listed.iter().map(|l| &l.entry.endpoint).collect();
+            self.peers.retain(|endpoint, _| named.contains(endpoint));
         }
-        for Listed { entry, endpoint } in &listed {
+        for Listed { entry, address } in &listed {
             self.platform.on_start(now, entry.started);
-            if entry.state == State::Gone {
+            if entry.state == EndpointState::Removed {
                 if binds {
-                    self.peers.remove(&entry.member);
+                    self.peers.remove(&entry.endpoint);
                 }
                 continue;
             }
             let pool = self
                 .peers
-                .entry(entry.member.clone())
-                .or_insert_with(|| PoolHandle::new(*endpoint));
-            pool.update(*endpoint, entry.state == State::Draining, now);
+                .entry(entry.endpoint.clone())
+                .or_insert_with(|| PoolHandle::new(*address));
+            pool.update(*address, entry.state == EndpointState::Draining, now);
         }
         if !self.peers.is_empty() {
             self.shared.ready.raise();
@@ -310,12 +310,12 @@
         self.events.push_back(Event::List { kind, entries });
     }
 
-    /// Feeds the brain until it has nothing more to do.
+    /// Feeds the balancer until it has nothing more to do.
     fn settle(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             let now = self.shared.clock.now();
-            self.brain
+            self.balancer
                 .handle(self.platform.platform(now), event, &mut actions);
             for action in actions.drain(..) {
                 self.act(now, action);
@@ -323,45 +323,46 @@
         }
     }
 
-    fn act(&mut self, now: Time, action: Action) {
+    fn act(&mut self, now: Timestamp, action: Action) {
         match action {
             Action::Send {
                 request,
-                member,
+                endpoint,
                 limit,
                 by,
             } => {
                 let by = by.map(|by| self.platform.own(by));
-                self.send(now, request, member, limit, by);
+                self.send(now, request, endpoint, limit, by);
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
-                cause,
+                reason,
                 retry_after,
             } => {
-                self.given_up(request, cause);
+                self.given_up(request, reason);
                 self.answer(request, Reply::Refused { retry_after });
             }
-            Action::Fail { request, cause } => {
-                self.given_up(request, cause);
+            Action::Fail { request, reason } => {
+                self.given_up(request, reason);
                 self.answer(request, Reply::Failed("not served"));
             }
             Action::Cancel { request, attempt } => {
-                self.resolve(request, attempt, Ended::silent(Ending::Cancelled));
+                self.resolve(request, attempt, Ended::silent(AttemptOutcome::Cancelled));
             }
             Action::SetTimer { after, token } => {
                 self.due
                     .push(Reverse((now.saturating_add(after), Due::Timer(token))));
             }
-            Action::Probe { member } => {
-                let pool = self.peers.get(&member);
+            Action::Probe { endpoint } => {
+                let pool = self.peers.get(&endpoint);
                 let sent =
-                    pool.map(|p| p.send(&self.shared, &self.executor, &member, Order::Probe));
+                    pool.map(|p| p.send(&self.shared, &self.executor, &endpoint, Order::Probe));
                 if sent != Some(Ok(())) {
-                    let (ending, report) = (Ending::ConnectFailed, Standing::default());
-                    self.events.push_back(Event::Probed {
-                        member,
-                        ending,
+                    let (outcome, report) =
+                        (AttemptOutcome::ConnectFailed, ReplicationStatus::default());
+                    self.events.push_back(Event::ProbeEnded {
+                        endpoint,
+                        outcome,
                         report,
                     });
                 }
@@ -372,34 +373,34 @@
         }
     }
 
-    /// Counts why the brain gives a request up.
-    fn given_up(&self, request: RequestId, cause: Cause) {
+    /// Counts why the balancer gives a request up.
+    fn given_up(&self, request: RequestId, reason: RejectReason) {
         let c = &self.shared.counters;
-        count(match cause {
-            Cause::Class => &c.gave_class,
-            Cause::Group => &c.gave_group,
-            Cause::Late => &c.gave_late,
-            Cause::Attempts => &c.gave_attempts,
-            Cause::Nobody => &c.gave_nobody,
-            Cause::Crowded => &c.gave_crowded,
-            Cause::Unsafe => &c.gave_unsafe,
-            Cause::Silent => &c.gave_silent,
-            Cause::Reserve => &c.gave_reserve,
-            Cause::Unfit => &c.gave_unfit,
+        count(match reason {
+            RejectReason::UnknownClass => &c.gave_class,
+            RejectReason::UnknownReplicaSet => &c.gave_group,
+            RejectReason::DeadlineTooClose => &c.gave_late,
+            RejectReason::AttemptLimitReached => &c.gave_attempts,
+            RejectReason::NoEligibleEndpoint => &c.gave_nobody,
+            RejectReason::LoadShed => &c.gave_crowded,
+            RejectReason::NotRetryable => &c.gave_unsafe,
+            RejectReason::AttemptTimedOut => &c.gave_silent,
+            RejectReason::RetryBudgetExhausted => &c.gave_reserve,
+            RejectReason::InvalidRequest => &c.gave_unfit,
         });
         if let Some(open) = self.open.get(&request) {
             debug!(self.shared.log, "given up"; "request" => format_args!("{:016x}", open.id),
-                   "class" => open.class, "sends" => open.sends, "cause" => ?cause);
+                   "class" => open.class, "sends" => open.sends, "cause" => ?reason);
         }
     }
 
     fn send(
         &mut self,
-        now: Time,
+        now: Timestamp,
         request: RequestId,
-        member: MemberId,
-        limit: Option<Span>,
-        by: Option<Time>,
+        endpoint: EndpointId,
+        limit: Option<Nanos>,
+        by: Option<Timestamp>,
     ) {
         let most = self.shared.config.site.settings.limits.max_attempts;
         let Some(open) = self.open.get_mut(&request) else {
@@ -413,13 +414,13 @@
         let written = Mark::default();
         open.out.push(Out {
             number,
-            member: member.clone(),
+            endpoint: endpoint.clone(),
             sent: now,
             written: written.clone(),
             _hold: hold,
         });
         if open.reply.is_none() || now >= open.deadline || number >= most {
-            return self.resolve(request, number, Ended::silent(Ending::Moot));
+            return self.resolve(request, number, Ended::silent(AttemptOutcome::Abandoned));
         }
         let until = limit.map_or(open.deadline, |l| open.deadline.min(now.saturating_add(l)));
         let left = open.left.clone();
@@ -435,14 +436,14 @@
             written,
         };
         let order = Order::Attempt(Box::new(attempt));
-        let ordered = match self.peers.get(&member) {
+        let ordered = match self.peers.get(&endpoint) {
             Some(pool) => pool
-                .send(&self.shared, &self.executor, &member, order)
-                .map_err(|_| Ending::Unsent),
-            None => Err(Ending::ConnectFailed),
+                .send(&self.shared, &self.executor, &endpoint, order)
+                .map_err(|_| AttemptOutcome::NotSent),
+            None => Err(AttemptOutcome::ConnectFailed),
         };
-        if let Err(ending) = ordered {
-            return self.resolve(request, number, Ended::silent(ending));
+        if let Err(outcome) = ordered {
+            return self.resolve(request, number, Ended::silent(outcome));
         }
         if limit.is_some() {
             self.due.push(Reverse((until, Due::Limit(request, number))));
@@ -459,9 +460,12 @@
         };
         let out = open.out.swap_remove(at);
         let c = &self.shared.counters;
-        let mut ending = ended.ending;
+        let mut outcome = ended.outcome;
         if !out.written.is_raised()
-            && matches!(ending, Ending::TimedOut | Ending::Cancelled | Ending::Moot)
+            && matches!(
+                outcome,
+                AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::Abandoned
+            )
         {
             // It was still waiting for a connection, or on its way into one that is dropped now: it has never run.
             count(&c.unwritten);
@@ -469,25 +473,25 @@
             if is_left {
                 count(&c.withdrawn);
             }
-            ending = if is_left || ending == Ending::Moot {
-                Ending::Moot
+            outcome = if is_left || outcome == AttemptOutcome::Abandoned {
+                AttemptOutcome::Abandoned
             } else {
-                Ending::Unsent
+                AttemptOutcome::NotSent
             };
         }
-        count(match ending {
-            Ending::Served => &c.ok,
-            Ending::Error => &c.errors,
-            Ending::Full => &c.full,
-            Ending::TimedOut => &c.timed_out,
-            Ending::ConnectFailed => &c.connect_failed,
-            Ending::Reset => &c.reset,
-            Ending::Cancelled => &c.cancelled,
-            Ending::Moot => &c.moot,
-            Ending::Miss => &c.missed,
-            Ending::Spoilt => &c.spoilt,
-            Ending::Unsent => &c.unsent,
-            Ending::Rejected => &c.unfit,
+        count(match outcome {
+            AttemptOutcome::Served => &c.ok,
+            AttemptOutcome::Error => &c.errors,
+            AttemptOutcome::Overloaded => &c.full,
+            AttemptOutcome::TimedOut => &c.timed_out,
+            AttemptOutcome::ConnectFailed => &c.connect_failed,
+            AttemptOutcome::ConnectionReset => &c.reset,
+            AttemptOutcome::Cancelled => &c.cancelled,
+            AttemptOutcome::Abandoned => &c.moot,
+            AttemptOutcome::Misrouted => &c.missed,
+            AttemptOutcome::MalformedResponse => &c.spoilt,
+            AttemptOutcome::NotSent => &c.unsent,
+            AttemptOutcome::InvalidRequest => &c.unfit,
         });
         let latency = self.shared.clock.now().saturating_sub(out.sent);
         let class = self
@@ -497,29 +501,30 @@
             .settings
             .classes
             .get(open.class as usize);
-        let is_commit = ending == Ending::Served && class.is_some_and(|c| c.need == Need::Write);
-        let mut standing = self.believed(&out.member, ending, ended.standing);
+        let is_commit = outcome == AttemptOutcome::Served
+            && class.is_some_and(|c| c.operation == Operation::Write);
+        let mut replication = self.believed(&out.endpoint, outcome, ended.replication);
         if is_commit {
             // Its session's reads must see it. It is no evidence of how far the endpoint is.
-            standing.position = ended.standing.position;
+            replication.applied_position = ended.replication.applied_position;
         }
-        let report = self.believed(&out.member, ending, ended.report);
+        let report = self.believed(&out.endpoint, outcome, ended.report);
         let Some(open) = self.open.get(&request) else {
             return;
         };
         debug!(self.shared.log, "attempt ended"; "request" => format_args!("{:016x}", open.id),
-               "class" => open.class, "number" => number, "member" => &*out.member,
-               "ending" => ?ending, "ns" => latency, "position" => ?ended.standing.position);
+               "class" => open.class, "number" => number, "member" => &*out.endpoint,
+               "ending" => ?outcome, "ns" => latency, "position" => ?ended.replication.applied_position);
         if let Some(answer) = ended.answer {
             self.answer(request, Reply::Served(answer));
         }
         let closed = self.open.get(&request).is_none_or(|o| o.reply.is_none());
-        self.events.push_back(Event::Outcome(Outcome {
+        self.events.push_back(Event::AttemptEnded(AttemptEnded {
             request,
-            member: out.member,
+            endpoint: out.endpoint,
             attempt: number,
-            ending,
-            standing,
+            outcome,
+            replication,
             report,
             latency,
             closed,
@@ -528,13 +533,21 @@
     }
 
     /// What can be believed of what an endpoint tells of itself, in an attempt or a probe that ended so.
-    fn believed(&mut self, member: &MemberId, ending: Ending, told: Standing) -> Standing {
+    fn believed(
+        &mut self,
+        endpoint: &EndpointId,
+        outcome: AttemptOutcome,
+        told: ReplicationStatus,
+    ) -> ReplicationStatus {
         let (now, is_only) = (self.shared.clock.now(), self.peers.len() <= 1);
-        let position = told.position.and_then(|at| match ending {
-            Ending::Spoilt => self.platform.plausible(now, at),
-            _ => self.platform.on_position(now, member, at, is_only),
+        let applied_position = told.applied_position.and_then(|at| match outcome {
+            AttemptOutcome::MalformedResponse => self.platform.plausible(now, at),
+            _ => self.platform.on_position(now, endpoint, at, is_only),
         });
-        Standing { position, ..told }
+        ReplicationStatus {
+            applied_position,
+            ..told
+        }
     }
 
     /// Nothing is owed for the request from now on; returns where its answer was to go.
--- a/crates/router/src/directory.rs
+++ b/crates/router/src/directory.rs
@@ -1,10 +1,10 @@
-//! The directory's actor, where there are several sources of members: it passes the sources' words to the members'
+//! The directory's actor, where there are several sources of endpoints: it passes the sources' words to the endpoints'
 //! package, sends the queries for service records, and tells the decider what changes in the one list.
 
+use crate::admin_socket::{self, Question};
 use crate::counters::count;
 use crate::edge::{Discovery, DnsSd};
 use crate::exchange::{Call, Listed, Message, News};
-use crate::members::{self, Question};
 use crate::shared::Shared;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -12,7 +12,7 @@
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt as _, AsyncWriteExt as _};
 use hickory_proto::rr::Name;
-use reelrill_routing::{Entry, ListKind, State, Time};
+use reelrill_routing::{EndpointEntry, EndpointState, ListKind, Timestamp};
 use reelrill_service_discovery::browse::{Ask, Browser, Config, Output};
 use reelrill_service_discovery::{
     Change, Claim, Input, Kind, Members, Removal, Settings, Source, Word,
@@ -59,11 +59,11 @@
     roster: Sender<Call>,
     news: Receiver<News>,
     questions: Receiver<Question>,
-    members: Members,
+    endpoints: Members,
     services: BTreeMap<Source, Service>,
     next: Source,
     /// When the roster is asked again, and how often it has failed in a row.
-    retry: Option<Time>,
+    retry: Option<Timestamp>,
     failures: u32,
 }
 
@@ -88,14 +88,14 @@
         }
         let now = shared.clock.now();
         let vouch = discovery.vouch_s.saturating_mul(1_000_000_000);
-        let questions = members::listen(shared, executor)?;
+        let questions = admin_socket::listen(shared, executor)?;
         let mut directory = Directory {
             shared: shared.clone(),
             executor: executor.clone(),
             roster,
             news,
             questions,
-            members: Members::new(
+            endpoints: Members::new(
                 Settings {
                     vouch,
                     ..Settings::default()
@@ -115,7 +115,7 @@
         let now = self.shared.clock.now();
         let mut changes = Vec::new();
         if self.shared.config.edge.discovery.roster {
-            self.members.handle(
+            self.endpoints.handle(
                 now,
                 Input::Source {
                     source: ROSTER,
@@ -136,7 +136,7 @@
         loop {
             let browsers = self.services.values().map(|s| s.browser.next_due());
             let due = browsers
-                .chain([self.members.next_due(), self.retry])
+                .chain([self.endpoints.next_due(), self.retry])
                 .flatten()
                 .min();
             let due = due.map(|at| self.shared.clock.instant(at));
@@ -167,7 +167,7 @@
                             .get(&other)
                             .map_or_else(String::new, |s| s.name.clone()),
                     };
-                    let _ = question.try_send(members::table(&self.members, now, name));
+                    let _ = question.try_send(admin_socket::table(&self.endpoints, now, name));
                 }
                 Next::Due => {}
             }
@@ -176,8 +176,8 @@
         }
     }
 
-    fn on_due(&mut self, now: Time, changes: &mut Vec<Change>) {
-        self.members.on_due(now, changes);
+    fn on_due(&mut self, now: Timestamp, changes: &mut Vec<Change>) {
+        self.endpoints.on_due(now, changes);
         let sources: Vec<Source> = self.services.keys().copied().collect();
         for source in sources {
             let mut out = Vec::new();
@@ -193,23 +193,23 @@
         }
     }
 
-    async fn on_news(&mut self, now: Time, news: News, changes: &mut Vec<Change>) {
-        let before = self.members.counts().contradicted;
+    async fn on_news(&mut self, now: Timestamp, news: News, changes: &mut Vec<Change>) {
+        let before = self.endpoints.counts().contradicted;
         self.take(now, news, changes).await;
-        let contradicted = self.members.counts().contradicted - before;
+        let contradicted = self.endpoints.counts().contradicted - before;
         if contradicted > 0 {
-            let member = self.members.contradicted().map_or("", |id| id);
-            warn!(self.shared.log, "sources contradict"; "times" => contradicted, "last" => member);
+            let endpoint = self.endpoints.contradicted().map_or("", |id| id);
+            warn!(self.shared.log, "sources contradict"; "times" => contradicted, "last" => endpoint);
         }
     }
 
-    async fn take(&mut self, now: Time, news: News, changes: &mut Vec<Change>) {
+    async fn take(&mut self, now: Timestamp, news: News, changes: &mut Vec<Change>) {
         match news {
             News::Roster {
                 kind: ListKind::Failed,
                 ..
             } => {
-                self.members
+                self.endpoints
                     .handle(now, Input::Failed { source: ROSTER }, changes);
                 // The decider thinks that the list is kept up as long as changes come, also those of records.
                 let pause = PAUSE.0.as_nanos() as u64;
@@ -229,9 +229,9 @@
                 version,
             } => {
                 (self.retry, self.failures) = (None, 0);
-                if kind == ListKind::Whole {
-                    let names = listed.iter().map(|l| l.entry.member.clone()).collect();
-                    self.members.handle(
+                if kind == ListKind::Full {
+                    let names = listed.iter().map(|l| l.entry.endpoint.clone()).collect();
+                    self.endpoints.handle(
                         now,
                         Input::Whole {
                             source: ROSTER,
@@ -249,9 +249,9 @@
                     .send(Message::List { kind, listed })
                     .await;
             }
-            News::Answered { member, leaving } => {
-                self.members
-                    .handle(now, Input::Answered { member, leaving }, changes);
+            News::Answered { endpoint, leaving } => {
+                self.endpoints
+                    .handle(now, Input::Answered { endpoint, leaving }, changes);
             }
             News::Records {
                 source,
@@ -287,7 +287,7 @@
                     self.start_service(now, source, changes);
                 }
                 for source in gone {
-                    self.members
+                    self.endpoints
                         .handle(now, Input::NoSource { source }, changes);
                 }
             }
@@ -296,21 +296,21 @@
 
     fn on_entries(
         &mut self,
-        now: Time,
+        now: Timestamp,
         listed: Vec<Listed>,
         version: u64,
         changes: &mut Vec<Change>,
     ) {
-        for Listed { entry, endpoint } in listed {
-            let name = entry.member.clone();
-            let input = if entry.state == State::Gone {
+        for Listed { entry, address } in listed {
+            let name = entry.endpoint.clone();
+            let input = if entry.state == EndpointState::Removed {
                 Input::Removed {
                     source: ROSTER,
                     name,
                     how: Removal::Gone,
                 }
             } else {
-                let word = if entry.state == State::Draining {
+                let word = if entry.state == EndpointState::Draining {
                     Word::Draining
                 } else {
                     Word::Ready
@@ -321,7 +321,7 @@
                     started: entry.started,
                     version,
                     weight: entry.weight,
-                    ..Claim::new(&entry.member, endpoint, entry.group)
+                    ..Claim::new(&entry.endpoint, address, entry.replica_set)
                 };
                 Input::Told {
                     source: ROSTER,
@@ -329,7 +329,7 @@
                     claim,
                 }
             };
-            self.members.handle(now, input, changes);
+            self.endpoints.handle(now, input, changes);
         }
     }
 
@@ -397,8 +397,8 @@
         Ok(gone)
     }
 
-    fn start_service(&mut self, now: Time, source: Source, changes: &mut Vec<Change>) {
-        self.members.handle(
+    fn start_service(&mut self, now: Timestamp, source: Source, changes: &mut Vec<Change>) {
+        self.endpoints.handle(
             now,
             Input::Source {
                 source,
@@ -413,10 +413,16 @@
         self.carry(now, source, out, changes);
     }
 
-    fn carry(&mut self, now: Time, source: Source, out: Vec<Output>, changes: &mut Vec<Change>) {
+    fn carry(
+        &mut self,
+        now: Timestamp,
+        source: Source,
+        out: Vec<Output>,
+        changes: &mut Vec<Change>,
+    ) {
         for output in out {
             match output {
-                Output::Tell(input) => self.members.handle(now, input, changes),
+                Output::Tell(input) => self.endpoints.handle(now, input, changes),
                 Output::Drop(query) => {
                     if let Some(service) = self.services.get_mut(&source) {
                         service.queries.remove(&query);
@@ -448,35 +454,35 @@
         if changes.is_empty() {
             return;
         }
-        let entry = |member: Arc<str>, state| Entry {
-            member,
+        let entry = |endpoint: Arc<str>, state| EndpointEntry {
+            endpoint,
             started: 0,
             primary: false,
             state,
             weight: 1.0,
-            group: 0,
+            replica_set: 0,
             zone: 0,
         };
         let mut listed = Vec::with_capacity(changes.len());
         for change in changes {
-            let rule = self.members.rule(change.member());
+            let rule = self.endpoints.rule(change.endpoint());
             listed.push(match change {
-                Change::Gone { member } => {
+                Change::Gone { endpoint } => {
                     count(&self.shared.counters.members_went);
-                    info!(self.shared.log, "member gone"; "member" => &*member, "rule" => ?rule);
-                    let endpoint = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
-                    Listed { entry: entry(member, State::Gone), endpoint }
+                    info!(self.shared.log, "member gone"; "member" => &*endpoint, "rule" => ?rule);
+                    let address = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
+                    Listed { entry: entry(endpoint, EndpointState::Removed), address }
                 }
-                Change::Listed { member, view, is_new } => {
-                    let state = if view.word == Word::Draining { State::Draining } else { State::Serving };
+                Change::Listed { endpoint, view, is_new } => {
+                    let state = if view.word == Word::Draining { EndpointState::Draining } else { EndpointState::Serving };
                     if is_new {
                         count(&self.shared.counters.members_came);
                     }
-                    info!(self.shared.log, "member listed"; "member" => &*member, "state" => ?view.word,
-                          "endpoint" => %view.endpoint, "rule" => ?rule, "new" => is_new);
-                    let (started, weight, group, zone) = (view.started, view.weight, view.group, view.zone);
-                    let entry = Entry { started, weight, group, zone, ..entry(member, state) };
-                    Listed { entry, endpoint: view.endpoint }
+                    info!(self.shared.log, "member listed"; "member" => &*endpoint, "state" => ?view.word,
+                          "endpoint" => %view.address, "rule" => ?rule, "new" => is_new);
+                    let (started, weight, replica_set, zone) = (view.started, view.weight, view.replica_set, view.zone);
+                    let entry = EndpointEntry { started, weight, replica_set, zone, ..entry(endpoint, state) };
+                    Listed { entry, address: view.address }
                 }
             });
         }
--- a/crates/router/src/edge.rs
+++ b/crates/router/src/edge.rs
@@ -30,17 +30,17 @@
 pub struct Edge {
     pub extended: Extended,
     pub discovery: Discovery,
-    /// Where `reelrill members` asks; none: nowhere.
+    /// Where `reelrill endpoints` asks; none: nowhere.
     pub members_socket: Option<PathBuf>,
 }
 
-/// The sources of members.
+/// The sources of endpoints.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
     /// The platform's list.
     pub roster: bool,
-    /// How long a member's own answer vouches for it, in seconds.
+    /// How long an endpoint's own answer vouches for it, in seconds.
     pub vouch_s: u64,
     /// Service records; none: they are not used.
     pub dns_sd: Option<DnsSd>,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Whether clients may use extended queries, and how instances are asked then.
+/// Whether clients may use extended queries, and how endpoints are asked then.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Mode {
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -4,7 +4,10 @@
 use crate::edge::Discovery;
 use reelrill_pg_protocol::Format;
 use reelrill_pg_session::bound::Ask;
-use reelrill_routing::{Ending, Entry, ListKind, MemberId, RequestId, Span, Standing, Time};
+use reelrill_routing::{
+    AttemptOutcome, EndpointEntry, EndpointId, ListKind, Nanos, ReplicationStatus, RequestId,
+    Timestamp,
+};
 use reelrill_service_discovery::Source;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -30,17 +33,17 @@
 pub struct Incoming {
     /// The router's own name for this request: clients may name theirs alike.
     pub request: RequestId,
-    /// The client's name for it, which instances get to see.
+    /// The client's name for it, which endpoints get to see.
     pub id: u64,
     pub class: u32,
-    pub group: u32,
+    pub replica_set: u32,
     pub session: Option<Arc<str>>,
     /// The position that a session read must see.
-    pub after: Option<Time>,
+    pub after: Option<Timestamp>,
     pub is_retry: bool,
     /// How long the client waits from `arrived` on.
-    pub wait: Span,
-    pub arrived: Time,
+    pub wait: Nanos,
+    pub arrived: Timestamp,
     pub ask: Rc<Ask>,
     /// Raised by the front in the instant in which the client has gone or called it off: nothing begins from then on,
     /// whatever still waits in a mailbox, for a connection or for a slot.
@@ -52,7 +55,7 @@
 pub enum Reply {
     Served(Answer),
     Refused {
-        retry_after: Option<Span>,
+        retry_after: Option<Nanos>,
     },
     Failed(&'static str),
     /// Its client called it off.
@@ -66,10 +69,10 @@
     pub to: async_channel::Sender<(u64, Reply)>,
 }
 
-/// A whole answer as an instance gave it: one value.
+/// A whole answer as an endpoint gave it: one value.
 #[derive(Debug)]
 pub struct Answer {
-    /// What the instance said of it; none: it was asked for in a format, and is in that.
+    /// What the endpoint said of it; none: it was asked for in a format, and is in that.
     pub column: Option<Column>,
     pub value: Vec<u8>,
     /// What was done, such as `SELECT 1`.
@@ -88,29 +91,29 @@
 /// How an attempt ended on its connection.
 #[derive(Debug)]
 pub struct Ended {
-    pub ending: Ending,
-    pub standing: Standing,
-    pub report: Standing,
+    pub outcome: AttemptOutcome,
+    pub replication: ReplicationStatus,
+    pub report: ReplicationStatus,
     pub answer: Option<Answer>,
 }
 
 impl Ended {
-    /// An ending that came without a word from the instance.
-    pub fn silent(ending: Ending) -> Ended {
+    /// An ending that came without a word from the endpoint.
+    pub fn silent(outcome: AttemptOutcome) -> Ended {
         Ended {
-            ending,
-            standing: Standing::default(),
-            report: Standing::default(),
+            outcome,
+            replication: ReplicationStatus::default(),
+            report: ReplicationStatus::default(),
             answer: None,
         }
     }
 }
 
-/// One line of the list of instances and where to dial it.
+/// One line of the list of endpoints and where to dial it.
 #[derive(Debug, Clone)]
 pub struct Listed {
-    pub entry: Entry,
-    pub endpoint: SocketAddr,
+    pub entry: EndpointEntry,
+    pub address: SocketAddr,
 }
 
 /// What goes into the decider's mailbox.
@@ -129,7 +132,7 @@
         ended: Ended,
     },
     Probed {
-        member: MemberId,
+        endpoint: EndpointId,
         ended: Ended,
     },
     List {
@@ -137,7 +140,7 @@
         listed: Vec<Listed>,
     },
     /// SIGTERM has come.
-    Ending,
+    ShutdownStarted,
 }
 
 /// One attempt as a peer gets it.
@@ -147,9 +150,9 @@
     pub number: u32,
     pub ask: Rc<Ask>,
     /// When the router stops waiting.
-    pub until: Time,
+    pub until: Timestamp,
     /// It must be written by then, or not at all.
-    pub by: Option<Time>,
+    pub by: Option<Timestamp>,
     /// Closed once the decider has given the attempt up.
     pub given_up: async_channel::Receiver<()>,
     /// Its client has gone: what has not been written is not written any more.
@@ -173,8 +176,8 @@
         listed: Vec<Listed>,
         version: u64,
     },
-    /// A member answered for itself.
-    Answered { member: MemberId, leaving: bool },
+    /// An endpoint answered for itself.
+    Answered { endpoint: EndpointId, leaving: bool },
     /// What came for a query of a service; none: it could not be sent, or its connection broke.
     Records {
         source: Source,
--- a/crates/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -1,7 +1,7 @@
 //! A list in discovery's form: read from the configuration and from the roster's answers.
 
 use crate::exchange::Listed;
-use reelrill_routing::{Entry, State};
+use reelrill_routing::{EndpointEntry, EndpointState};
 use serde_json::Value;
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -48,28 +48,28 @@
             .ok_or(ListError(key))
     };
     let state = match text("state")? {
-        "ready" => State::Serving,
-        "draining" => State::Draining,
-        "gone" => State::Gone,
+        "ready" => EndpointState::Serving,
+        "draining" => EndpointState::Draining,
+        "gone" => EndpointState::Removed,
         _ => return Err(ListError("state")),
     };
-    let endpoint = match text("endpoint").map(str::parse) {
-        Ok(Ok(endpoint)) => endpoint,
+    let address = match text("endpoint").map(str::parse) {
+        Ok(Ok(address)) => address,
         // One that is gone is dialled no more.
-        _ if state == State::Gone => SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
+        _ if state == EndpointState::Removed => SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
         _ => return Err(ListError("endpoint")),
     };
     let zone = text("az")
         .ok()
         .and_then(|az| zones.iter().position(|z| z == az))
         .unwrap_or(0);
-    let group = target
+    let replica_set = target
         .get("pod_group")
         .and_then(Value::as_u64)
         .and_then(|g| u32::try_from(g).ok());
     let started_ms = target.get("boot_ms").and_then(Value::as_f64).unwrap_or(0.0);
-    let entry = Entry {
-        member: text("uid")?.into(),
+    let entry = EndpointEntry {
+        endpoint: text("uid")?.into(),
         started: (started_ms.max(0.0) as u64).saturating_mul(1_000_000),
         primary: target.get("part").and_then(Value::as_str) == Some("master"),
         state,
@@ -77,8 +77,8 @@
             .get("capacity_hint")
             .and_then(Value::as_f64)
             .unwrap_or(1.0),
-        group: group.ok_or(ListError("pod_group"))?,
+        replica_set: replica_set.ok_or(ListError("pod_group"))?,
         zone: zone as u32,
     };
-    Ok(Listed { entry, endpoint })
+    Ok(Listed { entry, address })
 }
--- a/crates/router/src/log.rs
+++ b/crates/router/src/log.rs
@@ -33,17 +33,17 @@
     Evicted,
     /// Closed between requests before the router ends.
     Shutdown,
-    /// The connection to an instance could not be made.
+    /// The connection to an endpoint could not be made.
     DialFailed,
-    /// The instance turned the connection away.
+    /// The endpoint turned the connection away.
     TurnedAway,
     /// An attempt on it was given up.
     GivenUp,
     /// An answer that can't be read, or bytes that belong to none.
     Spoilt,
-    /// Idle for nearly as long as the instance allows.
+    /// Idle for nearly as long as the endpoint allows.
     Idle,
-    /// The instance moved or left the list, or discovery moved.
+    /// The endpoint moved or left the list, or discovery moved.
     Moved,
     /// No answer from discovery in time.
     Silent,
@@ -97,9 +97,12 @@
         .use_utc_timestamp()
         .build()
         .fuse();
-    let (drain, guard) = slog_async::Async::new(format)
+    let (drain, stale_reads) = slog_async::Async::new(format)
         .chan_size(4096)
         .build_with_guard();
     let drain = slog::LevelFilter::new(drain.fuse(), level).fuse();
-    (Logger::root(drain, o!("router" => name.to_owned())), guard)
+    (
+        Logger::root(drain, o!("router" => name.to_owned())),
+        stale_reads,
+    )
 }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -2,6 +2,7 @@
 #![forbid(unsafe_code)]
 
 mod accept;
+mod admin_socket;
 mod buffer;
 mod cli;
 mod client;
@@ -14,7 +15,6 @@
 mod http;
 mod list;
 mod log;
-mod members;
 mod peer;
 mod platform_clock;
 mod roster;
@@ -71,7 +71,7 @@
             }
             Err(e) => wrong(&e, ExitCode::from(WRONG)),
         },
-        cli::Command::Members { socket } => match members::print(&socket) {
+        cli::Command::Members { socket } => match admin_socket::print(&socket) {
             Ok(()) => ExitCode::SUCCESS,
             Err(e) => wrong(
                 &format_args!("{}: {e}", socket.display()),
@@ -152,12 +152,15 @@
         match signal {
             Ok(Signal::Usr1) => info!(shared.log, "counters"; "all" => %shared.counters),
             Ok(Signal::Hup) => reload(shared, &place).await,
-            Ok(_) if shared.ending.is_raised() => info!(shared.log, "already ending"),
+            Ok(_) if shared.draining.is_raised() => info!(shared.log, "already ending"),
             Ok(_) => {
                 shared.ended_at.set(Some(shared.clock.now()));
-                shared.ending.raise();
+                shared.draining.raise();
                 // The decider ends last.
-                let _ = shared.decider.send(exchange::Message::Ending).await;
+                let _ = shared
+                    .decider
+                    .send(exchange::Message::ShutdownStarted)
+                    .await;
             }
             Err(e) => error!(shared.log, "signals"; "error" => %e),
         }
@@ -200,7 +203,7 @@
 
 /// Waits for SIGTERM, and then until the router may end.
 async fn until_ended(shared: &Shared) {
-    shared.ending.wait().await;
+    shared.draining.wait().await;
     info!(shared.log, "ending");
     let began = shared.ended_at.get().unwrap_or_else(|| shared.clock.now());
     // Clients keep coming for a while, by the listener and by the connections that they still hold.
--- a/crates/router/src/peer/link.rs
+++ b/crates/router/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! One connection to an instance: dialled, used for one request at a time, and logged once when it ends.
+//! One connection to an endpoint: dialled, used for one request at a time, and logged once when it ends.
 
 use super::fault::{Blame, Stage, classify};
 use crate::buffer::{Buffer, MemoryLimitReached};
@@ -14,7 +14,7 @@
 use reelrill_pg_session::bound::{Ask, Bound};
 use reelrill_pg_session::prepared::{Need, Prepared};
 use reelrill_pg_session::template::{self, Kind};
-use reelrill_routing::{Ending, MemberId, Role, Span, Standing, Time};
+use reelrill_routing::{AttemptOutcome, EndpointId, Nanos, ReplicationStatus, Role, Timestamp};
 use slog::info;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -27,28 +27,28 @@
 /// endpoint gets the request.
 const HOST_RETRIES: u32 = 3;
 const HOST_PAUSE: Duration = Duration::from_millis(10);
-/// How often a connection passes on that its member answers.
-const VOUCH: Span = 1_000_000_000;
+/// How often a connection passes on that its endpoint answers.
+const VOUCH: Nanos = 1_000_000_000;
 
 pub struct Link {
     shared: Rc<Shared>,
     stream: Async<TcpStream>,
     buffer: Buffer,
-    member: MemberId,
-    pub endpoint: SocketAddr,
+    endpoint: EndpointId,
+    pub address: SocketAddr,
     /// When it was last given back.
-    pub idle_since: Time,
+    pub idle_since: Timestamp,
     reason: CloseReason,
     /// The statements prepared here.
     prepared: Prepared,
     /// When its word was last passed on.
-    vouched: Time,
+    vouched: Timestamp,
     _slot: Slot,
 }
 
 impl Drop for Link {
     fn drop(&mut self) {
-        info!(self.shared.log, "connection ended"; "with" => "instance", "member" => &*self.member,
+        info!(self.shared.log, "connection ended"; "with" => "instance", "member" => &*self.endpoint,
               "reason" => self.reason.code());
     }
 }
@@ -77,8 +77,8 @@
     value: Option<Vec<u8>>,
     tag: Option<Box<str>>,
     code: Option<String>,
-    pub standing: Standing,
-    pub report: Standing,
+    pub replication: ReplicationStatus,
+    pub report: ReplicationStatus,
     /// The connection is ready for another query.
     pub ready: bool,
 }
@@ -96,10 +96,10 @@
 }
 
 /// What a failed dial means for the attempt that waits for it: nothing has run.
-fn dial_ending(error: &io::Error) -> Ending {
+fn dial_ending(error: &io::Error) -> AttemptOutcome {
     match classify(error, Stage::Connect).blame {
-        Blame::Endpoint => Ending::ConnectFailed,
-        Blame::Host | Blame::Nobody => Ending::Unsent,
+        Blame::Endpoint => AttemptOutcome::ConnectFailed,
+        Blame::Host | Blame::Nobody => AttemptOutcome::NotSent,
     }
 }
 
@@ -115,10 +115,10 @@
 }
 
 /// Connects. What this host lacks for a moment (descriptors, ports, memory) is no failure of the endpoint.
-async fn connect(endpoint: SocketAddr) -> io::Result<Async<TcpStream>> {
+async fn connect(address: SocketAddr) -> io::Result<Async<TcpStream>> {
     let mut retries = 0;
     loop {
-        match Async::<TcpStream>::connect(endpoint).await {
+        match Async::<TcpStream>::connect(address).await {
             Err(e)
                 if retries < HOST_RETRIES
                     && classify(&e, Stage::Connect).blame != Blame::Endpoint =>
@@ -153,34 +153,34 @@
 
 /// How an ErrorResponse's code counts: by the table of the protocol, and by the classes of codes that blame
 /// the statement (data, syntax, protocol).
-pub fn ending_of(code: &str) -> Ending {
+pub fn ending_of(code: &str) -> AttemptOutcome {
     match code {
-        code::READ_ONLY | code::BEHIND => Ending::Miss,
-        code::TOO_MANY => Ending::Full,
-        code::PROTOCOL_VIOLATION => Ending::Rejected,
-        // Only a prepared statement ends so: the instance has forgotten it, twice in a row.
-        code::NO_STATEMENT => Ending::Unsent,
-        _ if code.starts_with("22") || code.starts_with("42") => Ending::Rejected,
-        _ => Ending::Error,
+        code::READ_ONLY | code::BEHIND => AttemptOutcome::Misrouted,
+        code::TOO_MANY => AttemptOutcome::Overloaded,
+        code::PROTOCOL_VIOLATION => AttemptOutcome::InvalidRequest,
+        // Only a prepared statement ends so: the endpoint has forgotten it, twice in a row.
+        code::NO_STATEMENT => AttemptOutcome::NotSent,
+        _ if code.starts_with("22") || code.starts_with("42") => AttemptOutcome::InvalidRequest,
+        _ => AttemptOutcome::Error,
     }
 }
 
 impl Response {
     /// The ending, and the value if it is whole.
-    pub fn ending(self) -> (Ending, Option<Answer>) {
+    pub fn outcome(self) -> (AttemptOutcome, Option<Answer>) {
         if let Some(code) = &self.code {
             return (ending_of(code), None);
         }
         match (self.value, self.tag) {
             (Some(value), Some(tag)) => (
-                Ending::Served,
+                AttemptOutcome::Served,
                 Some(Answer {
                     column: self.column,
                     value,
                     tag,
                 }),
             ),
-            _ => (Ending::Spoilt, None),
+            _ => (AttemptOutcome::MalformedResponse, None),
         }
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// Takes one message in its place: one description, one row of one column, one end; or one error before any
-    /// of these. Serving anything else would hand a client what no instance made for it.
+    /// of these. Serving anything else would hand a client what no endpoint made for it.
     fn take(&mut self, tag: u8, body: &[u8]) -> Step {
         let may_have_row = if self.is_prepared {
             self.confirms.is_empty()
@@ -252,11 +252,11 @@
         };
         let Some((value, _)) = text(rest) else { return };
         match name {
-            "part" if value == "master" => self.standing.role = Some(Role::Primary),
-            "part" if value == "replica" => self.standing.role = Some(Role::Replica),
+            "part" if value == "master" => self.replication.role = Some(Role::Primary),
+            "part" if value == "replica" => self.replication.role = Some(Role::Replica),
             "caught_up_to" => {
                 let ms: Option<u64> = value.parse().ok().filter(|ms| *ms > 0);
-                self.standing.position = ms.map(|ms| ms.saturating_mul(1_000_000));
+                self.replication.applied_position = ms.map(|ms| ms.saturating_mul(1_000_000));
             }
             "gauges" => self.report = read_report(value),
             _ => {}
@@ -265,14 +265,16 @@
 }
 
 /// A load report: `x0=1767225600.25,x1=1,...`. Its position is taken a millisecond staler: it was rounded.
-pub fn read_report(text: &str) -> Standing {
-    let mut report = Standing::default();
+pub fn read_report(text: &str) -> ReplicationStatus {
+    let mut report = ReplicationStatus::default();
     for (name, value) in text
         .split(',')
         .filter_map(|pair| pair.trim().split_once('='))
     {
         match (name, value.parse::<f64>()) {
-            ("x0", Ok(s)) if s > 0.0 => report.position = Some((s * 1e9 - 1e6).max(0.0) as u64),
+            ("x0", Ok(s)) if s > 0.0 => {
+                report.applied_position = Some((s * 1e9 - 1e6).max(0.0) as u64)
+            }
             ("x1", Ok(x)) => {
                 report.role = Some(if x == 1.0 {
                     Role::Primary
@@ -290,10 +292,10 @@
     /// Connects and waits for the welcome, within the settings' limit. An error never ran anything.
     pub async fn dial(
         shared: Rc<Shared>,
-        member: MemberId,
-        endpoint: SocketAddr,
+        endpoint: EndpointId,
+        address: SocketAddr,
         slot: Slot,
-    ) -> Result<Link, Ending> {
+    ) -> Result<Link, AttemptOutcome> {
         count(&shared.counters.dials);
         let limit = match shared.config.site.settings.limits.connect_timeout {
             0 => Duration::from_secs(1),
@@ -305,27 +307,27 @@
         };
         let c = shared.clone();
         let dialled = or(
-            async { Some(Link::welcome(shared, member, endpoint, slot).await) },
+            async { Some(Link::welcome(shared, endpoint, address, slot).await) },
             within,
         )
         .await;
         match &dialled {
             Some(Ok(_)) => {}
-            Some(Err(Ending::Full)) => count(&c.counters.dials_turned_away),
+            Some(Err(AttemptOutcome::Overloaded)) => count(&c.counters.dials_turned_away),
             Some(Err(_)) => count(&c.counters.dials_broken),
             None => count(&c.counters.dials_silent),
         }
-        dialled.unwrap_or(Err(Ending::ConnectFailed))
+        dialled.unwrap_or(Err(AttemptOutcome::ConnectFailed))
     }
 
     async fn welcome(
         shared: Rc<Shared>,
-        member: MemberId,
-        endpoint: SocketAddr,
+        endpoint: EndpointId,
+        address: SocketAddr,
         slot: Slot,
-    ) -> Result<Link, Ending> {
+    ) -> Result<Link, AttemptOutcome> {
         let failed = |e: io::Error| dial_ending(&e);
-        let stream = connect(endpoint).await.map_err(failed)?;
+        let stream = connect(address).await.map_err(failed)?;
         stream.get_ref().set_nodelay(true).map_err(failed)?;
         let memory = shared.memory.clone();
         let limit = shared.config.edge.extended.limits.prepared;
@@ -334,8 +336,8 @@
             shared,
             stream,
             buffer: Buffer::new(&memory),
-            member,
             endpoint,
+            address,
             reason: CloseReason::DialFailed,
             prepared: Prepared::new(limit),
             vouched: 0,
@@ -353,14 +355,15 @@
             match frame::within(link.buffer.bytes(), frame::LARGEST_WORD) {
                 Ok(Some((b'E', body, _))) => {
                     if backend::error_code(body) == Some(code::LEAVING) {
-                        link.shared.vouch(&link.member, true);
+                        link.shared.vouch(&link.endpoint, true);
                     }
-                    let ending = backend::error_code(body).map_or(Ending::ConnectFailed, ending_of);
+                    let outcome =
+                        backend::error_code(body).map_or(AttemptOutcome::ConnectFailed, ending_of);
                     link.reason = CloseReason::TurnedAway;
-                    return Err(if ending == Ending::Full {
-                        ending
+                    return Err(if outcome == AttemptOutcome::Overloaded {
+                        outcome
                     } else {
-                        Ending::ConnectFailed
+                        AttemptOutcome::ConnectFailed
                     });
                 }
                 Ok(Some((tag, _, len))) => {
@@ -373,10 +376,10 @@
                 }
                 Ok(None) => {
                     if link.buffer.fill(&link.stream).await.map_err(failed)? == 0 {
-                        return Err(Ending::ConnectFailed);
+                        return Err(AttemptOutcome::ConnectFailed);
                     }
                 }
-                Err(_) => return Err(Ending::ConnectFailed),
+                Err(_) => return Err(AttemptOutcome::ConnectFailed),
             }
         }
     }
@@ -385,7 +388,7 @@
         self.reason = reason;
     }
 
-    /// Still open and silent: an instance that closed it, or said something unasked, has done with it.
+    /// Still open and silent: an endpoint that closed it, or said something unasked, has done with it.
     pub fn is_open(&self) -> bool {
         let peeked = loop {
             match self.stream.get_ref().peek(&mut [0]) {
@@ -398,7 +401,7 @@
     }
 
     /// Asks for what a request wants, within the time that the router will wait.
-    pub async fn ask(&mut self, ask: &Ask, wait: Span, sent: &Mark) -> Result<Response, Fault> {
+    pub async fn ask(&mut self, ask: &Ask, wait: Nanos, sent: &Mark) -> Result<Response, Fault> {
         match ask {
             Ask::Simple(simple) => self.query(&simple.with_wait(wait), sent).await,
             Ask::Bound(bound) => {
@@ -425,7 +428,7 @@
     }
 
     /// Runs a prepared statement: all that it needs here in one write, a Parse only where it is lacking.
-    async fn run(&mut self, bound: &Bound, wait: Span, sent: &Mark) -> Result<Response, Fault> {
+    async fn run(&mut self, bound: &Bound, wait: Nanos, sent: &Mark) -> Result<Response, Fault> {
         let (template, mut out) = (bound.template(), Vec::new());
         let need = self.prepared.need(template.id);
         let name = template.name();
@@ -503,7 +506,7 @@
                     More::Bytes => continue,
                     More::Closed => break (CloseReason::Eof, Fault::Broken),
                     More::Stalled => Step::Stray,
-                    // The lack is the router's own: the instance is not to blame.
+                    // The lack is the router's own: the endpoint is not to blame.
                     More::NoMemory => break (CloseReason::NoMemory, Fault::Spoilt),
                     More::Failed(e) => break (CloseReason::Reset, fault_of(&e, Stage::Read)),
                 },
@@ -531,12 +534,12 @@
         }
     }
 
-    /// Passes on that the member answers for itself: at once that it leaves, else now and then.
+    /// Passes on that the endpoint answers for itself: at once that it leaves, else now and then.
     fn vouch(&mut self, leaving: bool) {
         let now = self.shared.clock.now();
         if leaving || now.saturating_sub(self.vouched) > VOUCH {
             self.vouched = now;
-            self.shared.vouch(&self.member, leaving);
+            self.shared.vouch(&self.endpoint, leaving);
         }
     }
 
--- a/crates/router/src/peer/link/tests.rs
+++ b/crates/router/src/peer/link/tests.rs
@@ -7,10 +7,10 @@
     let r = read_report("x0=1767225600.25,x1=1,inflight=7,util=0.61");
     assert_eq!(r.role, Some(Role::Primary));
     assert!(
-        r.position
+        r.applied_position
             .is_some_and(|p| p <= 1_767_225_600_249_000_000 && p > 1_767_225_600_248_000_000)
     );
-    assert_eq!(read_report("nonsense"), Standing::default());
+    assert_eq!(read_report("nonsense"), ReplicationStatus::default());
 }
 
 /// Guards against a broken connection that reads as a malformed answer or as a lack of the router's own memory, and
@@ -18,79 +18,79 @@
 #[rstest]
 #[case(
     Errno::TIMEDOUT,
-    Ending::ConnectFailed,
+    AttemptOutcome::ConnectFailed,
     Fault::NotWritten(Blame::Endpoint),
     Fault::Broken
 )]
 #[case(
     Errno::HOSTUNREACH,
-    Ending::ConnectFailed,
+    AttemptOutcome::ConnectFailed,
     Fault::NotWritten(Blame::Endpoint),
     Fault::Broken
 )]
 #[case(
     Errno::PIPE,
-    Ending::ConnectFailed,
+    AttemptOutcome::ConnectFailed,
     Fault::NotWritten(Blame::Endpoint),
     Fault::Broken
 )]
 #[case(
     Errno::CONNRESET,
-    Ending::ConnectFailed,
+    AttemptOutcome::ConnectFailed,
     Fault::NotWritten(Blame::Endpoint),
     Fault::Broken
 )]
 #[case(
     Errno::CONNREFUSED,
-    Ending::ConnectFailed,
+    AttemptOutcome::ConnectFailed,
     Fault::NotWritten(Blame::Endpoint),
     Fault::Broken
 )]
 #[case(
     Errno::CONNABORTED,
-    Ending::ConnectFailed,
+    AttemptOutcome::ConnectFailed,
     Fault::NotWritten(Blame::Endpoint),
     Fault::Broken
 )]
 #[case(
     Errno::NFILE,
-    Ending::Unsent,
+    AttemptOutcome::NotSent,
     Fault::NotWritten(Blame::Host),
     Fault::Spoilt
 )]
 #[case(
     Errno::MFILE,
-    Ending::Unsent,
+    AttemptOutcome::NotSent,
     Fault::NotWritten(Blame::Host),
     Fault::Spoilt
 )]
 #[case(
     Errno::NOBUFS,
-    Ending::Unsent,
+    AttemptOutcome::NotSent,
     Fault::NotWritten(Blame::Host),
     Fault::Spoilt
 )]
 #[case(
     Errno::NOMEM,
-    Ending::Unsent,
+    AttemptOutcome::NotSent,
     Fault::NotWritten(Blame::Host),
     Fault::Spoilt
 )]
 #[case(
     Errno::ADDRNOTAVAIL,
-    Ending::Unsent,
+    AttemptOutcome::NotSent,
     Fault::NotWritten(Blame::Host),
     Fault::Spoilt
 )]
 #[case(
     Errno::NETUNREACH,
-    Ending::Unsent,
+    AttemptOutcome::NotSent,
     Fault::NotWritten(Blame::Host),
     Fault::Spoilt
 )]
 fn a_failed_call_means_the_same_at_each_stage(
     #[case] errno: Errno,
-    #[case] dial: Ending,
+    #[case] dial: AttemptOutcome,
     #[case] write: Fault,
     #[case] read: Fault,
 ) {
--- a/crates/router/src/peer/mod.rs
+++ b/crates/router/src/peer/mod.rs
@@ -17,14 +17,14 @@
 use fault::Blame;
 use futures_lite::future::or;
 use link::{Fault, Link};
-use reelrill_routing::{Ending, MemberId, Span, Time};
+use reelrill_routing::{AttemptOutcome, EndpointId, Nanos, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// Part of the idle limit after which a pooled connection is retired: the instance's own clock must not
+/// Part of the idle limit after which a pooled connection is retired: the endpoint's own clock must not
 /// close it under a request.
 const RETIRE: f64 = 0.9;
 /// Looks at idle connections in each such time, so that one goes that much later at the most.
@@ -40,10 +40,10 @@
 /// What dials and attempts hand back; they wait for a place.
 const HANDED_BACK: usize = 16;
 
-/// What the list says of the instance now; read again before each send.
+/// What the list says of the endpoint now; read again before each send.
 struct Told {
-    endpoint: Cell<SocketAddr>,
-    leaving: Cell<Option<Time>>,
+    address: Cell<SocketAddr>,
+    leaving: Cell<Option<Timestamp>>,
 }
 
 impl Told {
@@ -82,7 +82,7 @@
 impl PoolHandle {
     pub fn new(address: SocketAddr) -> PoolHandle {
         let told = Told {
-            endpoint: Cell::new(address),
+            address: Cell::new(address),
             leaving: Cell::new(None),
         };
         PoolHandle {
@@ -92,10 +92,10 @@
     }
 
     /// Takes over what the list says now. A drain that is already known keeps its start.
-    pub fn update(&self, address: SocketAddr, is_draining: bool, now: Time) {
+    pub fn update(&self, address: SocketAddr, is_draining: bool, now: Timestamp) {
         let draining_since = self.told.leaving.get().unwrap_or(now);
         self.told.leaving.set(is_draining.then_some(draining_since));
-        if self.told.endpoint.replace(address) != address
+        if self.told.address.replace(address) != address
             && let Some(commands) = &*self.commands.borrow()
         {
             // A full mailbox means that the pool is about to look anyway.
@@ -108,11 +108,11 @@
         &self,
         shared: &Rc<Shared>,
         executor: &Rc<LocalExecutor<'static>>,
-        member: &MemberId,
+        endpoint: &EndpointId,
         order: Order,
     ) -> Result<(), PoolBusy> {
         let mut commands = self.commands.borrow_mut();
-        let commands = commands.get_or_insert_with(|| self.start(shared, executor, member));
+        let commands = commands.get_or_insert_with(|| self.start(shared, executor, endpoint));
         commands.try_send(order).map_err(|_| PoolBusy)
     }
 
@@ -120,7 +120,7 @@
         &self,
         shared: &Rc<Shared>,
         executor: &Rc<LocalExecutor<'static>>,
-        member: &MemberId,
+        endpoint: &EndpointId,
     ) -> Sender<Order> {
         count(&shared.counters.pools_started);
         let (commands, inbox) = async_channel::bounded(MAILBOX);
@@ -128,7 +128,7 @@
         let pool = Peer {
             shared: shared.clone(),
             executor: executor.clone(),
-            member: member.clone(),
+            endpoint: endpoint.clone(),
             told: self.told.clone(),
             commands: Rc::downgrade(&self.commands),
             idle: Vec::new(),
@@ -149,20 +149,20 @@
 type Job = Option<Box<Attempt>>;
 
 enum News {
-    Dialled(Result<Box<Link>, Ending>),
+    Dialled(Result<Box<Link>, AttemptOutcome>),
     Back(Box<Link>),
 }
 
 struct Peer {
     shared: Rc<Shared>,
     executor: Rc<LocalExecutor<'static>>,
-    member: MemberId,
+    endpoint: EndpointId,
     told: Rc<Told>,
     /// Gone once the handle has been dropped.
     commands: Weak<Commands>,
     idle: Vec<Link>,
     /// Those without a connection, and since when.
-    waiting: VecDeque<(Time, Job)>,
+    waiting: VecDeque<(Timestamp, Job)>,
     dialling: usize,
     news: Sender<News>,
 }
@@ -244,9 +244,9 @@
                 Next::Order(Some(Order::Probe)) => self.wait(None),
                 Next::Order(Some(Order::Told)) => self.drop_moved(),
                 Next::Order(None) => {
-                    // The instance has left the list: what still waits must not be sent to it.
+                    // The endpoint has left the list: what still waits must not be sent to it.
                     while let Some((_, job)) = self.waiting.pop_front() {
-                        self.unsent(job, Ending::Unsent).await;
+                        self.unsent(job, AttemptOutcome::NotSent).await;
                     }
                     self.idle.drain(..).for_each(|l| l.end(CloseReason::Moved));
                     return;
@@ -256,7 +256,7 @@
                     self.dialling -= 1;
                     match result {
                         Ok(link) => self.keep(*link),
-                        Err(ending) => self.dial_failed(ending).await,
+                        Err(outcome) => self.dial_failed(outcome).await,
                     }
                 }
                 Next::Spare if !self.idle.is_empty() => {
@@ -278,7 +278,7 @@
                 Next::Late => {
                     // The one that has waited longest takes the first connection, so it is the first to give up.
                     if let Some((_, job)) = self.waiting.pop_front() {
-                        self.unsent(job, Ending::Unsent).await;
+                        self.unsent(job, AttemptOutcome::NotSent).await;
                     }
                 }
                 Next::Sweep => {
@@ -304,7 +304,7 @@
     }
 
     /// How long a connection may take to come up, a wait for a descriptor included.
-    fn patience(&self) -> Span {
+    fn patience(&self) -> Nanos {
         match self.shared.config.site.settings.limits.connect_timeout {
             0 => 1_000_000_000,
             limit => limit,
@@ -312,14 +312,14 @@
     }
 
     fn drop_moved(&mut self) {
-        let endpoint = self.told.endpoint.get();
-        for link in self.idle.extract_if(.., |l| l.endpoint != endpoint) {
+        let address = self.told.address.get();
+        for link in self.idle.extract_if(.., |l| l.address != address) {
             link.end(CloseReason::Moved);
         }
     }
 
     fn keep(&mut self, mut link: Link) {
-        if link.endpoint != self.told.endpoint.get() {
+        if link.address != self.told.address.get() {
             return link.end(CloseReason::Moved);
         }
         // An idle connection must not keep a descriptor that another peer waits for.
@@ -332,25 +332,25 @@
     }
 
     /// One dial was begun for one that waits: without other dials it gets no connection.
-    async fn dial_failed(&mut self, ending: Ending) {
+    async fn dial_failed(&mut self, outcome: AttemptOutcome) {
         while self.waiting.len() > self.dialling {
             let Some((_, job)) = self.waiting.pop_front() else {
                 return;
             };
-            self.unsent(job, ending).await;
+            self.unsent(job, outcome).await;
         }
     }
 
-    async fn unsent(&self, job: Job, ending: Ending) {
+    async fn unsent(&self, job: Job, outcome: AttemptOutcome) {
         let message = match job {
             Some(a) => Message::Ended {
                 request: a.request,
                 attempt: a.number,
-                ended: Ended::silent(ending),
+                ended: Ended::silent(outcome),
             },
             None => Message::Probed {
-                member: self.member.clone(),
-                ended: Ended::silent(ending),
+                endpoint: self.endpoint.clone(),
+                ended: Ended::silent(outcome),
             },
         };
         // The decider ends last; without it there is nobody to tell.
@@ -365,7 +365,7 @@
         // The grace counts to the first byte: what waited for a connection meanwhile may be too late.
         if self.told.is_closed_to_new(&self.shared) {
             while let Some((_, job)) = self.waiting.pop_front() {
-                self.unsent(job, Ending::Unsent).await;
+                self.unsent(job, AttemptOutcome::NotSent).await;
             }
         }
         while !self.waiting.is_empty() {
@@ -382,9 +382,9 @@
                 return self.shared.upstream.need();
             };
             self.dialling += 1;
-            let (member, endpoint) = (self.member.clone(), self.told.endpoint.get());
+            let (endpoint, address) = (self.endpoint.clone(), self.told.address.get());
             let (dial, news) = (
-                Link::dial(self.shared.clone(), member, endpoint, slot),
+                Link::dial(self.shared.clone(), endpoint, address, slot),
                 self.news.clone(),
             );
             let task = async move {
@@ -396,7 +396,11 @@
     }
 
     fn begin(&self, link: Link, job: Job) {
-        let (shared, news, member) = (self.shared.clone(), self.news.clone(), self.member.clone());
+        let (shared, news, endpoint) = (
+            self.shared.clone(),
+            self.news.clone(),
+            self.endpoint.clone(),
+        );
         match job {
             Some(a) => self
                 .executor
@@ -404,7 +408,7 @@
                 .detach(),
             None => self
                 .executor
-                .spawn(probe(shared, news, link, member))
+                .spawn(probe(shared, news, link, endpoint))
                 .detach(),
         }
     }
@@ -423,7 +427,7 @@
     if !a.is_wanted() || is_late || told.is_closed_to_new(&shared) {
         let _ = news.send(News::Back(Box::new(link))).await;
         if a.is_wanted() {
-            let ended = Ended::silent(Ending::Unsent);
+            let ended = Ended::silent(AttemptOutcome::NotSent);
             let _ = shared
                 .decider
                 .send(Message::Ended {
@@ -450,20 +454,23 @@
         return;
     };
     let ended = match result {
-        Err(Fault::Stale) => Ended::silent(Ending::Unsent),
-        Err(Fault::NotWritten(Blame::Endpoint)) => Ended::silent(Ending::ConnectFailed),
-        Err(Fault::NotWritten(Blame::Host | Blame::Nobody)) => Ended::silent(Ending::Unsent),
-        Err(Fault::Broken) => Ended::silent(Ending::Reset),
-        Err(Fault::Spoilt) => Ended::silent(Ending::Spoilt),
+        Err(Fault::Stale) => Ended::silent(AttemptOutcome::NotSent),
+        Err(Fault::NotWritten(Blame::Endpoint)) => Ended::silent(AttemptOutcome::ConnectFailed),
+        Err(Fault::NotWritten(Blame::Host | Blame::Nobody)) => {
+            Ended::silent(AttemptOutcome::NotSent)
+        }
+        Err(Fault::Broken) => Ended::silent(AttemptOutcome::ConnectionReset),
+        Err(Fault::Spoilt) => Ended::silent(AttemptOutcome::MalformedResponse),
         Ok(response) => {
-            let (standing, report, ready) = (response.standing, response.report, response.ready);
-            let (ending, answer) = response.ending();
+            let (replication, report, ready) =
+                (response.replication, response.report, response.ready);
+            let (outcome, answer) = response.outcome();
             if ready {
                 let _ = news.send(News::Back(Box::new(link))).await;
             }
             Ended {
-                ending,
-                standing,
+                outcome,
+                replication,
                 report,
                 answer,
             }
@@ -479,7 +486,7 @@
         .await;
 }
 
-async fn probe(shared: Rc<Shared>, news: Sender<News>, mut link: Link, member: MemberId) {
+async fn probe(shared: Rc<Shared>, news: Sender<News>, mut link: Link, endpoint: EndpointId) {
     count(&shared.counters.probes);
     let limit = Duration::from_nanos(
         shared
@@ -500,22 +507,25 @@
     )
     .await
     {
-        None => Ended::silent(Ending::TimedOut),
-        Some(Err(_)) => Ended::silent(Ending::Reset),
+        None => Ended::silent(AttemptOutcome::TimedOut),
+        Some(Err(_)) => Ended::silent(AttemptOutcome::ConnectionReset),
         Some(Ok(response)) => {
             let report = response.text().map(link::read_report).unwrap_or_default();
-            let (standing, ready) = (response.standing, response.ready);
-            let (ending, _) = response.ending();
+            let (replication, ready) = (response.replication, response.ready);
+            let (outcome, _) = response.outcome();
             if ready {
                 let _ = news.send(News::Back(Box::new(link))).await;
             }
             Ended {
-                ending,
-                standing,
+                outcome,
+                replication,
                 report,
                 answer: None,
             }
         }
     };
-    let _ = shared.decider.send(Message::Probed { member, ended }).await;
+    let _ = shared
+        .decider
+        .send(Message::Probed { endpoint, ended })
+        .await;
 }
--- a/crates/router/src/platform_clock.rs
+++ b/crates/router/src/platform_clock.rs
@@ -14,63 +14,64 @@
 //! ahead of the estimate counts once a second endpoint has told one, too; until then it tells nothing. Discovery is
 //! one service for all and is believed.
 
-use reelrill_routing::{MemberId, Span, Time};
+use reelrill_routing::{EndpointId, Nanos, Timestamp};
 
 /// Positions and starts are rounded to milliseconds; less than this ahead is no evidence of another clock.
-const TOLERANCE: Span = 20_000_000;
+const TOLERANCE: Nanos = 20_000_000;
 
 /// Estimates the platform's time; it only ever moves forward.
 #[derive(Debug, Default)]
 pub struct PlatformClock {
     /// How far the platform's time is ahead of the router's own.
-    ahead: Span,
+    ahead: Nanos,
     /// Who told last of a time ahead of the estimate, and how far that was ahead of the router's own.
-    claim: Option<(MemberId, Span)>,
+    claim: Option<(EndpointId, Nanos)>,
 }
 
 impl PlatformClock {
     /// The platform's time at `own`, the router's.
-    pub fn platform(&self, own: Time) -> Time {
+    pub fn platform(&self, own: Timestamp) -> Timestamp {
         own.saturating_add(self.ahead)
     }
 
     /// The router's time at `platform`, the platform's.
-    pub fn own(&self, platform: Time) -> Time {
+    pub fn own(&self, platform: Timestamp) -> Timestamp {
         platform.saturating_sub(self.ahead)
     }
 
     /// What can be believed of a position that proves nothing: one that came with a malformed answer.
-    pub fn plausible(&self, own: Time, position: Time) -> Option<Time> {
-        (position <= self.platform(own).saturating_add(TOLERANCE)).then_some(position)
+    pub fn plausible(&self, own: Timestamp, applied_position: Timestamp) -> Option<Timestamp> {
+        (applied_position <= self.platform(own).saturating_add(TOLERANCE))
+            .then_some(applied_position)
     }
 
     /// An endpoint has told its position. Returns what can be believed of it; `is_only`: no other endpoint is known
     /// that could confirm it.
     pub fn on_position(
         &mut self,
-        own: Time,
-        endpoint: &MemberId,
-        position: Time,
+        own: Timestamp,
+        address: &EndpointId,
+        applied_position: Timestamp,
         is_only: bool,
-    ) -> Option<Time> {
-        if let Some(position) = self.plausible(own, position) {
-            return Some(position);
+    ) -> Option<Timestamp> {
+        if let Some(applied_position) = self.plausible(own, applied_position) {
+            return Some(applied_position);
         }
-        let ahead = position.saturating_sub(own);
+        let ahead = applied_position.saturating_sub(own);
         let confirmed = match &self.claim {
             _ if is_only => Some(ahead),
-            Some((other, theirs)) if other != endpoint => Some(ahead.min(*theirs)),
+            Some((other, theirs)) if other != address => Some(ahead.min(*theirs)),
             _ => None,
         };
         if let Some(confirmed) = confirmed {
             self.ahead = self.ahead.max(confirmed);
         }
-        self.claim = Some((endpoint.clone(), ahead));
-        self.plausible(own, position)
+        self.claim = Some((address.clone(), ahead));
+        self.plausible(own, applied_position)
     }
 
     /// Discovery has told when an endpoint started.
-    pub fn on_start(&mut self, own: Time, started: Time) {
+    pub fn on_start(&mut self, own: Timestamp, started: Timestamp) {
         if started > self.platform(own).saturating_add(TOLERANCE) {
             self.ahead = started.saturating_sub(own);
         }
--- a/crates/router/src/platform_clock/tests.rs
+++ b/crates/router/src/platform_clock/tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-const SECOND: Span = 1_000_000_000;
-const HOUR: Span = 3600 * SECOND;
-const NOW: Time = 1_767_225_600 * SECOND;
+const SECOND: Nanos = 1_000_000_000;
+const HOUR: Nanos = 3600 * SECOND;
+const NOW: Timestamp = 1_767_225_600 * SECOND;
 
-fn endpoint(name: &str) -> MemberId {
+fn address(name: &str) -> EndpointId {
     name.into()
 }
 
@@ -16,7 +16,7 @@
     let mut clock = PlatformClock::default();
     for lag in [0, SECOND, HOUR] {
         assert_eq!(
-            clock.on_position(NOW, &endpoint("a"), NOW - lag, true),
+            clock.on_position(NOW, &address("a"), NOW - lag, true),
             Some(NOW - lag)
         );
         clock.on_start(NOW, NOW - lag);
@@ -30,25 +30,25 @@
     let mut clock = PlatformClock::default();
     let (primary, replica) = (NOW + HOUR, NOW + HOUR - 2 * SECOND);
     assert_eq!(
-        clock.on_position(NOW, &endpoint("replica"), replica, false),
+        clock.on_position(NOW, &address("replica"), replica, false),
         None
     );
     assert_eq!(
-        clock.on_position(NOW, &endpoint("replica"), replica, false),
+        clock.on_position(NOW, &address("replica"), replica, false),
         None
     );
     assert_eq!(
-        clock.on_position(NOW, &endpoint("primary"), primary, false),
+        clock.on_position(NOW, &address("primary"), primary, false),
         None
     );
     assert_eq!(clock.platform(NOW), replica);
     assert_eq!(
-        clock.on_position(NOW, &endpoint("other"), primary, false),
+        clock.on_position(NOW, &address("other"), primary, false),
         Some(primary)
     );
     assert_eq!((clock.platform(NOW), clock.own(primary)), (primary, NOW));
     assert_eq!(
-        clock.on_position(NOW, &endpoint("replica"), replica, false),
+        clock.on_position(NOW, &address("replica"), replica, false),
         Some(replica)
     );
 }
@@ -59,17 +59,17 @@
     let mut clock = PlatformClock::default();
     for _ in 0..3 {
         assert_eq!(
-            clock.on_position(NOW, &endpoint("a"), NOW + 1000 * HOUR, false),
+            clock.on_position(NOW, &address("a"), NOW + 1000 * HOUR, false),
             None
         );
         assert_eq!(
-            clock.on_position(NOW, &endpoint("b"), NOW - SECOND, false),
+            clock.on_position(NOW, &address("b"), NOW - SECOND, false),
             Some(NOW - SECOND)
         );
     }
     assert_eq!(clock.platform(NOW), NOW);
     // Where it is confirmed, the nearer of the two counts.
-    clock.on_position(NOW, &endpoint("b"), NOW + HOUR, false);
+    clock.on_position(NOW, &address("b"), NOW + HOUR, false);
     assert_eq!(clock.platform(NOW), NOW + HOUR);
 }
 
@@ -78,7 +78,7 @@
 fn the_only_endpoint_is_believed() {
     let mut clock = PlatformClock::default();
     assert_eq!(
-        clock.on_position(NOW, &endpoint("a"), NOW + HOUR, true),
+        clock.on_position(NOW, &address("a"), NOW + HOUR, true),
         Some(NOW + HOUR)
     );
     assert_eq!(clock.platform(NOW), NOW + HOUR);
--- a/crates/router/src/roster.rs
+++ b/crates/router/src/roster.rs
@@ -9,7 +9,7 @@
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future::or;
-use reelrill_routing::{ListKind, Span, Time};
+use reelrill_routing::{ListKind, Nanos, Timestamp};
 use reelrill_service_discovery::watch::{self, Ask, ListService, Watch};
 use slog::{debug, info, o, warn};
 use std::cell::Cell;
@@ -35,7 +35,7 @@
     /// Taken out by a call while it runs, so that a call that is dropped half-way closes it.
     connection: Cell<Option<Connection>>,
     /// When the latest call began.
-    began: Cell<Time>,
+    began: Cell<Timestamp>,
 }
 
 enum Next {
@@ -64,7 +64,7 @@
     };
     // The call to be made next, and the pause before it.
     let first = watch.first_call(roster.shared.clock.now());
-    let mut call: Option<(watch::Call, Span)> = first.map(|call| (call, 0));
+    let mut call: Option<(watch::Call, Nanos)> = first.map(|call| (call, 0));
     loop {
         let place = async {
             match places.recv().await {
@@ -145,7 +145,7 @@
     }
 }
 
-async fn silent<T>(after: Span) -> Result<T, CallError> {
+async fn silent<T>(after: Nanos) -> Result<T, CallError> {
     Timer::after(Duration::from_nanos(after)).await;
     Err(CallError::Silent)
 }
@@ -230,7 +230,7 @@
                        "entries" => list.entries.len(), "ms" => took);
                 (
                     if list.whole {
-                        ListKind::Whole
+                        ListKind::Full
                     } else {
                         ListKind::Changes
                     },
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -11,7 +11,7 @@
 use reelrill_pg_session::admit::Catalog;
 use reelrill_pg_session::plan::Common;
 use reelrill_pg_session::template::Templates;
-use reelrill_routing::{MemberId, Time};
+use reelrill_routing::{EndpointId, Timestamp};
 use slog::Logger;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -37,12 +37,12 @@
         }
     }
 
-    pub fn now(&self) -> Time {
+    pub fn now(&self) -> Timestamp {
         self.unix + self.start.elapsed().as_nanos() as u64
     }
 
     /// The instant of a time, for timers.
-    pub fn instant(&self, at: Time) -> Instant {
+    pub fn instant(&self, at: Timestamp) -> Instant {
         self.start + std::time::Duration::from_nanos(at.saturating_sub(self.unix))
     }
 }
@@ -211,22 +211,22 @@
     pub clock: Clock,
     pub log: Logger,
     pub counters: Counters,
-    /// Descriptors for clients and for instances, apart: a flood of clients must not keep the requests of others
-    /// from the instances.
+    /// Descriptors for clients and for endpoints, apart: a flood of clients must not keep the requests of others
+    /// from the endpoints.
     pub clients: Rc<Slots>,
     pub upstream: Rc<Slots>,
-    /// The router knows instances to serve from.
+    /// The router knows endpoints to serve from.
     pub ready: Flag,
     /// SIGTERM has come.
-    pub ending: Flag,
+    pub draining: Flag,
     /// When.
-    pub ended_at: Cell<Option<Time>>,
+    pub ended_at: Cell<Option<Timestamp>>,
     /// What happens how long after that.
     pub shutdown: ShutdownSchedule,
     /// When a connection or a request last came in.
-    pub last_arrival: Cell<Time>,
+    pub last_arrival: Cell<Timestamp>,
     pub decider: async_channel::Sender<Message>,
-    /// Where the roster's word goes, and what members say of themselves, if there are other sources.
+    /// Where the roster's word goes, and what endpoints say of themselves, if there are other sources.
     pub directory: Option<async_channel::Sender<News>>,
     /// What the buffers of all connections may grow to.
     pub memory: Rc<Memory>,
@@ -339,7 +339,7 @@
             log,
             counters: Counters::default(),
             ready: Flag::default(),
-            ending: Flag::default(),
+            draining: Flag::default(),
             ended_at: Cell::new(None),
             shutdown,
             last_arrival: Cell::new(clock.now()),
@@ -353,25 +353,25 @@
         })
     }
 
-    /// A member answered for itself. A full mailbox loses nothing: it will answer again.
-    pub fn vouch(&self, member: &MemberId, leaving: bool) {
+    /// An endpoint answered for itself. A full mailbox loses nothing: it will answer again.
+    pub fn vouch(&self, endpoint: &EndpointId, leaving: bool) {
         if let Some(directory) = &self.directory {
             let _ = directory.try_send(News::Answered {
-                member: member.clone(),
+                endpoint: endpoint.clone(),
                 leaving,
             });
         }
     }
 
     /// While the router is ending: when the last answer must be out.
-    pub fn last_answer(&self) -> Option<Time> {
+    pub fn last_answer(&self) -> Option<Timestamp> {
         self.ended_at
             .get()
             .map(|at| at.saturating_add(self.shutdown.last_answer))
     }
 
     /// While the router is ending: when it stops reading.
-    pub fn last_read(&self) -> Option<Time> {
+    pub fn last_read(&self) -> Option<Timestamp> {
         self.ended_at
             .get()
             .map(|at| at.saturating_add(self.shutdown.last_read))
--- a/crates/router/src/shutdown/tests.rs
+++ b/crates/router/src/shutdown/tests.rs
@@ -4,16 +4,16 @@
 use rstest::rstest;
 
 /// From the longest deadline on, the process may be killed after this.
-const KILL_AFTER_DEADLINE: Span = 700 * MILLISECOND;
+const KILL_AFTER_DEADLINE: Nanos = 700 * MILLISECOND;
 /// New connections arrive for this long.
-const NEW_CONNECTIONS: Span = 400 * MILLISECOND;
+const NEW_CONNECTIONS: Nanos = 400 * MILLISECOND;
 /// The process may be held up for this long between reading its clock and writing.
-const HELD_UP: Span = 150 * MILLISECOND;
+const HELD_UP: Nanos = 150 * MILLISECOND;
 
 /// Guards all deployments, from the shortest deadlines to the longest.
 #[rstest]
 fn the_schedule_fits_between_the_signal_and_the_kill(
-    #[values(0, 1, 50, 100, 300, 1000, 2999, 3000, 30_000)] deadline_ms: Span,
+    #[values(0, 1, 50, 100, 300, 1000, 2999, 3000, 30_000)] deadline_ms: Nanos,
 ) {
     let deadline = deadline_ms * MILLISECOND;
     let schedule = ShutdownSchedule::new(deadline);
--- a/crates/router/tests/edges.rs
+++ b/crates/router/tests/edges.rs
@@ -90,7 +90,7 @@
     );
 }
 
-/// Guards instances against work for nobody: an attempt that waits for its connection to come up is withdrawn when its
+/// Guards endpoints against work for nobody: an attempt that waits for its connection to come up is withdrawn when its
 /// client goes, though the settings let nothing be cancelled; the connection serves the next request.
 #[rstest]
 fn what_waits_for_a_dial_is_withdrawn(
@@ -283,7 +283,7 @@
     assert!(router.logged("reason: shutdown"));
 }
 
-/// Guards all that is open when the router ends: an instance that hangs holds no answer beyond the time at which the
+/// Guards all that is open when the router ends: an endpoint that hangs holds no answer beyond the time at which the
 /// process may be killed, however long the client would wait. Further signals change nothing.
 #[test]
 fn all_is_answered_before_the_process_may_be_killed() {
@@ -360,7 +360,7 @@
     sending.join().unwrap();
 }
 
-/// Guards the time that an instance is told: at most what is left when the bytes are written, after a wait for the
+/// Guards the time that an endpoint is told: at most what is left when the bytes are written, after a wait for the
 /// connection.
 #[test]
 fn an_instance_is_told_the_time_that_is_left_after_its_dial() {
@@ -476,12 +476,12 @@
     assert!(began.elapsed() < Duration::from_secs(6));
 }
 
-/// Guards the memory limit against long lists: a member that is only known costs next to nothing.
+/// Guards the memory limit against long lists: an endpoint that is only known costs next to nothing.
 #[test]
-fn many_members_cost_little_memory() {
+fn many_endpoints_cost_little_memory() {
     let instance = Instance::start("master", Act::Serve);
-    let resident_kb = |members: usize| -> u64 {
-        let list: Vec<Value> = (0..members)
+    let resident_kb = |endpoints: usize| -> u64 {
+        let list: Vec<Value> = (0..endpoints)
             .map(|i| target(&format!("s-{i}"), instance.address, "ready"))
             .collect();
         let discovery = Discovery::start(Some(list.clone()));
@@ -531,7 +531,7 @@
     ];
     // A plain linear congruence: the same steps for the same seed.
     let mut state = seed;
-    let mut draw = |n: u64| {
+    let mut next_f64 = |n: u64| {
         state = state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
@@ -539,23 +539,23 @@
     };
     let mut open: Vec<Client> = Vec::new();
     for step in 0..120u64 {
-        match draw(7) {
-            0 => instances[draw(2) as usize]
+        match next_f64(7) {
+            0 => instances[next_f64(2) as usize]
                 .act
-                .change(|a| *a = acts[draw(6) as usize]),
-            1 if !open.is_empty() => drop(open.swap_remove(draw(open.len() as u64) as usize)),
+                .change(|a| *a = acts[next_f64(6) as usize]),
+            1 if !open.is_empty() => drop(open.swap_remove(next_f64(open.len() as u64) as usize)),
             2 if !open.is_empty() => open[0].shut(),
-            3 => instances[draw(2) as usize].keep_aloof(draw(2) == 0),
+            3 => instances[next_f64(2) as usize].keep_aloof(next_f64(2) == 0),
             _ => {
                 if open.len() < 20 {
                     let mut client = Client::connect(router.address);
                     client.send(&startup());
                     open.push(client);
                 }
-                let at = draw(open.len() as u64) as usize;
-                for i in 0..=draw(3) {
-                    let (id, wait) = (step * 10 + i, 50 + draw(900));
-                    let text = if draw(3) == 0 {
+                let at = next_f64(open.len() as u64) as usize;
+                for i in 0..=next_f64(3) {
+                    let (id, wait) = (step * 10 + i, 50 + next_f64(900));
+                    let text = if next_f64(3) == 0 {
                         book(id, "s", wait)
                     } else {
                         read(id, wait)
--- a/crates/router/tests/extended.rs
+++ b/crates/router/tests/extended.rs
@@ -1,4 +1,4 @@
-//! Extended queries against the real program, with clients and instances of the test's own.
+//! Extended queries against the real program, with clients and endpoints of the test's own.
 
 mod common;
 
@@ -51,7 +51,7 @@
     run(statement, &[Some(key), Some("v"), Some(wait_ms), Some(key)])
 }
 
-/// A router that knows one instance, which answers with the id of each request.
+/// A router that knows one endpoint, which answers with the id of each request.
 fn one(act: Act, edge: &str) -> (Instance, Discovery, Router) {
     let instance = Instance::start("master", act);
     let list = vec![target("s-1", instance.address, "ready")];
@@ -60,23 +60,23 @@
     (instance, discovery, router)
 }
 
-/// A router before a group of members that are named in order, the first of which leads.
-fn group_of(names: &[&str], edge: &str) -> (Group, Vec<Instance>, Discovery, Router) {
-    let group = Group::new(names[0], Duration::ZERO, Duration::from_secs(2));
+/// A router before a replica set of endpoints that are named in order, the first of which leads.
+fn replica_set_of(names: &[&str], edge: &str) -> (Group, Vec<Instance>, Discovery, Router) {
+    let replica_set = Group::new(names[0], Duration::ZERO, Duration::from_secs(2));
     let join = |name: &&str| {
         Instance::join(
-            &group,
+            &replica_set,
             name,
             ([127, 0, 0, 1], 0).into(),
             Duration::ZERO,
             false,
         )
     };
-    let members: Vec<Instance> = names.iter().map(join).collect();
-    let list: Vec<_> = members.iter().map(|m| m.target(2, "ready")).collect();
+    let endpoints: Vec<Instance> = names.iter().map(join).collect();
+    let list: Vec<_> = endpoints.iter().map(|m| m.target(2, "ready")).collect();
     let discovery = Discovery::start(Some(list.clone()));
     let router = start_with(&discovery, &list, 1024, settings(), Some(edge));
-    (group, members, discovery, router)
+    (replica_set, endpoints, discovery, router)
 }
 
 fn asked(instance: &Instance) -> usize {
@@ -90,10 +90,10 @@
         .is_some()
 }
 
-/// Guards the whole path: prepared once on the instance, `d` rewritten to what is left, and each run its own value.
+/// Guards the whole path: prepared once on the endpoint, `d` rewritten to what is left, and each run its own value.
 #[test]
 fn a_statement_is_prepared_once_and_run_often() {
-    let (group, members, _discovery, router) = group_of(&["a"], ON);
+    let (replica_set, endpoints, _discovery, router) = replica_set_of(&["a"], ON);
     let mut client = router.client();
     let answer = client.extended(&[parse("s", READ, &[]), describe(Object::Statement, "s")]);
     assert_eq!(answer.tags, "1tTZ");
@@ -107,9 +107,9 @@
         let answer = client.extended(&[read_of("s", id)]);
         assert_eq!((&*answer.tags, &*answer.value), ("2DCZ", "v"));
     }
-    let counts = group.ledger(|l| l.total());
+    let counts = replica_set.ledger(|l| l.total());
     assert_eq!((counts.parses, counts.executes, counts.queries), (2, 21, 0));
-    let sent = members[0].seen.change(|s| s.queries[1].clone());
+    let sent = endpoints[0].seen.change(|s| s.queries[1].clone());
     let wait: u64 = sent
         .split(",d=")
         .nth(1)
@@ -229,7 +229,7 @@
     stage: Stage,
     #[values(Fault::Kill, Fault::Reset, Fault::Silence, Fault::Spoil)] fault: Fault,
 ) {
-    let (group, members, _discovery, router) = group_of(&["a", "b"], ON);
+    let (replica_set, endpoints, _discovery, router) = replica_set_of(&["a", "b"], ON);
     let mut client = router.client();
     // The router knows who leads before the fault comes.
     assert_eq!(
@@ -239,14 +239,14 @@
         ""
     );
     if stage == Stage::Parse {
-        members[0].forget();
+        endpoints[0].forget();
     }
-    members[0].faults.change(|f| f.push_back((stage, fault)));
+    endpoints[0].faults.change(|f| f.push_back((stage, fault)));
     client.send(&[write_of("w", "k1", "1500"), sync()].concat());
     if fault == Fault::Kill {
-        assert!(members[0].died());
-        group.promote("b");
-        members[0].revive();
+        assert!(endpoints[0].died());
+        replica_set.promote("b");
+        endpoints[0].revive();
     }
     let answer = client.answer().unwrap();
     let is_served = answer.tags == "2DCZ" && answer.value == "v";
@@ -255,11 +255,11 @@
         "{answer:?}"
     );
     assert!(
-        members[0].faults.change(|f| f.is_empty()),
+        endpoints[0].faults.change(|f| f.is_empty()),
         "the fault never came"
     );
     // An effect has happened if it was answered, and never more than one.
-    let effects = |key: &str| group.ledger(|l| l.bookings.get(key).map_or(0, Vec::len));
+    let effects = |key: &str| replica_set.ledger(|l| l.bookings.get(key).map_or(0, Vec::len));
     assert!(effects("k1") <= 1 && (!is_served || effects("k1") == 1));
     for _ in 0..50 {
         let again = client.extended(&[write_of("w", "k1", "1500")]);
@@ -270,7 +270,7 @@
         assert!(["53300", "58000"].contains(&&*again.code), "{again:?}");
     }
     assert_eq!(effects("k1"), 1);
-    assert!(group.ledger(|l| l.run_twice().is_empty()));
+    assert!(replica_set.ledger(|l| l.run_twice().is_empty()));
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -280,10 +280,10 @@
     Forgets,
 }
 
-/// Hard case 2: prepared through one member, run on another, or on the same after it has forgotten.
+/// Hard case 2: prepared through one endpoint, run on another, or on the same after it has forgotten.
 #[rstest]
 fn a_statement_follows_its_client(#[values(Loss::Dies, Loss::Drains, Loss::Forgets)] loss: Loss) {
-    let (group, members, discovery, router) = group_of(&["a", "b"], ON);
+    let (replica_set, endpoints, discovery, router) = replica_set_of(&["a", "b"], ON);
     let mut client = router.client();
     assert_eq!(
         client
@@ -292,19 +292,19 @@
         ""
     );
     match loss {
-        Loss::Dies => members[0].kill(),
+        Loss::Dies => endpoints[0].kill(),
         Loss::Drains => {
             discovery.publish(vec![
-                members[0].target(2, "draining"),
-                members[1].target(2, "ready"),
+                endpoints[0].target(2, "draining"),
+                endpoints[1].target(2, "ready"),
             ]);
             let told = |c: &mut Vec<String>| c.iter().any(|p| p.contains("since=2")).then_some(());
             assert!(discovery.calls.wait_for(LIMIT, told).is_some());
         }
-        Loss::Forgets => members[0].forget(),
+        Loss::Forgets => endpoints[0].forget(),
     }
     if loss != Loss::Forgets {
-        group.promote("b");
+        replica_set.promote("b");
     }
     let mut last = Answer::default();
     for _ in 0..50 {
@@ -316,7 +316,7 @@
     }
     assert_eq!((&*last.tags, &*last.value), ("2DCZ", "v"));
     let taker = if loss == Loss::Forgets { "a" } else { "b" };
-    assert_eq!(group.ledger(|l| l.bookings["k1"].clone()), [taker]);
+    assert_eq!(replica_set.ledger(|l| l.bookings["k1"].clone()), [taker]);
     assert!(loss != Loss::Forgets || router.counted("reprepared=1"));
 }
 
@@ -324,8 +324,8 @@
 /// must go is closed first.
 #[test]
 fn a_statement_that_was_evicted_is_prepared_again() {
-    let (group, _members, _discovery, router) =
-        group_of(&["a"], "extended: {mode: on, limits: {prepared: 1}}");
+    let (replica_set, _endpoints, _discovery, router) =
+        replica_set_of(&["a"], "extended: {mode: on, limits: {prepared: 1}}");
     let mut client = router.client();
     let other = READ.replace("c=board", "c=own");
     assert_eq!(
@@ -338,7 +338,7 @@
         let name = if id % 2 == 0 { "s" } else { "t" };
         assert_eq!(client.extended(&[read_of(name, id)]).tags, "2DCZ");
     }
-    let counts = group.ledger(|l| l.total());
+    let counts = replica_set.ledger(|l| l.total());
     assert_eq!((counts.parses, counts.closes, counts.executes), (6, 5, 6));
 }
 
@@ -351,9 +351,9 @@
     #[case] text: &str,
     #[case] values: &[Option<&str>],
 ) {
-    let (group, members, _discovery, router) = group_of(&["a"], ON);
+    let (replica_set, endpoints, _discovery, router) = replica_set_of(&["a"], ON);
     let mut client = router.client();
-    // Nobody is in this group, so what is asked of it fails.
+    // Nobody is in this replica set, so what is asked of it fails.
     let failing = text.replace("cluster=2", "cluster=9");
     let commands = [
         parse("f", &failing, &[]),
@@ -364,11 +364,14 @@
     let answer = client.extended(&commands);
     assert_eq!(answer.tags, "112EZ", "{answer:?}");
     assert_eq!(
-        (asked(&members[0]), group.ledger(|l| l.bookings.len())),
+        (
+            asked(&endpoints[0]),
+            replica_set.ledger(|l| l.bookings.len())
+        ),
         (0, 0)
     );
     assert_eq!(client.extended(&[write_of("w", "k2", "5000")]).tags, "2DCZ");
-    assert!(group.ledger(|l| !l.bookings.contains_key("k1")));
+    assert!(replica_set.ledger(|l| !l.bookings.contains_key("k1")));
 }
 
 /// Guards the order of a pipeline: reads ahead of a write run at once, the write waits for them, and the answers
@@ -702,12 +705,18 @@
     assert_eq!(asked(&instance), 1);
 }
 
-/// Hard case 6: a real driver, against instances that take extended queries and against those that do not.
+/// Hard case 6: a real driver, against endpoints that take extended queries and against those that do not.
 #[rstest]
 fn a_driver_is_served(#[values("on", "translate")] mode: &str) {
-    let group = Group::new("a", Duration::ZERO, Duration::from_secs(2));
+    let replica_set = Group::new("a", Duration::ZERO, Duration::from_secs(2));
     let local = ([127, 0, 0, 1], 0).into();
-    let instance = Instance::join(&group, "a", local, Duration::ZERO, mode == "translate");
+    let instance = Instance::join(
+        &replica_set,
+        "a",
+        local,
+        Duration::ZERO,
+        mode == "translate",
+    );
     let list = vec![instance.target(2, "ready")];
     let discovery = Discovery::start(Some(list.clone()));
     let edge = format!("extended: {{mode: {mode}}}");
@@ -776,7 +785,7 @@
         task.await.unwrap().unwrap();
     };
     runtime.block_on(async { tokio::time::timeout(LIMIT, drive).await.unwrap() });
-    let parses = group.ledger(|l| l.total().parses);
+    let parses = replica_set.ledger(|l| l.total().parses);
     assert!(
         if mode == "on" {
             parses >= 2
@@ -785,7 +794,7 @@
         },
         "{parses}"
     );
-    assert!(group.ledger(|l| l.run_twice().is_empty()));
+    assert!(replica_set.ledger(|l| l.run_twice().is_empty()));
 }
 
 /// Guards the platform: without settings of its own the router takes no extended queries.
--- a/crates/router/tests/membership.rs
+++ b/crates/router/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Members from service records and the roster together, against the real program.
+//! Endpoints from service records and the roster together, against the real program.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// The records of an instance that answers with the names of requests.
+/// The records of an endpoint that answers with the names of requests.
 fn record(uid: &str, instance: &Instance) -> dns::Instance {
     dns::Instance::new(uid, instance.address, 2)
 }
@@ -44,7 +44,7 @@
     instance.seen.change(|s| s.queries.len())
 }
 
-/// Asks until an instance has been asked, and says how often it took.
+/// Asks until an endpoint has been asked, and says how often it took.
 fn ask_until(client: &mut Client, instance: &Instance) -> usize {
     let (began, before) = (Instant::now(), asked(instance));
     for n in 0.. {
@@ -93,7 +93,7 @@
     ask_until(&mut client, &second);
 }
 
-/// Hard case 1: a record goes on pointing at a member that drains, as the roster says or its own TXT; nothing new
+/// Hard case 1: a record goes on pointing at an endpoint that drains, as the roster says or its own TXT; nothing new
 /// goes to it, and a record that vanishes while the roster is out of reach takes nothing away.
 #[rstest]
 fn a_drain_binds_whoever_tells_it(#[values(true, false)] by_roster: bool) {
@@ -143,9 +143,9 @@
     );
 }
 
-/// Hard case 1, further: a member that says itself that it leaves gets nothing new until it answers again.
+/// Hard case 1, further: an endpoint that says itself that it leaves gets nothing new until it answers again.
 #[test]
-fn a_member_that_says_that_it_leaves_is_believed() {
+fn a_endpoint_that_says_that_it_leaves_is_believed() {
     let (leaving, other) = (
         Instance::start("replica", Act::Serve),
         Instance::start("replica", Act::Serve),
@@ -230,7 +230,7 @@
     ask_until(&mut client, &second);
 }
 
-/// Guards reload: a source that is added is used, one that is taken out no longer counts, and no member that another
+/// Guards reload: a source that is added is used, one that is taken out no longer counts, and no endpoint that another
 /// source names is forgotten in between.
 #[test]
 fn sources_come_and_go_with_the_settings() {
@@ -262,7 +262,7 @@
     assert_eq!(client.ask(&read(2, 5000)).value, "0000000000000002");
 }
 
-/// Guards the operator: each member, who names it and by which rule it is where it is; and nobody else may ask.
+/// Guards the operator: each endpoint, who names it and by which rule it is where it is; and nobody else may ask.
 #[test]
 fn an_operator_sees_who_says_what() {
     let instance = Instance::start("master", Act::Serve);
--- a/crates/router/tests/pushed_lists.rs
+++ b/crates/router/tests/pushed_lists.rs
@@ -28,7 +28,7 @@
 }
 
 impl Site {
-    /// Two instances, of which the list at hand names the first.
+    /// Two endpoints, of which the list at hand names the first.
     fn start() -> Site {
         let (old, new) = (
             Instance::start("master", Act::Serve),
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -1,4 +1,4 @@
-//! The real program, with clients, instances and discovery of the test's own.
+//! The real program, with clients, endpoints and discovery of the test's own.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-/// A router that knows one instance.
+/// A router that knows one endpoint.
 fn one(act: Act) -> (Instance, Discovery, Router) {
     let instance = Instance::start("master", act);
     let list = vec![target("s-1", instance.address, "ready")];
@@ -96,7 +96,7 @@
 fn what_comes_back_becomes_its_outcome(#[case] act: Act, #[case] kind: &str) {
     let (_instance, _discovery, router) = one(act);
     let began = Instant::now();
-    // A silent instance is given 2 s; from the others an outcome comes long before the end.
+    // A silent endpoint is given 2 s; from the others an outcome comes long before the end.
     let answer = router.client().ask(&read(1, 2000));
     assert!(["53300", "58000"].contains(&&*answer.code), "{answer:?}");
     // An answer that can't be read is known for one long before the client gives up.
@@ -121,7 +121,7 @@
     }
 }
 
-/// Guards the next request against what an instance says behind an answer: a second copy would be served as its
+/// Guards the next request against what an endpoint says behind an answer: a second copy would be served as its
 /// value, a report that can't be read would be believed.
 #[rstest]
 #[case(b"T\0\0\0\x1d\0\x01data\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0D\0\0\0\x0b\0\x01\0\0\0\x01aC\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I")]
@@ -170,7 +170,7 @@
     assert!(router.logged("reason: given_up"));
 }
 
-/// Guards against a request being written to a pooled connection that the instance has already closed.
+/// Guards against a request being written to a pooled connection that the endpoint has already closed.
 #[test]
 fn a_pooled_connection_that_was_closed_is_not_used() {
     let (instance, _discovery, router) = one(Act::ServeAndClose);
@@ -454,7 +454,7 @@
     assert_eq!(old.seen.change(|s| s.queries.len()), before);
 }
 
-/// Guards the member's identity: the same uid at another address is dialled there.
+/// Guards the endpoint's identity: the same uid at another address is dialled there.
 #[test]
 fn an_instance_that_moves_is_dialled_at_its_new_address() {
     let (instance, discovery, router) = one(Act::Serve);
@@ -468,7 +468,7 @@
     assert_eq!((asked(&instance), asked(&moved)), (1, 1));
 }
 
-/// Guards the counters that tell the operator why nothing is served: nobody at the instance's address, discovery down.
+/// Guards the counters that tell the operator why nothing is served: nobody at the endpoint's address, discovery down.
 #[test]
 fn what_does_not_come_up_is_counted_by_its_end() {
     // No stand-in is ever given a port so low.
@@ -503,7 +503,7 @@
     assert_eq!(given.iter().map(|g| count(g)).sum::<u64>(), 1, "{line}");
 }
 
-/// Guards the instances' tables and the price of handshakes: with little traffic a connection that is closed long
+/// Guards the endpoints' tables and the price of handshakes: with little traffic a connection that is closed long
 /// before its time has to be made again for the next request. That none goes too late is checked as `RETIRE` is built.
 #[test]
 fn an_idle_connection_is_kept_for_most_of_the_time_that_the_instance_allows() {
@@ -888,8 +888,8 @@
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
 }
 
-/// Guards the descriptors for instances: with more instances than descriptors the connections idle longest
-/// make room, no request fails for it, and an instance in use keeps its connection.
+/// Guards the descriptors for endpoints: with more endpoints than descriptors the connections idle longest
+/// make room, no request fails for it, and an endpoint in use keeps its connection.
 #[test]
 fn more_instances_than_descriptors_are_reached_in_turn() {
     let instances: Vec<Instance> = (0..24)
@@ -902,7 +902,7 @@
     };
     let list: Vec<_> = instances.iter().enumerate().map(listed).collect();
     let discovery = Discovery::start(Some(list.clone()));
-    // At the least number that the router takes, sixteen are for instances.
+    // At the least number that the router takes, sixteen are for endpoints.
     let router = start(&discovery, &list, 64);
     let mut client = router.client();
     for id in 0..72 {
--- a/crates/routing-config/src/lib.rs
+++ b/crates/routing-config/src/lib.rs
@@ -5,19 +5,19 @@
 use reelrill_routing::*;
 use serde_json::Value;
 
-/// What a host needs of the settings: the brain's part, and what only the host itself uses.
+/// What a host needs of the settings: the balancer's part, and what only the host itself uses.
 #[derive(Debug, Clone)]
 pub struct Site {
-    /// What the brain is told.
+    /// What the balancer is told.
     pub settings: Settings,
     /// The clock time from which positions are counted on the simulator's wire.
-    pub origin: Time,
+    pub origin: Timestamp,
     /// The classes' names, in the order that [`Request::class`] counts.
     pub class_names: Vec<String>,
     /// The zones' names, in the order that [`Entry::zone`] counts.
     pub zones: Vec<String>,
-    /// A member closes a connection that has been idle this long (0: not told).
-    pub idle_close: Span,
+    /// An endpoint closes a connection that has been idle this long (0: not told).
+    pub idle_close: Nanos,
 }
 
 /// A place in the settings, with its path for messages.
@@ -111,39 +111,41 @@
     let needs = family.list("freshness")?;
     let (mut classes, mut class_names) = (Vec::new(), Vec::new());
     for (i, c) in top.list("classes")?.iter().enumerate() {
-        let need = match needs.get(i).and_then(|n| n.value.as_str()) {
-            Some("eventual") => Need::Any,
+        let operation = match needs.get(i).and_then(|n| n.value.as_str()) {
+            Some("eventual") => Operation::Read(Consistency::Eventual),
             Some("lag_bound") => {
                 let age = ages.get(i).and_then(|a| a.value.as_u64());
-                Need::Bounded(age.ok_or(format!("familyInfo.maxAge[{i}] is missing"))?)
+                Operation::Read(Consistency::BoundedStaleness(
+                    age.ok_or(format!("familyInfo.maxAge[{i}] is missing"))?,
+                ))
             }
-            Some("causal") => Need::Session,
-            Some("strong") => Need::Fresh,
-            Some("mutate") => Need::Write,
+            Some("causal") => Operation::Read(Consistency::ReadYourWrites),
+            Some("strong") => Operation::Read(Consistency::Strong),
+            Some("mutate") => Operation::Write,
             Some(other) => return family.unknown(&format!("freshness[{i}]"), other),
             None => return Err(format!("familyInfo.freshness[{i}] is missing")),
         };
-        let repeat = match c.word("repeat")? {
-            "retryable" => Repeat::Safe,
-            "fragile" => Repeat::Unsafe,
-            "dedup" => Repeat::Keyed(match c.word("group")? {
-                "all" => Scope::All,
-                "zone" => Scope::Zone,
-                "cell" => Scope::Group,
+        let idempotency = match c.word("repeat")? {
+            "retryable" => Idempotency::Idempotent,
+            "fragile" => Idempotency::NonIdempotent,
+            "dedup" => Idempotency::IdempotencyKey(match c.word("group")? {
+                "all" => KeyScope::All,
+                "zone" => KeyScope::Zone,
+                "cell" => KeyScope::ReplicaSet,
                 other => return c.unknown("group", other),
             }),
             other => return c.unknown("repeat", other),
         };
         class_names.push(c.or("name", "", At::word)?.to_owned());
         classes.push(Class {
-            need,
-            repeat,
-            window: c.or("window", 0, At::whole)?,
-            aim: c.whole("onTime")?,
-            aim_stretch: c.or("aimStretch", 0.0, At::float)?,
+            operation,
+            idempotency,
+            deduplication_window: c.or("window", 0, At::whole)?,
+            latency_objective: c.whole("onTime")?,
+            objective_stretch: c.or("aimStretch", 0.0, At::float)?,
             deadline: c.whole("hardLimit")?,
-            worth: c.float("credit")?,
-            late_worth: c.or("lateWorth", 0.0, At::float)?,
+            priority_weight: c.float("credit")?,
+            late_weight: c.or("lateWorth", 0.0, At::float)?,
         });
     }
     let mut tenants = Vec::new();
@@ -161,10 +163,10 @@
         "silent" => ReportSource::Silent,
         other => return report.unknown("source", other),
     };
-    let guard = match family.word("guards")? {
-        "silent" => Guard::Silent,
-        "bounce" => Guard::Refuse,
-        "await" => Guard::Await(family.or("holdsFor", 0, At::whole)?),
+    let stale_reads = match family.word("guards")? {
+        "silent" => StaleReadPolicy::Serve,
+        "bounce" => StaleReadPolicy::Reject,
+        "await" => StaleReadPolicy::Wait(family.or("holdsFor", 0, At::whole)?),
         other => return family.unknown("guards", other),
     };
     let list_role = match family.word("listRole")? {
@@ -173,7 +175,7 @@
         "silent" => ListRole::Silent,
         other => return family.unknown("listRole", other),
     };
-    let tokens_carried = match family.word("sessionMarks")? {
+    let sessions_carry_position = match family.word("sessionMarks")? {
         "brought" => true,
         "kept" => false,
         other => return family.unknown("sessionMarks", other),
@@ -184,32 +186,32 @@
         other => return top.unknown("registryMode", other),
     };
     let settings = Settings {
-        proxies: top.or("groupSize", 1, At::small)?,
+        router_count: top.or("groupSize", 1, At::small)?,
         zone: top.or("az", 0, At::small)?,
         round: top.or("period", 0, At::whole)?,
         classes,
         tenants,
-        over_share_worth: top.or("overShareWorth", 1.0, At::float)?,
+        over_quota_weight: top.or("overShareWorth", 1.0, At::float)?,
         reports,
         positions: family.flag("stamps")?,
-        tokens_carried,
-        guard,
+        sessions_carry_position,
+        stale_reads,
         list_role,
         must_subscribe,
         rules: Rules {
             drain_grace: rules.whole("drainGrace")?,
             only_draining_binds: rules.or("droppedStayOpen", false, At::flag)?,
-            cold_from: rules.float("coldFrom")?,
-            warm_after: rules.whole("warmAfter")?,
-            fall_multiple: rules.float("fallMultiple")?,
-            fall: rules.whole("fall")?,
-            ask_every: rules.or("askEvery", 0, At::whole)?,
+            slow_start_initial_fraction: rules.float("coldFrom")?,
+            slow_start_duration: rules.whole("warmAfter")?,
+            overload_multiple: rules.float("fallMultiple")?,
+            overload_window: rules.whole("fall")?,
+            poll_interval: rules.or("askEvery", 0, At::whole)?,
         },
         limits: Limits {
             max_attempts: limits.small("maxAttempts")?,
             probes: limits.flag("probes")?,
             cancel: limits.flag("mayCancel")?,
-            second_copies: limits.flag("secondCopies")?,
+            hedging: limits.flag("secondCopies")?,
             retry_advice: limits.flag("retryAfter")?,
             max_retry_advice: limits.or("maxRetryAfter", 0, At::whole)?,
             connect_timeout: limits.or("connectTimeout", 0, At::whole)?,
