--- a/crates/routing/src/brain.rs
+++ b/crates/routing/src/balancer.rs
@@ -1,40 +1,40 @@
 //! All decisions of reelrill. Types, events and actions: `crates/routing/src/interface.rs`.
 //!
-//! The ordinary path is the query cost calibrator's: a member's calibrated cost is its running average
+//! The ordinary path is the query cost calibrator's: an endpoint's calibrated cost is its running average
 //! of observed over estimated latency, a read rotates over the fit replicas within 20% of the cheapest
-//! (the two cheapest at least), a failed member costs infinity. The rest guards that path.
+//! (the two cheapest at least), a failed endpoint costs infinity. The rest guards that path.
 use crate::interface::*;
-use crate::samples::{Dice, Fading};
+use crate::samples::{DecayingAverage, SplitMix64};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
 /// Width of the rotation band, from the design.
 const BAND: f64 = 1.2;
-/// A member this many times dearer than the cheapest leaves even the band of two; the primary takes
+/// An endpoint this many times dearer than the cheapest leaves even the band of two; the primary takes
 /// reads when it is cheaper than every fit replica by this factor.
 const FAR: f64 = 2.0;
-/// A failed member gets a trial read after this time, from the design.
-const TRIAL: Span = 5_000_000_000;
+/// A failed endpoint gets a trial read after this time, from the design.
+const TRIAL: Nanos = 5_000_000_000;
 /// Averaging window of the calibrated cost, in longest aims.
 const WINDOW: f64 = 2.0;
-/// Samples that evidence lasts for, at this proxy's pace: a member's cost, its crowding, a role's crowding.
+/// Samples that evidence lasts for, at this router's pace: an endpoint's cost, its crowding, a role's crowding.
 const FEW: (f64, f64, f64) = (2.0, 1.0, 8.0);
 /// Longest aims over which the pace is counted.
 const PACE: f64 = 8.0;
-/// Weight of the group's mean in each member's average, in aims: a member unheard of drifts back to it.
+/// Weight of the replica set's mean in each endpoint's average, in aims: an endpoint unheard of drifts back to it.
 const PRIOR: f64 = 1.0;
 /// Further attempts that may have cost work, as a share of requests, and the reserve of them.
 const EXTRA: f64 = 0.15;
 const RESERVE: f64 = 20.0;
-/// Spoilt answers, or broken connections, in a row and without a good answer, that tell of the member.
+/// Spoilt answers, or broken connections, in a row and without a good answer, that tell of the endpoint.
 const IN_A_ROW: u32 = 3;
 /// What an answer tells counts as known this long after it was given, whether or not it came (the protocol).
-const HEARD: Span = 100_000_000;
+const HEARD: Nanos = 100_000_000;
 /// What one call may take of a slow list's service. In a queue that outlasts its calls none is served.
-const TURN: Span = 30_000_000;
-/// A call that failed is made again within this time, however many proxies call: news counts as told 6 s
+const TURN: Nanos = 30_000_000;
+/// A call that failed is made again within this time, however many routers call: news counts as told 6 s
 /// after the list's service had it and could be reached, and one more failure has to fit, too.
-const AGAIN: Span = 2_000_000_000;
+const AGAIN: Nanos = 2_000_000_000;
 /// Part of the multiple that a cold primary takes of its writes: the allowance beyond the multiple covers chance in one
 /// window, and not the worst of all windows while it warms up.
 const WRITE_MARGIN: f64 = 0.85;
@@ -45,166 +45,169 @@
 struct Attempt {
     request: RequestId,
     number: u32,
-    sent: Time,
-    aim: f64,
+    sent: Timestamp,
+    latency_objective: f64,
     /// For a write, and the session that must see it: its client may be gone when it is served.
     write: bool,
     session: Option<Arc<str>>,
 }
 
 #[derive(Default)]
-struct Member {
-    id: MemberId,
-    group: u32,
+struct Endpoint {
+    id: EndpointId,
+    replica_set: u32,
     zone: u32,
     listed: bool,
     /// When it left the list.
-    left: Time,
-    leaving: Option<Time>,
+    left: Timestamp,
+    leaving: Option<Timestamp>,
     listed_primary: bool,
-    started: Time,
+    started: Timestamp,
     role: Option<Role>,
-    position: Option<Time>,
-    seen: Time,
+    applied_position: Option<Timestamp>,
+    seen: Timestamp,
     /// Latency: in aims, for the cost; in shortest aims, for crowding.
-    latency: [Fading; 2],
+    latency: [DecayingAverage; 2],
     out: Vec<Attempt>,
-    answered: Time,
+    answered: Timestamp,
     /// When the latest attempt that it has served was sent.
-    overtaking: Time,
+    overtaking: Timestamp,
     /// It returned an error: costs infinity until an answer, to a trial read if need be, shows it back.
     down: bool,
-    trial_at: Time,
+    trial_at: Timestamp,
     /// Turned away or not connected: it rests until then.
-    rest_until: Time,
+    rest_until: Timestamp,
     /// Times since its last answer that it was full, and that it was out of reach.
     fulls: u32,
     away: u32,
     spoilt: u32,
     broken: u32,
-    away_since: Time,
+    away_since: Timestamp,
     /// Trial reads since its last answer.
     trials: u32,
-    looked: Time,
+    looked: Timestamp,
     /// Place in the rotation: the count of picks when it was last passed.
     picked: f64,
 }
 
 #[derive(Default)]
-struct Group {
-    members: Vec<usize>,
+struct ReplicaSet {
+    endpoints: Vec<usize>,
     primary: Option<usize>,
     /// When its primary was found, or found back.
-    found: Time,
+    found: Timestamp,
     held: VecDeque<RequestId>,
-    scout_at: Time,
+    scout_at: Timestamp,
     scouted: Vec<usize>,
 }
 
 struct Pending {
     req: Request,
-    deadline: Time,
-    aim_end: Time,
-    aim: Span,
-    token: Option<Time>,
+    deadline: Timestamp,
+    objective_end: Timestamp,
+    latency_objective: Nanos,
+    token: Option<Timestamp>,
     sent: u32,
-    /// Attempts that are out or may have run: number, member, time of sending.
-    ran: Vec<(u32, usize, Time)>,
+    /// Attempts that are out or may have run: number, endpoint, time of sending.
+    ran: Vec<(u32, usize, Timestamp)>,
     out: u32,
     tried: Vec<usize>,
-    over_share: bool,
-    /// One draw for the request's whole life: a cold member takes it or it does not.
+    is_over_quota: bool,
+    /// One draw for the request's whole life: a cold endpoint takes it or it does not.
     luck: f64,
     streaming: bool,
     held: bool,
 }
 
-/// One proxy's decisions.
-pub struct Brain {
+/// One router's decisions.
+pub struct Balancer {
     set: Settings,
-    rng: Dice,
-    members: Vec<Member>,
-    /// Places in `members` that those forgotten have left.
+    rng: SplitMix64,
+    endpoints: Vec<Endpoint>,
+    /// Places in `endpoints` that those forgotten have left.
     free: Vec<usize>,
-    index: BTreeMap<MemberId, usize>,
-    groups: BTreeMap<u32, Group>,
-    /// The members that the list does not name, by the time when each left it.
-    unlisted: BTreeSet<(Time, usize)>,
-    /// The groups with requests that are held.
+    index: BTreeMap<EndpointId, usize>,
+    replica_sets: BTreeMap<u32, ReplicaSet>,
+    /// The endpoints that the list does not name, by the time when each left it.
+    unlisted: BTreeSet<(Timestamp, usize)>,
+    /// The replica sets with requests that are held.
     holding: BTreeSet<u32>,
     pending: BTreeMap<RequestId, Pending>,
-    sessions: BTreeMap<Arc<str>, Time>,
-    token_floor: Option<Time>,
-    tenants: Vec<Fading>,
+    sessions: BTreeMap<Arc<str>, Timestamp>,
+    token_floor: Option<Timestamp>,
+    tenants: Vec<DecayingAverage>,
     budget: f64,
-    /// This proxy's requests: how fast evidence comes in.
-    pace: Fading,
+    /// This router's requests: how fast evidence comes in.
+    pace: DecayingAverage,
     /// Crowding of all replicas, and of all primaries.
-    pool: [Fading; 2],
+    pool: [DecayingAverage; 2],
     picks: f64,
     ticking: bool,
-    subscribe_at: Option<Time>,
+    subscribe_at: Option<Timestamp>,
     failures: u32,
-    max_aim: f64,
-    min_aim: f64,
-    min_bound: Option<Span>,
-    tick: Span,
+    max_objective: f64,
+    min_objective: f64,
+    min_bound: Option<Nanos>,
+    tick: Nanos,
 }
 
 const TICK: u64 = 1;
 
-impl Brain {
-    /// A brain that knows nothing yet. `seed` feeds its random choices.
-    pub fn new(seed: u64, set: Settings) -> Result<Brain, SettingsError> {
+impl Balancer {
+    /// A balancer that knows nothing yet. `seed` feeds its random choices.
+    pub fn new(seed: u64, set: Settings) -> Result<Balancer, SettingsError> {
         set.check()?;
-        let aims = || set.classes.iter().map(|c| c.aim);
-        let (min_aim, max_aim) = (aims().min().unwrap_or(1), aims().max().unwrap_or(1));
-        let bounds = set.classes.iter().filter_map(|c| match c.need {
-            Need::Bounded(b) => Some(b),
+        let objectives = || set.classes.iter().map(|c| c.latency_objective);
+        let (min_objective, max_objective) = (
+            objectives().min().unwrap_or(1),
+            objectives().max().unwrap_or(1),
+        );
+        let bounds = set.classes.iter().filter_map(|c| match c.operation {
+            Operation::Read(Consistency::BoundedStaleness(b)) => Some(b),
             _ => None,
         });
-        Ok(Brain {
-            rng: Dice::new(seed),
-            members: Vec::new(),
+        Ok(Balancer {
+            rng: SplitMix64::new(seed),
+            endpoints: Vec::new(),
             free: Vec::new(),
             index: BTreeMap::new(),
-            groups: BTreeMap::new(),
+            replica_sets: BTreeMap::new(),
             unlisted: BTreeSet::new(),
             holding: BTreeSet::new(),
             pending: BTreeMap::new(),
             sessions: BTreeMap::new(),
             token_floor: None,
-            tenants: vec![Fading::default(); set.tenants.len()],
+            tenants: vec![DecayingAverage::default(); set.tenants.len()],
             budget: 1.0,
-            pace: Fading::default(),
+            pace: DecayingAverage::default(),
             pool: Default::default(),
             picks: 0.0,
             ticking: false,
             subscribe_at: None,
             failures: 0,
-            max_aim: max_aim as f64,
-            min_aim: min_aim as f64,
+            max_objective: max_objective as f64,
+            min_objective: min_objective as f64,
             min_bound: bounds.min(),
-            tick: (min_aim / 12).max(set.round).max(1_000_000),
+            tick: (min_objective / 12).max(set.round).max(1_000_000),
             set,
         })
     }
 
     /// Takes one event at `now` and appends what is to be done, in order.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::List { kind, entries } => self.on_list(now, kind, entries),
             Event::Request(req) => self.on_request(now, req, out),
-            Event::Outcome(o) => self.on_outcome(now, o, out),
-            Event::Started {
+            Event::AttemptEnded(o) => self.on_outcome(now, o, out),
+            Event::ResponseStarted {
                 request,
                 attempt: _,
-                member,
+                endpoint,
             } => {
                 if let Some(p) = self.pending.get_mut(&request) {
                     p.streaming = true;
                 }
-                if let Some(&m) = self.index.get(&member) {
+                if let Some(&m) = self.index.get(&endpoint) {
                     self.answered(now, m);
                 }
             }
@@ -214,16 +217,18 @@
                 self.ticking = false;
                 self.on_tick(now, out);
             }
-            // A probe can't see a full connection table, a cut link or a hang: it brings no member back.
-            Event::Probed { member, report, .. } => {
-                if let Some(&m) = self.index.get(&member) {
+            // A probe can't see a full connection table, a cut link or a hang: it brings no endpoint back.
+            Event::ProbeEnded {
+                endpoint, report, ..
+            } => {
+                if let Some(&m) = self.index.get(&endpoint) {
                     self.learn(now, m, report, false);
                 }
             }
         }
         if self.subscribe_at.is_some_and(|t| t <= now) {
             // No word for a long while counts as a failed call: ask again.
-            self.subscribe_at = Some(now + (self.set.rules.ask_every / 2).max(self.tick));
+            self.subscribe_at = Some(now + (self.set.rules.poll_interval / 2).max(self.tick));
             out.push(Action::Subscribe);
         }
         if !self.ticking && (!self.pending.is_empty() || self.subscribe_at.is_some()) {
@@ -239,18 +244,18 @@
         &self.set.classes[p.req.class as usize]
     }
 
-    // ---- the list of members ----
+    // ---- the list of endpoints ----
 
-    /// The span over which all proxies' calls to the list's one service are spread: a turn for each.
-    fn turns(&self) -> Span {
-        TURN.saturating_mul(Span::from(self.set.proxies))
+    /// The span over which all routers' calls to the list's one service are spread: a turn for each.
+    fn turns(&self) -> Nanos {
+        TURN.saturating_mul(Nanos::from(self.set.router_count))
             .min(AGAIN)
             .max(self.tick)
     }
 
-    fn on_list(&mut self, now: Time, kind: ListKind, entries: Vec<Entry>) {
+    fn on_list(&mut self, now: Timestamp, kind: ListKind, entries: Vec<EndpointEntry>) {
         if kind == ListKind::Failed {
-            // A subscription breaks for all proxies at once: each renews it at a drawn time. While calls
+            // A subscription breaks for all routers at once: each renews it at a drawn time. While calls
             // keep failing the span grows, but when the service can be reached again is not told.
             let span = self
                 .turns()
@@ -261,7 +266,7 @@
             self.failures += 1;
             return;
         }
-        if kind == ListKind::Remembered {
+        if kind == ListKind::Cached {
             let phase = self.rng.within(self.turns());
             self.subscribe_at = self.set.must_subscribe.then_some(now + phase);
         } else {
@@ -270,8 +275,8 @@
         }
         let binds = !self.set.rules.only_draining_binds;
         if kind != ListKind::Changes {
-            let named: BTreeSet<&MemberId> = entries.iter().map(|e| &e.member).collect();
-            let left_out = |(id, _): &(&MemberId, &usize)| binds && !named.contains(*id);
+            let named: BTreeSet<&EndpointId> = entries.iter().map(|e| &e.endpoint).collect();
+            let left_out = |(id, _): &(&EndpointId, &usize)| binds && !named.contains(*id);
             let left_out: Vec<usize> = self
                 .index
                 .iter()
@@ -283,15 +288,17 @@
         for e in entries {
             let m = self.intern(now, &e);
             match e.state {
-                State::Serving => self.list(m),
-                State::Draining => self.members[m].leaving = self.members[m].leaving.or(Some(now)),
-                State::Gone if binds => self.unlist(now, m),
-                State::Gone => {}
+                EndpointState::Serving => self.list(m),
+                EndpointState::Draining => {
+                    self.endpoints[m].leaving = self.endpoints[m].leaving.or(Some(now))
+                }
+                EndpointState::Removed if binds => self.unlist(now, m),
+                EndpointState::Removed => {}
             }
-            if e.state == State::Gone {
+            if e.state == EndpointState::Removed {
                 continue;
             }
-            let old = &mut self.members[m];
+            let old = &mut self.endpoints[m];
             if e.started > old.started {
                 // It has started again, so it is there: no need to wait out a rest that was for its absence.
                 (old.started, old.rest_until) = (e.started, now);
@@ -301,23 +308,23 @@
         self.forget_gone(now);
     }
 
-    /// How many members it keeps in mind.
+    /// How many endpoints it keeps in mind.
     pub fn known(&self) -> usize {
         self.index.len()
     }
 
-    /// The list names the member, and lets it have new work.
+    /// The list names the endpoint, and lets it have new work.
     fn list(&mut self, m: usize) {
-        let x = &mut self.members[m];
+        let x = &mut self.endpoints[m];
         if !x.listed {
             self.unlisted.remove(&(x.left, m));
         }
         (x.listed, x.leaving) = (true, None);
     }
 
-    /// The list names the member no more.
-    fn unlist(&mut self, now: Time, m: usize) {
-        let x = &mut self.members[m];
+    /// The list names the endpoint no more.
+    fn unlist(&mut self, now: Timestamp, m: usize) {
+        let x = &mut self.endpoints[m];
         if x.listed {
             (x.listed, x.left) = (false, now);
             self.unlisted.insert((now, m));
@@ -325,18 +332,19 @@
     }
 
     /// Those that left the list a while ago, once nothing refers to them. On a long day of replacements they
-    /// would be most of all members, and evidence would be kept as if they shared the traffic, too. The cost
+    /// would be most of all endpoints, and evidence would be kept as if they shared the traffic, too. The cost
     /// follows the number of those that left, not the fleet.
-    fn forget_gone(&mut self, now: Time) {
+    fn forget_gone(&mut self, now: Timestamp) {
         // One that the list leaves out for a moment comes back as it was.
-        let is_long_gone = |(left, _): &&(Time, usize)| now > *left + self.set.rules.warm_after;
+        let is_long_gone =
+            |(left, _): &&(Timestamp, usize)| now > *left + self.set.rules.slow_start_duration;
         let long_gone = self
             .unlisted
             .iter()
             .take_while(is_long_gone)
             .map(|(_, m)| *m);
         let mut forgotten: Vec<usize> = long_gone
-            .filter(|m| self.members[*m].out.is_empty())
+            .filter(|m| self.endpoints[*m].out.is_empty())
             .collect();
         if forgotten.is_empty() {
             return;
@@ -351,11 +359,11 @@
         let used: BTreeSet<usize> = self.pending.values().flat_map(used_by).collect();
         forgotten.retain(|m| !used.contains(m));
         for m in forgotten {
-            let x = std::mem::take(&mut self.members[m]);
+            let x = std::mem::take(&mut self.endpoints[m]);
             self.unlisted.remove(&(x.left, m));
             self.index.remove(&x.id);
-            if let Some(g) = self.groups.get_mut(&x.group) {
-                g.members.retain(|i| *i != m);
+            if let Some(g) = self.replica_sets.get_mut(&x.replica_set) {
+                g.endpoints.retain(|i| *i != m);
                 g.scouted.retain(|i| *i != m);
                 g.primary = g.primary.filter(|i| *i != m);
             }
@@ -363,62 +371,67 @@
         }
     }
 
-    fn intern(&mut self, now: Time, e: &Entry) -> usize {
-        if let Some(&m) = self.index.get(&e.member) {
+    fn intern(&mut self, now: Timestamp, e: &EndpointEntry) -> usize {
+        if let Some(&m) = self.index.get(&e.endpoint) {
             return m;
         }
-        let m = self.free.pop().unwrap_or(self.members.len());
-        let (id, started) = (e.member.clone(), e.started);
-        let (group, zone, answered) = (e.group, e.zone, now);
-        // Last in the rotation, in an order of this proxy's own: proxies that hear of the same members in
+        let m = self.free.pop().unwrap_or(self.endpoints.len());
+        let (id, started) = (e.endpoint.clone(), e.started);
+        let (replica_set, zone, answered) = (e.replica_set, e.zone, now);
+        // Last in the rotation, in an order of this router's own: routers that hear of the same endpoints in
         // the same instant must not all turn to the same one first.
-        let picked = self.picks + self.rng.draw();
-        if m == self.members.len() {
-            self.members.push(Member::default());
+        let picked = self.picks + self.rng.next_f64();
+        if m == self.endpoints.len() {
+            self.endpoints.push(Endpoint::default());
         }
-        self.members[m] = Member {
+        self.endpoints[m] = Endpoint {
             id,
-            group,
+            replica_set,
             zone,
             started,
             answered,
             picked,
-            ..Member::default()
+            ..Endpoint::default()
         };
-        self.unlisted.insert((self.members[m].left, m));
-        self.index.insert(e.member.clone(), m);
-        let members = &self.members;
-        let group = self.groups.entry(e.group).or_default();
-        group.members.push(m);
-        group
-            .members
-            .sort_by(|&a, &b| members[a].id.cmp(&members[b].id));
+        self.unlisted.insert((self.endpoints[m].left, m));
+        self.index.insert(e.endpoint.clone(), m);
+        let endpoints = &self.endpoints;
+        let replica_set = self.replica_sets.entry(e.replica_set).or_default();
+        replica_set.endpoints.push(m);
+        replica_set
+            .endpoints
+            .sort_by(|&a, &b| endpoints[a].id.cmp(&endpoints[b].id));
         m
     }
 
     // ---- cost ----
 
-    /// Observed over estimated latency of the group's members together: where each average starts.
-    fn group_factor(&self, now: Time, group: u32) -> f64 {
+    /// Observed over estimated latency of the replica set's endpoints together: where each average starts.
+    fn replica_set_factor(&self, now: Timestamp, replica_set: u32) -> f64 {
         let tau = self.tau(now, 0);
         // A fresh router starts at factor one.
         let (mut o, mut e) = (0.2, 0.2);
-        for &m in self.groups.get(&group).map_or(&[][..], |g| &g.members) {
-            let (sum, n) = self.members[m].latency[0].now(now, tau);
+        for &m in self
+            .replica_sets
+            .get(&replica_set)
+            .map_or(&[][..], |g| &g.endpoints)
+        {
+            let (sum, n) = self.endpoints[m].latency[0].now(now, tau);
             (o, e) = (o + sum, e + n);
         }
         o / e
     }
 
-    /// How long evidence on a member counts: by age, but never so short that a proxy of few requests would
+    /// How long evidence on an endpoint counts: by age, but never so short that a router of few requests would
     /// have none. The pool of a role keeps its last samples.
-    fn tau(&self, now: Time, w: usize) -> f64 {
-        let gap = PACE * self.max_aim / self.pace.now(now, PACE * self.max_aim).1.max(1.0);
+    fn tau(&self, now: Timestamp, w: usize) -> f64 {
+        let gap =
+            PACE * self.max_objective / self.pace.now(now, PACE * self.max_objective).1.max(1.0);
         let own = gap * self.index.len() as f64;
         match w {
-            0 => (WINDOW * self.max_aim).max(FEW.0 * own),
-            1 => self.min_aim.max(FEW.1 * own),
-            _ => self.min_aim.max(FEW.2 * gap),
+            0 => (WINDOW * self.max_objective).max(FEW.0 * own),
+            1 => self.min_objective.max(FEW.1 * own),
+            _ => self.min_objective.max(FEW.2 * gap),
         }
     }
 
@@ -426,18 +439,25 @@
     /// count with their age, as censored observations do in the mean of a lifetime: it climbs with a hang,
     /// a cut link, a slow machine or a queue before any time-out lands. Could harm where one class is far
     /// slower than its aim says.
-    fn cost(&self, now: Time, m: usize, w: usize) -> f64 {
-        let (x, tau) = (&self.members[m], self.tau(now, w));
+    fn cost(&self, now: Timestamp, m: usize, w: usize) -> f64 {
+        let (x, tau) = (&self.endpoints[m], self.tau(now, w));
         // One that another, sent a shortest aim later, has overtaken does not queue: its work is long, or its
-        // answer is lost. Over a shorter time, members with several cores overtake by chance.
-        let counts =
-            |a: &&Attempt| w == 0 || a.sent.saturating_add(self.min_aim as Span) >= x.overtaking;
-        let aim = |a: &Attempt| if w == 0 { a.aim } else { self.min_aim };
-        let age = |a: &Attempt| now.saturating_sub(a.sent) as f64 / aim(a);
+        // answer is lost. Over a shorter time, endpoints with several cores overtake by chance.
+        let counts = |a: &&Attempt| {
+            w == 0 || a.sent.saturating_add(self.min_objective as Nanos) >= x.overtaking
+        };
+        let latency_objective = |a: &Attempt| {
+            if w == 0 {
+                a.latency_objective
+            } else {
+                self.min_objective
+            }
+        };
+        let age = |a: &Attempt| now.saturating_sub(a.sent) as f64 / latency_objective(a);
         let age: f64 = x.out.iter().filter(counts).map(age).sum();
-        // The prior: one sample of the group, or of the pool of its role as far as that has any news.
+        // The prior: one sample of the replica set, or of the pool of its role as far as that has any news.
         let (o, e) = if w == 0 {
-            (self.group_factor(now, x.group), PRIOR)
+            (self.replica_set_factor(now, x.replica_set), PRIOR)
         } else {
             self.pooled(now, m)
         };
@@ -447,73 +467,76 @@
 
     fn leads(&self, m: usize) -> usize {
         usize::from(
-            self.groups
-                .get(&self.members[m].group)
+            self.replica_sets
+                .get(&self.endpoints[m].replica_set)
                 .is_some_and(|g| g.primary == Some(m)),
         )
     }
 
-    fn pooled(&self, now: Time, m: usize) -> (f64, f64) {
-        let (role, group) = (self.leads(m), &self.groups[&self.members[m].group]);
+    fn pooled(&self, now: Timestamp, m: usize) -> (f64, f64) {
+        let (role, replica_set) = (
+            self.leads(m),
+            &self.replica_sets[&self.endpoints[m].replica_set],
+        );
         let (sum, n) = self.pool[role].now(now, self.tau(now, 2));
         let (mut o, mut e) = (sum / n.max(1.0), n.clamp(0.2, 1.0));
-        for &i in group
-            .members
+        for &i in replica_set
+            .endpoints
             .iter()
             .filter(|&&i| i != m && self.leads(i) == role)
         {
-            let (sum, n) = self.members[i].latency[1].now(now, self.tau(now, 1));
+            let (sum, n) = self.endpoints[i].latency[1].now(now, self.tau(now, 1));
             (o, e) = (o + sum, e + n);
         }
         (o / e.max(1.0), e.min(1.0))
     }
 
     /// A sample of the cost: an answer, or none in time.
-    fn observe(&mut self, now: Time, m: usize, took: f64, aim: f64) {
+    fn observe(&mut self, now: Timestamp, m: usize, took: f64, latency_objective: f64) {
         let tau = self.tau(now, 0);
-        self.members[m].latency[0].add(now, tau, took / aim);
+        self.endpoints[m].latency[0].add(now, tau, took / latency_objective);
     }
 
-    /// A sample of crowding; only answers go into the pool, so that one bad member is not taken for all.
-    fn crowded(&mut self, now: Time, m: usize, took: f64, pooled: bool) {
+    /// A sample of crowding; only answers go into the pool, so that one bad endpoint is not taken for all.
+    fn crowded(&mut self, now: Timestamp, m: usize, took: f64, pooled: bool) {
         let (role, own, all) = (self.leads(m), self.tau(now, 1), self.tau(now, 2));
-        self.members[m].latency[1].add(now, own, took / self.min_aim);
+        self.endpoints[m].latency[1].add(now, own, took / self.min_objective);
         if pooled {
-            self.pool[role].add(now, all, took / self.min_aim);
+            self.pool[role].add(now, all, took / self.min_objective);
         }
     }
 
     // ---- health ----
 
-    fn answered(&mut self, now: Time, m: usize) {
-        let x = &mut self.members[m];
+    fn answered(&mut self, now: Timestamp, m: usize) {
+        let x = &mut self.endpoints[m];
         // Back from out of reach: had its process died, its log would have stood still. The list tells of the
-        // restart seconds later, when all proxies together have long pushed the cold one over. A moment out
-        // of reach tells nothing: the usual lag is longer, and a warm member taken for a cold one is lost.
+        // restart seconds later, when all routers together have long pushed the cold one over. A moment out
+        // of reach tells nothing: the usual lag is longer, and a warm endpoint taken for a cold one is lost.
         let gone = now.saturating_sub(x.away_since);
-        let behind =
-            gone > self.max_aim as Span && x.position.unwrap_or(0).saturating_add(gone / 2) < now;
+        let behind = gone > self.max_objective as Nanos
+            && x.applied_position.unwrap_or(0).saturating_add(gone / 2) < now;
         if x.away > 0 && behind && x.role != Some(Role::Primary) {
             x.started = x.started.max(now);
         }
         if x.down || x.away > 0 {
-            self.groups.entry(x.group).or_default().found = now;
+            self.replica_sets.entry(x.replica_set).or_default().found = now;
         }
         x.answered = now;
         (x.down, x.trials, x.fulls, x.away, x.spoilt, x.broken) = (false, 0, 0, 0, 0, 0);
     }
 
-    fn learn(&mut self, now: Time, m: usize, s: Standing, direct: bool) {
-        let x = &mut self.members[m];
-        if let Some(p) = s.position {
+    fn learn(&mut self, now: Timestamp, m: usize, s: ReplicationStatus, direct: bool) {
+        let x = &mut self.endpoints[m];
+        if let Some(p) = s.applied_position {
             // One ahead of the clock would look fresh for ever.
-            x.position = x.position.max(Some(p.min(now)));
+            x.applied_position = x.applied_position.max(Some(p.min(now)));
             if direct || now.saturating_sub(x.seen) > self.tick {
                 x.seen = now;
             }
         }
         let Some(role) = s.role else { return };
-        let g = self.groups.entry(x.group).or_default();
+        let g = self.replica_sets.entry(x.replica_set).or_default();
         if direct || g.primary.is_none() && x.role.is_none() {
             x.role = Some(role);
             if role == Role::Primary && g.primary != Some(m) {
@@ -526,32 +549,38 @@
         }
     }
 
-    /// The share of a warm member's load that a cold one may get: the least that its capacity can be.
-    fn cold_share(&self, now: Time, m: usize) -> f64 {
-        let (r, started) = (&self.set.rules, self.members[m].started);
-        if started == 0 || now >= started.saturating_add(r.warm_after) {
+    /// The share of a warm endpoint's load that a cold one may get: the least that its capacity can be.
+    fn cold_share(&self, now: Timestamp, m: usize) -> f64 {
+        let (r, started) = (&self.set.rules, self.endpoints[m].started);
+        if started == 0 || now >= started.saturating_add(r.slow_start_duration) {
             return 1.0;
         }
-        let t = now.saturating_sub(started) as f64 / r.warm_after as f64;
-        r.cold_from + (1.0 - r.cold_from) * t
+        let t = now.saturating_sub(started) as f64 / r.slow_start_duration as f64;
+        r.slow_start_initial_fraction + (1.0 - r.slow_start_initial_fraction) * t
     }
 
-    /// Guards rule 4 at any number of proxies, unknown to each: a cold member takes a request by chance, in
-    /// proportion to its share, so that the sum over all proxies keeps to it however few each sends. Writes
-    /// have nowhere else to go and get most of the rule's multiple, reads half. Could slow a busy group's return.
-    fn admits(&self, now: Time, m: usize, p: &Pending) -> bool {
+    /// Guards rule 4 at any number of routers, unknown to each: a cold endpoint takes a request by chance, in
+    /// proportion to its share, so that the sum over all routers keeps to it however few each sends. Writes
+    /// have nowhere else to go and get most of the rule's multiple, reads half. Could slow a busy replica set's return.
+    fn admits(&self, now: Timestamp, m: usize, p: &Pending) -> bool {
         let share = self.cold_share(now, m);
         // What is held does not become admissible as the share grows: else a window's requests and the held ones
         // of the seconds before would come together.
         let arrived = p.deadline.saturating_sub(p.req.time_left);
         let share_at_arrival = self.cold_share(now.min(arrived), m);
-        let multiple = self.set.rules.fall_multiple;
-        let leads = self.lead(now, p.req.group) == Some(m);
-        let times = match self.class(p).need {
-            Need::Write if leads => WRITE_MARGIN * multiple,
-            Need::Any | Need::Bounded(_) | Need::Session if !leads => multiple / 2.0,
-            // When nobody else is fit, all reads of the group come here: it takes a member's part of them.
-            _ => multiple / 2.0 / self.groups[&p.req.group].members.len() as f64,
+        let multiple = self.set.rules.overload_multiple;
+        let leads = self.lead(now, p.req.replica_set) == Some(m);
+        let times = match self.class(p).operation {
+            Operation::Write if leads => WRITE_MARGIN * multiple,
+            Operation::Read(Consistency::Eventual)
+            | Operation::Read(Consistency::BoundedStaleness(_))
+            | Operation::Read(Consistency::ReadYourWrites)
+                if !leads =>
+            {
+                multiple / 2.0
+            }
+            // When nobody else is fit, all reads of the replica set come here: it takes an endpoint's part of them.
+            _ => multiple / 2.0 / self.replica_sets[&p.req.replica_set].endpoints.len() as f64,
         };
         // Further tries would find their way to the cold one from everywhere.
         let first = p.sent == 0 || leads;
@@ -559,28 +588,29 @@
     }
 
     /// May get new work by the list, and is not known to be full.
-    fn open(&self, now: Time, m: usize) -> bool {
-        let x = &self.members[m];
+    fn open(&self, now: Timestamp, m: usize) -> bool {
+        let x = &self.endpoints[m];
         x.listed && x.leaving.is_none() && x.rest_until <= now
     }
 
     /// Open, at finite cost, and not too cold for this request.
-    fn ready(&self, now: Time, m: usize, p: &Pending) -> bool {
-        self.open(now, m) && !self.members[m].down && self.admits(now, m, p)
+    fn ready(&self, now: Timestamp, m: usize, p: &Pending) -> bool {
+        self.open(now, m) && !self.endpoints[m].down && self.admits(now, m, p)
     }
 
     // ---- the primary ----
 
-    /// The primary as answers name it, else as the list does, unless that member has said that it follows:
+    /// The primary as answers name it, else as the list does, unless that endpoint has said that it follows:
     /// the list is late, and a read sent to it could be stale (a write may scout it). A leaving one takes
     /// writes until half of the grace has passed, which leaves time for a connection, and never after the cutoff.
-    fn lead(&self, now: Time, group: u32) -> Option<usize> {
-        let g = self.groups.get(&group)?;
-        let named = |m: &usize| self.members[*m].listed_primary && self.members[*m].role.is_none();
+    fn lead(&self, now: Timestamp, replica_set: u32) -> Option<usize> {
+        let g = self.replica_sets.get(&replica_set)?;
+        let named =
+            |m: &usize| self.endpoints[*m].listed_primary && self.endpoints[*m].role.is_none();
         let m = g
             .primary
-            .or_else(|| g.members.iter().copied().find(named))?;
-        let x = &self.members[m];
+            .or_else(|| g.endpoints.iter().copied().find(named))?;
+        let x = &self.endpoints[m];
         let rules = &self.set.rules;
         let drain_limit = rules.drain_cutoff().min(rules.drain_grace / 2);
         let staying = x
@@ -591,37 +621,38 @@
 
     /// Where a write or a read that must be current may go now. While the primary is out of reach they are
     /// held. An erring one still is the only one.
-    fn lead_open(&self, now: Time, group: u32, p: &Pending) -> Option<usize> {
-        let m = self.lead(now, group)?;
-        let x = &self.members[m];
+    fn lead_open(&self, now: Timestamp, replica_set: u32, p: &Pending) -> Option<usize> {
+        let m = self.lead(now, replica_set)?;
+        let x = &self.endpoints[m];
         let up = x.rest_until <= now;
-        let g = &self.groups[&group];
-        // What many proxies have held meanwhile must not come in the same instant: each at a time of its own.
-        let due = !p.held || now >= g.found + (p.luck * self.max_aim / 2.0) as Span;
+        let g = &self.replica_sets[&replica_set];
+        // What many routers have held meanwhile must not come in the same instant: each at a time of its own.
+        let due = !p.held || now >= g.found + (p.luck * self.max_objective / 2.0) as Nanos;
         (up && due && self.admits(now, m, p)).then_some(m)
     }
 
-    fn pick_lead(&mut self, now: Time, p: &Pending) -> Option<usize> {
-        let (group, tried) = (p.req.group, |m: usize| p.tried.contains(&m));
-        let lost = self.lead(now, group).is_none_or(|m| {
-            let x = &self.members[m];
-            x.away > 1 || self.groups[&group].primary.is_none() && tried(m)
+    fn pick_lead(&mut self, now: Timestamp, p: &Pending) -> Option<usize> {
+        let (replica_set, tried) = (p.req.replica_set, |m: usize| p.tried.contains(&m));
+        let lost = self.lead(now, replica_set).is_none_or(|m| {
+            let x = &self.endpoints[m];
+            x.away > 1 || self.replica_sets[&replica_set].primary.is_none() && tried(m)
         });
         let lead = self
-            .lead_open(now, group, p)
+            .lead_open(now, replica_set, p)
             .filter(|m| !lost || !tried(*m));
-        // A read that must be current may look, too, where members turn away what they are behind for: with
+        // A read that must be current may look, too, where endpoints turn away what they are behind for: with
         // little traffic the next write may be seconds away.
-        let checked = self.set.guard == Guard::Refuse || self.class(p).need == Need::Write;
+        let checked = self.set.stale_reads == StaleReadPolicy::Reject
+            || self.class(p).operation == Operation::Write;
         let scouts = lost && checked && p.sent + 2 < self.set.limits.max_attempts;
         lead.or_else(|| if scouts { self.scout(now, p) } else { None })
     }
 
-    /// With no primary known or alive, one held write at a time goes to the member most likely to have
+    /// With no primary known or alive, one held write at a time goes to the endpoint most likely to have
     /// taken over: the listed one, else the one that has most of the log. A miss costs nothing.
-    fn scout(&mut self, now: Time, p: &Pending) -> Option<usize> {
-        let group = p.req.group;
-        let g = self.groups.get(&group)?;
+    fn scout(&mut self, now: Timestamp, p: &Pending) -> Option<usize> {
+        let replica_set = p.req.replica_set;
+        let g = self.replica_sets.get(&replica_set)?;
         if now < g.scout_at {
             return None;
         }
@@ -629,17 +660,21 @@
             Some(**m) != g.primary && !g.scouted.contains(*m) && self.ready(now, **m, p)
         };
         let rank = |m: &&usize| {
-            let x = &self.members[**m];
-            (x.listed_primary, x.position, std::cmp::Reverse(&x.id))
+            let x = &self.endpoints[**m];
+            (
+                x.listed_primary,
+                x.applied_position,
+                std::cmp::Reverse(&x.id),
+            )
         };
         let best = g
-            .members
+            .endpoints
             .iter()
             .filter(pick)
             .max_by(|a, b| rank(a).cmp(&rank(b)))
             .copied();
-        let pause = (self.max_aim / 4.0) as Span;
-        let g = self.groups.get_mut(&group)?;
+        let pause = (self.max_objective / 4.0) as Nanos;
+        let g = self.replica_sets.get_mut(&replica_set)?;
         g.scout_at = now + pause;
         match best {
             Some(m) => g.scouted.push(m),
@@ -652,18 +687,18 @@
     /// none: their reads crowd the primary. A new write is first shown to such a replica, which turns it
     /// away untouched and says where it stands. Not to one that may hang, which would swallow the write, nor
     /// to a cold one: what it turns away counts as pushing, too.
-    fn look(&mut self, now: Time, p: &Pending) -> Option<usize> {
-        let group = p.req.group;
+    fn look(&mut self, now: Timestamp, p: &Pending) -> Option<usize> {
+        let replica_set = p.req.replica_set;
         let bound = self
             .min_bound
             .filter(|_| self.set.reports == ReportSource::Silent && self.set.positions)?;
-        let lead = self.lead(now, group)?;
+        let lead = self.lead(now, replica_set)?;
         let stale = |m: &&usize| {
-            let x = &self.members[**m];
+            let x = &self.endpoints[**m];
             let awake = x.out.is_empty() || now < x.answered + bound;
             let old = x
                 .looked
-                .max(x.position.unwrap_or(0))
+                .max(x.applied_position.unwrap_or(0))
                 .saturating_add(bound / 2)
                 < now;
             **m != lead
@@ -672,47 +707,48 @@
                 && self.cold_share(now, **m) >= 1.0
                 && self.ready(now, **m, p)
         };
-        let members = &self.groups.get(&group)?.members;
-        let m = members
+        let endpoints = &self.replica_sets.get(&replica_set)?.endpoints;
+        let m = endpoints
             .iter()
             .filter(stale)
-            .min_by_key(|m| self.members[**m].position)
+            .min_by_key(|m| self.endpoints[**m].applied_position)
             .copied()?;
-        self.members[m].looked = now;
+        self.endpoints[m].looked = now;
         Some(m)
     }
 
     // ---- reads ----
 
-    /// Whether the member is known to be fresh enough. Where members check reads themselves, its lag when
+    /// Whether the endpoint is known to be fresh enough. Where endpoints check reads themselves, its lag when
     /// last seen is taken to hold on: a wrong guess costs a miss. Where they don't, only what is known.
-    fn fit(&self, now: Time, m: usize, p: &Pending) -> bool {
-        let x = &self.members[m];
-        let guess = self.set.guard != Guard::Silent;
-        let wanted = match (self.class(p).need, p.token) {
-            (Need::Any, _) | (Need::Session, None) => return true,
-            (Need::Bounded(b), _) => now.saturating_sub(b),
-            (Need::Session, Some(token)) => token,
-            (Need::Fresh | Need::Write, _) => return false,
+    fn fit(&self, now: Timestamp, m: usize, p: &Pending) -> bool {
+        let x = &self.endpoints[m];
+        let guess = self.set.stale_reads != StaleReadPolicy::Serve;
+        let wanted = match (self.class(p).operation, p.token) {
+            (Operation::Read(Consistency::Eventual), _)
+            | (Operation::Read(Consistency::ReadYourWrites), None) => return true,
+            (Operation::Read(Consistency::BoundedStaleness(b)), _) => now.saturating_sub(b),
+            (Operation::Read(Consistency::ReadYourWrites), Some(token)) => token,
+            (Operation::Read(Consistency::Strong) | Operation::Write, _) => return false,
         };
-        match x.position {
+        match x.applied_position {
             None => guess && x.seen == 0,
             Some(at) if guess => at.saturating_add(now.saturating_sub(x.seen)) >= wanted,
             Some(at) => at >= wanted,
         }
     }
 
-    fn pick_read(&mut self, now: Time, p: &Pending) -> Option<usize> {
-        let lead = self.lead(now, p.req.group);
-        let g = self.groups.get(&p.req.group)?;
+    fn pick_read(&mut self, now: Timestamp, p: &Pending) -> Option<usize> {
+        let lead = self.lead(now, p.req.replica_set);
+        let g = self.replica_sets.get(&p.req.replica_set)?;
         let mut fit: Vec<(f64, usize)> = Vec::new();
         let mut trial = None;
         for &m in g
-            .members
+            .endpoints
             .iter()
             .filter(|m| !p.tried.contains(m) && self.open(now, **m))
         {
-            let x = &self.members[m];
+            let x = &self.endpoints[m];
             if Some(m) != lead && !self.fit(now, m, p) {
                 continue;
             }
@@ -725,9 +761,9 @@
             }
         }
         if let Some(m) = trial.filter(|_| p.sent == 0) {
-            let x = &mut self.members[m];
+            let x = &mut self.endpoints[m];
             x.trials += 1;
-            x.trial_at = now + TRIAL.min((self.max_aim as Span) << x.trials.min(8));
+            x.trial_at = now + TRIAL.min((self.max_objective as Nanos) << x.trials.min(8));
             return Some(m);
         }
         fit.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -745,15 +781,19 @@
             .filter(within)
             .map(|(_, f)| f.1)
             .collect();
-        // A cold member's turn passes whether it takes the request or not.
-        band.sort_by(|&a, &b| self.members[a].picked.total_cmp(&self.members[b].picked));
+        // A cold endpoint's turn passes whether it takes the request or not.
+        band.sort_by(|&a, &b| {
+            self.endpoints[a]
+                .picked
+                .total_cmp(&self.endpoints[b].picked)
+        });
         let taker = band.iter().position(|&m| self.admits(now, m, p));
         for &m in &band[..taker.map_or(band.len(), |i| i + 1)] {
             self.picks += 1.0;
-            self.members[m].picked = self.picks;
+            self.endpoints[m].picked = self.picks;
         }
-        // With the band too cold for it a read goes on to a dearer member, but not to one that hangs while
-        // the primary does not: such a one is the spare of every proxy.
+        // With the band too cold for it a read goes on to a dearer endpoint, but not to one that hangs while
+        // the primary does not: such a one is the spare of every router.
         let dear = primary.map_or(f64::INFINITY, |m| FAR * self.cost(now, m, 0));
         let spare = || {
             fit.iter()
@@ -765,19 +805,23 @@
 
     // ---- requests ----
 
-    fn on_request(&mut self, now: Time, req: Request, out: &mut Vec<Action>) {
+    fn on_request(&mut self, now: Timestamp, req: Request, out: &mut Vec<Action>) {
         let id = req.id;
         let Some(class) = self.set.classes.get(req.class as usize) else {
-            out.push(Action::Refuse {
+            out.push(Action::Reject {
                 request: id,
-                cause: Cause::Class,
+                reason: RejectReason::UnknownClass,
                 retry_after: None,
             });
             return;
         };
-        let stretch = req.work.map_or(0.0, |w| w as f64 * class.aim_stretch) as Span;
-        let aim = class.aim.saturating_add(stretch).min(class.deadline).max(1);
-        let token = if self.set.tokens_carried {
+        let stretch = req.work.map_or(0.0, |w| w as f64 * class.objective_stretch) as Nanos;
+        let latency_objective = class
+            .latency_objective
+            .saturating_add(stretch)
+            .min(class.deadline)
+            .max(1);
+        let token = if self.set.sessions_carry_position {
             req.since_write.map(|ago| now.saturating_sub(ago))
         } else {
             let known = req
@@ -789,22 +833,22 @@
                 .max(self.token_floor)
                 .max(self.is_writing(now, &req).then_some(now))
         };
-        let over_share = self.over_share(now, &req);
-        self.pace.add(now, PACE * self.max_aim, 1.0);
-        // A reserve that each of many proxies may spend at once is a flood: it follows the own traffic.
+        let is_over_quota = self.is_over_quota(now, &req);
+        self.pace.add(now, PACE * self.max_objective, 1.0);
+        // A reserve that each of many routers may spend at once is a flood: it follows the own traffic.
         let most = (EXTRA * self.pace.n).clamp(1.0, RESERVE);
         self.budget = (self.budget + EXTRA).min(most);
         let p = Pending {
             deadline: now.saturating_add(req.time_left),
-            aim_end: now.saturating_add(aim.min(req.time_left)),
-            aim,
+            objective_end: now.saturating_add(latency_objective.min(req.time_left)),
+            latency_objective,
             token,
             sent: 0,
             ran: Vec::new(),
             out: 0,
             tried: Vec::new(),
-            over_share,
-            luck: self.rng.draw(),
+            is_over_quota,
+            luck: self.rng.next_f64(),
             streaming: false,
             held: false,
             req,
@@ -812,42 +856,46 @@
         self.place(now, id, p, out);
     }
 
-    /// Whether the request lies beyond its tenant's share, as far as this proxy's part of it tells.
-    fn over_share(&mut self, now: Time, req: &Request) -> bool {
+    /// Whether the request lies beyond its tenant's share, as far as this router's part of it tells.
+    fn is_over_quota(&mut self, now: Timestamp, req: &Request) -> bool {
         let i = req.tenant.map_or(usize::MAX, |t| t as usize);
         let Some(quota) = self.set.tenants.get(i).map(|t| t.quota) else {
             return false;
         };
-        let tau = 4.0 * self.max_aim;
+        let tau = 4.0 * self.max_objective;
         self.tenants[i].add(now, tau, if req.is_retry { 0.0 } else { 1.0 });
         let rate =
-            self.tenants[i].now(now, tau).0 / (tau / 1e9) * f64::from(self.set.proxies.max(1));
-        self.rng.draw() < 1.0 - quota / rate
+            self.tenants[i].now(now, tau).0 / (tau / 1e9) * f64::from(self.set.router_count.max(1));
+        self.rng.next_f64() < 1.0 - quota / rate
     }
 
     /// Sends the request, holds it, or gives it up.
-    fn place(&mut self, now: Time, id: RequestId, mut p: Pending, out: &mut Vec<Action>) {
-        let (class, group) = (self.class(&p).clone(), p.req.group);
+    fn place(&mut self, now: Timestamp, id: RequestId, mut p: Pending, out: &mut Vec<Action>) {
+        let (class, replica_set) = (self.class(&p).clone(), p.req.replica_set);
         // Too late to be worth anything: answered at once.
-        let end = if class.late_worth > 0.0 {
+        let end = if class.late_weight > 0.0 {
             p.deadline
         } else {
-            p.aim_end
+            p.objective_end
         };
-        let takes = p.aim as f64 * self.group_factor(now, group).min(0.5);
-        let late = now + self.tick.max(takes as Span) >= end;
+        let takes = p.latency_objective as f64 * self.replica_set_factor(now, replica_set).min(0.5);
+        let late = now + self.tick.max(takes as Nanos) >= end;
         let spent = p.sent >= self.set.limits.max_attempts;
-        let known = self.groups.contains_key(&group);
+        let known = self.replica_sets.contains_key(&replica_set);
         let ends = [
-            (!known, Cause::Group),
-            (late, Cause::Late),
-            (spent, Cause::Attempts),
+            (!known, RejectReason::UnknownReplicaSet),
+            (late, RejectReason::DeadlineTooClose),
+            (spent, RejectReason::AttemptLimitReached),
         ];
-        if let Some((_, cause)) = ends.into_iter().find(|e| e.0) {
-            return self.give_up(p, cause, out);
+        if let Some((_, reason)) = ends.into_iter().find(|e| e.0) {
+            return self.give_up(p, reason, out);
         }
-        let to_lead = matches!(class.need, Need::Write | Need::Fresh);
-        let look = class.need == Need::Write && p.sent == 0 && self.set.limits.max_attempts > 2;
+        let to_lead = matches!(
+            class.operation,
+            Operation::Write | Operation::Read(Consistency::Strong)
+        );
+        let look =
+            class.operation == Operation::Write && p.sent == 0 && self.set.limits.max_attempts > 2;
         if let Some(m) = if look { self.look(now, &p) } else { None } {
             return self.send(now, id, m, p, out);
         }
@@ -859,83 +907,102 @@
         let Some(m) = target else {
             // Nobody to send it to before half of its time is over: better known now than then.
             if p.sent == 0 && !self.may_come(now, &p) {
-                return self.give_up(p, Cause::Nobody, out);
+                return self.give_up(p, RejectReason::NoEligibleEndpoint, out);
             }
             p.held = true;
             p.tried.clear();
-            if let Some(g) = self.groups.get_mut(&group) {
+            if let Some(g) = self.replica_sets.get_mut(&replica_set) {
                 g.held.push_back(id);
-                self.holding.insert(group);
+                self.holding.insert(replica_set);
             }
             self.pending.insert(id, p);
             return;
         };
         // Overload: what would likely miss its aim is refused early, first what lies beyond a share and
-        // the reads that crowd the primary. Could harm when one member's queue is taken for the group's.
+        // the reads that crowd the primary. Could harm when one endpoint's queue is taken for the replica set's.
         let load = self.load(now, m, &p);
-        let trial = self.members[m].down;
-        let shed = p.sent == 0 && !trial && self.rng.draw() < (load - SHED.0) / (SHED.1 - SHED.0);
+        let trial = self.endpoints[m].down;
+        let shed =
+            p.sent == 0 && !trial && self.rng.next_f64() < (load - SHED.0) / (SHED.1 - SHED.0);
         if shed || !self.may_send(now, m, &p) {
-            return self.give_up(p, if shed { Cause::Crowded } else { Cause::Unsafe }, out);
+            return self.give_up(
+                p,
+                if shed {
+                    RejectReason::LoadShed
+                } else {
+                    RejectReason::NotRetryable
+                },
+                out,
+            );
         }
         self.send(now, id, m, p, out);
     }
 
-    /// The latency to be feared at the member, in the request's aims.
-    fn load(&self, now: Time, m: usize, p: &Pending) -> f64 {
-        let to_lead = matches!(self.class(p).need, Need::Write | Need::Fresh);
-        let on_lead = !to_lead && Some(m) == self.lead(now, p.req.group);
-        let less = if on_lead { FAR } else { 1.0 } * if p.over_share { FAR } else { 1.0 };
-        // Few samples may hide a queue: the less is known of the member, the more they weigh.
-        let doubt = 1.0 + 1.0 / (PRIOR + self.members[m].latency[1].now(now, self.tau(now, 1)).1);
-        less * doubt * self.cost(now, m, 1) * self.min_aim / p.aim as f64
+    /// The latency to be feared at the endpoint, in the request's aims.
+    fn load(&self, now: Timestamp, m: usize, p: &Pending) -> f64 {
+        let to_lead = matches!(
+            self.class(p).operation,
+            Operation::Write | Operation::Read(Consistency::Strong)
+        );
+        let on_lead = !to_lead && Some(m) == self.lead(now, p.req.replica_set);
+        let less = if on_lead { FAR } else { 1.0 } * if p.is_over_quota { FAR } else { 1.0 };
+        // Few samples may hide a queue: the less is known of the endpoint, the more they weigh.
+        let doubt = 1.0 + 1.0 / (PRIOR + self.endpoints[m].latency[1].now(now, self.tau(now, 1)).1);
+        less * doubt * self.cost(now, m, 1) * self.min_objective / p.latency_objective as f64
     }
 
-    /// Whether any member of the group may be open within the first half of the request's time.
-    fn may_come(&self, now: Time, p: &Pending) -> bool {
+    /// Whether any endpoint of the replica set may be open within the first half of the request's time.
+    fn may_come(&self, now: Timestamp, p: &Pending) -> bool {
         let half = p.deadline.saturating_sub(p.req.time_left / 2).max(now);
-        let mut members = self.groups[&p.req.group]
-            .members
+        let mut endpoints = self.replica_sets[&p.req.replica_set]
+            .endpoints
             .iter()
-            .map(|&m| &self.members[m]);
-        members.any(|x| x.listed && x.leaving.is_none() && x.rest_until <= half)
+            .map(|&m| &self.endpoints[m]);
+        endpoints.any(|x| x.listed && x.leaving.is_none() && x.rest_until <= half)
     }
 
     /// Rule 2: what may have run goes out again only as its class allows.
-    fn may_send(&self, now: Time, m: usize, p: &Pending) -> bool {
+    fn may_send(&self, now: Timestamp, m: usize, p: &Pending) -> bool {
         let class = self.class(p);
-        let x = &self.members[m];
-        let knows = |&(_, other, sent): &(u32, usize, Time)| {
-            let o = &self.members[other];
-            let same = match class.repeat {
-                Repeat::Safe | Repeat::Keyed(Scope::All) => true,
-                Repeat::Keyed(Scope::Zone) => o.zone == x.zone,
-                Repeat::Keyed(Scope::Group) => o.group == x.group,
-                Repeat::Unsafe => false,
+        let x = &self.endpoints[m];
+        let knows = |&(_, other, sent): &(u32, usize, Timestamp)| {
+            let o = &self.endpoints[other];
+            let same = match class.idempotency {
+                Idempotency::Idempotent | Idempotency::IdempotencyKey(KeyScope::All) => true,
+                Idempotency::IdempotencyKey(KeyScope::Zone) => o.zone == x.zone,
+                Idempotency::IdempotencyKey(KeyScope::ReplicaSet) => o.replica_set == x.replica_set,
+                Idempotency::NonIdempotent => false,
             };
-            same && now.saturating_sub(sent) < class.window
+            same && now.saturating_sub(sent) < class.deduplication_window
         };
-        class.repeat == Repeat::Safe || p.ran.iter().all(knows)
+        class.idempotency == Idempotency::Idempotent || p.ran.iter().all(knows)
     }
 
-    fn send(&mut self, now: Time, id: RequestId, m: usize, mut p: Pending, out: &mut Vec<Action>) {
+    fn send(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        m: usize,
+        mut p: Pending,
+        out: &mut Vec<Action>,
+    ) {
         let class = self.class(&p);
-        let write = class.need == Need::Write;
+        let write = class.operation == Operation::Write;
         // The attempt may have to wait for a connection: the window holds for when it is written, too.
         let first = p
             .ran
             .iter()
             .map(|r| r.2)
             .min()
-            .filter(|_| class.repeat != Repeat::Safe);
-        let by = first.map(|at| at.saturating_add(class.window));
-        let x = &mut self.members[m];
+            .filter(|_| class.idempotency != Idempotency::Idempotent);
+        let by = first.map(|at| at.saturating_add(class.deduplication_window));
+        let x = &mut self.endpoints[m];
         let session = p.req.session.clone().filter(|_| write);
         x.out.push(Attempt {
             request: id,
             number: p.sent,
             sent: now,
-            aim: p.aim as f64,
+            latency_objective: p.latency_objective as f64,
             write,
             session,
         });
@@ -946,7 +1013,7 @@
         p.held = false;
         out.push(Action::Send {
             request: id,
-            member: x.id.clone(),
+            endpoint: x.id.clone(),
             limit: None,
             by,
         });
@@ -954,22 +1021,25 @@
     }
 
     /// The final answer, at once: refused where that is certain to do no harm, else failed.
-    fn give_up(&mut self, p: Pending, cause: Cause, out: &mut Vec<Action>) {
+    fn give_up(&mut self, p: Pending, reason: RejectReason, out: &mut Vec<Action>) {
         let request = p.req.id;
-        let repeat = self.class(&p).repeat;
-        let harmless =
-            p.ran.is_empty() || matches!(repeat, Repeat::Safe | Repeat::Keyed(Scope::All));
+        let idempotency = self.class(&p).idempotency;
+        let harmless = p.ran.is_empty()
+            || matches!(
+                idempotency,
+                Idempotency::Idempotent | Idempotency::IdempotencyKey(KeyScope::All)
+            );
         if harmless {
             let longest = self.set.limits.max_retry_advice as f64;
-            let advice = (longest * (0.5 + self.rng.draw() / 2.0)) as Span;
+            let advice = (longest * (0.5 + self.rng.next_f64() / 2.0)) as Nanos;
             let retry_after = self.set.limits.retry_advice.then_some(advice);
-            out.push(Action::Refuse {
+            out.push(Action::Reject {
                 request,
-                cause,
+                reason,
                 retry_after,
             });
         } else {
-            out.push(Action::Fail { request, cause });
+            out.push(Action::Fail { request, reason });
         }
         self.pending.insert(request, p);
         self.close(request, out);
@@ -980,15 +1050,19 @@
         let Some(p) = self.pending.remove(&id) else {
             return;
         };
-        if let Some(g) = self.groups.get_mut(&p.req.group).filter(|_| p.held) {
+        if let Some(g) = self
+            .replica_sets
+            .get_mut(&p.req.replica_set)
+            .filter(|_| p.held)
+        {
             g.held.retain(|h| *h != id);
             if g.held.is_empty() {
-                self.holding.remove(&p.req.group);
+                self.holding.remove(&p.req.replica_set);
             }
         }
         if p.out > 0 && self.set.limits.cancel {
             for (attempt, m, _) in p.ran {
-                if self.members[m]
+                if self.endpoints[m]
                     .out
                     .iter()
                     .any(|a| a.request == id && a.number == attempt)
@@ -1002,12 +1076,12 @@
         }
     }
 
-    fn on_outcome(&mut self, now: Time, o: Outcome, out: &mut Vec<Action>) {
-        let Some(&m) = self.index.get(&o.member) else {
+    fn on_outcome(&mut self, now: Timestamp, o: AttemptEnded, out: &mut Vec<Action>) {
+        let Some(&m) = self.index.get(&o.endpoint) else {
             return;
         };
-        let x = &mut self.members[m];
-        let group = x.group;
+        let x = &mut self.endpoints[m];
+        let replica_set = x.replica_set;
         let spot = x
             .out
             .iter()
@@ -1016,18 +1090,21 @@
             return;
         };
         self.judge(now, m, &attempt, &o);
-        if attempt.write && !o.ending.never_ran() {
+        if attempt.write && !o.outcome.is_never_executed() {
             // One that may have run binds its session, too; all that is known of its place: before now.
-            let commit = o.standing.position.filter(|_| o.ending == Ending::Served);
+            let commit = o
+                .replication
+                .applied_position
+                .filter(|_| o.outcome == AttemptOutcome::Served);
             self.remember(attempt.session, commit.unwrap_or(now));
         }
         if let Some(mut p) = self.pending.remove(&o.request) {
             p.out = p.out.saturating_sub(1);
-            if o.ending.never_ran() {
+            if o.outcome.is_never_executed() {
                 p.ran.retain(|r| r.0 != o.attempt);
             }
             if !o.closed && p.out == 0 && !p.streaming {
-                self.again(now, o.request, p, o.ending, out);
+                self.again(now, o.request, p, o.outcome, out);
             } else {
                 self.pending.insert(o.request, p);
                 if o.closed {
@@ -1035,155 +1112,169 @@
                 }
             }
         }
-        self.release(now, group, out);
+        self.release(now, replica_set, out);
     }
 
     /// A write of the request's session is out for so long that its answer may have been lost.
-    fn is_writing(&self, now: Time, req: &Request) -> bool {
+    fn is_writing(&self, now: Timestamp, req: &Request) -> bool {
         let own =
             |a: &Attempt| a.session.is_some() && a.session == req.session && a.sent + HEARD <= now;
-        let members = self.groups.get(&req.group).map_or(&[][..], |g| &g.members);
-        members.iter().any(|&m| self.members[m].out.iter().any(own))
+        let endpoints = self
+            .replica_sets
+            .get(&req.replica_set)
+            .map_or(&[][..], |g| &g.endpoints);
+        endpoints
+            .iter()
+            .any(|&m| self.endpoints[m].out.iter().any(own))
     }
 
     /// A session's reads must see its writes. Memory is bounded: sessions that are forgotten are taken to
     /// have written as late as any of them.
-    fn remember(&mut self, session: Option<Arc<str>>, commit: Time) {
+    fn remember(&mut self, session: Option<Arc<str>>, commit: Timestamp) {
         if self.sessions.len() > 200_000 {
             self.token_floor = self.token_floor.max(self.sessions.values().copied().max());
             self.sessions.clear();
         }
-        if let Some(s) = session.filter(|_| !self.set.tokens_carried) {
+        if let Some(s) = session.filter(|_| !self.set.sessions_carry_position) {
             let token = self.sessions.entry(s).or_insert(commit);
             *token = commit.max(*token);
         }
     }
 
-    /// What an outcome tells of the member.
-    fn judge(&mut self, now: Time, m: usize, a: &Attempt, o: &Outcome) {
-        let mut standing = o.standing;
-        if a.write && o.ending == Ending::Served {
-            standing.position = None;
+    /// What an outcome tells of the endpoint.
+    fn judge(&mut self, now: Timestamp, m: usize, a: &Attempt, o: &AttemptEnded) {
+        let mut replication = o.replication;
+        if a.write && o.outcome == AttemptOutcome::Served {
+            replication.applied_position = None;
         }
         self.learn(now, m, o.report, false);
-        self.learn(now, m, standing, true);
+        self.learn(now, m, replication, true);
         let took = o.latency as f64;
-        self.members[m].spoilt += u32::from(o.ending == Ending::Spoilt);
-        self.members[m].broken += u32::from(o.ending == Ending::Reset);
-        match o.ending {
-            Ending::Served => {
-                self.members[m].overtaking = self.members[m].overtaking.max(a.sent);
-                self.observe(now, m, took, a.aim);
+        self.endpoints[m].spoilt += u32::from(o.outcome == AttemptOutcome::MalformedResponse);
+        self.endpoints[m].broken += u32::from(o.outcome == AttemptOutcome::ConnectionReset);
+        match o.outcome {
+            AttemptOutcome::Served => {
+                self.endpoints[m].overtaking = self.endpoints[m].overtaking.max(a.sent);
+                self.observe(now, m, took, a.latency_objective);
                 self.crowded(now, m, took, true);
                 self.answered(now, m);
             }
-            Ending::Miss | Ending::Rejected => self.answered(now, m),
-            // Any member's answer may be spoilt on its way, so one tells nothing of its health.
-            Ending::Spoilt if self.members[m].spoilt < IN_A_ROW => {}
+            AttemptOutcome::Misrouted | AttemptOutcome::InvalidRequest => self.answered(now, m),
+            // Any endpoint's answer may be spoilt on its way, so one tells nothing of its health.
+            AttemptOutcome::MalformedResponse if self.endpoints[m].spoilt < IN_A_ROW => {}
             // Full or draining: no sample of its cost, but a rest that grows as it repeats, and crowding:
             // with all queues full nothing is answered in time, and no latency would tell.
-            Ending::Full => {
-                let x = &mut self.members[m];
+            AttemptOutcome::Overloaded => {
+                let x = &mut self.endpoints[m];
                 x.fulls = (x.fulls + 1).min(6);
                 x.rest_until = now + (self.tick << x.fulls) / 2;
-                self.crowded(now, m, FAR * a.aim, false);
+                self.crowded(now, m, FAR * a.latency_objective, false);
             }
-            Ending::Error if a.write && standing.role == Some(Role::Replica) => {
+            AttemptOutcome::Error if a.write && replication.role == Some(Role::Replica) => {
                 self.answered(now, m)
             }
-            Ending::Error | Ending::Spoilt => {
+            AttemptOutcome::Error | AttemptOutcome::MalformedResponse => {
                 // A quick error must not look cheap: it counts as an answer far beyond the aim.
                 self.answered(now, m);
-                self.observe(now, m, took.max(FAR * a.aim), a.aim);
-                let draw = 0.25 + self.rng.draw() / 2.0;
-                let x = &mut self.members[m];
-                (x.down, x.trial_at) = (true, now + (self.max_aim * draw) as Span);
+                self.observe(
+                    now,
+                    m,
+                    took.max(FAR * a.latency_objective),
+                    a.latency_objective,
+                );
+                let next_f64 = 0.25 + self.rng.next_f64() / 2.0;
+                let x = &mut self.endpoints[m];
+                (x.down, x.trial_at) = (true, now + (self.max_objective * next_f64) as Nanos);
             }
-            // It may only be lost: no crowding, unless the member says that it is full.
-            Ending::TimedOut | Ending::Cancelled => {
-                self.observe(now, m, took, a.aim);
-                if self.members[m].fulls > 0 {
+            // It may only be lost: no crowding, unless the endpoint says that it is full.
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => {
+                self.observe(now, m, took, a.latency_objective);
+                if self.endpoints[m].fulls > 0 {
                     self.crowded(now, m, took, false);
                 }
             }
             // A dead process, a cut link and a full connection table look alike, and a shallow probe tells
             // none of them: it rests, at growing pauses up to the design's five seconds, drawn so that many
-            // proxies do not come back in step. Those who hold a connection keep to it meanwhile.
+            // routers do not come back in step. Those who hold a connection keep to it meanwhile.
             // One connection may break on its own: a process that died breaks all and refuses new ones.
-            Ending::Reset if self.members[m].broken < IN_A_ROW => {}
-            Ending::ConnectFailed | Ending::Reset => {
-                let draw = 0.5 + self.rng.draw();
-                let x = &mut self.members[m];
-                let group = x.group;
+            AttemptOutcome::ConnectionReset if self.endpoints[m].broken < IN_A_ROW => {}
+            AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionReset => {
+                let next_f64 = 0.5 + self.rng.next_f64();
+                let x = &mut self.endpoints[m];
+                let replica_set = x.replica_set;
                 x.away_since = if x.away == 0 { now } else { x.away_since };
                 x.away = (x.away + 1).min(8);
-                let alone = !self.groups[&group]
-                    .members
+                let alone = !self.replica_sets[&replica_set]
+                    .endpoints
                     .iter()
                     .any(|&i| i != m && self.open(now, i));
-                // With the whole group out of reach a failed connect costs little, and a long rest much.
-                let longest = if alone { self.max_aim } else { TRIAL as f64 };
-                let x = &mut self.members[m];
-                let pause = (self.min_aim / 4.0 * f64::from(1u32 << x.away)).min(longest);
-                x.rest_until = now + (pause * draw) as Span;
+                // With the whole replica set out of reach a failed connect costs little, and a long rest much.
+                let longest = if alone {
+                    self.max_objective
+                } else {
+                    TRIAL as f64
+                };
+                let x = &mut self.endpoints[m];
+                let pause = (self.min_objective / 4.0 * f64::from(1u32 << x.away)).min(longest);
+                x.rest_until = now + (pause * next_f64) as Nanos;
             }
-            Ending::Moot | Ending::Unsent => {}
+            AttemptOutcome::Abandoned | AttemptOutcome::NotSent => {}
         }
     }
 
     /// An attempt has failed and no other is out: another one, or the final answer.
     fn again(
         &mut self,
-        now: Time,
+        now: Timestamp,
         id: RequestId,
         mut p: Pending,
-        ending: Ending,
+        outcome: AttemptOutcome,
         out: &mut Vec<Action>,
     ) {
-        if ending == Ending::Rejected {
+        if outcome == AttemptOutcome::InvalidRequest {
             out.push(Action::Fail {
                 request: id,
-                cause: Cause::Unfit,
+                reason: RejectReason::InvalidRequest,
             });
             self.pending.insert(id, p);
             return self.close(id, out);
         }
         let class = self.class(&p);
-        let allowed = match class.repeat {
-            Repeat::Safe => ending != Ending::TimedOut || now < p.aim_end,
-            Repeat::Keyed(_) => ending != Ending::TimedOut,
-            Repeat::Unsafe => p.ran.is_empty(),
+        let allowed = match class.idempotency {
+            Idempotency::Idempotent => outcome != AttemptOutcome::TimedOut || now < p.objective_end,
+            Idempotency::IdempotencyKey(_) => outcome != AttemptOutcome::TimedOut,
+            Idempotency::NonIdempotent => p.ran.is_empty(),
         };
-        if class.need == Need::Write && !ending.never_ran() {
+        if class.operation == Operation::Write && !outcome.is_never_executed() {
             p.tried.clear();
         }
         // What never ran cost nothing; other further attempts share one small budget, so that retries
         // can't feed an overload.
         let price = if matches!(
-            ending,
-            Ending::Miss | Ending::ConnectFailed | Ending::Unsent
+            outcome,
+            AttemptOutcome::Misrouted | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
         ) {
             0.0
         } else {
             1.0
         };
-        if !allowed || self.budget < price || ending == Ending::Moot {
-            let cause = match ending {
-                Ending::Moot => Cause::Late,
-                _ if allowed => Cause::Reserve,
-                Ending::TimedOut => Cause::Silent,
-                _ => Cause::Unsafe,
+        if !allowed || self.budget < price || outcome == AttemptOutcome::Abandoned {
+            let reason = match outcome {
+                AttemptOutcome::Abandoned => RejectReason::DeadlineTooClose,
+                _ if allowed => RejectReason::RetryBudgetExhausted,
+                AttemptOutcome::TimedOut => RejectReason::AttemptTimedOut,
+                _ => RejectReason::NotRetryable,
             };
-            return self.give_up(p, cause, out);
+            return self.give_up(p, reason, out);
         }
         self.budget -= price;
-        // Turned away by a cold member it has pushed it all the same: back at half the chance, or none.
-        if ending == Ending::Full {
+        // Turned away by a cold endpoint it has pushed it all the same: back at half the chance, or none.
+        if outcome == AttemptOutcome::Overloaded {
             p.luck = 2.0 * p.luck.max(0.5);
         }
         if let Some(g) = self
-            .groups
-            .get_mut(&p.req.group)
+            .replica_sets
+            .get_mut(&p.req.replica_set)
             .filter(|g| g.primary.is_none())
         {
             g.scout_at = now;
@@ -1191,12 +1282,12 @@
         self.place(now, id, p, out);
     }
 
-    /// Held requests of a group get another look, in order of arrival.
-    fn release(&mut self, now: Time, group: u32, out: &mut Vec<Action>) {
-        let Some(g) = self.groups.get_mut(&group) else {
+    /// Held requests of a replica set get another look, in order of arrival.
+    fn release(&mut self, now: Timestamp, replica_set: u32, out: &mut Vec<Action>) {
+        let Some(g) = self.replica_sets.get_mut(&replica_set) else {
             return;
         };
-        self.holding.remove(&group);
+        self.holding.remove(&replica_set);
         for id in std::mem::take(&mut g.held) {
             if let Some(p) = self.pending.remove(&id) {
                 self.place(now, id, p, out);
@@ -1204,9 +1295,9 @@
         }
     }
 
-    fn on_tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        for group in self.holding.iter().copied().collect::<Vec<u32>>() {
-            self.release(now, group, out);
+    fn on_tick(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        for replica_set in self.holding.iter().copied().collect::<Vec<u32>>() {
+            self.release(now, replica_set, out);
         }
     }
 }
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -3,80 +3,87 @@
 use std::sync::Arc;
 
 /// A point on the host's clock, nanoseconds. It starts at no special value and only goes forward.
-pub type Time = u64;
+pub type Timestamp = u64;
 /// A length of time, nanoseconds.
-pub type Span = u64;
-/// Identifies a client's request; never given twice to one brain.
+pub type Nanos = u64;
+/// Identifies a client's request; never given twice to one balancer.
 pub type RequestId = u64;
-/// A member's own name, such as `10.0.0.7:5432`; the same at every proxy, and kept over restarts.
-pub type MemberId = Arc<str>;
+/// An endpoint's own name, such as `10.0.0.7:5432`; the same at every router, and kept over restarts.
+pub type EndpointId = Arc<str>;
 
-/// What a class of requests needs of the data that answers it.
+/// What a class of requests does to the data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Need {
-    /// Any member may answer.
-    Any,
+pub enum Operation {
+    /// A read, and how recent the data that answers it has to be.
+    Read(Consistency),
+    /// A write: only the primary takes it.
+    Write,
+}
+
+/// How recent the data that answers a read has to be.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Consistency {
+    /// Any endpoint may answer.
+    Eventual,
     /// Data no older than this when the request is sent.
-    Bounded(Span),
+    BoundedStaleness(Nanos),
     /// All that the session has written.
-    Session,
+    ReadYourWrites,
     /// All that was written before the request came in.
-    Fresh,
-    /// A write: only the primary takes it.
-    Write,
+    Strong,
 }
 
-/// What may be done with a request that might already have run.
+/// Whether a request that may already have been executed can be sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
-    /// Safe to repeat.
-    Safe,
-    /// Carries a key; the members of `scope` drop a repeat for the class's window.
-    Keyed(Scope),
-    /// Must never run twice.
-    Unsafe,
+pub enum Idempotency {
+    /// Executing it twice has the same effect as once.
+    Idempotent,
+    /// Carries a key; the endpoints of the scope drop a duplicate for the class's deduplication window.
+    IdempotencyKey(KeyScope),
+    /// Must never be executed twice.
+    NonIdempotent,
 }
 
-/// The members that know a key together.
+/// The endpoints that share their record of idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scope {
-    /// Every member.
+pub enum KeyScope {
+    /// Every endpoint.
     All,
-    /// The members of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// The members of one group.
-    Group,
+    /// The endpoints of one replica set.
+    ReplicaSet,
 }
 
 /// One class of requests.
 #[derive(Debug, Clone)]
 pub struct Class {
     /// What data may answer it.
-    pub need: Need,
+    pub operation: Operation,
     /// Whether it may be repeated.
-    pub repeat: Repeat,
-    /// How long a key is remembered (for [`Repeat::Keyed`]).
-    pub window: Span,
+    pub idempotency: Idempotency,
+    /// How long a key is remembered (for [`Idempotency::IdempotencyKey`]).
+    pub deduplication_window: Nanos,
     /// An answer within this time earns full worth.
-    pub aim: Span,
+    pub latency_objective: Nanos,
     /// The aim grows by this multiple of the request's own work (0: not at all).
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// The client's whole patience over all its tries.
-    pub deadline: Span,
+    pub deadline: Nanos,
     /// What an answer in time is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that a late answer still earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
 }
 
 /// One tenant's share.
 #[derive(Debug, Clone, Copy)]
 pub struct Tenant {
-    /// Requests a second inside its share, over all proxies.
+    /// Requests a second inside its share, over all routers.
     pub quota: f64,
 }
 
-/// Where the members' reports about themselves come from.
+/// Where the endpoints' reports about themselves come from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportSource {
     /// With every answer and probe result.
@@ -87,15 +94,15 @@
     Silent,
 }
 
-/// What members do with a read for which they are too far behind.
+/// What endpoints do with a read for which they are too far behind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Guard {
-    /// They answer from what they have: the proxy alone keeps reads fresh.
-    Silent,
-    /// They turn it away at once.
-    Refuse,
-    /// They wait up to this long to catch up, then turn it away.
-    Await(Span),
+pub enum StaleReadPolicy {
+    /// They answer from what they have: the router alone keeps reads fresh.
+    Serve,
+    /// They reject it at once.
+    Reject,
+    /// They wait up to this long to catch up, then reject it.
+    Wait(Nanos),
 }
 
 /// How far the list's word on the primary can be trusted.
@@ -109,37 +116,37 @@
     Silent,
 }
 
-/// Figures of the rules that bind the proxy.
+/// Figures of the rules that bind the router.
 #[derive(Debug, Clone, Copy)]
 pub struct Rules {
-    /// New work to a draining or gone member must stop within this time of being told.
-    pub drain_grace: Span,
+    /// New work to a draining or gone endpoint must stop within this time of being told.
+    pub drain_grace: Nanos,
     /// Only an entry that says draining binds; being dropped from the list does not.
     pub only_draining_binds: bool,
-    /// A cold member starts with at least this share of its capacity.
-    pub cold_from: f64,
+    /// A cold endpoint starts with at least this share of its capacity.
+    pub slow_start_initial_fraction: f64,
     /// And is warm after this time at the latest.
-    pub warm_after: Span,
+    pub slow_start_duration: Nanos,
     /// Work beyond this multiple of its present capacity ...
-    pub fall_multiple: f64,
-    /// ... over this time pushes a cold member over.
-    pub fall: Span,
+    pub overload_multiple: f64,
+    /// ... over this time pushes a cold endpoint over.
+    pub overload_window: Nanos,
     /// Without a subscription, the list counts as known after this time.
-    pub ask_every: Span,
+    pub poll_interval: Nanos,
 }
 
 /// A process may be held up for this long between reading its clock and writing.
-pub const SCHEDULING_DELAY: Span = 150_000_000;
+pub const SCHEDULING_DELAY: Nanos = 150_000_000;
 
 impl Rules {
     /// How long after a drain was learned of a send may still begin. The scheduling delay is part of the grace, which
     /// counts to the first byte that is written; a grace that is no longer than the delay allows no send at all.
-    pub fn drain_cutoff(&self) -> Span {
+    pub fn drain_cutoff(&self) -> Nanos {
         self.drain_grace.saturating_sub(SCHEDULING_DELAY)
     }
 }
 
-/// What the proxy may do.
+/// What the router may do.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// Attempts for one request.
@@ -149,38 +156,38 @@
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// A request may have two attempts out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Clients receive retry advice ...
     pub retry_advice: bool,
     /// ... and heed it up to this long.
-    pub max_retry_advice: Span,
+    pub max_retry_advice: Nanos,
     /// A connection not made by then has failed.
-    pub connect_timeout: Span,
+    pub connect_timeout: Nanos,
 }
 
-/// All that a brain is told at its start.
+/// All that a balancer is told at its start.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Number of proxies of this tier, this one included.
-    pub proxies: u32,
-    /// This proxy's zone.
+    /// Number of routers of this tier, this one included.
+    pub router_count: u32,
+    /// This router's zone.
     pub zone: u32,
     /// Shortest time between two rounds of events (0: none).
-    pub round: Span,
+    pub round: Nanos,
     /// The classes, in the order that [`Request::class`] counts.
     pub classes: Vec<Class>,
     /// The tenants, in the order that [`Request::tenant`] counts; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Where reports come from.
     pub reports: ReportSource,
     /// Whether answers carry positions.
     pub positions: bool,
-    /// Whether session reads carry the age of their session's last write; if not, the brain remembers.
-    pub tokens_carried: bool,
-    /// What members do with reads for which they are too far behind.
-    pub guard: Guard,
+    /// Whether session reads carry the age of their session's last write; if not, the balancer remembers.
+    pub sessions_carry_position: bool,
+    /// What endpoints do with reads for which they are too far behind.
+    pub stale_reads: StaleReadPolicy,
     /// What the list says of the primary.
     pub list_role: ListRole,
     /// The list comes only to those that subscribe.
@@ -214,20 +221,23 @@
             return bad("classes: none given".into());
         }
         for (i, c) in self.classes.iter().enumerate() {
-            if c.aim == 0 || c.deadline == 0 {
+            if c.latency_objective == 0 || c.deadline == 0 {
                 return bad(format!("classes[{i}]: aim and deadline must be positive"));
             }
-            if c.aim > c.deadline {
+            if c.latency_objective > c.deadline {
                 return bad(format!("classes[{i}]: the aim passes the deadline"));
             }
         }
         let r = &self.rules;
-        if !(r.cold_from > 0.0 && r.fall_multiple > 0.0) || r.fall == 0 || r.warm_after == 0 {
+        if !(r.slow_start_initial_fraction > 0.0 && r.overload_multiple > 0.0)
+            || r.overload_window == 0
+            || r.slow_start_duration == 0
+        {
             return bad(
                 "rules: cold_from, fall_multiple, fall and warm_after must be positive".into(),
             );
         }
-        if r.cold_from > 1.0 {
+        if r.slow_start_initial_fraction > 1.0 {
             return bad("rules: cold_from is a share of 1 at the most".into());
         }
         if self.limits.max_attempts == 0 {
@@ -237,32 +247,32 @@
     }
 }
 
-/// What the list says of a member.
+/// What the list says of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
+pub enum EndpointState {
     /// In service.
     Serving,
     /// Finishing its work; nothing new.
     Draining,
     /// Removed (in changes only).
-    Gone,
+    Removed,
 }
 
-/// One line of the list of members.
+/// One line of the list of endpoints.
 #[derive(Debug, Clone)]
-pub struct Entry {
-    /// The member.
-    pub member: MemberId,
+pub struct EndpointEntry {
+    /// The endpoint.
+    pub endpoint: EndpointId,
     /// When it last started (0: long past).
-    pub started: Time,
-    /// The list takes it for its group's primary.
+    pub started: Timestamp,
+    /// The list takes it for its replica set's primary.
     pub primary: bool,
     /// Its state.
-    pub state: State,
+    pub state: EndpointState,
     /// Its size as compared with others.
     pub weight: f64,
-    /// Its group.
-    pub group: u32,
+    /// Its replica set.
+    pub replica_set: u32,
     /// Its zone.
     pub zone: u32,
 }
@@ -273,9 +283,9 @@
     /// Changed entries only.
     Changes,
     /// The whole list.
-    Whole,
-    /// The whole list as this proxy last had it, maybe old.
-    Remembered,
+    Full,
+    /// The whole list as this router last had it, maybe old.
+    Cached,
     /// A call to the list failed, or the subscription broke; the old list stands.
     Failed,
 }
@@ -287,101 +297,101 @@
     pub id: RequestId,
     /// Its class, as counted in [`Settings::classes`].
     pub class: u32,
-    /// The group whose members may answer it.
-    pub group: u32,
+    /// The replica set whose endpoints may answer it.
+    pub replica_set: u32,
     /// Its session, where it has one.
     pub session: Option<Arc<str>>,
     /// How long ago its session's last write was committed, where requests carry this.
-    pub since_write: Option<Span>,
+    pub since_write: Option<Nanos>,
     /// Its tenant, as counted in [`Settings::tenants`].
     pub tenant: Option<u32>,
     /// Anticipated work, where told.
-    pub work: Option<Span>,
+    pub work: Option<Nanos>,
     /// The client marked it as a further try.
     pub is_retry: bool,
     /// Time until the client gives up.
-    pub time_left: Span,
+    pub time_left: Nanos,
 }
 
-/// A member's role, as it says itself.
+/// An endpoint's role, as it says itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It leads its group.
+    /// It leads its replica set.
     Primary,
     /// It follows.
     Replica,
 }
 
-/// What a member said of itself: with an answer as of that answer, in a report as of some time earlier.
+/// What an endpoint said of itself: with an answer as of that answer, in a report as of some time earlier.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct ReplicationStatus {
     /// Its role.
     pub role: Option<Role>,
     /// All commits up to this time are applied there; for a served write, the time of its commit.
-    pub position: Option<Time>,
+    pub applied_position: Option<Timestamp>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// Answered.
     Served,
-    /// The member returned an error; an effect may have occurred.
+    /// The endpoint returned an error; an effect may have occurred.
     Error,
-    /// Turned away unseen: the member is full or draining.
-    Full,
+    /// Turned away unseen: the endpoint is full or draining.
+    Overloaded,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection was made.
     ConnectFailed,
     /// The connection broke; it may have run.
-    Reset,
+    ConnectionReset,
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    Abandoned,
     /// Turned away untouched: not the primary, or too far behind.
-    Miss,
+    Misrouted,
     /// An answer came that can't be read; it has run.
-    Spoilt,
-    /// The host had no means of sending it in time: it says nothing of the member.
-    Unsent,
-    /// The member takes the request for none, as any other would.
-    Rejected,
+    MalformedResponse,
+    /// The host had no means of sending it in time: it says nothing of the endpoint.
+    NotSent,
+    /// The endpoint takes the request for none, as any other would.
+    InvalidRequest,
 }
 
-impl Ending {
+impl AttemptOutcome {
     /// Whether this ending proves that the attempt never ran.
-    pub fn never_ran(self) -> bool {
+    pub fn is_never_executed(self) -> bool {
         matches!(
             self,
-            Ending::Full
-                | Ending::ConnectFailed
-                | Ending::Moot
-                | Ending::Miss
-                | Ending::Unsent
-                | Ending::Rejected
+            AttemptOutcome::Overloaded
+                | AttemptOutcome::ConnectFailed
+                | AttemptOutcome::Abandoned
+                | AttemptOutcome::Misrouted
+                | AttemptOutcome::NotSent
+                | AttemptOutcome::InvalidRequest
         )
     }
 }
 
 /// How an attempt ended. Every [`Action::Send`] gets exactly one.
 #[derive(Debug, Clone)]
-pub struct Outcome {
+pub struct AttemptEnded {
     /// The request.
     pub request: RequestId,
-    /// The member.
-    pub member: MemberId,
+    /// The endpoint.
+    pub endpoint: EndpointId,
     /// The attempt, counted from 0 in the order of the request's sends.
     pub attempt: u32,
     /// How it ended.
-    pub ending: Ending,
-    /// What the answer said of the member.
-    pub standing: Standing,
+    pub outcome: AttemptOutcome,
+    /// What the answer said of the endpoint.
+    pub replication: ReplicationStatus,
     /// The report that came along, if any.
-    pub report: Standing,
+    pub report: ReplicationStatus,
     /// Time since it was sent.
-    pub latency: Span,
+    pub latency: Nanos,
     /// The request is over, by this outcome or before it.
     pub closed: bool,
 }
@@ -389,25 +399,25 @@
 /// What has happened.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// News of the members.
+    /// News of the endpoints.
     List {
         /// What kind of list.
         kind: ListKind,
         /// Its entries; none with [`ListKind::Failed`].
-        entries: Vec<Entry>,
+        entries: Vec<EndpointEntry>,
     },
     /// A client's request.
     Request(Request),
     /// The end of an attempt.
-    Outcome(Outcome),
+    AttemptEnded(AttemptEnded),
     /// A streamed answer has begun: the request's deadline ceases to apply.
-    Started {
+    ResponseStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: u32,
-        /// The member.
-        member: MemberId,
+        /// The endpoint.
+        endpoint: EndpointId,
     },
     /// The client has left; nothing more is owed.
     ClientLeft {
@@ -420,71 +430,71 @@
         token: u64,
     },
     /// The result of a probe.
-    Probed {
-        /// The member.
-        member: MemberId,
+    ProbeEnded {
+        /// The endpoint.
+        endpoint: EndpointId,
         /// How the probe ended.
-        ending: Ending,
-        /// What the member reported.
-        report: Standing,
+        outcome: AttemptOutcome,
+        /// What the endpoint reported.
+        report: ReplicationStatus,
     },
 }
 
 /// Why a request was given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cause {
+pub enum RejectReason {
     /// No such class.
-    Class,
-    /// The list names no member of its group.
-    Group,
+    UnknownClass,
+    /// The list names no endpoint of its replica set.
+    UnknownReplicaSet,
     /// Too little of its time is left for an answer that is worth something.
-    Late,
+    DeadlineTooClose,
     /// It has had as many attempts as are allowed.
-    Attempts,
-    /// No member of its group can take it within half of its time.
-    Nobody,
-    /// The member in turn is likely to answer too late: overload.
-    Crowded,
+    AttemptLimitReached,
+    /// No endpoint of its replica set can take it within half of its time.
+    NoEligibleEndpoint,
+    /// The endpoint in turn is likely to answer too late: overload.
+    LoadShed,
     /// It may have run, and its class or its key's window does not allow another attempt.
-    Unsafe,
+    NotRetryable,
     /// An attempt was silent until its time was over.
-    Silent,
+    AttemptTimedOut,
     /// The reserve of further attempts is spent.
-    Reserve,
-    /// A member took it for no request.
-    Unfit,
+    RetryBudgetExhausted,
+    /// An endpoint took it for no request.
+    InvalidRequest,
 }
 
-/// What the proxy is to do.
+/// What the router is to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send the request to a member.
+    /// Send the request to an endpoint.
     Send {
         /// The request.
         request: RequestId,
-        /// The member.
-        member: MemberId,
+        /// The endpoint.
+        endpoint: EndpointId,
         /// Give the attempt up after this time; none: when the client gives up.
-        limit: Option<Span>,
+        limit: Option<Nanos>,
         /// It must not begin to run later than this: a copy that may have run is then forgotten by its key. Counts
         /// where a host has to wait before it can send; one that comes too late ends as [`Ending::Unsent`].
-        by: Option<Time>,
+        by: Option<Timestamp>,
     },
     /// Final answer: not done, and trying again does no harm.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// Why.
-        cause: Cause,
+        reason: RejectReason,
         /// How long the client should stay away.
-        retry_after: Option<Span>,
+        retry_after: Option<Nanos>,
     },
     /// Final answer: failed, with no assurance about its effect.
     Fail {
         /// The request.
         request: RequestId,
         /// Why.
-        cause: Cause,
+        reason: RejectReason,
     },
     /// Stop waiting for an attempt.
     Cancel {
@@ -496,14 +506,14 @@
     /// Ask for an [`Event::Timer`].
     SetTimer {
         /// From now.
-        after: Span,
+        after: Nanos,
         /// Handed back with the event.
         token: u64,
     },
-    /// Ask a member for its health.
+    /// Ask an endpoint for its health.
     Probe {
-        /// The member.
-        member: MemberId,
+        /// The endpoint.
+        endpoint: EndpointId,
     },
     /// Ask for changes of the list from now on.
     Subscribe,
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,64 +1,80 @@
-//! A small cluster for tests: settings, and a host that keeps what the brain asked for.
+//! A small cluster for tests: settings, and a host that keeps what the balancer asked for.
 #![allow(dead_code)]
 
 use reelrill_routing::*;
 use std::sync::Arc;
 
-pub const MS: Time = 1_000_000;
-pub const T0: Time = 1_000_000 * MS;
+pub const MS: Timestamp = 1_000_000;
+pub const T0: Timestamp = 1_000_000 * MS;
 pub const BOUNDED: u32 = 0;
 pub const SESSION: u32 = 1;
 pub const WRITE: u32 = 2;
 pub const FRESH: u32 = 3;
 pub const KEYED: u32 = 4;
 
-pub fn class(need: Need, repeat: Repeat) -> Class {
+pub fn class(operation: Operation, idempotency: Idempotency) -> Class {
     Class {
-        need,
-        repeat,
-        window: 3000 * MS,
-        aim: 400 * MS,
-        aim_stretch: 0.0,
+        operation,
+        idempotency,
+        deduplication_window: 3000 * MS,
+        latency_objective: 400 * MS,
+        objective_stretch: 0.0,
         deadline: 2000 * MS,
-        worth: 1.0,
-        late_worth: if need == Need::Write { 0.3 } else { 0.0 },
+        priority_weight: 1.0,
+        late_weight: if operation == Operation::Write {
+            0.3
+        } else {
+            0.0
+        },
     }
 }
 
 pub fn settings() -> Settings {
     Settings {
-        proxies: 2,
+        router_count: 2,
         zone: 0,
         round: 5 * MS,
         classes: vec![
-            class(Need::Bounded(300 * MS), Repeat::Safe),
-            class(Need::Session, Repeat::Safe),
-            class(Need::Write, Repeat::Unsafe),
-            class(Need::Fresh, Repeat::Safe),
-            class(Need::Write, Repeat::Keyed(Scope::Group)),
+            class(
+                Operation::Read(Consistency::BoundedStaleness(300 * MS)),
+                Idempotency::Idempotent,
+            ),
+            class(
+                Operation::Read(Consistency::ReadYourWrites),
+                Idempotency::Idempotent,
+            ),
+            class(Operation::Write, Idempotency::NonIdempotent),
+            class(
+                Operation::Read(Consistency::Strong),
+                Idempotency::Idempotent,
+            ),
+            class(
+                Operation::Write,
+                Idempotency::IdempotencyKey(KeyScope::ReplicaSet),
+            ),
         ],
         tenants: Vec::new(),
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         reports: ReportSource::Silent,
         positions: true,
-        tokens_carried: false,
-        guard: Guard::Silent,
+        sessions_carry_position: false,
+        stale_reads: StaleReadPolicy::Serve,
         list_role: ListRole::Late,
         must_subscribe: false,
         rules: Rules {
             drain_grace: 1000 * MS,
             only_draining_binds: false,
-            cold_from: 0.2,
-            warm_after: 10_000 * MS,
-            fall_multiple: 3.0,
-            fall: 1000 * MS,
-            ask_every: 10_000 * MS,
+            slow_start_initial_fraction: 0.2,
+            slow_start_duration: 10_000 * MS,
+            overload_multiple: 3.0,
+            overload_window: 1000 * MS,
+            poll_interval: 10_000 * MS,
         },
         limits: Limits {
             max_attempts: 6,
             probes: true,
             cancel: true,
-            second_copies: true,
+            hedging: true,
             retry_advice: true,
             max_retry_advice: 500 * MS,
             connect_timeout: 250 * MS,
@@ -66,41 +82,41 @@
     }
 }
 
-pub fn entry(name: &str, primary: bool) -> Entry {
-    Entry {
-        member: Arc::from(name),
+pub fn entry(name: &str, primary: bool) -> EndpointEntry {
+    EndpointEntry {
+        endpoint: Arc::from(name),
         started: 0,
         primary,
-        state: State::Serving,
+        state: EndpointState::Serving,
         weight: 1.0,
-        group: 1,
+        replica_set: 1,
         zone: 0,
     }
 }
 
 pub struct Host {
-    pub brain: Brain,
-    pub now: Time,
+    pub balancer: Balancer,
+    pub now: Timestamp,
     pub next: RequestId,
-    timers: Vec<Time>,
+    timers: Vec<Timestamp>,
 }
 
 impl Host {
-    /// Members `a` (listed as the primary), `b` and `c`.
+    /// Endpoints `a` (listed as the primary), `b` and `c`.
     pub fn new(set: Settings) -> Host {
         Host::seeded(set, 7)
     }
 
     pub fn seeded(set: Settings, seed: u64) -> Host {
         let mut host = Host {
-            brain: Brain::new(seed, set).unwrap(),
+            balancer: Balancer::new(seed, set).unwrap(),
             now: T0,
             next: 1,
             timers: Vec::new(),
         };
         let entries = vec![entry("a", true), entry("b", false), entry("c", false)];
         host.feed(Event::List {
-            kind: ListKind::Remembered,
+            kind: ListKind::Cached,
             entries,
         });
         host
@@ -108,7 +124,7 @@
 
     pub fn feed(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.brain.handle(self.now, event, &mut out);
+        self.balancer.handle(self.now, event, &mut out);
         for a in &out {
             if let Action::SetTimer { after, .. } = a {
                 self.timers.push(self.now + after);
@@ -118,7 +134,7 @@
     }
 
     /// Moves the clock on and feeds the timers that come due; returns all that was asked for.
-    pub fn wait(&mut self, span: Span) -> Vec<Action> {
+    pub fn wait(&mut self, span: Nanos) -> Vec<Action> {
         let (end, mut all) = (self.now + span, Vec::new());
         while let Some(&t) = self.timers.iter().filter(|t| **t <= end).min() {
             self.timers.retain(|x| *x != t);
@@ -135,7 +151,7 @@
         let req = Request {
             id,
             class,
-            group: 1,
+            replica_set: 1,
             session: Some(Arc::from("s")),
             since_write: None,
             tenant: None,
@@ -151,44 +167,50 @@
         id: RequestId,
         to: &str,
         n: u32,
-        ending: Ending,
-        s: Standing,
+        outcome: AttemptOutcome,
+        s: ReplicationStatus,
     ) -> Vec<Action> {
-        let o = Outcome {
+        let o = AttemptEnded {
             request: id,
-            member: Arc::from(to),
+            endpoint: Arc::from(to),
             attempt: n,
-            ending,
-            standing: s,
-            report: Standing::default(),
+            outcome,
+            replication: s,
+            report: ReplicationStatus::default(),
             latency: 50 * MS,
-            closed: ending == Ending::Served,
+            closed: outcome == AttemptOutcome::Served,
         };
-        self.feed(Event::Outcome(o))
+        self.feed(Event::AttemptEnded(o))
     }
 
-    /// Sends a request and serves it at once wherever it went; returns the member.
-    pub fn serve(&mut self, class: u32, position: Time) -> String {
+    /// Sends a request and serves it at once wherever it went; returns the endpoint.
+    pub fn serve(&mut self, class: u32, applied_position: Timestamp) -> String {
         let (id, mut out) = self.request(class);
         for n in 0.. {
             let to = sent(&out).expect("sent").to_string();
             let write = class == WRITE || class == KEYED;
             if write && to != "a" {
-                out = self.outcome(id, &to, n, Ending::Miss, replica(position));
+                out = self.outcome(
+                    id,
+                    &to,
+                    n,
+                    AttemptOutcome::Misrouted,
+                    replica(applied_position),
+                );
                 continue;
             }
             let s = if to == "a" {
-                primary(position)
+                primary(applied_position)
             } else {
-                replica(position)
+                replica(applied_position)
             };
-            self.outcome(id, &to, n, Ending::Served, s);
+            self.outcome(id, &to, n, AttemptOutcome::Served, s);
             return to;
         }
         unreachable!()
     }
 
-    /// Lets every member show its role and position.
+    /// Lets every endpoint show its role and position.
     pub fn warm_up(&mut self) {
         for _ in 0..12 {
             self.serve(SESSION, self.now);
@@ -196,24 +218,24 @@
     }
 }
 
-pub fn primary(position: Time) -> Standing {
-    Standing {
+pub fn primary(applied_position: Timestamp) -> ReplicationStatus {
+    ReplicationStatus {
         role: Some(Role::Primary),
-        position: Some(position),
+        applied_position: Some(applied_position),
     }
 }
 
-pub fn replica(position: Time) -> Standing {
-    Standing {
+pub fn replica(applied_position: Timestamp) -> ReplicationStatus {
+    ReplicationStatus {
         role: Some(Role::Replica),
-        position: Some(position),
+        applied_position: Some(applied_position),
     }
 }
 
 pub fn sent(out: &[Action]) -> Option<&str> {
     out.iter().find_map(|a| {
-        if let Action::Send { member, .. } = a {
-            Some(&**member)
+        if let Action::Send { endpoint, .. } = a {
+            Some(&**endpoint)
         } else {
             None
         }
@@ -221,7 +243,7 @@
 }
 
 pub fn refused(out: &[Action]) -> bool {
-    out.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    out.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(out: &[Action]) -> bool {
--- a/crates/routing/tests/failures.rs
+++ b/crates/routing/tests/failures.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_session_read_goes_only_to_members_that_have_its_write() {
+fn a_session_read_goes_only_to_endpoints_that_have_its_write() {
     let mut h = Host::new(settings());
     h.warm_up();
     assert_eq!(h.serve(WRITE, h.now + 5 * MS), "a");
@@ -41,7 +41,7 @@
         Some("a"),
         "no replica is known to have the write"
     );
-    h.outcome(id, "a", 0, Ending::Served, primary(h.now));
+    h.outcome(id, "a", 0, AttemptOutcome::Served, primary(h.now));
 }
 
 #[test]
@@ -50,7 +50,7 @@
     let req = Request {
         id: 9,
         class: BOUNDED,
-        group: 1,
+        replica_set: 1,
         session: None,
         since_write: None,
         tenant: None,
@@ -63,13 +63,19 @@
 }
 
 #[test]
-fn one_time_out_does_not_take_a_busy_member_out() {
+fn one_time_out_does_not_take_a_busy_endpoint_out() {
     let mut h = Host::new(settings());
     h.warm_up();
     let (id, out) = h.request(BOUNDED);
     let to = sent(&out).unwrap().to_string();
     h.wait(60 * MS);
-    h.outcome(id, &to, 0, Ending::TimedOut, Standing::default());
+    h.outcome(
+        id,
+        &to,
+        0,
+        AttemptOutcome::TimedOut,
+        ReplicationStatus::default(),
+    );
     let mut got = Vec::new();
     for _ in 0..4 {
         got.push(h.serve(SESSION, h.now));
@@ -93,7 +99,7 @@
             } else {
                 replica(h.now)
             };
-            h.outcome(id, &to, 0, Ending::Served, s);
+            h.outcome(id, &to, 0, AttemptOutcome::Served, s);
         }
     }
     assert!(!waiting.is_empty());
@@ -104,19 +110,19 @@
     // Its requests time out; what is held against it fades, and it is tried again.
     h.wait(1600 * MS);
     for request in waiting {
-        let (standing, report) = (Standing::default(), Standing::default());
-        let (member, ending, latency) = (Arc::from("b"), Ending::TimedOut, 2000 * MS);
-        let o = Outcome {
+        let (replication, report) = (ReplicationStatus::default(), ReplicationStatus::default());
+        let (endpoint, outcome, latency) = (Arc::from("b"), AttemptOutcome::TimedOut, 2000 * MS);
+        let o = AttemptEnded {
             request,
-            member,
+            endpoint,
             attempt: 0,
-            ending,
-            standing,
+            outcome,
+            replication,
             report,
             latency,
             closed: false,
         };
-        h.feed(Event::Outcome(o));
+        h.feed(Event::AttemptEnded(o));
     }
     assert_ne!(h.serve(SESSION, h.now), "b", "a time-out is no good news");
     let back = (0..300).find(|_| {
@@ -130,7 +136,7 @@
 }
 
 #[test]
-fn a_member_out_of_reach_rests_for_longer_each_time_and_no_probe_brings_it_back() {
+fn a_endpoint_out_of_reach_rests_for_longer_each_time_and_no_probe_brings_it_back() {
     let mut h = Host::new(settings());
     h.warm_up();
     let mut tries = Vec::new();
@@ -142,12 +148,18 @@
             };
             if to == "b" {
                 tries.push(h.now);
-                out = h.outcome(id, "b", n, Ending::ConnectFailed, Standing::default());
+                out = h.outcome(
+                    id,
+                    "b",
+                    n,
+                    AttemptOutcome::ConnectFailed,
+                    ReplicationStatus::default(),
+                );
                 // Its process may well answer a probe: its connection table is full.
-                let (member, report) = (Arc::from("b"), Standing::default());
-                out.extend(h.feed(Event::Probed {
-                    member,
-                    ending: Ending::Served,
+                let (endpoint, report) = (Arc::from("b"), ReplicationStatus::default());
+                out.extend(h.feed(Event::ProbeEnded {
+                    endpoint,
+                    outcome: AttemptOutcome::Served,
                     report,
                 }));
                 continue;
@@ -157,7 +169,7 @@
             } else {
                 replica(h.now)
             };
-            h.outcome(id, &to, n, Ending::Served, s);
+            h.outcome(id, &to, n, AttemptOutcome::Served, s);
             break;
         }
         h.wait(10 * MS);
@@ -188,20 +200,20 @@
         let to = sent(&out).unwrap().to_string();
         if to == "b" {
             to_bad += 1;
-            let out = h.outcome(id, "b", 0, Ending::Error, replica(h.now));
+            let out = h.outcome(id, "b", 0, AttemptOutcome::Error, replica(h.now));
             if let Some(m) = sent(&out).map(str::to_string) {
                 let s = if m == "a" {
                     primary(h.now)
                 } else {
                     replica(h.now)
                 };
-                h.outcome(id, &m, 1, Ending::Served, s);
+                h.outcome(id, &m, 1, AttemptOutcome::Served, s);
             }
-            let member: MemberId = Arc::from("b");
-            h.feed(Event::Probed {
-                member,
-                ending: Ending::Served,
-                report: Standing::default(),
+            let endpoint: EndpointId = Arc::from("b");
+            h.feed(Event::ProbeEnded {
+                endpoint,
+                outcome: AttemptOutcome::Served,
+                report: ReplicationStatus::default(),
             });
         } else {
             let s = if to == "a" {
@@ -209,7 +221,7 @@
             } else {
                 replica(h.now)
             };
-            h.outcome(id, &to, 0, Ending::Served, s);
+            h.outcome(id, &to, 0, AttemptOutcome::Served, s);
         }
         if i % 4 == 0 {
             h.wait(5 * MS);
@@ -224,17 +236,23 @@
     h.warm_up();
     let (id, out) = h.request(WRITE);
     assert_eq!(sent(&out), Some("a"));
-    let out = h.outcome(id, "a", 0, Ending::Reset, Standing::default());
+    let out = h.outcome(
+        id,
+        "a",
+        0,
+        AttemptOutcome::ConnectionReset,
+        ReplicationStatus::default(),
+    );
     assert!(failed(&out) && sent(&out).is_none());
 }
 
 #[test]
-fn a_keyed_write_is_repeated_inside_its_group_and_window() {
+fn a_keyed_write_is_repeated_inside_its_replica_set_and_window() {
     let mut h = Host::new(settings());
     h.warm_up();
     let (id, out) = h.request(KEYED);
     assert_eq!(sent(&out), Some("a"));
-    let out = h.outcome(id, "a", 0, Ending::Error, primary(h.now));
+    let out = h.outcome(id, "a", 0, AttemptOutcome::Error, primary(h.now));
     assert_eq!(
         sent(&out),
         Some("a"),
@@ -248,7 +266,13 @@
     h.warm_up();
     let (id, out) = h.request(WRITE);
     assert_eq!(sent(&out), Some("a"));
-    let out = h.outcome(id, "a", 0, Ending::ConnectFailed, Standing::default());
+    let out = h.outcome(
+        id,
+        "a",
+        0,
+        AttemptOutcome::ConnectFailed,
+        ReplicationStatus::default(),
+    );
     assert!(
         !refused(&out) && !failed(&out),
         "it never ran and has time left"
@@ -256,9 +280,9 @@
     // A read shows who leads now.
     let (read, out) = h.request(SESSION);
     let to = sent(&out).unwrap().to_string();
-    let mut moved = h.outcome(read, &to, 0, Ending::Served, primary(h.now));
+    let mut moved = h.outcome(read, &to, 0, AttemptOutcome::Served, primary(h.now));
     moved.extend(h.wait(60 * MS));
-    let to_new = |a: &Action| matches!(a, Action::Send { request, member, .. } if *request == id && **member == *to);
+    let to_new = |a: &Action| matches!(a, Action::Send { request, endpoint, .. } if *request == id && **endpoint == *to);
     assert!(
         moved.iter().any(to_new) || sent(&out) == Some(&*to),
         "{moved:?}"
@@ -273,22 +297,22 @@
     let mut h = Host::new(set);
     let (id, out) = h.request(WRITE);
     let first = sent(&out).unwrap().to_string();
-    let out = h.outcome(id, &first, 0, Ending::Miss, replica(h.now));
+    let out = h.outcome(id, &first, 0, AttemptOutcome::Misrouted, replica(h.now));
     assert!(sent(&out).is_some_and(|m| m != first));
 }
 
 #[test]
-fn nothing_new_goes_to_a_draining_member_after_its_grace() {
+fn nothing_new_goes_to_a_draining_endpoint_after_its_grace() {
     let mut h = Host::new(settings());
     h.warm_up();
     let mut e = entry("b", false);
-    e.state = State::Draining;
+    e.state = EndpointState::Draining;
     h.feed(Event::List {
         kind: ListKind::Changes,
         entries: vec![e],
     });
     let mut p = entry("a", true);
-    p.state = State::Draining;
+    p.state = EndpointState::Draining;
     h.feed(Event::List {
         kind: ListKind::Changes,
         entries: vec![p],
@@ -311,7 +335,7 @@
         let mut h = Host::new(set);
         h.warm_up();
         let mut primary = entry("a", true);
-        primary.state = State::Draining;
+        primary.state = EndpointState::Draining;
         h.feed(Event::List {
             kind: ListKind::Changes,
             entries: vec![primary],
@@ -326,7 +350,7 @@
 }
 
 #[test]
-fn a_cold_member_gets_a_share_but_is_not_left_idle() {
+fn a_cold_endpoint_gets_a_share_but_is_not_left_idle() {
     let mut h = Host::new(settings());
     h.warm_up();
     let mut e = entry("c", false);
@@ -354,17 +378,23 @@
     let (id, out) = h.request(WRITE);
     let shown = sent(&out).unwrap().to_string();
     assert_ne!(shown, "a");
-    let out = h.outcome(id, &shown, 0, Ending::Miss, replica(h.now - 10 * MS));
+    let out = h.outcome(
+        id,
+        &shown,
+        0,
+        AttemptOutcome::Misrouted,
+        replica(h.now - 10 * MS),
+    );
     let mut all = out;
     let to = sent(&all).unwrap().to_string();
     assert_eq!(to, "a", "the write goes on at once");
-    h.outcome(id, "a", 1, Ending::Served, primary(h.now));
+    h.outcome(id, "a", 1, AttemptOutcome::Served, primary(h.now));
     all = h.request(BOUNDED).1;
     assert_eq!(sent(&all), Some(&*shown));
 }
 
 #[test]
-fn a_broken_subscription_is_renewed_soon_at_times_that_differ_between_proxies() {
+fn a_broken_subscription_is_renewed_soon_at_times_that_differ_between_routers() {
     let mut set = settings();
     set.must_subscribe = true;
     let mut at = std::collections::BTreeSet::new();
@@ -372,7 +402,7 @@
         let mut h = Host::seeded(set.clone(), seed);
         h.wait(1000 * MS);
         h.feed(Event::List {
-            kind: ListKind::Whole,
+            kind: ListKind::Full,
             entries: vec![entry("a", true)],
         });
         h.feed(Event::List {
@@ -392,11 +422,16 @@
     let mut refused = 0;
     for _ in 0..400 {
         for a in h.request(SESSION).1 {
-            if let Action::Refuse {
-                cause, retry_after, ..
+            if let Action::Reject {
+                reason,
+                retry_after,
+                ..
             } = a
             {
-                assert_eq!((cause, retry_after.is_some()), (Cause::Crowded, true));
+                assert_eq!(
+                    (reason, retry_after.is_some()),
+                    (RejectReason::LoadShed, true)
+                );
                 refused += 1;
             }
         }
@@ -406,13 +441,19 @@
 }
 
 #[test]
-fn the_list_cannot_make_a_primary_of_a_member_that_said_it_follows() {
+fn the_list_cannot_make_a_primary_of_a_endpoint_that_said_it_follows() {
     let mut h = Host::new(settings());
     h.warm_up();
-    h.outcome(77, "a", 0, Ending::Served, replica(h.now));
+    h.outcome(77, "a", 0, AttemptOutcome::Served, replica(h.now));
     let (id, out) = h.request(WRITE);
     assert_eq!(sent(&out), Some("a"));
-    h.outcome(id, "a", 0, Ending::Miss, replica(h.now - 900 * MS));
+    h.outcome(
+        id,
+        "a",
+        0,
+        AttemptOutcome::Misrouted,
+        replica(h.now - 900 * MS),
+    );
     h.wait(6000 * MS);
     h.feed(Event::List {
         kind: ListKind::Changes,
@@ -429,9 +470,9 @@
 #[test]
 fn contradicting_settings_are_named() {
     let mut set = settings();
-    set.classes[1].aim = set.classes[1].deadline + 1;
+    set.classes[1].latency_objective = set.classes[1].deadline + 1;
     assert!(
-        Brain::new(1, set)
+        Balancer::new(1, set)
             .err()
             .unwrap()
             .to_string()
@@ -439,7 +480,7 @@
     );
     let mut set = settings();
     set.classes.clear();
-    assert!(Brain::new(1, set).is_err());
+    assert!(Balancer::new(1, set).is_err());
 }
 
 #[test]
@@ -457,7 +498,7 @@
     let (id, out) = h.request(WRITE);
     assert_eq!(sent(&out), Some("a"));
     h.feed(Event::ClientLeft { request: id });
-    h.outcome(id, "a", 0, Ending::Served, primary(h.now + 5 * MS));
+    h.outcome(id, "a", 0, AttemptOutcome::Served, primary(h.now + 5 * MS));
     let (_, out) = h.request(SESSION);
     assert_eq!(
         sent(&out),
@@ -469,13 +510,13 @@
 #[test]
 fn a_keyed_write_is_not_repeated_once_its_key_may_be_forgotten() {
     let mut set = settings();
-    set.classes[KEYED as usize].window = 100 * MS;
+    set.classes[KEYED as usize].deduplication_window = 100 * MS;
     let mut h = Host::new(set);
     h.warm_up();
     let (id, out) = h.request(KEYED);
     assert_eq!(sent(&out), Some("a"));
     h.wait(150 * MS);
-    let mut out = h.outcome(id, "a", 0, Ending::Error, primary(h.now));
+    let mut out = h.outcome(id, "a", 0, AttemptOutcome::Error, primary(h.now));
     out.extend(h.wait(2000 * MS));
     assert!(failed(&out) && sent(&out).is_none(), "{out:?}");
 }
@@ -485,15 +526,15 @@
 #[test]
 fn a_write_that_may_have_run_binds_its_session() {
     let cases = [
-        (Ending::Reset, true),
-        (Ending::Spoilt, true),
-        (Ending::TimedOut, true),
-        (Ending::Cancelled, true),
-        (Ending::Served, true),
-        (Ending::Full, false),
-        (Ending::Moot, false),
+        (AttemptOutcome::ConnectionReset, true),
+        (AttemptOutcome::MalformedResponse, true),
+        (AttemptOutcome::TimedOut, true),
+        (AttemptOutcome::Cancelled, true),
+        (AttemptOutcome::Served, true),
+        (AttemptOutcome::Overloaded, false),
+        (AttemptOutcome::Abandoned, false),
     ];
-    for (ending, binds) in cases {
+    for (outcome, binds) in cases {
         let mut h = Host::new(settings());
         h.warm_up();
         let before = h.now;
@@ -501,10 +542,10 @@
         let (id, out) = h.request(WRITE);
         assert_eq!(sent(&out), Some("a"));
         h.wait(50 * MS);
-        h.outcome(id, "a", 0, ending, Standing::default());
+        h.outcome(id, "a", 0, outcome, ReplicationStatus::default());
         h.feed(Event::ClientLeft { request: id });
         let to: Vec<String> = (0..6).map(|_| h.serve(SESSION, before)).collect();
-        assert_eq!(to.iter().all(|to| to == "a"), binds, "{ending:?}: {to:?}");
+        assert_eq!(to.iter().all(|to| to == "a"), binds, "{outcome:?}: {to:?}");
     }
 }
 
@@ -545,12 +586,12 @@
         for n in 0..copies {
             let to = sent(&out).unwrap().to_string();
             h.wait(100 * MS);
-            let standing = if to == "a" {
+            let replication = if to == "a" {
                 primary(h.now)
             } else {
                 replica(h.now)
             };
-            out = h.outcome(id, &to, n, Ending::Reset, standing);
+            out = h.outcome(id, &to, n, AttemptOutcome::ConnectionReset, replication);
             out.extend(h.wait(300 * MS));
             assert_eq!(
                 by(&out),
@@ -561,22 +602,28 @@
     }
 }
 
-/// Guards a member's health against answers that are spoilt on their way: one says nothing of it, only three
-/// without a good one between them do. A request that may be repeated goes on to another member.
+/// Guards an endpoint's health against answers that are spoilt on their way: one says nothing of it, only three
+/// without a good one between them do. A request that may be repeated goes on to another endpoint.
 #[test]
-fn a_spoilt_answer_costs_its_member_nothing_until_nothing_else_comes() {
+fn a_spoilt_answer_costs_its_endpoint_nothing_until_nothing_else_comes() {
     let mut h = Host::new(settings());
     h.warm_up();
     let spoil = |h: &mut Host, wanted: &str| loop {
         let (id, out) = h.request(BOUNDED);
         let to = sent(&out).unwrap().to_string();
         let (n, to) = if to == wanted {
-            let out = h.outcome(id, &to, 0, Ending::Spoilt, Standing::default());
+            let out = h.outcome(
+                id,
+                &to,
+                0,
+                AttemptOutcome::MalformedResponse,
+                ReplicationStatus::default(),
+            );
             (1, sent(&out).expect("another attempt").to_string())
         } else {
             (0, to)
         };
-        h.outcome(id, &to, n, Ending::Served, replica(h.now));
+        h.outcome(id, &to, n, AttemptOutcome::Served, replica(h.now));
         if n == 1 {
             return;
         }
@@ -590,17 +637,23 @@
     assert_eq!(share(&mut h), 0);
 }
 
-/// Guards a warm member against being taken for one that has restarted: one broken connection, and a log as far
+/// Guards a warm endpoint against being taken for one that has restarted: one broken connection, and a log as far
 /// behind as ever, are no sign of a cold start, which would cost it most of its reads for many seconds.
 #[test]
-fn a_broken_connection_does_not_make_a_member_cold() {
+fn a_broken_connection_does_not_make_a_endpoint_cold() {
     let mut h = Host::new(settings());
     h.warm_up();
     let (id, out) = h.request(BOUNDED);
     let to = sent(&out).unwrap().to_string();
-    let out = h.outcome(id, &to, 0, Ending::Reset, Standing::default());
+    let out = h.outcome(
+        id,
+        &to,
+        0,
+        AttemptOutcome::ConnectionReset,
+        ReplicationStatus::default(),
+    );
     let other = sent(&out).unwrap().to_string();
-    h.outcome(id, &other, 1, Ending::Served, replica(h.now));
+    h.outcome(id, &other, 1, AttemptOutcome::Served, replica(h.now));
     h.wait(350 * MS);
     let got: Vec<String> = (0..24)
         .map(|_| h.serve(SESSION, h.now - 200 * MS))
@@ -608,7 +661,7 @@
     assert_eq!(got.iter().filter(|m| **m == to).count(), 12, "{got:?}");
 }
 
-/// Guards the long day: members that are replaced one after the other are forgotten, but not while an attempt on
+/// Guards the long day: endpoints that are replaced one after the other are forgotten, but not while an attempt on
 /// one is out; its request then goes on elsewhere.
 #[test]
 fn members_that_are_gone_are_forgotten() {
@@ -617,7 +670,7 @@
     let (id, out) = h.request(BOUNDED);
     let to = sent(&out).unwrap().to_string();
     let change = |name: &str, state| {
-        let entries = vec![Entry {
+        let entries = vec![EndpointEntry {
             state,
             ..entry(name, false)
         }];
@@ -626,57 +679,69 @@
             entries,
         }
     };
-    h.feed(change(&to, State::Gone));
-    assert_eq!(h.brain.known(), 3);
-    let out = h.outcome(id, &to, 0, Ending::Reset, Standing::default());
+    h.feed(change(&to, EndpointState::Removed));
+    assert_eq!(h.balancer.known(), 3);
+    let out = h.outcome(
+        id,
+        &to,
+        0,
+        AttemptOutcome::ConnectionReset,
+        ReplicationStatus::default(),
+    );
     let other = sent(&out).expect("goes on").to_string();
-    h.outcome(id, &other, 1, Ending::Served, replica(h.now));
+    h.outcome(id, &other, 1, AttemptOutcome::Served, replica(h.now));
     for n in 0..200 {
         h.wait(100 * MS);
-        h.feed(change(&format!("n{n}"), State::Serving));
+        h.feed(change(&format!("n{n}"), EndpointState::Serving));
         h.serve(SESSION, h.now);
-        h.feed(change(&format!("n{n}"), State::Gone));
+        h.feed(change(&format!("n{n}"), EndpointState::Removed));
     }
     h.wait(10_001 * MS);
     h.feed(Event::List {
         kind: ListKind::Changes,
         entries: Vec::new(),
     });
-    assert_eq!(h.brain.known(), 2);
+    assert_eq!(h.balancer.known(), 2);
     assert!((0..4).all(|_| ["a", &other].contains(&&*h.serve(SESSION, h.now))));
 }
 
-/// Guards a member against resting for one connection that broke: its requests would be held or refused though
+/// Guards an endpoint against resting for one connection that broke: its requests would be held or refused though
 /// its other connections answer. Three in a row, as of a process that died, do rest it.
 #[test]
-fn one_broken_connection_does_not_rest_its_member() {
+fn one_broken_connection_does_not_rest_its_endpoint() {
     let mut h = Host::new(settings());
     (0..4).for_each(|_| h.warm_up());
     let reset = |h: &mut Host| {
         let (id, out) = h.request(FRESH);
         assert_eq!(sent(&out), Some("a"));
-        let out = h.outcome(id, "a", 0, Ending::Reset, Standing::default());
+        let out = h.outcome(
+            id,
+            "a",
+            0,
+            AttemptOutcome::ConnectionReset,
+            ReplicationStatus::default(),
+        );
         sent(&out).map(|m| (id, m.to_string()))
     };
     let (id, again) = reset(&mut h).expect("goes out again at once");
-    h.outcome(id, &again, 1, Ending::Served, primary(h.now));
+    h.outcome(id, &again, 1, AttemptOutcome::Served, primary(h.now));
     assert_eq!(reset(&mut h).expect("an answer has come in between").1, "a");
     assert!(reset(&mut h).is_some());
     assert_eq!(reset(&mut h), None, "the third in a row");
 }
 
-/// Guards a group whose members are all out of reach: what could not be sent in the first half of its time is
-/// refused at once, a member is tried again before long, and one that the list says has started again at once.
+/// Guards a replica set whose endpoints are all out of reach: what could not be sent in the first half of its time is
+/// refused at once, an endpoint is tried again before long, and one that the list says has started again at once.
 #[test]
-fn a_group_that_is_all_out_of_reach_is_refused_early_and_found_back_soon() {
+fn a_replica_set_that_is_all_out_of_reach_is_refused_early_and_found_back_soon() {
     let mut h = Host::new(settings());
     (0..4).for_each(|_| h.warm_up());
     let mut sends = std::collections::HashMap::new();
-    // No member can be reached: whatever is sent comes back at once.
+    // No endpoint can be reached: whatever is sent comes back at once.
     let mut lose = |h: &mut Host, mut out: Vec<Action>| {
         while let Some(action) = out.pop() {
             let Action::Send {
-                request, member, ..
+                request, endpoint, ..
             } = action
             else {
                 continue;
@@ -685,10 +750,10 @@
             *n += 1;
             out.extend(h.outcome(
                 request,
-                &member,
+                &endpoint,
                 *n - 1,
-                Ending::ConnectFailed,
-                Standing::default(),
+                AttemptOutcome::ConnectFailed,
+                ReplicationStatus::default(),
             ));
         }
     };
@@ -702,11 +767,11 @@
         let (class, id, time_left) = (SESSION, h.next, 400 * MS);
         h.next += 1;
         let (session, since_write, tenant, work) = (None, None, None, None);
-        let (group, is_retry) = (1, false);
+        let (replica_set, is_retry) = (1, false);
         let req = Request {
             id,
             class,
-            group,
+            replica_set,
             session,
             since_write,
             tenant,
@@ -749,12 +814,15 @@
 
 #[test]
 fn what_is_given_up_names_its_cause() {
-    let cause = |out: &[Action], id: RequestId| {
+    let reason = |out: &[Action], id: RequestId| {
         out.iter().find_map(|a| match a {
-            Action::Refuse { request, cause, .. } | Action::Fail { request, cause }
+            Action::Reject {
+                request, reason, ..
+            }
+            | Action::Fail { request, reason }
                 if *request == id =>
             {
-                Some(*cause)
+                Some(*reason)
             }
             _ => None,
         })
@@ -762,18 +830,36 @@
     let mut h = Host::new(settings());
     h.warm_up();
     let (id, out) = h.request(99);
-    assert_eq!(cause(&out, id), Some(Cause::Class));
+    assert_eq!(reason(&out, id), Some(RejectReason::UnknownClass));
     let (id, _) = h.request(KEYED);
-    let out = h.outcome(id, "a", 0, Ending::TimedOut, Standing::default());
-    assert_eq!(cause(&out, id), Some(Cause::Silent));
+    let out = h.outcome(
+        id,
+        "a",
+        0,
+        AttemptOutcome::TimedOut,
+        ReplicationStatus::default(),
+    );
+    assert_eq!(reason(&out, id), Some(RejectReason::AttemptTimedOut));
     let (id, _) = h.request(WRITE);
-    let out = h.outcome(id, "a", 0, Ending::Reset, Standing::default());
-    assert_eq!(cause(&out, id), Some(Cause::Unsafe));
+    let out = h.outcome(
+        id,
+        "a",
+        0,
+        AttemptOutcome::ConnectionReset,
+        ReplicationStatus::default(),
+    );
+    assert_eq!(reason(&out, id), Some(RejectReason::NotRetryable));
     let (id, out) = h.request(SESSION);
     let to = sent(&out).unwrap().to_string();
-    let out = h.outcome(id, &to, 0, Ending::Rejected, Standing::default());
-    assert_eq!(cause(&out, id), Some(Cause::Unfit));
-    // The reserve allows one further attempt to a proxy of few requests; the second failure spends more.
+    let out = h.outcome(
+        id,
+        &to,
+        0,
+        AttemptOutcome::InvalidRequest,
+        ReplicationStatus::default(),
+    );
+    assert_eq!(reason(&out, id), Some(RejectReason::InvalidRequest));
+    // The reserve allows one further attempt to a router of few requests; the second failure spends more.
     let (id, out) = h.request(SESSION);
     let mut out = out;
     let mut last = None;
@@ -781,20 +867,32 @@
         let Some(to) = sent(&out).map(str::to_string) else {
             break;
         };
-        out = h.outcome(id, &to, n, Ending::Reset, Standing::default());
-        last = cause(&out, id).or(last);
+        out = h.outcome(
+            id,
+            &to,
+            n,
+            AttemptOutcome::ConnectionReset,
+            ReplicationStatus::default(),
+        );
+        last = reason(&out, id).or(last);
     }
-    assert_eq!(last, Some(Cause::Reserve));
+    assert_eq!(last, Some(RejectReason::RetryBudgetExhausted));
     // Its time was over before it could be sent.
     let (id, out) = h.request(SESSION);
     let to = sent(&out).unwrap().to_string();
-    let out = h.outcome(id, &to, 0, Ending::Moot, Standing::default());
-    assert_eq!(cause(&out, id), Some(Cause::Late));
-    // The list takes all members away.
+    let out = h.outcome(
+        id,
+        &to,
+        0,
+        AttemptOutcome::Abandoned,
+        ReplicationStatus::default(),
+    );
+    assert_eq!(reason(&out, id), Some(RejectReason::DeadlineTooClose));
+    // The list takes all endpoints away.
     let mut gone = Vec::new();
     for m in ["a", "b", "c"] {
         let mut e = entry(m, m == "a");
-        e.state = State::Gone;
+        e.state = EndpointState::Removed;
         gone.push(e);
     }
     h.feed(Event::List {
@@ -802,11 +900,11 @@
         entries: gone,
     });
     let (id, out) = h.request(SESSION);
-    assert_eq!(cause(&out, id), Some(Cause::Nobody));
+    assert_eq!(reason(&out, id), Some(RejectReason::NoEligibleEndpoint));
 }
 
-/// A cold member takes its share of the reads in turn; those it does not take go on, but not to one that hangs while
-/// the primary answers: for many proxies that one would be the spare of all.
+/// A cold endpoint takes its share of the reads in turn; those it does not take go on, but not to one that hangs while
+/// the primary answers: for many routers that one would be the spare of all.
 #[test]
 fn what_a_cold_replica_does_not_take_goes_to_the_primary_before_one_that_hangs() {
     let (mut to_hung, mut to_lead) = (0, 0);
@@ -817,18 +915,22 @@
             let (id, out) = h.request(SESSION);
             let to = sent(&out).unwrap().to_string();
             if to != "c" {
-                h.outcome(id, &to, 0, Ending::Served, replica(h.now));
+                h.outcome(id, &to, 0, AttemptOutcome::Served, replica(h.now));
                 continue;
             }
-            let (request, member, attempt, latency) = (id, Arc::from("c"), 0, 2000 * MS);
-            let (standing, report, closed) = (Standing::default(), Standing::default(), true);
-            let ending = Ending::TimedOut;
-            h.feed(Event::Outcome(Outcome {
+            let (request, endpoint, attempt, latency) = (id, Arc::from("c"), 0, 2000 * MS);
+            let (replication, report, closed) = (
+                ReplicationStatus::default(),
+                ReplicationStatus::default(),
+                true,
+            );
+            let outcome = AttemptOutcome::TimedOut;
+            h.feed(Event::AttemptEnded(AttemptEnded {
                 request,
-                member,
+                endpoint,
                 attempt,
-                ending,
-                standing,
+                outcome,
+                replication,
                 report,
                 latency,
                 closed,
@@ -850,7 +952,7 @@
             } else {
                 replica(h.now)
             };
-            h.outcome(id, &to, 0, Ending::Served, s);
+            h.outcome(id, &to, 0, AttemptOutcome::Served, s);
         }
     }
     assert_eq!(to_hung, 0);
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of 20 to 300 proxies that share nothing: what they send to cold members together, and how soon each has news
+//! Fleets of 20 to 300 routers that share nothing: what they send to cold endpoints together, and how soon each has news
 //! again after its list's service was down.
 
 mod common;
@@ -13,14 +13,14 @@
 /// Routers in a tier.
 const FLEET_SIZES: [u64; 8] = [1, 2, 3, 20, 30, 100, 300, 900];
 
-fn listed(cold: &[&str], since: Time) -> Event {
+fn listed(cold: &[&str], since: Timestamp) -> Event {
     let one = |id: &&str| {
         let mut e = entry(id, *id == "a");
         e.started = if cold.contains(id) { since } else { 0 };
         e
     };
     Event::List {
-        kind: ListKind::Whole,
+        kind: ListKind::Full,
         entries: MEMBERS.iter().map(one).collect(),
     }
 }
@@ -67,7 +67,7 @@
     load: Load,
     draws: Draws,
     /// When each cold endpoint was sent a request.
-    sent_at: Vec<Vec<Time>>,
+    sent_at: Vec<Vec<Timestamp>>,
     /// Requests without an answer so far, by router: class and attempts.
     open: BTreeMap<(usize, RequestId), (u32, u32)>,
 }
@@ -79,9 +79,9 @@
         while let Some(action) = actions.pop_front() {
             match action {
                 Action::Send {
-                    request, member, ..
-                } => actions.extend(self.answer(router, request, &member)),
-                Action::Refuse { request, .. } | Action::Fail { request, .. } => {
+                    request, endpoint, ..
+                } => actions.extend(self.answer(router, request, &endpoint)),
+                Action::Reject { request, .. } | Action::Fail { request, .. } => {
                     self.open.remove(&(router, request));
                 }
                 _ => {}
@@ -101,23 +101,23 @@
         if let Some(i) = is_cold {
             self.sent_at[i].push(now);
         }
-        let (ending, standing) = match () {
-            () if class == KEYED && to != "a" => (Ending::Miss, replica(now)),
+        let (outcome, replication) = match () {
+            () if class == KEYED && to != "a" => (AttemptOutcome::Misrouted, replica(now)),
             () if is_cold.is_some() && self.draws.next() < self.load.rejected => {
-                (Ending::Full, Standing::default())
+                (AttemptOutcome::Overloaded, ReplicationStatus::default())
             }
-            () if to == "a" => (Ending::Served, primary(now)),
-            () => (Ending::Served, replica(now)),
+            () if to == "a" => (AttemptOutcome::Served, primary(now)),
+            () => (AttemptOutcome::Served, replica(now)),
         };
-        if ending == Ending::Served {
+        if outcome == AttemptOutcome::Served {
             self.open.remove(&(router, request));
         }
-        host.outcome(request, to, attempt, ending, standing)
+        host.outcome(request, to, attempt, outcome, replication)
     }
 
     /// Lets the time pass at the routers where requests wait.
-    fn pass_time(&mut self, until: Time) {
-        const STEP: Span = 10 * MS;
+    fn pass_time(&mut self, until: Timestamp) {
+        const STEP: Nanos = 10 * MS;
         let waiting: BTreeSet<usize> = self.open.keys().map(|key| key.0).collect();
         for router in waiting {
             while self.hosts[router].now < until {
@@ -128,7 +128,7 @@
         }
     }
 
-    fn request(&mut self, now: Time) {
+    fn request(&mut self, now: Timestamp) {
         let router = (self.draws.next() * self.hosts.len() as f64) as usize;
         let host = &mut self.hosts[router];
         let actions = host.wait(now.saturating_sub(host.now));
@@ -151,7 +151,7 @@
     let request = Request {
         id,
         class,
-        group: 1,
+        replica_set: 1,
         session: Some(format!("session {id}").into()),
         since_write: None,
         tenant: None,
@@ -177,7 +177,7 @@
     };
     let mut now = start;
     while now < start + 12_000 * MS {
-        now += (-play.draws.next().max(1e-9).ln() / (load.rate * load.capacity) * 1e9) as Time;
+        now += (-play.draws.next().max(1e-9).ln() / (load.rate * load.capacity) * 1e9) as Timestamp;
         play.pass_time(now);
         play.request(now);
     }
@@ -185,11 +185,15 @@
     for times in &mut play.sent_at {
         times.sort_unstable();
         for (i, from) in times.iter().enumerate() {
-            let end = from + rules.fall;
+            let end = from + rules.overload_window;
             let got = times[i..].iter().take_while(|t| **t < end).count() as f64;
-            let warmed = (from - start) as f64 / rules.warm_after as f64;
-            let share = (rules.cold_from + (1.0 - rules.cold_from) * warmed).min(1.0);
-            let budget = rules.fall_multiple * share * load.capacity * rules.fall as f64 / 1e9;
+            let warmed = (from - start) as f64 / rules.slow_start_duration as f64;
+            let share = (rules.slow_start_initial_fraction
+                + (1.0 - rules.slow_start_initial_fraction) * warmed)
+                .min(1.0);
+            let budget =
+                rules.overload_multiple * share * load.capacity * rules.overload_window as f64
+                    / 1e9;
             worst = worst.max(got - allowance(budget));
         }
     }
@@ -198,7 +202,7 @@
 
 fn fleet(n: u64, seed: u64) -> Vec<Host> {
     let mut set = settings();
-    set.proxies = n as u32;
+    set.router_count = n as u32;
     (0..n)
         .map(|i| Host::seeded(set.clone(), seed * 7919 + i))
         .collect()
@@ -339,14 +343,14 @@
     );
 }
 
-/// Guards the clock of a discovery that comes back: with 300 proxies and a service that does a call in 10 ms and ends
+/// Guards the clock of a discovery that comes back: with 300 routers and a service that does a call in 10 ms and ends
 /// one that has waited for 2 s, each has news within 6 s of its return, less the half second that an answer may be late.
 #[test]
-fn all_proxies_have_news_in_time_after_their_service_returns() {
+fn all_routers_have_news_in_time_after_their_service_returns() {
     const N: usize = 300;
     for seed in 0..3 {
         let mut set = settings();
-        (set.must_subscribe, set.proxies) = (true, N as u32);
+        (set.must_subscribe, set.router_count) = (true, N as u32);
         let mut hosts: Vec<Host> = (0..N as u64)
             .map(|i| Host::seeded(set.clone(), seed * 1000 + i))
             .collect();
--- a/crates/routing/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-const DAY: Time = 30_000 * MS;
+const DAY: Timestamp = 30_000 * MS;
 const ENDPOINTS: u64 = 48;
 const REPLICA_SETS: u64 = 6;
 const KINDS: usize = 8;
@@ -93,12 +93,12 @@
 /// What comes at a point of time.
 enum Scheduled {
     Timer(u64),
-    Outcome {
+    AttemptEnded {
         request: RequestId,
         endpoint: u64,
         attempt: u32,
-        ending: Ending,
-        sent: Time,
+        outcome: AttemptOutcome,
+        sent: Timestamp,
     },
     Started {
         request: RequestId,
@@ -109,20 +109,20 @@
 }
 
 struct Endpoint {
-    state: State,
-    started: Time,
+    state: EndpointState,
+    started: Timestamp,
     /// How its attempts end: 0 well, 1 slowly, 2 by errors, 3 not at all, 4 it can't be reached, 5 full, 6 anyhow.
     condition: u64,
-    lag: Time,
+    lag: Timestamp,
 }
 
 struct Day {
-    balancer: Brain,
+    balancer: Balancer,
     settings: Settings,
     choices: Choices,
-    now: Time,
+    now: Timestamp,
     order: u64,
-    queue: BTreeMap<(Time, u64), Scheduled>,
+    queue: BTreeMap<(Timestamp, u64), Scheduled>,
     endpoints: Vec<Endpoint>,
     primaries: Vec<u64>,
     classes: BTreeMap<RequestId, u32>,
@@ -132,7 +132,7 @@
     counts: [u64; KINDS],
 }
 
-fn name(endpoint: u64) -> MemberId {
+fn name(endpoint: u64) -> EndpointId {
     Arc::from(format!("e{endpoint}"))
 }
 
@@ -140,32 +140,43 @@
     name[1..].parse().expect("a name of this test's own")
 }
 
-fn cause_code(cause: Cause) -> u64 {
-    match cause {
-        Cause::Class => 1,
-        Cause::Group => 2,
-        Cause::Late => 3,
-        Cause::Attempts => 4,
-        Cause::Nobody => 5,
-        Cause::Crowded => 6,
-        Cause::Unsafe => 7,
-        Cause::Silent => 8,
-        Cause::Reserve => 9,
-        Cause::Unfit => 10,
+fn cause_code(reason: RejectReason) -> u64 {
+    match reason {
+        RejectReason::UnknownClass => 1,
+        RejectReason::UnknownReplicaSet => 2,
+        RejectReason::DeadlineTooClose => 3,
+        RejectReason::AttemptLimitReached => 4,
+        RejectReason::NoEligibleEndpoint => 5,
+        RejectReason::LoadShed => 6,
+        RejectReason::NotRetryable => 7,
+        RejectReason::AttemptTimedOut => 8,
+        RejectReason::RetryBudgetExhausted => 9,
+        RejectReason::InvalidRequest => 10,
     }
 }
 
 /// Each seed has settings of its own, so that every way of reading and repeating comes up.
 fn settings_of(seed: u64) -> Settings {
     let mut set = common::settings();
-    set.classes.push(class(Need::Any, Repeat::Safe));
-    set.classes
-        .push(class(Need::Write, Repeat::Keyed(Scope::Zone)));
-    set.classes
-        .push(class(Need::Write, Repeat::Keyed(Scope::All)));
-    set.proxies = [1, 3, 40, 300][seed as usize % 4];
-    set.guard = [Guard::Silent, Guard::Refuse, Guard::Await(100 * MS)][seed as usize % 3];
-    set.tokens_carried = seed & 1 == 1;
+    set.classes.push(class(
+        Operation::Read(Consistency::Eventual),
+        Idempotency::Idempotent,
+    ));
+    set.classes.push(class(
+        Operation::Write,
+        Idempotency::IdempotencyKey(KeyScope::Zone),
+    ));
+    set.classes.push(class(
+        Operation::Write,
+        Idempotency::IdempotencyKey(KeyScope::All),
+    ));
+    set.router_count = [1, 3, 40, 300][seed as usize % 4];
+    set.stale_reads = [
+        StaleReadPolicy::Serve,
+        StaleReadPolicy::Reject,
+        StaleReadPolicy::Wait(100 * MS),
+    ][seed as usize % 3];
+    set.sessions_carry_position = seed & 1 == 1;
     set.rules.only_draining_binds = seed & 4 == 4;
     set.list_role = [ListRole::Late, ListRole::Silent, ListRole::Start][seed as usize % 3];
     set.reports = [
@@ -174,7 +185,7 @@
         ReportSource::Probes,
     ][seed as usize % 3];
     set.must_subscribe = seed & 2 == 2;
-    set.rules.warm_after = 3000 * MS;
+    set.rules.slow_start_duration = 3000 * MS;
     set.tenants = vec![Tenant { quota: 20.0 }, Tenant { quota: 2000.0 }];
     set
 }
@@ -184,16 +195,16 @@
         let settings = settings_of(seed);
         let new = |n: u64| Endpoint {
             state: if n < ENDPOINTS / 2 {
-                State::Serving
+                EndpointState::Serving
             } else {
-                State::Gone
+                EndpointState::Removed
             },
             started: 0,
             condition: 0,
             lag: n % 7 * 60 * MS,
         };
         Day {
-            balancer: Brain::new(seed, settings.clone()).expect("good settings"),
+            balancer: Balancer::new(seed, settings.clone()).expect("good settings"),
             settings,
             choices: Choices(seed),
             now: T0,
@@ -210,11 +221,11 @@
     }
 
     fn run(mut self) -> (u64, [u64; KINDS]) {
-        self.tell_whole_list(ListKind::Remembered);
+        self.tell_whole_list(ListKind::Cached);
         let (mut next_request, mut next_change) = (T0, T0 + 500 * MS);
         let mut id = 1;
         while self.now < T0 + DAY {
-            let due = self.queue.keys().next().map_or(Time::MAX, |key| key.0);
+            let due = self.queue.keys().next().map_or(Timestamp::MAX, |key| key.0);
             self.now = due.min(next_request).min(next_change).max(self.now);
             if due <= self.now {
                 let (_, scheduled) = self.queue.pop_first().expect("one that is due");
@@ -233,27 +244,27 @@
         (self.hash.0, self.counts)
     }
 
-    fn schedule(&mut self, after: Span, scheduled: Scheduled) {
+    fn schedule(&mut self, after: Nanos, scheduled: Scheduled) {
         self.order += 1;
         self.queue.insert((self.now + after, self.order), scheduled);
     }
 
-    fn entry(&self, endpoint: u64) -> Entry {
+    fn entry(&self, endpoint: u64) -> EndpointEntry {
         let it = &self.endpoints[endpoint as usize];
-        let group = endpoint % REPLICA_SETS;
-        Entry {
-            member: name(endpoint),
+        let replica_set = endpoint % REPLICA_SETS;
+        EndpointEntry {
+            endpoint: name(endpoint),
             started: it.started,
-            primary: self.primaries[group as usize] == endpoint,
+            primary: self.primaries[replica_set as usize] == endpoint,
             state: it.state,
             weight: 1.0,
-            group: group as u32,
+            replica_set: replica_set as u32,
             zone: (endpoint / REPLICA_SETS % 2) as u32,
         }
     }
 
     fn tell_whole_list(&mut self, kind: ListKind) {
-        let is_listed = |n: &u64| self.endpoints[*n as usize].state != State::Gone;
+        let is_listed = |n: &u64| self.endpoints[*n as usize].state != EndpointState::Removed;
         let entries = (0..ENDPOINTS)
             .filter(is_listed)
             .map(|n| self.entry(n))
@@ -265,10 +276,10 @@
         let endpoint = self.choices.below(ENDPOINTS);
         let at = endpoint as usize;
         match self.choices.below(20) {
-            0..4 => self.endpoints[at].state = State::Draining,
-            4..7 => self.endpoints[at].state = State::Gone,
+            0..4 => self.endpoints[at].state = EndpointState::Draining,
+            4..7 => self.endpoints[at].state = EndpointState::Removed,
             7..13 => {
-                self.endpoints[at].state = State::Serving;
+                self.endpoints[at].state = EndpointState::Serving;
                 self.endpoints[at].started = self.now;
                 self.endpoints[at].condition = 0;
             }
@@ -276,7 +287,7 @@
                 self.primaries[(endpoint % REPLICA_SETS) as usize] = endpoint;
                 return;
             }
-            14 => return self.tell_whole_list(ListKind::Whole),
+            14 => return self.tell_whole_list(ListKind::Full),
             15 => {
                 self.feed(Event::List {
                     kind: ListKind::Failed,
@@ -285,13 +296,13 @@
                 return;
             }
             16 => {
-                let report = Standing {
+                let report = ReplicationStatus {
                     role: Some(Role::Replica),
-                    position: Some(self.now),
+                    applied_position: Some(self.now),
                 };
-                self.feed(Event::Probed {
-                    member: name(endpoint),
-                    ending: Ending::Served,
+                self.feed(Event::ProbeEnded {
+                    endpoint: name(endpoint),
+                    outcome: AttemptOutcome::Served,
                     report,
                 });
                 return;
@@ -316,7 +327,7 @@
             id,
             class,
             // Seldom one that no endpoint belongs to.
-            group: (self.choices.below(100) * REPLICA_SETS / 99) as u32,
+            replica_set: (self.choices.below(100) * REPLICA_SETS / 99) as u32,
             session: (session < 30).then(|| Arc::from(format!("session {session}"))),
             since_write: (session < 20).then_some(session * 37 * MS),
             tenant: [None, Some(0), Some(1)][self.choices.below(3) as usize],
@@ -340,10 +351,10 @@
                 endpoint,
                 attempt,
             } => {
-                self.feed(Event::Started {
+                self.feed(Event::ResponseStarted {
                     request,
                     attempt,
-                    member: name(endpoint),
+                    endpoint: name(endpoint),
                 });
             }
             Scheduled::ClientLeaves(request) => {
@@ -351,14 +362,14 @@
                     self.feed(Event::ClientLeft { request });
                 }
             }
-            Scheduled::Outcome {
+            Scheduled::AttemptEnded {
                 request,
                 endpoint,
                 attempt,
-                ending,
+                outcome,
                 sent,
             } => {
-                self.end_attempt(request, endpoint, attempt, ending, sent);
+                self.end_attempt(request, endpoint, attempt, outcome, sent);
             }
         }
     }
@@ -368,8 +379,8 @@
         request: RequestId,
         endpoint: u64,
         attempt: u32,
-        ending: Ending,
-        sent: Time,
+        outcome: AttemptOutcome,
+        sent: Timestamp,
     ) {
         let leads = self.primaries[(endpoint % REPLICA_SETS) as usize] == endpoint;
         let lag = if leads {
@@ -379,27 +390,34 @@
         };
         let role = if leads { Role::Primary } else { Role::Replica };
         let says = matches!(
-            ending,
-            Ending::Served | Ending::Error | Ending::Full | Ending::Miss
+            outcome,
+            AttemptOutcome::Served
+                | AttemptOutcome::Error
+                | AttemptOutcome::Overloaded
+                | AttemptOutcome::Misrouted
         );
-        let status = Standing {
+        let status = ReplicationStatus {
             role: Some(role),
-            position: Some(self.now - lag),
+            applied_position: Some(self.now - lag),
         };
         let has_report = says && self.settings.reports == ReportSource::Answers;
-        if ending == Ending::Served {
+        if outcome == AttemptOutcome::Served {
             self.over.insert(request);
         }
-        self.feed(Event::Outcome(Outcome {
+        self.feed(Event::AttemptEnded(AttemptEnded {
             request,
-            member: name(endpoint),
+            endpoint: name(endpoint),
             attempt,
-            ending,
-            standing: if says { status } else { Standing::default() },
+            outcome,
+            replication: if says {
+                status
+            } else {
+                ReplicationStatus::default()
+            },
             report: if has_report {
                 status
             } else {
-                Standing::default()
+                ReplicationStatus::default()
             },
             latency: self.now - sent,
             closed: self.over.contains(&request),
@@ -407,35 +425,38 @@
     }
 
     /// How an attempt at an endpoint will end, and after how long.
-    fn fate(&mut self, class: u32, endpoint: u64) -> (Ending, Span) {
-        const ANY: [Ending; 12] = [
-            Ending::Served,
-            Ending::Error,
-            Ending::Full,
-            Ending::TimedOut,
-            Ending::ConnectFailed,
-            Ending::Reset,
-            Ending::Cancelled,
-            Ending::Moot,
-            Ending::Miss,
-            Ending::Spoilt,
-            Ending::Unsent,
-            Ending::Rejected,
+    fn fate(&mut self, class: u32, endpoint: u64) -> (AttemptOutcome, Nanos) {
+        const ANY: [AttemptOutcome; 12] = [
+            AttemptOutcome::Served,
+            AttemptOutcome::Error,
+            AttemptOutcome::Overloaded,
+            AttemptOutcome::TimedOut,
+            AttemptOutcome::ConnectFailed,
+            AttemptOutcome::ConnectionReset,
+            AttemptOutcome::Cancelled,
+            AttemptOutcome::Abandoned,
+            AttemptOutcome::Misrouted,
+            AttemptOutcome::MalformedResponse,
+            AttemptOutcome::NotSent,
+            AttemptOutcome::InvalidRequest,
         ];
         let chance = self.choices.below(100);
         let quick = (1 + self.choices.below(40)) * MS;
-        let writes = matches!(self.settings.classes[class as usize].need, Need::Write);
+        let writes = matches!(
+            self.settings.classes[class as usize].operation,
+            Operation::Write
+        );
         let leads = self.primaries[(endpoint % REPLICA_SETS) as usize] == endpoint;
         match self.endpoints[endpoint as usize].condition {
-            4 => (Ending::ConnectFailed, quick),
-            _ if writes && !leads => (Ending::Miss, quick),
-            1 => (Ending::Served, quick * 20),
-            2 if chance < 70 => (Ending::Error, quick),
-            3 => (Ending::TimedOut, 600 * MS),
-            5 if chance < 60 => (Ending::Full, quick / 4),
+            4 => (AttemptOutcome::ConnectFailed, quick),
+            _ if writes && !leads => (AttemptOutcome::Misrouted, quick),
+            1 => (AttemptOutcome::Served, quick * 20),
+            2 if chance < 70 => (AttemptOutcome::Error, quick),
+            3 => (AttemptOutcome::TimedOut, 600 * MS),
+            5 if chance < 60 => (AttemptOutcome::Overloaded, quick / 4),
             6 => (ANY[self.choices.below(ANY.len() as u64) as usize], quick),
             _ if chance < 2 => (ANY[self.choices.below(ANY.len() as u64) as usize], quick),
-            _ => (Ending::Served, quick),
+            _ => (AttemptOutcome::Served, quick),
         }
     }
 
@@ -458,25 +479,25 @@
         match action {
             Action::Send {
                 request,
-                member,
+                endpoint,
                 limit,
                 by,
             } => {
                 assert_eq!(limit, None, "not used so far: give it a code if it is");
-                self.send(request, number(&member));
-                [1, request, number(&member), by.unwrap_or(0)]
+                self.send(request, number(&endpoint));
+                [1, request, number(&endpoint), by.unwrap_or(0)]
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
-                cause,
+                reason,
                 retry_after,
             } => {
                 self.over.insert(request);
-                [2, request, cause_code(cause), retry_after.unwrap_or(0)]
+                [2, request, cause_code(reason), retry_after.unwrap_or(0)]
             }
-            Action::Fail { request, cause } => {
+            Action::Fail { request, reason } => {
                 self.over.insert(request);
-                [3, request, cause_code(cause), 0]
+                [3, request, cause_code(reason), 0]
             }
             Action::Cancel { request, attempt } => {
                 self.cancel(request, attempt);
@@ -486,7 +507,7 @@
                 self.schedule(after, Scheduled::Timer(token));
                 [5, after, token, 0]
             }
-            Action::Probe { member } => [6, number(&member), 0, 0],
+            Action::Probe { endpoint } => [6, number(&endpoint), 0, 0],
             Action::Subscribe => [7, 0, 0, 0],
             Action::FetchList => [8, 0, 0, 0],
         }
@@ -497,9 +518,9 @@
         let attempt = *counted;
         *counted += 1;
         let class = self.classes[&request];
-        let (ending, after) = self.fate(class, endpoint);
+        let (outcome, after) = self.fate(class, endpoint);
         // Some reads are streamed.
-        let is_streamed = ending == Ending::Served
+        let is_streamed = outcome == AttemptOutcome::Served
             && class != WRITE
             && class != KEYED
             && request.is_multiple_of(16);
@@ -515,11 +536,11 @@
         }
         self.schedule(
             after,
-            Scheduled::Outcome {
+            Scheduled::AttemptEnded {
                 request,
                 endpoint,
                 attempt,
-                ending,
+                outcome,
                 sent: self.now,
             },
         );
@@ -527,23 +548,23 @@
 
     /// The attempt ends at once as cancelled, in place of its fate.
     fn cancel(&mut self, request: RequestId, attempt: u32) {
-        let is_it = |scheduled: &Scheduled| matches!(scheduled, Scheduled::Outcome { request: r, attempt: a, .. } if *r == request && *a == attempt);
+        let is_it = |scheduled: &Scheduled| matches!(scheduled, Scheduled::AttemptEnded { request: r, attempt: a, .. } if *r == request && *a == attempt);
         let key = self
             .queue
             .iter()
             .find(|(_, scheduled)| is_it(scheduled))
             .map(|(key, _)| *key);
-        if let Some(Scheduled::Outcome { endpoint, sent, .. }) =
+        if let Some(Scheduled::AttemptEnded { endpoint, sent, .. }) =
             key.and_then(|key| self.queue.remove(&key))
         {
-            let ending = Ending::Cancelled;
+            let outcome = AttemptOutcome::Cancelled;
             self.schedule(
                 0,
-                Scheduled::Outcome {
+                Scheduled::AttemptEnded {
                     request,
                     endpoint,
                     attempt,
-                    ending,
+                    outcome,
                     sent,
                 },
             );
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -20,32 +20,32 @@
 #[derive(Default)]
 struct Owed {
     class: u32,
-    deadline: Time,
+    deadline: Timestamp,
     attempts: u32,
     may_have_run: u32,
     over: bool,
 }
 
-const ENDINGS: [Ending; 9] = [
-    Ending::Served,
-    Ending::Error,
-    Ending::Full,
-    Ending::TimedOut,
-    Ending::ConnectFailed,
-    Ending::Reset,
-    Ending::Cancelled,
-    Ending::Moot,
-    Ending::Miss,
+const ENDINGS: [AttemptOutcome; 9] = [
+    AttemptOutcome::Served,
+    AttemptOutcome::Error,
+    AttemptOutcome::Overloaded,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::ConnectionReset,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::Abandoned,
+    AttemptOutcome::Misrouted,
 ];
 
 struct Checker {
     h: Host,
     owed: BTreeMap<RequestId, Owed>,
-    out: Vec<(RequestId, u32, MemberId)>,
-    barred: BTreeMap<String, Time>,
+    out: Vec<(RequestId, u32, EndpointId)>,
+    barred: BTreeMap<String, Timestamp>,
     replicas: BTreeSet<String>,
     unchecked: bool,
-    known: BTreeMap<String, Time>,
+    known: BTreeMap<String, Timestamp>,
 }
 
 impl Checker {
@@ -53,7 +53,7 @@
         for a in actions {
             match a {
                 Action::Send {
-                    request, member, ..
+                    request, endpoint, ..
                 } => {
                     let o = self.owed.get_mut(&request).expect("a known request");
                     assert!(!o.over, "rule 1: sent after its end");
@@ -61,22 +61,22 @@
                         o.class != WRITE || o.may_have_run == 0,
                         "rule 2: an unsafe write repeated"
                     );
-                    if let Some(t) = self.barred.get(&*member) {
+                    if let Some(t) = self.barred.get(&*endpoint) {
                         assert!(
                             self.h.now <= t + 1000 * MS,
                             "rule 3: sent to a leaving member"
                         );
                     }
-                    if self.unchecked && o.class == BOUNDED && self.replicas.contains(&*member) {
-                        let at = self.known.get(&*member).copied().unwrap_or(0);
+                    if self.unchecked && o.class == BOUNDED && self.replicas.contains(&*endpoint) {
+                        let at = self.known.get(&*endpoint).copied().unwrap_or(0);
                         // Up to a millisecond may have passed since it was sent.
                         assert!(self.h.now - at < 301 * MS, "rule 5: stale");
                     }
-                    self.out.push((request, o.attempts, member));
+                    self.out.push((request, o.attempts, endpoint));
                     o.attempts += 1;
                     o.may_have_run += 1;
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let o = self.owed.get_mut(&request).expect("a known request");
                     assert!(!o.over, "rule 1: answered twice");
                     let unsure = o.class == WRITE || o.class == KEYED;
@@ -101,7 +101,7 @@
     let only_draining = set.rules.only_draining_binds;
     let mut rng = Rng(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1);
     let mut c = Checker {
-        unchecked: set.guard == Guard::Silent,
+        unchecked: set.stale_reads == StaleReadPolicy::Serve,
         h: Host::seeded(set, seed),
         owed: BTreeMap::new(),
         out: Vec::new(),
@@ -128,54 +128,65 @@
             }
             4..8 if !c.out.is_empty() => {
                 let i = rng.below(c.out.len() as u64) as usize;
-                let (id, n, member) = c.out.swap_remove(i);
-                let ending = if rng.below(2) == 0 {
-                    Ending::Served
+                let (id, n, endpoint) = c.out.swap_remove(i);
+                let outcome = if rng.below(2) == 0 {
+                    AttemptOutcome::Served
                 } else {
                     ENDINGS[rng.below(9) as usize]
                 };
-                let leads = rng.below(20) == 0 || &*member == "a";
-                let position = c.h.now - rng.below(500) * MS;
+                let leads = rng.below(20) == 0 || &*endpoint == "a";
+                let applied_position = c.h.now - rng.below(500) * MS;
                 let s = if leads {
-                    primary(position)
+                    primary(applied_position)
                 } else {
-                    replica(position)
+                    replica(applied_position)
                 };
                 let answers = matches!(
-                    ending,
-                    Ending::Served | Ending::Error | Ending::Full | Ending::Miss
+                    outcome,
+                    AttemptOutcome::Served
+                        | AttemptOutcome::Error
+                        | AttemptOutcome::Overloaded
+                        | AttemptOutcome::Misrouted
                 );
-                let s = if answers { s } else { Standing::default() };
+                let s = if answers {
+                    s
+                } else {
+                    ReplicationStatus::default()
+                };
                 let o = c.owed.get_mut(&id).unwrap();
-                if ending.never_ran() {
+                if outcome.is_never_executed() {
                     o.may_have_run -= 1;
                 }
                 let write = o.class == WRITE || o.class == KEYED;
-                o.over |= ending == Ending::Served;
+                o.over |= outcome == AttemptOutcome::Served;
                 if answers && leads {
-                    c.replicas.remove(&*member);
+                    c.replicas.remove(&*endpoint);
                 } else if answers {
-                    c.replicas.insert(member.to_string());
-                    let commit = write && ending == Ending::Served;
-                    let at = c.known.entry(member.to_string()).or_insert(0);
-                    *at = (*at).max(if commit { 0 } else { position });
+                    c.replicas.insert(endpoint.to_string());
+                    let commit = write && outcome == AttemptOutcome::Served;
+                    let at = c.known.entry(endpoint.to_string()).or_insert(0);
+                    *at = (*at).max(if commit { 0 } else { applied_position });
                 }
-                if answers && leads && !(write && ending == Ending::Served) {
-                    let at = c.known.entry(member.to_string()).or_insert(0);
-                    *at = (*at).max(position);
+                if answers && leads && !(write && outcome == AttemptOutcome::Served) {
+                    let at = c.known.entry(endpoint.to_string()).or_insert(0);
+                    *at = (*at).max(applied_position);
                 }
-                let out = c.h.outcome(id, &member, n, ending, s);
+                let out = c.h.outcome(id, &endpoint, n, outcome, s);
                 c.check(out);
             }
             8 if rng.below(8) == 0 => {
                 let name = ["a", "b", "c"][rng.below(3) as usize];
                 let mut e = entry(name, rng.below(2) == 0);
-                e.state = [State::Serving, State::Serving, State::Draining, State::Gone]
-                    [rng.below(4) as usize];
+                e.state = [
+                    EndpointState::Serving,
+                    EndpointState::Serving,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ][rng.below(4) as usize];
                 e.started = if rng.below(3) == 0 { c.h.now } else { 0 };
-                if e.state == State::Serving {
+                if e.state == EndpointState::Serving {
                     c.barred.remove(name);
-                } else if e.state == State::Draining || !only_draining {
+                } else if e.state == EndpointState::Draining || !only_draining {
                     c.barred.entry(name.to_string()).or_insert(c.h.now);
                 }
                 let out = c.h.feed(Event::List {
@@ -186,19 +197,19 @@
             }
             9 => {
                 // Things that are no longer held, and unknown ones.
-                let member: MemberId = Arc::from(["a", "zz"][rng.below(2) as usize]);
+                let endpoint: EndpointId = Arc::from(["a", "zz"][rng.below(2) as usize]);
                 let mut out = c.h.outcome(
                     1 << 40,
-                    &member,
+                    &endpoint,
                     3,
                     ENDINGS[rng.below(9) as usize],
                     replica(1),
                 );
                 out.extend(c.h.feed(Event::ClientLeft { request: 1 << 41 }));
                 out.extend(c.h.feed(Event::Timer { token: 99 }));
-                out.extend(c.h.feed(Event::Probed {
-                    member,
-                    ending: Ending::Served,
+                out.extend(c.h.feed(Event::ProbeEnded {
+                    endpoint,
+                    outcome: AttemptOutcome::Served,
                     report: replica(1),
                 }));
                 c.check(out);
@@ -223,13 +234,13 @@
 #[test]
 fn rules_hold_under_odd_event_orders() {
     for seed in 1..=32 {
-        // Every kind of settings: members that check reads or not, session marks carried or local, both drain
+        // Every kind of settings: endpoints that check reads or not, session marks carried or local, both drain
         // rules, a list with and without roles, reports or none.
         let mut set = settings();
         if seed & 1 == 1 {
-            set.guard = Guard::Refuse;
+            set.stale_reads = StaleReadPolicy::Reject;
         }
-        set.tokens_carried = seed & 2 == 2;
+        set.sessions_carry_position = seed & 2 == 2;
         set.rules.only_draining_binds = seed & 4 == 4;
         if seed & 8 == 8 {
             set.list_role = ListRole::Silent;
@@ -245,15 +256,15 @@
 #[test]
 fn odd_input_never_panics() {
     let mut h = Host::new(settings());
-    let mut odd = |id: RequestId, class: u32, group: u32, time_left: Span| {
+    let mut odd = |id: RequestId, class: u32, replica_set: u32, time_left: Nanos| {
         let req = Request {
             id,
             class,
-            group,
+            replica_set,
             session: None,
-            since_write: Some(Span::MAX),
+            since_write: Some(Nanos::MAX),
             tenant: Some(9),
-            work: Some(Span::MAX),
+            work: Some(Nanos::MAX),
             is_retry: true,
             time_left,
         };
@@ -265,9 +276,9 @@
     );
     assert!(refused(&odd(2, 0, 55, 500 * MS)), "a group without members");
     assert!(refused(&odd(3, 0, 1, 0)), "no time to live");
-    odd(4, 1, 1, Span::MAX);
+    odd(4, 1, 1, Nanos::MAX);
     h.feed(Event::List {
-        kind: ListKind::Whole,
+        kind: ListKind::Full,
         entries: Vec::new(),
     });
     let (_, mut out) = h.request(BOUNDED);
@@ -275,7 +286,7 @@
     out.extend(h.wait(600 * MS));
     assert!(
         out.iter()
-            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .filter(|a| matches!(a, Action::Reject { .. }))
             .count()
             >= 1
     );
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Many proxies with few requests each: what they do together, driven as brains that share nothing.
+//! Many routers with few requests each: what they do together, driven as brains that share nothing.
 
 mod common;
 use common::*;
@@ -14,23 +14,23 @@
         .collect()
 }
 
-fn standing(h: &Host, member: &str) -> Standing {
-    if member == "a" {
+fn replication(h: &Host, endpoint: &str) -> ReplicationStatus {
+    if endpoint == "a" {
         primary(h.now)
     } else {
         replica(h.now)
     }
 }
 
-/// One request of one proxy, served at once; returns the member.
+/// One request of one router, served at once; returns the endpoint.
 fn one(h: &mut Host, class: u32) -> Option<String> {
     let (id, out) = h.request(class);
     let to = sent(&out)?.to_string();
-    h.outcome(id, &to, 0, Ending::Served, standing(h, &to));
+    h.outcome(id, &to, 0, AttemptOutcome::Served, replication(h, &to));
     Some(to)
 }
 
-fn changed(e: Entry) -> Event {
+fn changed(e: EndpointEntry) -> Event {
     Event::List {
         kind: ListKind::Changes,
         entries: vec![e],
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn many_proxies_do_not_turn_to_the_same_member_first() {
+fn many_routers_do_not_turn_to_the_same_endpoint_first() {
     let mut first = BTreeMap::new();
     let mut hosts = fleet(&settings());
     for h in &mut hosts {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn many_proxies_together_fill_a_cold_member_at_the_pace_of_its_share() {
+fn many_routers_together_fill_a_cold_endpoint_at_the_pace_of_its_share() {
     let set = settings();
     let mut hosts = fleet(&set);
     for h in &mut hosts {
@@ -71,7 +71,7 @@
         e.started = h.now;
         h.feed(changed(e));
     }
-    // Each proxy sends one read in two seconds; all together 75 a second, windows of the rule's length.
+    // Each router sends one read in two seconds; all together 75 a second, windows of the rule's length.
     for second in 0..8 {
         let mut got = BTreeMap::new();
         for (i, h) in hosts.iter_mut().enumerate() {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn further_tries_and_shown_writes_do_not_push_a_cold_member() {
+fn further_tries_and_shown_writes_do_not_push_a_cold_endpoint() {
     let mut to_cold = 0;
     for mut h in fleet(&settings()) {
         h.warm_up();
@@ -104,7 +104,13 @@
         h.serve(SESSION, h.now);
         let (id, out) = h.request(SESSION);
         if sent(&out) == Some("b") {
-            let out = h.outcome(id, "b", 0, Ending::ConnectFailed, Standing::default());
+            let out = h.outcome(
+                id,
+                "b",
+                0,
+                AttemptOutcome::ConnectFailed,
+                ReplicationStatus::default(),
+            );
             to_cold += u32::from(sent(&out) == Some("c"));
         }
     }
@@ -112,8 +118,8 @@
 }
 
 #[test]
-fn a_member_whose_log_stood_still_is_cold_when_it_comes_back() {
-    // With its log still: most proxies keep from it. With a fresh one: a full connection table, no restart.
+fn a_endpoint_whose_log_stood_still_is_cold_when_it_comes_back() {
+    // With its log still: most routers keep from it. With a fresh one: a full connection table, no restart.
     let mut used = [0, 0];
     for (fresh, used) in used.iter_mut().enumerate() {
         for mut h in fleet(&settings()) {
@@ -125,14 +131,20 @@
                 let (id, out) = h.request(SESSION);
                 let to = sent(&out).unwrap().to_string();
                 if to != "b" {
-                    h.outcome(id, &to, 0, Ending::Served, standing(&h, &to));
+                    h.outcome(id, &to, 0, AttemptOutcome::Served, replication(&h, &to));
                 } else if h.now < old + 3000 * MS {
-                    let out = h.outcome(id, "b", 0, Ending::ConnectFailed, Standing::default());
+                    let out = h.outcome(
+                        id,
+                        "b",
+                        0,
+                        AttemptOutcome::ConnectFailed,
+                        ReplicationStatus::default(),
+                    );
                     let to = sent(&out).unwrap().to_string();
-                    h.outcome(id, &to, 1, Ending::Served, standing(&h, &to));
+                    h.outcome(id, &to, 1, AttemptOutcome::Served, replication(&h, &to));
                 } else {
                     let at = if fresh == 1 { h.now } else { old };
-                    h.outcome(id, "b", 0, Ending::Served, replica(at));
+                    h.outcome(id, "b", 0, AttemptOutcome::Served, replica(at));
                     back = true;
                     break;
                 }
@@ -158,24 +170,25 @@
     let mut refusals = 0;
     let mut sends = 0;
     for mut h in fleet(&settings()).into_iter().take(40) {
-        let mut lost: Vec<(Time, RequestId, MemberId)> = Vec::new();
+        let mut lost: Vec<(Timestamp, RequestId, EndpointId)> = Vec::new();
         for i in 0..80 {
             if lost.first().is_some_and(|l| l.0 + 2000 * MS <= h.now) {
-                let (at, request, member) = lost.remove(0);
-                let (standing, report) = (Standing::default(), Standing::default());
-                let (attempt, ending, latency) = (0, Ending::TimedOut, h.now - at);
+                let (at, request, endpoint) = lost.remove(0);
+                let (replication, report) =
+                    (ReplicationStatus::default(), ReplicationStatus::default());
+                let (attempt, outcome, latency) = (0, AttemptOutcome::TimedOut, h.now - at);
                 let closed = false;
-                let o = Outcome {
+                let o = AttemptEnded {
                     request,
-                    member,
+                    endpoint,
                     attempt,
-                    ending,
-                    standing,
+                    outcome,
+                    replication,
                     report,
                     latency,
                     closed,
                 };
-                h.feed(Event::Outcome(o));
+                h.feed(Event::AttemptEnded(o));
             }
             let (id, out) = h.request(SESSION);
             refusals += u32::from(refused(&out));
@@ -183,7 +196,7 @@
                 if i % 4 == 3 {
                     lost.push((h.now, id, Arc::from(&*to)));
                 } else {
-                    h.outcome(id, &to, 0, Ending::Served, standing(&h, &to));
+                    h.outcome(id, &to, 0, AttemptOutcome::Served, replication(&h, &to));
                     sends += 1;
                 }
             }
@@ -194,24 +207,24 @@
 }
 
 #[test]
-fn errors_of_one_member_are_no_crowding_of_others() {
+fn errors_of_one_endpoint_are_no_crowding_of_others() {
     let mut h = Host::new(settings());
     h.warm_up();
     let mut refusals = 0;
     for i in 0..60 {
         let class = if i % 3 == 0 { KEYED } else { SESSION };
         let (id, out) = h.request(class);
-        let of_it = |a: &&Action| matches!(a, Action::Refuse { request, .. } if *request == id);
+        let of_it = |a: &&Action| matches!(a, Action::Reject { request, .. } if *request == id);
         refusals += out.iter().filter(of_it).count();
         if let Some(to) = sent(&out).map(str::to_string) {
-            let ending = if class == KEYED {
-                Ending::Error
+            let outcome = if class == KEYED {
+                AttemptOutcome::Error
             } else {
-                Ending::Served
+                AttemptOutcome::Served
             };
-            let out = h.outcome(id, &to, 0, ending, standing(&h, &to));
+            let out = h.outcome(id, &to, 0, outcome, replication(&h, &to));
             if sent(&out).is_some() {
-                h.outcome(id, "a", 1, Ending::Served, standing(&h, "a"));
+                h.outcome(id, "a", 1, AttemptOutcome::Served, replication(&h, "a"));
             }
         }
         h.wait(200 * MS);
@@ -220,17 +233,17 @@
 }
 
 #[test]
-fn a_live_member_called_gone_serves_on_where_only_draining_binds() {
+fn a_live_endpoint_called_gone_serves_on_where_only_draining_binds() {
     for binds in [true, false] {
         let mut set = settings();
         set.rules.only_draining_binds = !binds;
         let mut h = Host::new(set);
         h.warm_up();
         let mut gone = entry("b", false);
-        gone.state = State::Gone;
+        gone.state = EndpointState::Removed;
         h.feed(changed(gone));
         h.feed(Event::List {
-            kind: ListKind::Whole,
+            kind: ListKind::Full,
             entries: vec![entry("a", true), entry("c", false)],
         });
         h.wait(1100 * MS);
@@ -252,11 +265,17 @@
                 break;
             };
             if to != "ghost" {
-                h.outcome(id, &to, n, Ending::Served, standing(&h, &to));
+                h.outcome(id, &to, n, AttemptOutcome::Served, replication(&h, &to));
                 break;
             }
             tries += 1;
-            out = h.outcome(id, &to, n, Ending::ConnectFailed, Standing::default());
+            out = h.outcome(
+                id,
+                &to,
+                n,
+                AttemptOutcome::ConnectFailed,
+                ReplicationStatus::default(),
+            );
         }
         let waited = h.wait(100 * MS);
         probes += waited
@@ -271,7 +290,7 @@
 }
 
 #[test]
-fn a_bad_link_is_left_out_by_its_own_proxy_only() {
+fn a_bad_link_is_left_out_by_its_own_router_only() {
     let mut used = [0, 0];
     for (cut, used) in [true, false].into_iter().zip(&mut used) {
         let mut h = Host::seeded(settings(), 3 + u64::from(cut));
@@ -281,7 +300,7 @@
             let to = sent(&out).unwrap().to_string();
             *used += u32::from(to == "b");
             if !(cut && to == "b") {
-                h.outcome(id, &to, 0, Ending::Served, standing(&h, &to));
+                h.outcome(id, &to, 0, AttemptOutcome::Served, replication(&h, &to));
             }
             h.wait(100 * MS);
         }
@@ -293,19 +312,19 @@
 fn odd_lists_and_positions_have_a_defined_reading() {
     let mut h = Host::new(settings());
     h.warm_up();
-    // A known member under another group stays where it was; a start in the future is a start now.
+    // A known endpoint under another replica set stays where it was; a start in the future is a start now.
     let mut moved = entry("b", false);
-    (moved.group, moved.started) = (9, h.now + 60_000 * MS);
+    (moved.replica_set, moved.started) = (9, h.now + 60_000 * MS);
     h.feed(changed(moved));
     let (_, out) = {
         let id = h.next;
         h.next += 1;
         let (session, since_write, tenant, work) = (Some(Arc::from("s")), None, None, None);
-        let (class, group, is_retry, time_left) = (SESSION, 9, false, 500 * MS);
+        let (class, replica_set, is_retry, time_left) = (SESSION, 9, false, 500 * MS);
         let req = Request {
             id,
             class,
-            group,
+            replica_set,
             session,
             since_write,
             tenant,
@@ -323,11 +342,17 @@
     // Positions never go back, and one ahead of the clock must not make a replica fresh for ever.
     let (id, out) = h.request(SESSION);
     let to = sent(&out).unwrap().to_string();
-    h.outcome(id, &to, 0, Ending::Served, replica(h.now - 5000 * MS));
+    h.outcome(
+        id,
+        &to,
+        0,
+        AttemptOutcome::Served,
+        replica(h.now - 5000 * MS),
+    );
     let ahead = h.now + 3_600_000 * MS;
     let (id, out) = h.request(SESSION);
     let to = sent(&out).unwrap().to_string();
-    h.outcome(id, &to, 0, Ending::Served, replica(ahead));
+    h.outcome(id, &to, 0, AttemptOutcome::Served, replica(ahead));
     h.wait(2000 * MS);
     let (_, out) = h.request(BOUNDED);
     assert_eq!(
@@ -337,7 +362,7 @@
     );
     let mut set = settings();
     set.limits.max_attempts = 0;
-    assert!(Brain::new(1, set).is_err());
+    assert!(Balancer::new(1, set).is_err());
 }
 
 #[test]
@@ -354,7 +379,7 @@
             let to_it = |a: &Action| matches!(a, Action::Send { request, .. } if *request == id);
             if out.iter().any(to_it) {
                 sends += 1;
-                out = h.outcome(id, "a", n, Ending::Full, primary(h.now));
+                out = h.outcome(id, "a", n, AttemptOutcome::Overloaded, primary(h.now));
             }
             out.extend(h.wait(300 * MS));
         }
@@ -363,12 +388,12 @@
     assert!(sends > writes / 2, "held back for nothing");
 }
 
-/// A hundred proxies on a list's service that serves one call in 25 ms, as a slow one does, and ends one that has
+/// A hundred routers on a list's service that serves one call in 25 ms, as a slow one does, and ends one that has
 /// waited 2 s in its queue. Calls that come together all wait too long, and repeated at once do so for ever.
 #[test]
-fn a_hundred_proxies_find_the_list_though_its_service_is_slow() {
+fn a_hundred_routers_find_the_list_though_its_service_is_slow() {
     let mut set = settings();
-    (set.must_subscribe, set.proxies) = (true, 100);
+    (set.must_subscribe, set.router_count) = (true, 100);
     for seed in 0..3 {
         let mut hosts: Vec<Host> = (0..100)
             .map(|i| Host::seeded(set.clone(), seed * 1000 + i))
@@ -433,16 +458,16 @@
 }
 
 /// With little traffic the next write may be seconds away: a read that must be current looks for the primary itself,
-/// but only where members turn away what they are behind for.
+/// but only where endpoints turn away what they are behind for.
 #[test]
-fn a_read_that_must_be_current_looks_for_the_primary_where_members_check() {
-    for guard in [Guard::Refuse, Guard::Silent] {
+fn a_read_that_must_be_current_looks_for_the_primary_where_endpoints_check() {
+    for stale_reads in [StaleReadPolicy::Reject, StaleReadPolicy::Serve] {
         let mut set = settings();
-        (set.guard, set.list_role) = (guard, ListRole::Silent);
+        (set.stale_reads, set.list_role) = (stale_reads, ListRole::Silent);
         for seed in 0..20 {
             let mut h = Host::seeded(set.clone(), seed);
             let (id, mut out) = h.request(FRESH);
-            if guard == Guard::Silent {
+            if stale_reads == StaleReadPolicy::Serve {
                 assert_eq!(
                     sent(&out),
                     None,
@@ -452,14 +477,14 @@
             }
             let mut asked = Vec::new();
             while let Some(to) = sent(&out).map(str::to_string) {
-                let (ending, s) = if to == "a" {
-                    (Ending::Served, primary(h.now))
+                let (outcome, s) = if to == "a" {
+                    (AttemptOutcome::Served, primary(h.now))
                 } else {
-                    (Ending::Miss, replica(h.now))
+                    (AttemptOutcome::Misrouted, replica(h.now))
                 };
                 let n = asked.len() as u32;
                 asked.push(to.clone());
-                out = h.outcome(id, &to, n, ending, s);
+                out = h.outcome(id, &to, n, outcome, s);
             }
             assert_eq!(
                 asked.last().map(String::as_str),
