--- a/crates/service-discovery/src/browse.rs
+++ b/crates/service-discovery/src/browse.rs
@@ -1,12 +1,12 @@
 //! A client of DNS-based service discovery (RFC 6763) over unicast DNS, without I/O: it says which queries go to which
 //! server, takes what comes back, and turns the records into claims.
 //!
-//! One PTR query names the instances; what an answer brings along in its additional section (RFC 6763, 12.1) is used
+//! One PTR query names the endpoints; what an answer brings along in its additional section (RFC 6763, 12.1) is used
 //! where it belongs to what was asked, and only what is still missing is asked for, all at once. So a change of ten
 //! records takes one round trip at a server that sends them along, and three at most.
 //!
 //! What fails takes nothing away: a server that fails is followed by the next, and when all have failed the source is
-//! [`Input::Failed`] and asked again after a growing pause. An empty list of instances counts as a failure until it
+//! [`Input::Failed`] and asked again after a growing pause. An empty list of endpoints counts as a failure until it
 //! has come [`EMPTY`] times in a row; a server that has lost its zone must not empty the router's list.
 
 use crate::wheel::{Handle, Wheel};
@@ -15,21 +15,21 @@
 use hickory_proto::rr::{Name, RData, Record, RecordType};
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
-use reelrill_routing::{Span, Time};
+use reelrill_routing::{Nanos, Timestamp};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 
-/// How often in a row a list of instances must be empty before it is believed.
+/// How often in a row a list of endpoints must be empty before it is believed.
 pub const EMPTY: u32 = 3;
 /// What the client takes over UDP (EDNS, RFC 6891): beyond it servers truncate, and TCP follows.
 const PAYLOAD: u16 = 1232;
 /// The part of a TTL after which a record is asked for again; one in ten of it is drawn, so that routers spread.
 const REFRESH: f64 = 0.8;
-/// Records other than the list of instances wait a little longer: a refresh of the list may bring them along.
+/// Records other than the list of endpoints wait a little longer: a refresh of the list may bring them along.
 const LATER: f64 = 0.1;
 /// The longest pause between attempts at a source that fails.
-const PAUSE: Span = 30_000_000_000;
+const PAUSE: Nanos = 30_000_000_000;
 /// The most records that one answer may bring.
 const MOST_RECORDS: usize = 4096;
 /// The most queries that wait for the budget.
@@ -45,9 +45,9 @@
     /// Names outside of this domain are not believed.
     pub domain: Name,
     /// The least and the most that a TTL counts for.
-    pub ttl: (Span, Span),
+    pub ttl: (Nanos, Nanos),
     /// How long one query may take.
-    pub timeout: Span,
+    pub timeout: Nanos,
     /// Queries a second.
     pub budget: f64,
     /// The zones' names, in the order that [`Claim::zone`] counts.
@@ -74,7 +74,7 @@
     Ask(Ask),
     /// Wait for this query no longer.
     Drop(u64),
-    /// Tell the members.
+    /// Tell the endpoints.
     Tell(Input),
 }
 
@@ -93,7 +93,7 @@
     pub forged: u64,
     /// Records that were brought along and do not belong to what was asked.
     pub foreign: u64,
-    /// Instances whose records tell no group.
+    /// Instances whose records tell no replica set.
     pub incomplete: u64,
 }
 
@@ -114,7 +114,7 @@
 #[derive(Debug, Default)]
 struct Set {
     records: Vec<RData>,
-    until: Time,
+    until: Timestamp,
     timer: Option<Handle>,
 }
 
@@ -135,10 +135,10 @@
     wanted: HashSet<Key>,
     waiting: VecDeque<(Key, usize, usize, bool)>,
     sets: HashMap<Key, Set>,
-    /// Which instances have their service at a target, so that an address finds them.
+    /// Which endpoints have their service at a target, so that an address finds them.
     targets: HashMap<Name, HashSet<Name>>,
     told: HashMap<Name, Claim>,
-    /// The list of instances can't be had now.
+    /// The list of endpoints can't be had now.
     is_failing: bool,
     /// Records that are due, and wait until it can: one query at a time tells whether a server is back.
     held: HashSet<Key>,
@@ -147,7 +147,7 @@
     wheel: Wheel<Due>,
     next: u64,
     tokens: f64,
-    filled: Time,
+    filled: Timestamp,
     failures: u32,
     empties: u32,
     counts: Counts,
@@ -155,7 +155,7 @@
 
 impl Browser {
     /// A client that has asked nothing yet; `seed` is for ids and jitter.
-    pub fn new(config: Config, source: Source, seed: u64, now: Time) -> Browser {
+    pub fn new(config: Config, source: Source, seed: u64, now: Timestamp) -> Browser {
         Browser {
             tokens: config.budget.max(1.0),
             config,
@@ -185,18 +185,18 @@
     }
 
     /// Begins to browse.
-    pub fn start(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub fn start(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.want((self.config.service.clone(), RecordType::PTR));
         self.pump(now, out);
     }
 
     /// When [`Browser::on_due`] is to be called at the latest.
-    pub fn next_due(&self) -> Option<Time> {
+    pub fn next_due(&self) -> Option<Timestamp> {
         self.wheel.next_due()
     }
 
     /// Queries that took too long, records that must be asked for again.
-    pub fn on_due(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub fn on_due(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let mut due = Vec::new();
         self.wheel.expire(now, &mut due);
         for due in due {
@@ -223,14 +223,14 @@
     }
 
     /// A query could not be sent, or its connection broke.
-    pub fn broken(&mut self, now: Time, query: u64, out: &mut Vec<Output>) {
+    pub fn broken(&mut self, now: Timestamp, query: u64, out: &mut Vec<Output>) {
         self.counts.failed += 1;
         self.next_server(now, query, out);
         self.pump(now, out);
     }
 
     /// Takes what came for a query. What is no answer to it changes nothing: the true one may still come.
-    pub fn answer(&mut self, now: Time, query: u64, bytes: &[u8], out: &mut Vec<Output>) {
+    pub fn answer(&mut self, now: Timestamp, query: u64, bytes: &[u8], out: &mut Vec<Output>) {
         let Some(asked) = self.asked.get(&query) else {
             return;
         };
@@ -294,7 +294,7 @@
     }
 
     /// Asks the next server, or gives up for now.
-    fn next_server(&mut self, now: Time, query: u64, out: &mut Vec<Output>) {
+    fn next_server(&mut self, now: Timestamp, query: u64, out: &mut Vec<Output>) {
         let Some(asked) = self.asked.remove(&query) else {
             return;
         };
@@ -310,18 +310,18 @@
     }
 
     /// Nothing is known now that was not known before; asked again after a pause that grows.
-    fn failed(&mut self, now: Time, key: Key, out: &mut Vec<Output>) {
+    fn failed(&mut self, now: Timestamp, key: Key, out: &mut Vec<Output>) {
         out.push(Output::Tell(Input::Failed {
             source: self.source,
         }));
         let pause = self.config.ttl.0.max(100_000_000) << self.failures.min(8);
         self.failures += 1;
         self.is_failing |= key.1 == RecordType::PTR;
-        let pause = (pause.min(PAUSE) as f64 * self.random.random_range(0.5..1.0)) as Span;
+        let pause = (pause.min(PAUSE) as f64 * self.random.random_range(0.5..1.0)) as Nanos;
         self.refresh_at(now.saturating_add(pause), key);
     }
 
-    fn refresh_at(&mut self, at: Time, key: Key) {
+    fn refresh_at(&mut self, at: Timestamp, key: Key) {
         let set = self.sets.entry(key.clone()).or_default();
         match set.timer {
             Some(timer) if self.wheel.reset(timer, at) => {}
@@ -330,7 +330,7 @@
     }
 
     /// Sends what waits, as far as the budget goes.
-    fn pump(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn pump(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let budget = self.config.budget.max(1.0);
         let since = now.saturating_sub(self.filled) as f64 / 1e9;
         (self.tokens, self.filled) = ((self.tokens + since * budget).min(budget), now);
@@ -376,23 +376,26 @@
         }
         if !self.waiting.is_empty() && !std::mem::replace(&mut self.is_paced, true) {
             self.wheel
-                .insert(now.saturating_add((1e9 / budget) as Span), Due::Budget);
+                .insert(now.saturating_add((1e9 / budget) as Nanos), Due::Budget);
         }
     }
 
     /// Keeps a set of records, and says when it is to be asked for again.
-    fn keep(&mut self, now: Time, key: Key, records: Vec<RData>, ttl: u32) {
+    fn keep(&mut self, now: Timestamp, key: Key, records: Vec<RData>, ttl: u32) {
         let ttl = (u64::from(ttl) * 1_000_000_000).clamp(self.config.ttl.0, self.config.ttl.1);
         let later = if key.1 == RecordType::PTR { 0.0 } else { LATER };
         let part = (REFRESH + later) * self.random.random_range(0.9..1.0);
-        self.refresh_at(now.saturating_add((ttl as f64 * part) as Span), key.clone());
+        self.refresh_at(
+            now.saturating_add((ttl as f64 * part) as Nanos),
+            key.clone(),
+        );
         self.held.remove(&key);
         let set = self.sets.entry(key).or_default();
         (set.records, set.until) = (records, now.saturating_add(ttl));
     }
 
     /// An answer: the records asked for, or that there are none, and what it brings along.
-    fn take(&mut self, now: Time, key: Key, message: &Message, out: &mut Vec<Output>) {
+    fn take(&mut self, now: Timestamp, key: Key, message: &Message, out: &mut Vec<Output>) {
         let of = |records: &[Record], name: &Name, kind: RecordType| -> (Vec<RData>, u32) {
             let fits = |r: &&Record| r.name == *name && r.data.record_type() == kind;
             let found: Vec<&Record> = records.iter().filter(fits).take(MOST_RECORDS).collect();
@@ -479,7 +482,7 @@
         }
     }
 
-    /// The target of an instance, its port, weight and priority.
+    /// The target of an endpoint, its port, weight and priority.
     fn target(&self, instance: &Name) -> Option<(Name, u16, u16, u16)> {
         let set = self.sets.get(&(instance.clone(), RecordType::SRV))?;
         set.records.iter().find_map(|r| match r {
@@ -515,8 +518,8 @@
         }
     }
 
-    /// Tells what is known of an instance, or asks for what is missing.
-    fn tell(&mut self, now: Time, instance: &Name, out: &mut Vec<Output>) {
+    /// Tells what is known of an endpoint, or asks for what is missing.
+    fn tell(&mut self, now: Timestamp, instance: &Name, out: &mut Vec<Output>) {
         let held = |kind| {
             self.sets
                 .get(&(instance.clone(), kind))
@@ -524,8 +527,8 @@
         };
         let (srv, txt) = (held(RecordType::SRV), held(RecordType::TXT));
         let mut until = srv
-            .map_or(Time::MAX, |s| s.until)
-            .min(txt.map_or(Time::MAX, |s| s.until));
+            .map_or(Timestamp::MAX, |s| s.until)
+            .min(txt.map_or(Timestamp::MAX, |s| s.until));
         let texts = txt.map_or(HashMap::new(), |s| texts(&s.records));
         let missing: Vec<RecordType> = [
             (srv.is_none(), RecordType::SRV),
@@ -542,7 +545,7 @@
             return;
         }
         let Some((target, port, weight, tier)) = self.target(instance) else {
-            // The server says that there is no such instance.
+            // The server says that there is no such endpoint.
             return self.untell(instance, out);
         };
         if !self.config.domain.zone_of(&target) {
@@ -576,7 +579,7 @@
             return;
         };
         until = until.min(fresh);
-        let Some(group) = texts.get("group").and_then(|g| g.parse().ok()) else {
+        let Some(replica_set) = texts.get("group").and_then(|g| g.parse().ok()) else {
             self.counts.incomplete += 1;
             return;
         };
@@ -590,8 +593,8 @@
             .unwrap_or(0);
         let claim = Claim {
             uid: texts.get("uid").map(|uid| Arc::from(&**uid)),
-            endpoint: SocketAddr::new(ip, port),
-            group,
+            address: SocketAddr::new(ip, port),
+            replica_set,
             zone: zone as u32,
             word: if texts.get("state").is_none_or(|s| s == "ready") {
                 Word::Ready
@@ -628,7 +631,7 @@
     })
 }
 
-/// An instance's name, as the members know it: names are the same in upper and lower case.
+/// An endpoint's name, as the endpoints know it: names are the same in upper and lower case.
 fn label(instance: &Name) -> Arc<str> {
     instance.to_lowercase().to_ascii().into()
 }
--- a/crates/service-discovery/src/lib.rs
+++ b/crates/service-discovery/src/lib.rs
@@ -1,25 +1,25 @@
-//! What several sources say of the members, and the one list that comes of it. No I/O: words of the sources, the
-//! members' own answers and the time come in as arguments, changes of the list come out.
+//! What several sources say of the endpoints, and the one list that comes of it. No I/O: words of the sources, the
+//! endpoints' own answers and the time come in as arguments, changes of the list come out.
 //!
 //! ```
-//! use reelrill_service_discovery::{Claim, Input, Kind, Members, Settings, Word};
-//! let mut members = Members::new(Settings::default(), 0);
-//! members.handle(0, Input::Source { source: 0, kind: Kind::Roster }, &mut Vec::new());
+//! use reelrill_service_discovery::{Claim, Input, Kind, Endpoints, Settings, Word};
+//! let mut endpoints = Endpoints::new(Settings::default(), 0);
+//! endpoints.handle(0, Input::Source { source: 0, kind: Kind::Roster }, &mut Vec::new());
 //! let claim = Claim::new("s-1", "127.0.0.1:7001".parse().unwrap(), 1);
 //! let mut changes = Vec::new();
-//! members.handle(0, Input::Told { source: 0, name: "s-1".into(), claim }, &mut changes);
-//! assert_eq!(changes[0].member(), "s-1");
+//! endpoints.handle(0, Input::Told { source: 0, name: "s-1".into(), claim }, &mut changes);
+//! assert_eq!(changes[0].endpoint(), "s-1");
 //! ```
 //!
 //! The rules, by number ([`Rule`] names the one that decided), are written out in `docs/design/membership.md`.
 #![forbid(unsafe_code)]
 
 pub mod browse;
-mod members;
+mod registry;
 pub mod watch;
 pub mod wheel;
 
-pub use members::{
+pub use registry::{
     Binding, Change, Claim, Counts, Held, Input, Kind, Members, Removal, Rule, Settings, Source,
     Status, View, Word,
 };
--- a/crates/service-discovery/src/members.rs
+++ b/crates/service-discovery/src/registry.rs
@@ -1,7 +1,7 @@
 //! The claims, the rules, and the list.
 
 use crate::wheel::{Handle, Wheel};
-use reelrill_routing::{Span, Time};
+use reelrill_routing::{Nanos, Timestamp};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
     Roster,
 }
 
-/// What a claim says of the member's state.
+/// What a claim says of the endpoint's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Word {
     /// In service.
@@ -27,39 +27,39 @@
     Draining,
 }
 
-/// What a source says of a member.
+/// What a source says of an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Claim {
     /// Its own name; none: the source does not tell it.
     pub uid: Option<Arc<str>>,
     /// Where it listens.
-    pub endpoint: SocketAddr,
-    /// Its group.
-    pub group: u32,
+    pub address: SocketAddr,
+    /// Its replica set.
+    pub replica_set: u32,
     /// Its zone.
     pub zone: u32,
     /// Its state.
     pub word: Word,
     /// When it last started, in Unix nanoseconds; 0: not told, or long past.
-    pub started: Time,
+    pub started: Timestamp,
     /// The source's version of this word; 0 where it has none.
     pub version: u64,
     /// Its size as compared with others.
     pub weight: f64,
-    /// Members of a higher tier are used only while their group has none in service in a lower one.
+    /// Endpoints of a higher tier are used only while their replica set has none in service in a lower one.
     pub tier: u16,
     /// When the claim is stale if it has not been told again; none: never.
-    pub until: Option<Time>,
+    pub until: Option<Timestamp>,
 }
 
 impl Claim {
-    /// A member in service, with nothing else told.
-    pub fn new(uid: &str, endpoint: SocketAddr, group: u32) -> Claim {
+    /// An endpoint in service, with nothing else told.
+    pub fn new(uid: &str, address: SocketAddr, replica_set: u32) -> Claim {
         let (word, uid) = (Word::Ready, Some(uid.into()));
         Claim {
             uid,
-            endpoint,
-            group,
+            address,
+            replica_set,
             zone: 0,
             word,
             started: 0,
@@ -74,12 +74,12 @@
 impl Claim {
     /// Whether the list would say the same of it.
     fn counts_as(&self, other: &Claim) -> bool {
-        (self.endpoint, self.group, self.zone, self.tier)
-            == (other.endpoint, other.group, other.zone, other.tier)
+        (self.address, self.replica_set, self.zone, self.tier)
+            == (other.address, other.replica_set, other.zone, other.tier)
             && self.weight == other.weight
     }
 
-    /// Whether another says the same of the member, however old and long it holds.
+    /// Whether another says the same of the endpoint, however old and long it holds.
     fn says_as(&self, other: &Claim) -> bool {
         let (version, until) = (other.version, other.until);
         *other
@@ -91,10 +91,10 @@
     }
 }
 
-/// How a source takes a member's name back.
+/// How a source takes an endpoint's name back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Removal {
-    /// It says that the member is gone.
+    /// It says that the endpoint is gone.
     Gone,
     /// It does not name it any more.
     Absent,
@@ -115,20 +115,20 @@
         /// Its number.
         source: Source,
     },
-    /// A source names a member, or says something else of it.
+    /// A source names an endpoint, or says something else of it.
     Told {
         /// The source.
         source: Source,
-        /// The member, as the source names it.
+        /// The endpoint, as the source names it.
         name: Arc<str>,
         /// What it says.
         claim: Claim,
     },
-    /// A source names a member no longer.
+    /// A source names an endpoint no longer.
     Removed {
         /// The source.
         source: Source,
-        /// The member, as the source names it.
+        /// The endpoint, as the source names it.
         name: Arc<str>,
         /// How.
         how: Removal,
@@ -145,28 +145,28 @@
         /// The source.
         source: Source,
     },
-    /// A member answered for itself.
+    /// An endpoint answered for itself.
     Answered {
-        /// The member.
-        member: Arc<str>,
+        /// The endpoint.
+        endpoint: Arc<str>,
         /// It says that it leaves.
         leaving: bool,
     },
 }
 
-/// What is in the list of a member.
+/// What is in the list of an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct View {
     /// Where it is dialled.
-    pub endpoint: SocketAddr,
-    /// Its group.
-    pub group: u32,
+    pub address: SocketAddr,
+    /// Its replica set.
+    pub replica_set: u32,
     /// Its zone.
     pub zone: u32,
     /// Its state.
     pub word: Word,
     /// When it last started.
-    pub started: Time,
+    pub started: Timestamp,
     /// Its size as compared with others.
     pub weight: f64,
 }
@@ -174,32 +174,32 @@
 /// A change of the list.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    /// The member is in the list, like this.
+    /// The endpoint is in the list, like this.
     Listed {
-        /// The member.
-        member: Arc<str>,
+        /// The endpoint.
+        endpoint: Arc<str>,
         /// What the list says of it.
         view: View,
         /// It was not in the list before.
         is_new: bool,
     },
-    /// The member is not in the list any more.
+    /// The endpoint is not in the list any more.
     Gone {
-        /// The member.
-        member: Arc<str>,
+        /// The endpoint.
+        endpoint: Arc<str>,
     },
 }
 
 impl Change {
-    /// The member that it is about.
-    pub fn member(&self) -> &str {
+    /// The endpoint that it is about.
+    pub fn endpoint(&self) -> &str {
         match self {
-            Change::Listed { member, .. } | Change::Gone { member } => member,
+            Change::Listed { endpoint, .. } | Change::Gone { endpoint } => endpoint,
         }
     }
 }
 
-/// The rule that decided what the list says of a member.
+/// The rule that decided what the list says of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
     /// A source names it and nothing speaks against it.
@@ -214,9 +214,9 @@
     OwnDrain,
     /// A source says that it is gone, and nothing newer has lifted that.
     Gone,
-    /// Another member has its endpoint.
+    /// Another endpoint has its endpoint.
     Shadowed,
-    /// Its group has members in service in a lower tier.
+    /// Its replica set has endpoints in service in a lower tier.
     Standby,
 }
 
@@ -230,9 +230,9 @@
     /// What is said.
     pub claim: Claim,
     /// When it was last told.
-    pub told: Time,
+    pub told: Timestamp,
     /// Since when it says the same.
-    pub since: Time,
+    pub since: Timestamp,
     /// It was not told again in time: it counts for less than one that was.
     pub is_stale: bool,
 }
@@ -244,27 +244,27 @@
     pub by: Source,
     /// What that source is.
     pub kind: Kind,
-    /// The start of the member that it was said of.
-    pub started: Time,
+    /// The start of the endpoint that it was said of.
+    pub started: Timestamp,
     /// The source's version of it.
     pub version: u64,
     /// When it was said.
-    pub at: Time,
+    pub at: Timestamp,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Member {
+struct Endpoint {
     /// Its number among all that ever were: shorter to compare than its name.
     serial: u64,
     claims: Vec<Held>,
     drain: Option<Binding>,
     gone: Option<Binding>,
-    own_drain: Option<Time>,
-    answered: Option<Time>,
-    /// The view that the claims last gave: what a member that only vouches for itself is listed by.
+    own_drain: Option<Timestamp>,
+    answered: Option<Timestamp>,
+    /// The view that the claims last gave: what an endpoint that only vouches for itself is listed by.
     last: Option<View>,
     last_tier: u16,
-    /// Its place among those that are in service, by group and tier.
+    /// Its place among those that are in service, by replica set and tier.
     ranked: Option<(u32, u16)>,
     listed: Option<View>,
     rule: Option<Rule>,
@@ -273,30 +273,30 @@
     /// The endpoint of the claim that counts.
     best: Option<SocketAddr>,
     /// When to look at it again.
-    timer: Option<(Handle, Time)>,
+    timer: Option<(Handle, Timestamp)>,
 }
 
 #[derive(Debug, Clone)]
 struct Heard {
     kind: Kind,
     /// Since when it has not been heard.
-    silent: Option<Time>,
+    silent: Option<Timestamp>,
 }
 
 /// What the rules are to go by.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Settings {
-    /// How long a member's own answer vouches for it, and its own word that it leaves binds.
-    pub vouch: Span,
-    /// How long a member that nobody names is kept in mind, so that an old word about it is known for one.
-    pub remember: Span,
-    /// The most members; what comes beyond is not taken in, and counted.
+    /// How long an endpoint's own answer vouches for it, and its own word that it leaves binds.
+    pub vouch: Nanos,
+    /// How long an endpoint that nobody names is kept in mind, so that an old word about it is known for one.
+    pub remember: Nanos,
+    /// The most endpoints; what comes beyond is not taken in, and counted.
     pub most: usize,
     /// Only newer word lifts a drain. Off only to show that a check finds it.
     pub drains_hold: bool,
     /// A failure of a source takes nothing away. Off only to show that a check finds it.
     pub silence_keeps: bool,
-    /// A member that one source no longer names stays as long as others name it or it answers. Off only to show
+    /// An endpoint that one source no longer names stays as long as others name it or it answers. Off only to show
     /// that a check finds it.
     pub absence_needs_all: bool,
 }
@@ -319,23 +319,23 @@
 /// What has been counted since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Members that came into the list, and that left it.
+    /// Endpoints that came into the list, and that left it.
     pub came: u64,
     /// See `came`.
     pub went: u64,
     /// Words that another source's contradict, as they were told.
     pub contradicted: u64,
-    /// Names that could stand for more than one member.
+    /// Names that could stand for more than one endpoint.
     pub ambiguous: u64,
     /// Claims beyond the bound.
     pub refused: u64,
 }
 
-/// A member, for people.
+/// An endpoint, for people.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Status {
-    /// The member.
-    pub member: Arc<str>,
+    /// The endpoint.
+    pub endpoint: Arc<str>,
     /// What the list says of it, if it is there.
     pub listed: Option<View>,
     /// Why.
@@ -345,46 +345,46 @@
     /// A drain that was told and not lifted.
     pub drain: Option<Binding>,
     /// Since when it says itself that it leaves.
-    pub own_drain: Option<Time>,
+    pub own_drain: Option<Timestamp>,
     /// It was said to be gone, and that was not lifted.
     pub gone: Option<Binding>,
     /// When it last answered.
-    pub answered: Option<Time>,
+    pub answered: Option<Timestamp>,
 }
 
-/// All members.
+/// All endpoints.
 #[derive(Debug, Clone)]
 pub struct Members {
     settings: Settings,
     sources: BTreeMap<Source, Heard>,
-    members: HashMap<Arc<str>, Member>,
-    /// Which member a source's name stands for.
+    endpoints: HashMap<Arc<str>, Endpoint>,
+    /// Which endpoint a source's name stands for.
     names: HashMap<(Source, Arc<str>), Arc<str>>,
-    /// Which members have claims of an endpoint, or were listed there last.
-    endpoints: HashMap<SocketAddr, Vec<Arc<str>>>,
-    /// The members in service, by group and tier.
+    /// Which endpoints have claims of an endpoint, or were listed there last.
+    addresses: HashMap<SocketAddr, Vec<Arc<str>>>,
+    /// The endpoints in service, by replica set and tier.
     tiers: HashMap<u32, BTreeMap<(u16, u64), Arc<str>>>,
-    /// Members so far.
+    /// Endpoints so far.
     serial: u64,
     wheel: Wheel<Arc<str>>,
-    /// Members whose claims differ in what the list would say.
+    /// Endpoints whose claims differ in what the list would say.
     disputed: HashSet<Arc<str>>,
     contradicted: Option<Arc<str>>,
     counts: Counts,
 }
 
-/// What stands before the name of a member whose own name no source tells.
+/// What stands before the name of an endpoint whose own name no source tells.
 const NAMELESS: &str = "name:";
 
 impl Members {
-    /// No sources and no members.
-    pub fn new(settings: Settings, now: Time) -> Members {
+    /// No sources and no endpoints.
+    pub fn new(settings: Settings, now: Timestamp) -> Members {
         Members {
             settings,
             sources: BTreeMap::new(),
-            members: HashMap::new(),
-            names: HashMap::new(),
             endpoints: HashMap::new(),
+            names: HashMap::new(),
+            addresses: HashMap::new(),
             tiers: HashMap::new(),
             serial: 0,
             wheel: Wheel::new(now),
@@ -399,25 +399,25 @@
         self.counts
     }
 
-    /// The member of which two sources last contradicted each other.
+    /// The endpoint of which two sources last contradicted each other.
     pub fn contradicted(&self) -> Option<&Arc<str>> {
         self.contradicted.as_ref()
     }
 
-    /// How many members are kept in mind, listed or not.
+    /// How many endpoints are kept in mind, listed or not.
     pub fn len(&self) -> usize {
-        self.members.len()
+        self.endpoints.len()
     }
 
     /// Whether none is.
     pub fn is_empty(&self) -> bool {
-        self.members.is_empty()
+        self.endpoints.is_empty()
     }
 
-    /// All members, in the order of their names.
+    /// All endpoints, in the order of their names.
     pub fn status(&self) -> Vec<Status> {
-        let status = |(id, m): (&Arc<str>, &Member)| Status {
-            member: id.clone(),
+        let status = |(id, m): (&Arc<str>, &Endpoint)| Status {
+            endpoint: id.clone(),
             listed: m.listed.clone(),
             rule: m.rule.unwrap_or(Rule::Unnamed),
             claims: m.claims.clone(),
@@ -426,32 +426,32 @@
             gone: m.gone,
             answered: m.answered,
         };
-        let mut all: Vec<Status> = self.members.iter().map(status).collect();
-        all.sort_by(|a, b| a.member.cmp(&b.member));
+        let mut all: Vec<Status> = self.endpoints.iter().map(status).collect();
+        all.sort_by(|a, b| a.endpoint.cmp(&b.endpoint));
         all
     }
 
-    /// The rule that decided of a member.
-    pub fn rule(&self, member: &str) -> Option<Rule> {
-        self.members.get(member)?.rule
+    /// The rule that decided of an endpoint.
+    pub fn rule(&self, endpoint: &str) -> Option<Rule> {
+        self.endpoints.get(endpoint)?.rule
     }
 
     /// Since when a source has not been heard; none: it has, or is not known.
-    pub fn silent_since(&self, source: Source) -> Option<Time> {
+    pub fn silent_since(&self, source: Source) -> Option<Timestamp> {
         self.sources.get(&source)?.silent
     }
 
-    /// When [`Members::on_due`] is to be called at the latest.
-    pub fn next_due(&self) -> Option<Time> {
+    /// When [`Endpoints::on_due`] is to be called at the latest.
+    pub fn next_due(&self) -> Option<Timestamp> {
         self.wheel.next_due()
     }
 
-    /// Claims that are stale now, vouching that has ended, members to be forgotten.
-    pub fn on_due(&mut self, now: Time, changes: &mut Vec<Change>) {
+    /// Claims that are stale now, vouching that has ended, endpoints to be forgotten.
+    pub fn on_due(&mut self, now: Timestamp, changes: &mut Vec<Change>) {
         let mut due = Vec::new();
         self.wheel.expire(now, &mut due);
         for id in due {
-            let Some(m) = self.members.get_mut(&id) else {
+            let Some(m) = self.endpoints.get_mut(&id) else {
                 continue;
             };
             m.timer = None;
@@ -466,7 +466,7 @@
     }
 
     /// Takes one input, and appends what it changes in the list.
-    pub fn handle(&mut self, now: Time, input: Input, changes: &mut Vec<Change>) {
+    pub fn handle(&mut self, now: Timestamp, input: Input, changes: &mut Vec<Change>) {
         match input {
             Input::Source { source, kind } => {
                 self.sources.insert(source, Heard { kind, silent: None });
@@ -502,12 +502,14 @@
                 }
                 self.settle_disputed(now, changed, changes);
             }
-            Input::Answered { member, leaving } => self.on_answered(now, &member, leaving, changes),
+            Input::Answered { endpoint, leaving } => {
+                self.on_answered(now, &endpoint, leaving, changes)
+            }
         }
     }
 
     /// A source is heard again, or no longer. Says whether that is new.
-    fn hear(&mut self, now: Time, source: Source, is_heard: bool) -> bool {
+    fn hear(&mut self, now: Timestamp, source: Source, is_heard: bool) -> bool {
         let Some(heard) = self.sources.get_mut(&source) else {
             return false;
         };
@@ -519,7 +521,7 @@
     }
 
     /// What a source says counts for more, or for less, where others contradict it.
-    fn settle_disputed(&mut self, now: Time, changed: bool, changes: &mut Vec<Change>) {
+    fn settle_disputed(&mut self, now: Timestamp, changed: bool, changes: &mut Vec<Change>) {
         if !changed {
             return;
         }
@@ -530,9 +532,15 @@
         }
     }
 
-    fn on_answered(&mut self, now: Time, id: &Arc<str>, leaving: bool, changes: &mut Vec<Change>) {
+    fn on_answered(
+        &mut self,
+        now: Timestamp,
+        id: &Arc<str>,
+        leaving: bool,
+        changes: &mut Vec<Change>,
+    ) {
         // The usual case, many times a second: one look-up, and nothing else to do.
-        let Some(m) = self.members.get_mut(id) else {
+        let Some(m) = self.endpoints.get_mut(id) else {
             return;
         };
         m.answered = Some(now);
@@ -543,17 +551,17 @@
         }
     }
 
-    fn on_no_source(&mut self, now: Time, source: Source, changes: &mut Vec<Change>) {
+    fn on_no_source(&mut self, now: Timestamp, source: Source, changes: &mut Vec<Change>) {
         self.drop_claims(now, source, changes);
         self.sources.remove(&source);
         let bound: Vec<Arc<str>> = self
-            .members
+            .endpoints
             .iter()
             .filter(|(_, m)| m.is_bound_by(source))
             .map(|(id, _)| id.clone())
             .collect();
         for id in bound {
-            if let Some(m) = self.members.get_mut(&id) {
+            if let Some(m) = self.endpoints.get_mut(&id) {
                 m.drain = m.drain.filter(|b| b.by != source);
                 m.gone = m.gone.filter(|b| b.by != source);
             }
@@ -561,7 +569,7 @@
         }
     }
 
-    fn drop_claims(&mut self, now: Time, source: Source, changes: &mut Vec<Change>) {
+    fn drop_claims(&mut self, now: Timestamp, source: Source, changes: &mut Vec<Change>) {
         let names: Vec<Arc<str>> = self
             .names
             .keys()
@@ -572,14 +580,14 @@
     }
 
     /// Those that a source names at an endpoint now.
-    fn claimants(&self, endpoint: SocketAddr) -> Vec<Arc<str>> {
+    fn claimants(&self, address: SocketAddr) -> Vec<Arc<str>> {
         let claims = |id: &&Arc<str>| {
-            self.members
+            self.endpoints
                 .get(*id)
-                .is_some_and(|m| m.claims.iter().any(|h| h.claim.endpoint == endpoint))
+                .is_some_and(|m| m.claims.iter().any(|h| h.claim.address == address))
         };
-        self.endpoints
-            .get(&endpoint)
+        self.addresses
+            .get(&address)
             .into_iter()
             .flatten()
             .filter(claims)
@@ -587,13 +595,13 @@
             .collect()
     }
 
-    /// Which member a claim is about. Its own name says so; else the one member that has its endpoint; else it is
+    /// Which endpoint a claim is about. Its own name says so; else the one endpoint that has its endpoint; else it is
     /// kept apart, under the source's name for it.
     fn identify(&mut self, source: Source, name: &Arc<str>, claim: &Claim) -> Arc<str> {
         if let Some(uid) = &claim.uid {
             return uid.clone();
         }
-        let at = self.claimants(claim.endpoint);
+        let at = self.claimants(claim.address);
         let mut named = at.iter().filter(|id| !id.starts_with(NAMELESS));
         match (named.next(), named.next()) {
             (Some(only), None) => return only.clone(),
@@ -607,7 +615,7 @@
 
     fn on_told(
         &mut self,
-        now: Time,
+        now: Timestamp,
         source: Source,
         name: Arc<str>,
         claim: Claim,
@@ -618,22 +626,22 @@
         };
         let changed = self.hear(now, source, true);
         let id = self.identify(source, &name, &claim);
-        if !self.members.contains_key(&id) && self.members.len() >= self.settings.most {
+        if !self.endpoints.contains_key(&id) && self.endpoints.len() >= self.settings.most {
             self.counts.refused += 1;
             return;
         }
         let key = (source, name.clone());
         let before = self.names.insert(key, id.clone());
-        // The source may give the name to another member; that one is judged once the name is where it belongs.
-        let given = before.filter(|before| *before != id).and_then(|before| {
-            Some((self.unclaim(source, &name, &before)?.claim.endpoint, before))
-        });
+        // The source may give the name to another endpoint; that one is judged once the name is where it belongs.
+        let given = before
+            .filter(|before| *before != id)
+            .and_then(|before| Some((self.unclaim(source, &name, &before)?.claim.address, before)));
         let serial = &mut self.serial;
-        let m = self.members.entry(id.clone()).or_insert_with(|| {
+        let m = self.endpoints.entry(id.clone()).or_insert_with(|| {
             *serial += 1;
-            Member {
+            Endpoint {
                 serial: *serial,
-                ..Member::default()
+                ..Endpoint::default()
             }
         });
         let contradicts =
@@ -652,7 +660,7 @@
             m.own_drain = None;
         }
         m.bind(now, source, kind, &claim, self.settings.drains_hold);
-        let endpoint = claim.endpoint;
+        let address = claim.address;
         let is_stale = claim.until.is_some_and(|until| until <= now);
         let mut held = Held {
             source,
@@ -669,36 +677,42 @@
             .find(|h| h.source == source && h.name == name)
         {
             Some(old) => {
-                moved = Some(old.claim.endpoint).filter(|e| *e != endpoint);
+                moved = Some(old.claim.address).filter(|e| *e != address);
                 if old.claim.says_as(&held.claim) {
                     held.since = old.since;
                 }
                 *old = held;
             }
             None => {
-                // Most members have one claim of each source: room for more would be their largest part.
+                // Most endpoints have one claim of each source: room for more would be their largest part.
                 m.claims.reserve_exact(1);
                 m.claims.push(held);
             }
         }
-        self.enter(endpoint, &id, now, changes);
+        self.enter(address, &id, now, changes);
         if let Some(old) = moved {
             self.leave(old, &id, now, changes);
         }
         self.settle(now, &id, changes);
-        if let Some((endpoint, before)) = given {
-            self.leave(endpoint, &before, now, changes);
+        if let Some((address, before)) = given {
+            self.leave(address, &before, now, changes);
             self.settle(now, &before, changes);
         }
-        self.settle_others(now, endpoint, &id, changes);
+        self.settle_others(now, address, &id, changes);
         self.settle_disputed(now, changed, changes);
     }
 
-    /// A member has a claim of an endpoint. Nameless ones that stood for it are the same member.
-    fn enter(&mut self, endpoint: SocketAddr, id: &Arc<str>, now: Time, changes: &mut Vec<Change>) {
+    /// An endpoint has a claim of an endpoint. Nameless ones that stood for it are the same endpoint.
+    fn enter(
+        &mut self,
+        address: SocketAddr,
+        id: &Arc<str>,
+        now: Timestamp,
+        changes: &mut Vec<Change>,
+    ) {
         let at = self
-            .endpoints
-            .entry(endpoint)
+            .addresses
+            .entry(address)
             .or_insert_with(|| Vec::with_capacity(1));
         if !at.contains(id) {
             at.push(id.clone());
@@ -706,71 +720,77 @@
         if at.len() == 1 {
             return;
         }
-        let at = self.claimants(endpoint);
+        let at = self.claimants(address);
         let is_named = |id: &Arc<str>| !id.starts_with(NAMELESS);
         if !is_named(id) || at.iter().filter(|id| is_named(id)).count() != 1 {
             return;
         }
         let nameless: Vec<Arc<str>> = at.iter().filter(|id| !is_named(id)).cloned().collect();
         for other in nameless {
-            let Some(m) = self.members.get_mut(&other) else {
+            let Some(m) = self.endpoints.get_mut(&other) else {
                 continue;
             };
             let claims: Vec<Held> = m
                 .claims
-                .extract_if(.., |h| h.claim.endpoint == endpoint)
+                .extract_if(.., |h| h.claim.address == address)
                 .collect();
             let (drain, answered) = (m.drain, m.answered);
             for held in &claims {
                 self.names
                     .insert((held.source, held.name.clone()), id.clone());
             }
-            if let Some(m) = self.members.get_mut(id) {
+            if let Some(m) = self.endpoints.get_mut(id) {
                 m.claims.extend(claims);
                 m.drain = m.drain.or(drain);
                 m.answered = m.answered.max(answered);
             }
-            self.leave(endpoint, &other, now, changes);
+            self.leave(address, &other, now, changes);
             self.settle(now, &other, changes);
         }
     }
 
-    /// A member may have no claim of an endpoint any more; then others may have it.
-    fn leave(&mut self, endpoint: SocketAddr, id: &Arc<str>, now: Time, changes: &mut Vec<Change>) {
-        let m = self.members.get(id);
-        if m.is_some_and(|m| m.claims.iter().any(|h| h.claim.endpoint == endpoint)) {
+    /// An endpoint may have no claim of an endpoint any more; then others may have it.
+    fn leave(
+        &mut self,
+        address: SocketAddr,
+        id: &Arc<str>,
+        now: Timestamp,
+        changes: &mut Vec<Change>,
+    ) {
+        let m = self.endpoints.get(id);
+        if m.is_some_and(|m| m.claims.iter().any(|h| h.claim.address == address)) {
             return;
         }
-        self.unindex(endpoint, id);
-        self.settle_others(now, endpoint, id, changes);
+        self.unindex(address, id);
+        self.settle_others(now, address, id, changes);
     }
 
-    /// A member without a claim of an endpoint has no place there, unless it may vouch for itself there.
-    fn unindex(&mut self, endpoint: SocketAddr, id: &Arc<str>) {
-        let m = self.members.get(id);
-        let is_last = m.is_some_and(|m| m.last.as_ref().is_some_and(|v| v.endpoint == endpoint));
-        if is_last || m.is_some_and(|m| m.claims.iter().any(|h| h.claim.endpoint == endpoint)) {
+    /// An endpoint without a claim of an endpoint has no place there, unless it may vouch for itself there.
+    fn unindex(&mut self, address: SocketAddr, id: &Arc<str>) {
+        let m = self.endpoints.get(id);
+        let is_last = m.is_some_and(|m| m.last.as_ref().is_some_and(|v| v.address == address));
+        if is_last || m.is_some_and(|m| m.claims.iter().any(|h| h.claim.address == address)) {
             return;
         }
-        if let Some(at) = self.endpoints.get_mut(&endpoint) {
+        if let Some(at) = self.addresses.get_mut(&address) {
             at.retain(|other| other != id);
             if at.is_empty() {
-                self.endpoints.remove(&endpoint);
+                self.addresses.remove(&address);
             }
         }
     }
 
-    /// Those that share an endpoint with a member that has changed.
+    /// Those that share an endpoint with an endpoint that has changed.
     fn settle_others(
         &mut self,
-        now: Time,
-        endpoint: SocketAddr,
+        now: Timestamp,
+        address: SocketAddr,
         id: &Arc<str>,
         changes: &mut Vec<Change>,
     ) {
         let Some(at) = self
-            .endpoints
-            .get(&endpoint)
+            .addresses
+            .get(&address)
             .filter(|at| at.len() > 1 || !at.contains(id))
         else {
             return;
@@ -783,7 +803,7 @@
 
     /// Takes a claim out.
     fn unclaim(&mut self, source: Source, name: &Arc<str>, id: &Arc<str>) -> Option<Held> {
-        let m = self.members.get_mut(id)?;
+        let m = self.endpoints.get_mut(id)?;
         let at = m
             .claims
             .iter()
@@ -794,7 +814,7 @@
     /// Takes claims out, all before anything is judged by what is left.
     fn remove_all(
         &mut self,
-        now: Time,
+        now: Timestamp,
         source: Source,
         mut names: Vec<Arc<str>>,
         how: Removal,
@@ -812,7 +832,7 @@
             let Some(held) = self.unclaim(source, &name, &id) else {
                 continue;
             };
-            if let Some(m) = self.members.get_mut(&id)
+            if let Some(m) = self.endpoints.get_mut(&id)
                 && (how == Removal::Gone || !self.settings.absence_needs_all)
             {
                 let (started, version) = (held.claim.started, held.claim.version);
@@ -824,29 +844,29 @@
                     at: now,
                 });
             }
-            touched.push((id, held.claim.endpoint));
+            touched.push((id, held.claim.address));
         }
-        for (id, endpoint) in &touched {
-            self.leave(*endpoint, id, now, changes);
+        for (id, address) in &touched {
+            self.leave(*address, id, now, changes);
         }
         for (id, _) in &touched {
             self.settle(now, id, changes);
         }
     }
 
-    /// Judges a member anew and tells what that changes, for it and for those that depend on it.
-    fn settle(&mut self, now: Time, id: &Arc<str>, changes: &mut Vec<Change>) {
+    /// Judges an endpoint anew and tells what that changes, for it and for those that depend on it.
+    fn settle(&mut self, now: Timestamp, id: &Arc<str>, changes: &mut Vec<Change>) {
         let Some((rule, view, tier)) = self.judge(now, id) else {
             return;
         };
-        let Some(m) = self.members.get_mut(id) else {
+        let Some(m) = self.endpoints.get_mut(id) else {
             return;
         };
         // In service and not held back by anything but its tier.
         let ranked = view
             .as_ref()
             .filter(|v| v.word == Word::Ready)
-            .map(|v| (v.group, tier));
+            .map(|v| (v.replica_set, tier));
         let before = std::mem::replace(&mut m.ranked, ranked);
         let last = view.as_ref().and_then(|view| {
             m.last_tier = tier;
@@ -856,16 +876,16 @@
         m.judged = Some(rule);
         let had = m.best;
         if before != ranked {
-            if let Some((group, tier)) = before {
-                self.unrank(group, tier, id, now, changes);
+            if let Some((replica_set, tier)) = before {
+                self.unrank(replica_set, tier, id, now, changes);
             }
-            if let Some((group, tier)) = ranked {
-                self.rank(group, tier, id, now, changes);
+            if let Some((replica_set, tier)) = ranked {
+                self.rank(replica_set, tier, id, now, changes);
             }
         }
         self.publish(id, view, tier, changes);
-        let has = self.members.get(id).and_then(|m| self.endpoint_of(m));
-        if let Some(m) = self.members.get_mut(id) {
+        let has = self.endpoints.get(id).and_then(|m| self.endpoint_of(m));
+        if let Some(m) = self.endpoints.get_mut(id) {
             m.best = has;
             // Which of its claims counts may turn on whether their sources are heard.
             let differ = |h: &Held| !h.claim.counts_as(&m.claims[0].claim);
@@ -876,84 +896,97 @@
             }
         }
         if let Some(last) = last {
-            self.unindex(last.endpoint, id);
+            self.unindex(last.address, id);
         }
-        for endpoint in had.into_iter().chain(has.filter(|_| has != had)) {
-            self.settle_shadows(now, endpoint, id, changes);
+        for address in had.into_iter().chain(has.filter(|_| has != had)) {
+            self.settle_shadows(now, address, id, changes);
         }
         self.schedule(now, id);
     }
 
-    /// Those that would have an endpoint, but for the member that has it or had it. Each settles by the same order,
+    /// Those that would have an endpoint, but for the endpoint that has it or had it. Each settles by the same order,
     /// so this ends.
     fn settle_shadows(
         &mut self,
-        now: Time,
-        endpoint: SocketAddr,
+        now: Timestamp,
+        address: SocketAddr,
         id: &Arc<str>,
         changes: &mut Vec<Change>,
     ) {
-        // Nearly always a member is alone at its endpoint.
-        let at = match self.endpoints.get(&endpoint) {
+        // Nearly always an endpoint is alone at its endpoint.
+        let at = match self.addresses.get(&address) {
             Some(at) if at.len() > 1 || !at.contains(id) => at.clone(),
             _ => return,
         };
         for other in at.iter().filter(|other| *other != id) {
             let rule = self.judge(now, other).map(|j| j.0);
-            if rule != self.members.get(other).and_then(|m| m.judged) {
+            if rule != self.endpoints.get(other).and_then(|m| m.judged) {
                 self.settle(now, other, changes);
             }
         }
     }
 
-    fn lowest(&self, group: u32) -> Option<u16> {
+    fn lowest(&self, replica_set: u32) -> Option<u16> {
         self.tiers
-            .get(&group)?
+            .get(&replica_set)?
             .first_key_value()
             .map(|((tier, _), _)| *tier)
     }
 
     fn serial_of(&self, id: &Arc<str>) -> u64 {
-        self.members.get(id).map_or(0, |m| m.serial)
+        self.endpoints.get(id).map_or(0, |m| m.serial)
     }
 
-    fn rank(&mut self, group: u32, tier: u16, id: &Arc<str>, now: Time, changes: &mut Vec<Change>) {
-        let before = self.lowest(group);
+    fn rank(
+        &mut self,
+        replica_set: u32,
+        tier: u16,
+        id: &Arc<str>,
+        now: Timestamp,
+        changes: &mut Vec<Change>,
+    ) {
+        let before = self.lowest(replica_set);
         let serial = self.serial_of(id);
         self.tiers
-            .entry(group)
+            .entry(replica_set)
             .or_default()
             .insert((tier, serial), id.clone());
-        self.retier(group, before, now, changes);
+        self.retier(replica_set, before, now, changes);
     }
 
     fn unrank(
         &mut self,
-        group: u32,
+        replica_set: u32,
         tier: u16,
         id: &Arc<str>,
-        now: Time,
+        now: Timestamp,
         changes: &mut Vec<Change>,
     ) {
-        let before = self.lowest(group);
+        let before = self.lowest(replica_set);
         let serial = self.serial_of(id);
-        if let Some(tiers) = self.tiers.get_mut(&group) {
+        if let Some(tiers) = self.tiers.get_mut(&replica_set) {
             tiers.remove(&(tier, serial));
             if tiers.is_empty() {
-                self.tiers.remove(&group);
+                self.tiers.remove(&replica_set);
             }
         }
-        self.retier(group, before, now, changes);
+        self.retier(replica_set, before, now, changes);
     }
 
-    /// Another tier of a group is the lowest one: the members of both change places.
-    fn retier(&mut self, group: u32, before: Option<u16>, now: Time, changes: &mut Vec<Change>) {
-        let after = self.lowest(group);
+    /// Another tier of a replica set is the lowest one: the endpoints of both change places.
+    fn retier(
+        &mut self,
+        replica_set: u32,
+        before: Option<u16>,
+        now: Timestamp,
+        changes: &mut Vec<Change>,
+    ) {
+        let after = self.lowest(replica_set);
         if before == after {
             return;
         }
         let of = |tier: Option<u16>| -> Vec<Arc<str>> {
-            let (Some(tier), Some(tiers)) = (tier, self.tiers.get(&group)) else {
+            let (Some(tier), Some(tiers)) = (tier, self.tiers.get(&replica_set)) else {
                 return Vec::new();
             };
             tiers
@@ -964,7 +997,7 @@
         let affected: Vec<Arc<str>> = [of(after), of(before)].concat();
         for id in affected {
             if let Some((rule, view, tier)) = self.judge(now, &id) {
-                if let Some(m) = self.members.get_mut(&id) {
+                if let Some(m) = self.endpoints.get_mut(&id) {
                     (m.rule, m.judged) = (Some(rule), Some(rule));
                 }
                 self.publish(&id, view, tier, changes);
@@ -972,12 +1005,15 @@
         }
     }
 
-    /// Tells what the list says of a member, if that is new.
+    /// Tells what the list says of an endpoint, if that is new.
     fn publish(&mut self, id: &Arc<str>, view: Option<View>, tier: u16, changes: &mut Vec<Change>) {
         let is_standby = view.as_ref().is_some_and(|v| {
-            v.word == Word::Ready && self.lowest(v.group).is_some_and(|lowest| lowest < tier)
+            v.word == Word::Ready
+                && self
+                    .lowest(v.replica_set)
+                    .is_some_and(|lowest| lowest < tier)
         });
-        let Some(m) = self.members.get_mut(id) else {
+        let Some(m) = self.endpoints.get_mut(id) else {
             return;
         };
         if is_standby {
@@ -994,20 +1030,20 @@
         }
         let is_new = m.listed.is_none();
         m.listed.clone_from(&view);
-        let member = id.clone();
+        let endpoint = id.clone();
         changes.push(match view {
             Some(view) => Change::Listed {
-                member,
+                endpoint,
                 view,
                 is_new,
             },
-            None => Change::Gone { member },
+            None => Change::Gone { endpoint },
         });
     }
 
-    /// What the rules say of a member, but for its tier.
-    fn judge(&self, now: Time, id: &Arc<str>) -> Option<(Rule, Option<View>, u16)> {
-        let m = self.members.get(id)?;
+    /// What the rules say of an endpoint, but for its tier.
+    fn judge(&self, now: Timestamp, id: &Arc<str>) -> Option<(Rule, Option<View>, u16)> {
+        let m = self.endpoints.get(id)?;
         if m.gone.is_some() {
             return Some((Rule::Gone, None, 0));
         }
@@ -1019,12 +1055,13 @@
             (Some(h), _) => {
                 let c = &h.claim;
                 let started = m.claims.iter().map(|h| h.claim.started).max().unwrap_or(0);
-                let (endpoint, group, zone, weight) = (c.endpoint, c.group, c.zone, c.weight);
+                let (address, replica_set, zone, weight) =
+                    (c.address, c.replica_set, c.zone, c.weight);
                 (
                     Rule::Named,
                     View {
-                        endpoint,
-                        group,
+                        address,
+                        replica_set,
                         zone,
                         word: Word::Ready,
                         started,
@@ -1036,11 +1073,11 @@
             (None, Some(last)) if answered => (Rule::Vouched, last.clone(), m.last_tier),
             _ => return Some((Rule::Unnamed, None, 0)),
         };
-        let (mine, endpoint) = (self.hold(m, id), view.endpoint);
-        let others = self.endpoints.get(&endpoint).map_or(&[][..], |at| at);
+        let (mine, address) = (self.hold(m, id), view.address);
+        let others = self.addresses.get(&address).map_or(&[][..], |at| at);
         let is_shadowed = others.iter().filter(|other| *other != id).any(|other| {
-            self.members.get(other).is_some_and(|o| {
-                let has = o.gone.is_none() && self.endpoint_of(o) == Some(endpoint);
+            self.endpoints.get(other).is_some_and(|o| {
+                let has = o.gone.is_none() && self.endpoint_of(o) == Some(address);
                 has && self.hold(o, other) > mine
             })
         });
@@ -1059,22 +1096,22 @@
         Some((rule, Some(view), tier))
     }
 
-    fn endpoint_of(&self, m: &Member) -> Option<SocketAddr> {
+    fn endpoint_of(&self, m: &Endpoint) -> Option<SocketAddr> {
         m.claims
             .iter()
             .max_by(|a, b| self.compare(a, b))
-            .map(|h| h.claim.endpoint)
+            .map(|h| h.claim.address)
     }
 
-    /// How strong a member's hold of its endpoint is: a name of its own, the newest start, the newest word; the
+    /// How strong an endpoint's hold of its endpoint is: a name of its own, the newest start, the newest word; the
     /// name itself, so that no two are alike.
-    fn hold<'a>(&self, m: &Member, id: &'a Arc<str>) -> (bool, Time, Time, &'a str) {
+    fn hold<'a>(&self, m: &Endpoint, id: &'a Arc<str>) -> (bool, Timestamp, Timestamp, &'a str) {
         let started = m.claims.iter().map(|h| h.claim.started).max().unwrap_or(0);
         let since = m.claims.iter().map(|h| h.since).max().unwrap_or(0);
         (!id.starts_with(NAMELESS), started, since, id)
     }
 
-    /// Which of two claims about one member counts: the newer start; a fresh one of a source that is heard; the
+    /// Which of two claims about one endpoint counts: the newer start; a fresh one of a source that is heard; the
     /// better source; the newer word, which is not the one that was repeated last.
     fn compare(&self, a: &Held, b: &Held) -> std::cmp::Ordering {
         let heard = |h: &Held| {
@@ -1096,9 +1133,9 @@
         order(a).cmp(&order(b)).then_with(|| a.name.cmp(&b.name))
     }
 
-    /// Looks again when a claim gets stale, when vouching ends, or when the member can be forgotten.
-    fn schedule(&mut self, now: Time, id: &Arc<str>) {
-        let Some(m) = self.members.get_mut(id) else {
+    /// Looks again when a claim gets stale, when vouching ends, or when the endpoint can be forgotten.
+    fn schedule(&mut self, now: Timestamp, id: &Arc<str>) {
+        let Some(m) = self.endpoints.get_mut(id) else {
             return;
         };
         let stale = m
@@ -1121,7 +1158,7 @@
                 .unwrap_or(0);
             let until = last.saturating_add(remember);
             if until <= now {
-                let Some(m) = self.members.remove(id) else {
+                let Some(m) = self.endpoints.remove(id) else {
                     return;
                 };
                 self.disputed.remove(id);
@@ -1129,7 +1166,7 @@
                     self.wheel.cancel(timer);
                 }
                 if let Some(last) = m.last {
-                    self.unindex(last.endpoint, id);
+                    self.unindex(last.address, id);
                 }
                 return;
             }
@@ -1145,7 +1182,7 @@
     }
 }
 
-impl Member {
+impl Endpoint {
     fn is_bound_by(&self, source: Source) -> bool {
         [self.drain, self.gone]
             .into_iter()
@@ -1154,9 +1191,16 @@
     }
 
     /// What a claim binds, and what it lifts. Newer word of the same or a better source lifts: a newer start, or
-    /// a newer version that says so. An older record that still points there lifts nothing. That a member is gone
+    /// a newer version that says so. An older record that still points there lifts nothing. That an endpoint is gone
     /// ends with a newer start, whoever tells it: another process is there now.
-    fn bind(&mut self, now: Time, source: Source, kind: Kind, claim: &Claim, drains_hold: bool) {
+    fn bind(
+        &mut self,
+        now: Timestamp,
+        source: Source,
+        kind: Kind,
+        claim: &Claim,
+        drains_hold: bool,
+    ) {
         let is_newer_version =
             |b: &Binding| source == b.by && kind == Kind::Roster && claim.version > b.version;
         let lifts =
@@ -1182,7 +1226,7 @@
         }
     }
 
-    fn arm(&mut self, wheel: &mut Wheel<Arc<str>>, at: Option<Time>, id: &Arc<str>) {
+    fn arm(&mut self, wheel: &mut Wheel<Arc<str>>, at: Option<Timestamp>, id: &Arc<str>) {
         match (self.timer, at) {
             (Some((_, before)), Some(at)) if before == at => {}
             (Some((timer, _)), Some(at)) if wheel.reset(timer, at) => {
--- a/crates/service-discovery/src/watch.rs
+++ b/crates/service-discovery/src/watch.rs
@@ -2,46 +2,46 @@
 //! what follows it. The spans keep every way in which news can be late within the time by which it counts as told;
 //! `docs/design/edges.md` has the table.
 
-use reelrill_routing::{Span, Time};
+use reelrill_routing::{Nanos, Timestamp};
 
-const MS: Span = 1_000_000;
+const MS: Nanos = 1_000_000;
 
 /// Whatever the service has to tell counts as told by then, from the moment it had it and could be reached, or from
 /// the moment a watch fell silent.
-pub const TOLD: Span = 6000 * MS;
+pub const TOLD: Nanos = 6000 * MS;
 /// For a call that may wait: so long after that wait is over, if that is later.
-pub const TOLD_AFTER_WAIT: Span = 2000 * MS;
+pub const TOLD_AFTER_WAIT: Nanos = 2000 * MS;
 /// The wait of the first call of a watch. Short, since it may also wait for its turn.
-pub const OPENING: Span = 1000 * MS;
+pub const OPENING: Nanos = 1000 * MS;
 /// The wait of a watch's further calls. A silence is noticed only after it.
-pub const WAIT: Span = 3000 * MS;
+pub const WAIT: Nanos = 3000 * MS;
 /// The same while the service is busy: it has turned a call away not long ago, and each call is work for it. What is
 /// silent then is noticed late, though still in time.
-pub const BUSY_WAIT: Span = 8000 * MS;
+pub const BUSY_WAIT: Nanos = 8000 * MS;
 /// How long a service counts as busy after it has turned a call away.
-pub const BUSY: Span = 20_000 * MS;
+pub const BUSY: Nanos = 20_000 * MS;
 /// How long a call may wait for its turn at a busy service, beyond its own wait: a service ends one after 2 s, and one
 /// that is repeated while it still waits is served twice, the first time for nobody.
-pub const TURN: Span = 2000 * MS;
+pub const TURN: Nanos = 2000 * MS;
 /// What an answer may be late, beyond all waits.
-pub const LATE: Span = 500 * MS;
+pub const LATE: Nanos = 500 * MS;
 /// A connection that is not made by then has failed.
-pub const CONNECT: Span = 1200 * MS;
+pub const CONNECT: Nanos = 1200 * MS;
 /// The pause after a call that was answered early without news; the service takes a call for the same watch's next
 /// one within 200 ms.
-pub const PAUSE: Span = 100 * MS;
+pub const PAUSE: Nanos = 100 * MS;
 
 /// The wait of a watch's calls at a local agent. Calls cost it nothing, and its silence is noticed only after the wait.
-pub const LOCAL_WAIT: Span = 250 * MS;
+pub const LOCAL_WAIT: Nanos = 250 * MS;
 /// The wait of the calls by which a watch of a local agent is opened, also while the agent stays silent: what it holds
 /// counts as told from the moment at which it can be called again.
-pub const LOCAL_OPENING: Span = 40 * MS;
+pub const LOCAL_OPENING: Nanos = 40 * MS;
 /// What a local agent's answer may be late, beyond the wait; also the longest time for a connection to it.
-pub const LOCAL_LATE: Span = 60 * MS;
+pub const LOCAL_LATE: Nanos = 60 * MS;
 /// The pause before a local agent is called again after a call that failed.
-pub const LOCAL_RETRY: Span = 50 * MS;
+pub const LOCAL_RETRY: Nanos = 50 * MS;
 /// How long the rest of a local agent's answer may take, beyond its beginning.
-pub const LOCAL_REST: Span = 1000 * MS;
+pub const LOCAL_REST: Nanos = 1000 * MS;
 
 // A watch whose call has fallen silent is open again, after one further call, before what it missed counts as told.
 const _: () =
@@ -68,13 +68,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Call {
     /// The version known, and how long the call may wait for a newer one; none: the whole list is asked for.
-    pub since: Option<(u64, Span)>,
+    pub since: Option<(u64, Nanos)>,
     /// When its silence is a failure, counted from its sending.
-    pub patience: Span,
+    pub patience: Nanos,
     /// When an answer that has begun and is not whole is a failure, counted from the same moment.
-    pub whole_within: Span,
+    pub whole_within: Nanos,
     /// A connection that is not made by then has failed.
-    pub connect: Span,
+    pub connect: Nanos,
 }
 
 /// How a call ended.
@@ -103,7 +103,7 @@
         /// The next call.
         call: Call,
         /// The pause before it.
-        after: Span,
+        after: Nanos,
         /// Nothing is told of the call that ended: the watch is only opened anew.
         quietly: bool,
     },
@@ -126,13 +126,13 @@
     service: ListService,
     version: Option<u64>,
     /// When the call that is out began.
-    began: Time,
+    began: Timestamp,
     /// Its wait.
-    wait: Span,
+    wait: Nanos,
     /// The last call was answered.
     is_open: bool,
     /// The service counts as busy until then.
-    busy_until: Time,
+    busy_until: Timestamp,
 }
 
 impl Watch {
@@ -149,7 +149,7 @@
     }
 
     /// The call that is made at the start without being asked for.
-    pub fn first_call(&mut self, now: Time) -> Option<Call> {
+    pub fn first_call(&mut self, now: Timestamp) -> Option<Call> {
         (self.service == ListService::LocalAgent).then(|| self.ask(now, Ask::Changes))
     }
 
@@ -164,12 +164,12 @@
     }
 
     /// The call for what is asked.
-    pub fn ask(&mut self, now: Time, ask: Ask) -> Call {
+    pub fn ask(&mut self, now: Timestamp, ask: Ask) -> Call {
         self.open(now, ask)
     }
 
     /// The first call of a watch.
-    fn open(&mut self, now: Time, ask: Ask) -> Call {
+    fn open(&mut self, now: Timestamp, ask: Ask) -> Call {
         match self.service {
             ListService::Shared => self.begin(now, ask, OPENING, TURN),
             ListService::LocalAgent => self.begin_local(now, ask, LOCAL_OPENING),
@@ -177,14 +177,14 @@
     }
 
     /// A further call of an open watch.
-    fn continue_watch(&mut self, now: Time) -> Call {
+    fn continue_watch(&mut self, now: Timestamp) -> Call {
         match self.service {
             ListService::Shared => self.begin(now, Ask::Changes, WAIT, 0),
             ListService::LocalAgent => self.begin_local(now, Ask::Changes, LOCAL_WAIT),
         }
     }
 
-    fn begin(&mut self, now: Time, ask: Ask, wait: Span, turn: Span) -> Call {
+    fn begin(&mut self, now: Timestamp, ask: Ask, wait: Nanos, turn: Nanos) -> Call {
         // One call less for a busy service: the first one is the watch already.
         let (wait, turn) = if now < self.busy_until {
             (BUSY_WAIT, 0)
@@ -203,7 +203,7 @@
         }
     }
 
-    fn begin_local(&mut self, now: Time, ask: Ask, wait: Span) -> Call {
+    fn begin_local(&mut self, now: Timestamp, ask: Ask, wait: Nanos) -> Call {
         let since = self.since(now, ask, wait);
         let patience = since.map_or(LOCAL_OPENING, |(_, wait)| wait) + LOCAL_LATE;
         Call {
@@ -215,7 +215,7 @@
     }
 
     /// Records the beginning of a call; says what it asks for and how long it may wait.
-    fn since(&mut self, now: Time, ask: Ask, wait: Span) -> Option<(u64, Span)> {
+    fn since(&mut self, now: Timestamp, ask: Ask, wait: Nanos) -> Option<(u64, Nanos)> {
         let since = self
             .version
             .filter(|_| ask == Ask::Changes)
@@ -225,7 +225,7 @@
     }
 
     /// A call has ended at `now`.
-    pub fn ended(&mut self, now: Time, ended: Ended) -> Then {
+    pub fn ended(&mut self, now: Timestamp, ended: Ended) -> Then {
         let was_open = std::mem::replace(&mut self.is_open, false);
         match (ended, self.service) {
             (Ended::Answered { version, news }, _) => self.answered(now, version, news),
@@ -258,7 +258,7 @@
         }
     }
 
-    fn answered(&mut self, now: Time, version: u64, news: bool) -> Then {
+    fn answered(&mut self, now: Timestamp, version: u64, news: bool) -> Then {
         (self.version, self.is_open) = (Some(version), true);
         // Answered early without news: calls that follow at once would keep both sides busy for nothing.
         let is_early = !news && now.saturating_sub(self.began) < self.wait / 2;
--- a/crates/service-discovery/src/wheel.rs
+++ b/crates/service-discovery/src/wheel.rs
@@ -5,7 +5,7 @@
 //! the same few steps however many there are. As the wheel turns, a slot that is reached is dealt out to lower levels;
 //! a timer is touched once a level at most.
 
-use reelrill_routing::Time;
+use reelrill_routing::Timestamp;
 
 const BITS: u32 = 6;
 const SLOTS: usize = 1 << BITS;
@@ -48,7 +48,7 @@
 
 impl<T> Wheel<T> {
     /// A wheel that stands at `now`.
-    pub fn new(now: Time) -> Wheel<T> {
+    pub fn new(now: Timestamp) -> Wheel<T> {
         Wheel {
             nodes: Vec::new(),
             free: Vec::new(),
@@ -72,7 +72,7 @@
     ///
     /// # Panics
     /// Beyond 2^32 - 1 timers.
-    pub fn insert(&mut self, at: Time, value: T) -> Handle {
+    pub fn insert(&mut self, at: Timestamp, value: T) -> Handle {
         let at = ticks(at);
         let index = match self.free.pop() {
             Some(index) => {
@@ -102,7 +102,7 @@
     }
 
     /// Moves a timer; says whether it was still there.
-    pub fn reset(&mut self, handle: Handle, at: Time) -> bool {
+    pub fn reset(&mut self, handle: Handle, at: Timestamp) -> bool {
         if !self.holds(handle) {
             return false;
         }
@@ -122,12 +122,12 @@
     }
 
     /// When to look again at the latest: no timer is due before. None: there is no timer.
-    pub fn next_due(&self) -> Option<Time> {
+    pub fn next_due(&self) -> Option<Timestamp> {
         self.next_slot().map(|(_, _, at)| at << TICK)
     }
 
     /// Turns the wheel and gives all that is due, in the order in which it is, tick by tick.
-    pub fn expire(&mut self, now: Time, due: &mut Vec<T>) {
+    pub fn expire(&mut self, now: Timestamp, due: &mut Vec<T>) {
         let target = now >> TICK;
         while let Some((level, slot, at)) = self.next_slot().filter(|(.., at)| *at <= target) {
             self.now = self.now.max(at);
@@ -210,7 +210,7 @@
 }
 
 /// A time in ticks, rounded up: never early.
-fn ticks(at: Time) -> u64 {
+fn ticks(at: Timestamp) -> u64 {
     (at >> TICK) + u64::from(at & ((1 << TICK) - 1) != 0)
 }
 
--- a/crates/service-discovery/tests/browse.rs
+++ b/crates/service-discovery/tests/browse.rs
@@ -1,4 +1,4 @@
-//! The client of service records on a made-up clock, against the stand-in's zone, and the members that come of it.
+//! The client of service records on a made-up clock, against the stand-in's zone, and the endpoints that come of it.
 
 use hickory_proto::rr::Name;
 use proptest::prelude::*;
@@ -13,11 +13,11 @@
 const SECOND: u64 = 1000 * MS;
 const TRIP: u64 = 2 * MS;
 
-/// A browser, the servers that it asks, and the members that it tells.
+/// A browser, the servers that it asks, and the endpoints that it tells.
 struct World {
     zones: Vec<Zone>,
     browser: Browser,
-    members: Members,
+    endpoints: Members,
     list: BTreeMap<String, View>,
     now: u64,
     /// Answers on their way: when, for which query, and the bytes.
@@ -26,7 +26,7 @@
     most_told: usize,
 }
 
-fn endpoint(n: u16) -> SocketAddr {
+fn address(n: u16) -> SocketAddr {
     ([127, 0, 0, 1], 7000 + n).into()
 }
 
@@ -34,7 +34,7 @@
     let all = (0..instances).map(|n| {
         (
             format!("db-{n}"),
-            Instance::new(&format!("s-{n}"), endpoint(n), 1),
+            Instance::new(&format!("s-{n}"), address(n), 1),
         )
     });
     Zone {
@@ -69,8 +69,8 @@
             budget,
             zones: vec!["a".into()],
         };
-        let mut members = Members::new(Settings::default(), now);
-        members.handle(
+        let mut endpoints = Members::new(Settings::default(), now);
+        endpoints.handle(
             now,
             Input::Source {
                 source: 1,
@@ -83,7 +83,7 @@
         let mut world = World {
             zones,
             browser,
-            members,
+            endpoints,
             list,
             now,
             on_way,
@@ -112,7 +112,7 @@
                 Output::Drop(query) => self.on_way.retain(|w| w.1 != query),
                 Output::Tell(input) => {
                     let mut changes = Vec::new();
-                    self.members.handle(self.now, input, &mut changes);
+                    self.endpoints.handle(self.now, input, &mut changes);
                     self.apply(changes);
                 }
             }
@@ -122,10 +122,10 @@
     fn apply(&mut self, changes: Vec<Change>) {
         for change in changes {
             match change {
-                Change::Listed { member, view, .. } => {
-                    drop(self.list.insert(member.to_string(), view))
+                Change::Listed { endpoint, view, .. } => {
+                    drop(self.list.insert(endpoint.to_string(), view))
                 }
-                Change::Gone { member } => drop(self.list.remove(&*member)),
+                Change::Gone { endpoint } => drop(self.list.remove(&*endpoint)),
             }
         }
         self.most_told = self.most_told.max(self.list.len());
@@ -136,7 +136,7 @@
         let end = self.now + span;
         loop {
             let answer = self.on_way.iter().map(|w| w.0).min();
-            let due = [answer, self.browser.next_due(), self.members.next_due()];
+            let due = [answer, self.browser.next_due(), self.endpoints.next_due()];
             let Some(next) = due.into_iter().flatten().min().filter(|n| *n <= end) else {
                 break;
             };
@@ -148,7 +148,7 @@
                 self.browser.answer(self.now, query, &bytes, &mut out);
             }
             self.browser.on_due(self.now, &mut out);
-            self.members.on_due(self.now, &mut changes);
+            self.endpoints.on_due(self.now, &mut changes);
             self.apply(changes);
             self.carry(out);
             watch(self.now, &self.list);
@@ -167,11 +167,11 @@
 #[case(Manner::Helpful, 1)]
 #[case(Manner::Truncated, 2)]
 #[case(Manner::Terse, 3)]
-fn ten_members_are_found_in_few_round_trips(#[case] manner: Manner, #[case] trips: u64) {
+fn ten_endpoints_are_found_in_few_round_trips(#[case] manner: Manner, #[case] trips: u64) {
     let mut world = World::new(vec![Zone { manner, ..zone(10) }]);
     world.run(trips * TRIP, |_, _| {});
     assert_eq!(world.list.len(), 10);
-    assert_eq!(world.list["s-3"].endpoint, endpoint(3));
+    assert_eq!(world.list["s-3"].address, address(3));
     if manner != Manner::Truncated {
         let queries = world.browser.counts().queries;
         assert_eq!(
@@ -192,7 +192,7 @@
     world.run(5 * SECOND, |_, _| {});
     world.zones[0]
         .instances
-        .insert("db-9".into(), Instance::new("s-9", endpoint(9), 1));
+        .insert("db-9".into(), Instance::new("s-9", address(9), 1));
     world.zones[0].instances.remove("db-0");
     let db1 = world.zones[0].instances["db-1"]
         .clone()
@@ -223,7 +223,7 @@
 }
 
 /// Hard case 2: the servers are out for an hour, then one answer is empty, then all is right; and each other way in
-/// which a server can fail. No member is forgotten at any point.
+/// which a server can fail. No endpoint is forgotten at any point.
 #[rstest]
 fn a_server_that_fails_takes_nothing_away(
     #[values(
@@ -243,7 +243,7 @@
     let mut watch = |_, list: &BTreeMap<String, View>| least = least.min(list.len());
     world.zones.iter_mut().for_each(|z| z.manner = manner);
     world.run(3600 * SECOND, &mut watch);
-    assert!(world.members.silent_since(1).is_some());
+    assert!(world.endpoints.silent_since(1).is_some());
     // Not at full speed: the pauses grow to half a minute and more.
     assert!(world.asked < 1000, "{} queries", world.asked);
     world.zones.iter_mut().for_each(|z| z.manner = empty);
@@ -257,7 +257,7 @@
         .for_each(|z| z.manner = Manner::Helpful);
     world.run(120 * SECOND, &mut watch);
     assert_eq!((least, world.list.len()), (5, 5));
-    assert!(world.members.silent_since(1).is_none());
+    assert!(world.endpoints.silent_since(1).is_none());
 }
 
 /// Guards the other side of it: an empty list that stays is believed.
@@ -279,7 +279,7 @@
         ..zone(2)
     }]);
     world.run(10 * SECOND, |_, list| {
-        assert!(list.values().all(|v| v.endpoint.port() != 9))
+        assert!(list.values().all(|v| v.address.port() != 9))
     });
     assert_eq!(world.names(), ["s-0", "s-1"]);
     assert!(world.browser.counts().foreign > 0);
@@ -301,10 +301,10 @@
     }
     assert_eq!(least, 4);
     world.zones[0].instances.remove("db-2");
-    let next = Instance::new("s-20", endpoint(2), 1).with("boot_ms", Some("5"));
+    let next = Instance::new("s-20", address(2), 1).with("boot_ms", Some("5"));
     world.zones[0].instances.insert("db-20".into(), next);
     world.run(60 * SECOND, |_, list| {
-        assert!(list.values().filter(|v| v.endpoint == endpoint(2)).count() <= 1);
+        assert!(list.values().filter(|v| v.address == address(2)).count() <= 1);
     });
     assert_eq!(world.names(), ["s-0", "s-1", "s-20", "s-3"]);
 }
@@ -368,7 +368,7 @@
     assert_eq!(world.list["s-3"].word, Word::Ready);
 }
 
-/// Guards subtypes, whose instances are named under the service itself, and hosts that only have an IPv6 address.
+/// Guards subtypes, whose endpoints are named under the service itself, and hosts that only have an IPv6 address.
 #[rstest]
 fn subtypes_and_ipv6_hosts_are_found(#[values(Manner::Helpful, Manner::Terse)] manner: Manner) {
     let mut zone = Zone { manner, ..zone(2) };
@@ -378,7 +378,7 @@
     let mut world = World::of(SUBTYPE, vec![zone], 1000.0);
     world.run(2 * SECOND, |_, _| {});
     assert_eq!(
-        (world.names(), world.list["s-1"].endpoint),
+        (world.names(), world.list["s-1"].address),
         (vec!["s-0", "s-1"], six)
     );
 }
@@ -392,7 +392,7 @@
     })]
 
     /// Hard case 4, further: from bytes to claims. Whatever is done to an answer, nothing panics or loops, and no
-    /// member comes that lies outside of the domain.
+    /// endpoint comes that lies outside of the domain.
     #[test]
     fn damaged_answers_do_no_harm(
         damage in proptest::collection::vec((any::<proptest::sample::Index>(), any::<u8>()), 1..8),
@@ -416,6 +416,6 @@
             world.run(100 * MS, |_, _| {});
         }
         prop_assert!(world.asked < 500, "{} queries", world.asked);
-        prop_assert!(world.members.len() <= 64);
+        prop_assert!(world.endpoints.len() <= 64);
     }
 }
--- a/crates/service-discovery/tests/model.rs
+++ b/crates/service-discovery/tests/model.rs
@@ -1,4 +1,4 @@
-//! The rules as a model: all interleavings of two sources, three members, drains, deaths, restarts, stale records,
+//! The rules as a model: all interleavings of two sources, three endpoints, drains, deaths, restarts, stale records,
 //! vanished records, failures and a restart of the router, to a depth.
 
 use reelrill_service_discovery::{
@@ -23,12 +23,12 @@
     start: u64,
 }
 
-/// What the checker keeps beside the members, to judge them by.
+/// What the checker keeps beside the endpoints, to judge them by.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct Ghost {
-    /// The router has been told that this start of the member leaves.
+    /// The router has been told that this start of the endpoint leaves.
     told_leaving: [u64; MEMBERS],
-    /// A source names the member; and its last word is the truth.
+    /// A source names the endpoint; and its last word is the truth.
     named: [[bool; MEMBERS]; 2],
     synced: [[bool; MEMBERS]; 2],
     answered: [bool; MEMBERS],
@@ -40,15 +40,15 @@
 struct World {
     truth: [Truth; MEMBERS],
     ghost: Ghost,
-    members: Members,
+    endpoints: Members,
     version: u64,
     now: u64,
 }
 
 impl World {
-    /// All that decides what the members do next; times by their order alone.
+    /// All that decides what the endpoints do next; times by their order alone.
     fn digest(&self) -> impl Hash + Eq + use<> {
-        let status = self.members.status();
+        let status = self.endpoints.status();
         let times: BTreeSet<u64> = status
             .iter()
             .flat_map(|s| s.claims.iter().map(|h| h.since))
@@ -57,7 +57,7 @@
         let bound = |b: Option<reelrill_service_discovery::Binding>| {
             b.map(|b| (b.by, b.started, b.version))
         };
-        let member = |s: &reelrill_service_discovery::Status| {
+        let endpoint = |s: &reelrill_service_discovery::Status| {
             let mut claims: Vec<_> = s
                 .claims
                 .iter()
@@ -75,7 +75,7 @@
             let listed = s.listed.as_ref().map(|v| (v.word, v.started));
             let own = (s.own_drain.is_some(), s.answered.is_some());
             (
-                s.member.clone(),
+                s.endpoint.clone(),
                 s.rule,
                 listed,
                 claims,
@@ -84,16 +84,16 @@
                 own,
             )
         };
-        let silent = [ROSTER, RECORDS].map(|s| self.members.silent_since(s).is_some());
-        let all: Vec<_> = status.iter().map(member).collect();
+        let silent = [ROSTER, RECORDS].map(|s| self.endpoints.silent_since(s).is_some());
+        let all: Vec<_> = status.iter().map(endpoint).collect();
         (self.truth, self.ghost.clone(), self.version, silent, all)
     }
 
     fn word_of(&self, m: usize) -> Option<Word> {
         let id = name(m);
-        let all = self.members.status();
+        let all = self.endpoints.status();
         all.iter()
-            .find(|s| s.member == id)
+            .find(|s| s.endpoint == id)
             .and_then(|s| s.listed.as_ref())
             .map(|v| v.word)
     }
@@ -136,21 +136,21 @@
 }
 
 fn claim(m: usize, word: Word, started: u64, version: u64) -> Claim {
-    let endpoint = SocketAddr::from(([127, 0, 0, 1], 7000 + m as u16));
+    let address = SocketAddr::from(([127, 0, 0, 1], 7000 + m as u16));
     Claim {
         word,
         started,
         version,
-        ..Claim::new(&name(m), endpoint, 1)
+        ..Claim::new(&name(m), address, 1)
     }
 }
 
 fn fresh(settings: Settings, now: u64) -> Members {
-    let mut members = Members::new(settings, now);
+    let mut endpoints = Members::new(settings, now);
     for (source, kind) in [(ROSTER, Kind::Roster), (RECORDS, Kind::Records)] {
-        members.handle(now, Input::Source { source, kind }, &mut Vec::new());
+        endpoints.handle(now, Input::Source { source, kind }, &mut Vec::new());
     }
-    members
+    endpoints
 }
 
 impl Rules {
@@ -191,10 +191,10 @@
 
     fn feed(&self, w: &mut World, input: Input) {
         let mut changes = Vec::new();
-        w.members.handle(w.now, input, &mut changes);
+        w.endpoints.handle(w.now, input, &mut changes);
         for change in changes {
-            if let Change::Listed { member, .. } = change {
-                let m = member.trim_start_matches("s-").parse::<usize>().unwrap();
+            if let Change::Listed { endpoint, .. } = change {
+                let m = endpoint.trim_start_matches("s-").parse::<usize>().unwrap();
                 w.ghost.seen[m] = true;
             }
         }
@@ -213,11 +213,11 @@
             start: 1,
         }; MEMBERS];
         let now = 1 << 50;
-        let (members, ghost) = (fresh(self.0, now), Ghost::default());
+        let (endpoints, ghost) = (fresh(self.0, now), Ghost::default());
         let mut world = World {
             truth,
             ghost,
-            members,
+            endpoints,
             version: 0,
             now,
         };
@@ -252,7 +252,7 @@
     fn next_state(&self, before: &World, act: Act) -> Option<World> {
         let mut w = before.clone();
         w.now += STEP;
-        w.members.on_due(w.now, &mut Vec::new());
+        w.endpoints.on_due(w.now, &mut Vec::new());
         match act {
             Act::Drain(m) => w.truth[m].leaving = true,
             Act::Die(m) => w.truth[m].alive = false,
@@ -295,7 +295,7 @@
             }
             Act::Answers(m) => {
                 let leaving = w.truth[m].leaving;
-                if w.members.status().iter().any(|s| s.member == name(m)) {
+                if w.endpoints.status().iter().any(|s| s.endpoint == name(m)) {
                     w.ghost.answered[m] = true;
                     if leaving {
                         w.ghost.told_leaving[m] = w.truth[m].start;
@@ -304,7 +304,7 @@
                 self.feed(
                     &mut w,
                     Input::Answered {
-                        member: name(m),
+                        endpoint: name(m),
                         leaving,
                     },
                 );
@@ -312,7 +312,7 @@
             Act::RosterFails => self.feed(&mut w, Input::Failed { source: ROSTER }),
             Act::RecordsFail => self.feed(&mut w, Input::Failed { source: RECORDS }),
             Act::RouterRestarts => {
-                w.members = fresh(self.0, w.now);
+                w.endpoints = fresh(self.0, w.now);
                 w.ghost = Ghost::default();
             }
         }
@@ -342,10 +342,10 @@
                         && (w.ghost.named.iter().any(|n| n[m]) || w.ghost.answered[m]);
                     // What the roster said of the start before holds until the next start is told.
                     let gone = w
-                        .members
+                        .endpoints
                         .status()
                         .iter()
-                        .any(|s| s.member == name(m) && s.rule == Rule::Gone);
+                        .any(|s| s.endpoint == name(m) && s.rule == Rule::Gone);
                     let told = w.ghost.synced.iter().any(|s| s[m]);
                     let healthy = truth.alive && !truth.leaving && (told || !gone);
                     !(healthy && known) || w.word_of(m).is_some()
--- a/crates/service-discovery/tests/reference.rs
+++ b/crates/service-discovery/tests/reference.rs
@@ -1,4 +1,4 @@
-//! The members against a plain reference: claims in one vector, and all judged anew after every input.
+//! The endpoints against a plain reference: claims in one vector, and all judged anew after every input.
 
 use proptest::prelude::*;
 use reelrill_service_discovery::{
@@ -59,10 +59,10 @@
         self.of(uid).max_by_key(|h| order(h))
     }
 
-    fn at(&self, endpoint: SocketAddr) -> BTreeSet<Uid> {
+    fn at(&self, address: SocketAddr) -> BTreeSet<Uid> {
         self.claims
             .iter()
-            .filter(|(_, h)| h.claim.endpoint == endpoint)
+            .filter(|(_, h)| h.claim.address == address)
             .map(|(u, _)| u.clone())
             .collect()
     }
@@ -82,7 +82,7 @@
         known.1 = false;
         let kind = known.0;
         let named: Vec<Uid> = self
-            .at(claim.endpoint)
+            .at(claim.address)
             .into_iter()
             .filter(|u| !is_nameless(u))
             .collect();
@@ -133,16 +133,16 @@
         };
         self.claims.push((uid.clone(), held));
         self.known.insert(uid.clone());
-        // One named member at an endpoint takes what nameless ones claimed there.
+        // One named endpoint at an endpoint takes what nameless ones claimed there.
         let named: Vec<Uid> = self
-            .at(claim.endpoint)
+            .at(claim.address)
             .into_iter()
             .filter(|u| !is_nameless(u))
             .collect();
         if named == [uid.clone()] {
             let mut taken = BTreeSet::new();
             for (u, h) in &mut self.claims {
-                if is_nameless(u) && h.claim.endpoint == claim.endpoint {
+                if is_nameless(u) && h.claim.address == claim.address {
                     taken.insert(std::mem::replace(u, uid.clone()));
                 }
             }
@@ -203,11 +203,11 @@
                     s.1 = true;
                 }
             }
-            Input::Answered { member, leaving } => {
-                if self.known.contains(member) {
-                    self.answered.insert(member.clone(), now);
+            Input::Answered { endpoint, leaving } => {
+                if self.known.contains(endpoint) {
+                    self.answered.insert(endpoint.clone(), now);
                     if *leaving {
-                        self.own.insert(member.clone(), now);
+                        self.own.insert(endpoint.clone(), now);
                     }
                 }
             }
@@ -239,11 +239,12 @@
                 (Some(h), _) => {
                     let c = &h.claim;
                     let started = self.of(uid).map(|h| h.claim.started).max().unwrap_or(0);
-                    let (endpoint, group, zone, weight) = (c.endpoint, c.group, c.zone, c.weight);
+                    let (address, replica_set, zone, weight) =
+                        (c.address, c.replica_set, c.zone, c.weight);
                     (
                         View {
-                            endpoint,
-                            group,
+                            address,
+                            replica_set,
                             zone,
                             word: Word::Ready,
                             started,
@@ -256,12 +257,12 @@
                 _ => continue,
             };
             let shadowed = self
-                .at(view.endpoint)
+                .at(view.address)
                 .iter()
                 .filter(|o| *o != uid && !bound(&self.gone, o))
                 .any(|o| {
                     self.best(o)
-                        .is_some_and(|h| h.claim.endpoint == view.endpoint)
+                        .is_some_and(|h| h.claim.address == view.address)
                         && hold(self, o) > hold(self, uid)
                 });
             if shadowed {
@@ -276,11 +277,11 @@
         }
         let mut lowest: BTreeMap<u32, u16> = BTreeMap::new();
         for (view, tier) in list.values().filter(|(v, _)| v.word == Word::Ready) {
-            let lowest = lowest.entry(view.group).or_insert(*tier);
+            let lowest = lowest.entry(view.replica_set).or_insert(*tier);
             *lowest = *tier.min(lowest);
         }
         let in_use = |(_, (view, tier)): &(Uid, (View, u16))| {
-            view.word == Word::Draining || lowest[&view.group] == *tier
+            view.word == Word::Draining || lowest[&view.replica_set] == *tier
         };
         list.into_iter()
             .filter(in_use)
@@ -329,7 +330,7 @@
         3 => (0..3u16, name(), how).prop_map(|(source, name, how)| Input::Removed { source, name, how }),
         1 => (0..3u16, whole).prop_map(|(source, names)| Input::Whole { source, names }),
         1 => (0..3u16).prop_map(|source| Input::Failed { source }),
-        3 => (uid(), any::<bool>()).prop_map(|(member, leaving)| Input::Answered { member, leaving }),
+        3 => (uid(), any::<bool>()).prop_map(|(endpoint, leaving)| Input::Answered { endpoint, leaving }),
     ];
     prop_oneof![8 => input.prop_map(Step::Input), 1 => (0..40_000u64).prop_map(|n| Step::Wait(n * TICK))]
 }
@@ -347,13 +348,13 @@
         let start = 1_000_000 * SECOND;
         // Nothing is forgotten within the test: the reference never forgets.
         let settings = Settings { vouch: VOUCH, remember: u64::MAX / 4, ..Settings::default() };
-        let (mut members, mut plain) = (Members::new(settings, start), Plain::default());
+        let (mut endpoints, mut plain) = (Members::new(settings, start), Plain::default());
         let (mut now, mut changes, mut version) = (start, Vec::new(), 0);
         let mut list: BTreeMap<Uid, View> = BTreeMap::new();
         for (source, kind) in [(0, Kind::Roster), (1, Kind::Records), (2, Kind::Records)] {
             let input = Input::Source { source, kind };
             plain.handle(now, &input);
-            members.handle(now, input, &mut changes);
+            endpoints.handle(now, input, &mut changes);
         }
         for step in steps {
             match step {
@@ -367,15 +368,15 @@
                     }
                     plain.list(now);
                     plain.handle(now, &input);
-                    members.on_due(now, &mut changes);
-                    members.handle(now, input, &mut changes);
+                    endpoints.on_due(now, &mut changes);
+                    endpoints.handle(now, input, &mut changes);
                 }
             }
-            members.on_due(now, &mut changes);
+            endpoints.on_due(now, &mut changes);
             for change in changes.drain(..) {
                 match change {
-                    Change::Listed { member, view, .. } => drop(list.insert(member, view)),
-                    Change::Gone { member } => drop(list.remove(&member)),
+                    Change::Listed { endpoint, view, .. } => drop(list.insert(endpoint, view)),
+                    Change::Gone { endpoint } => drop(list.remove(&endpoint)),
                 }
             }
             prop_assert_eq!(&list, &plain.list(now));
@@ -386,7 +387,7 @@
 /// Guards the tables that are kept beside the claims: a removed source leaves nothing behind.
 #[test]
 fn a_source_that_is_removed_takes_only_its_own() {
-    let mut members = Members::new(
+    let mut endpoints = Members::new(
         Settings {
             vouch: 0,
             remember: 0,
@@ -396,13 +397,13 @@
     );
     let mut changes = Vec::new();
     for (source, kind) in [(0, Kind::Roster), (1, Kind::Records)] {
-        members.handle(SECOND, Input::Source { source, kind }, &mut changes);
+        endpoints.handle(SECOND, Input::Source { source, kind }, &mut changes);
     }
     for n in 0..10u16 {
         let at = SocketAddr::from(([127, 0, 0, 1], 7000 + n));
         let claim = Claim::new(&format!("s-{n}"), at, 1);
         let name: Uid = format!("n{n}").into();
-        members.handle(
+        endpoints.handle(
             SECOND,
             Input::Told {
                 source: n % 2,
@@ -412,7 +413,7 @@
             &mut changes,
         );
         if n < 4 {
-            members.handle(
+            endpoints.handle(
                 SECOND,
                 Input::Told {
                     source: (n + 1) % 2,
@@ -424,18 +425,18 @@
         }
     }
     changes.clear();
-    members.handle(2 * SECOND, Input::NoSource { source: 1 }, &mut changes);
-    let gone: HashSet<&str> = changes.iter().map(Change::member).collect();
+    endpoints.handle(2 * SECOND, Input::NoSource { source: 1 }, &mut changes);
+    let gone: HashSet<&str> = changes.iter().map(Change::endpoint).collect();
     assert_eq!(gone, HashSet::from(["s-5", "s-7", "s-9"]));
-    assert_eq!(members.len(), 7);
-    members.handle(2 * SECOND, Input::NoSource { source: 0 }, &mut changes);
-    assert!(members.is_empty() && members.next_due().is_none());
+    assert_eq!(endpoints.len(), 7);
+    endpoints.handle(2 * SECOND, Input::NoSource { source: 0 }, &mut changes);
+    assert!(endpoints.is_empty() && endpoints.next_due().is_none());
 }
 
-/// Guards the drain that a member tells itself: what it still finishes does not lift it; a newer start does, and time.
+/// Guards the drain that an endpoint tells itself: what it still finishes does not lift it; a newer start does, and time.
 #[test]
-fn a_member_that_leaves_may_still_answer() {
-    let mut members = Members::new(
+fn a_endpoint_that_leaves_may_still_answer() {
+    let mut endpoints = Members::new(
         Settings {
             vouch: VOUCH,
             ..Settings::default()
@@ -443,7 +444,7 @@
         SECOND,
     );
     let mut changes = Vec::new();
-    members.handle(
+    endpoints.handle(
         SECOND,
         Input::Source {
             source: 1,
@@ -463,7 +464,7 @@
         }
     };
     let answered = |leaving| Input::Answered {
-        member: "s-1".into(),
+        endpoint: "s-1".into(),
         leaving,
     };
     let word = |m: &Members| m.status()[0].listed.as_ref().map(|v| v.word);
@@ -478,11 +479,11 @@
     let mut now = SECOND;
     for (input, wanted) in steps {
         now += SECOND;
-        members.handle(now, input, &mut changes);
-        assert_eq!(word(&members), Some(wanted));
+        endpoints.handle(now, input, &mut changes);
+        assert_eq!(word(&endpoints), Some(wanted));
     }
-    members.on_due(now + VOUCH - TICK, &mut changes);
-    assert_eq!(word(&members), Some(Word::Draining));
-    members.on_due(now + VOUCH, &mut changes);
-    assert_eq!(word(&members), Some(Word::Ready));
+    endpoints.on_due(now + VOUCH - TICK, &mut changes);
+    assert_eq!(word(&endpoints), Some(Word::Draining));
+    endpoints.on_due(now + VOUCH, &mut changes);
+    assert_eq!(word(&endpoints), Some(Word::Ready));
 }
--- a/crates/service-discovery/tests/watch.rs
+++ b/crates/service-discovery/tests/watch.rs
@@ -1,13 +1,13 @@
 //! The clocks by which a change of the list counts as told, on made-up time.
 
-use reelrill_routing::Time;
+use reelrill_routing::Timestamp;
 use reelrill_service_discovery::watch::{
     Ask, Call, Ended, LATE, LOCAL_LATE, LOCAL_RETRY, LOCAL_WAIT, ListService, TOLD,
     TOLD_AFTER_WAIT, Then, Watch,
 };
 use rstest::rstest;
 
-const MS: Time = 1_000_000;
+const MS: Timestamp = 1_000_000;
 
 fn open(version: u64) -> (Watch, Call) {
     let mut watch = Watch::new(ListService::Shared, Some(version));
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Speaks the bench's wire on standard input and output: parses and prints, one brain per instance.
+//! Speaks the bench's wire on standard input and output: parses and prints, one balancer per endpoint.
 #![forbid(unsafe_code)]
 
 use base64::Engine as _;
@@ -59,49 +59,49 @@
     }
 }
 
-/// One instance of the module, with what is needed to read its events.
+/// One endpoint of the module, with what is needed to read its events.
 struct Instance {
-    brain: Brain,
-    origin: Time,
+    balancer: Balancer,
+    origin: Timestamp,
 }
 
 #[derive(Default)]
 struct Link {
     instances: HashMap<u64, Instance>,
-    names: HashMap<String, MemberId>,
-    sheets: HashMap<u64, Vec<Entry>>,
+    names: HashMap<String, EndpointId>,
+    sheets: HashMap<u64, Vec<EndpointEntry>>,
     open_sheet: Option<(u64, usize)>,
-    batch: Option<(Time, u64)>,
+    batch: Option<(Timestamp, u64)>,
     reply: String,
     actions: Vec<Action>,
 }
 
-fn ending(word: &str) -> Result<Ending, Fault> {
+fn outcome(word: &str) -> Result<AttemptOutcome, Fault> {
     Ok(match word {
-        "delivered" => Ending::Served,
-        "app_error" => Ending::Error,
-        "shed" => Ending::Full,
-        "expired" => Ending::TimedOut,
-        "dial_failed" => Ending::ConnectFailed,
-        "dropped" => Ending::Reset,
-        "revoked" => Ending::Cancelled,
-        "unused" => Ending::Moot,
-        "empty" => Ending::Miss,
+        "delivered" => AttemptOutcome::Served,
+        "app_error" => AttemptOutcome::Error,
+        "shed" => AttemptOutcome::Overloaded,
+        "expired" => AttemptOutcome::TimedOut,
+        "dial_failed" => AttemptOutcome::ConnectFailed,
+        "dropped" => AttemptOutcome::ConnectionReset,
+        "revoked" => AttemptOutcome::Cancelled,
+        "unused" => AttemptOutcome::Abandoned,
+        "empty" => AttemptOutcome::Misrouted,
         other => return Err(format!("field ending: unknown word '{other}'")),
     })
 }
 
 impl Link {
-    fn name(&mut self, text: &str) -> MemberId {
+    fn name(&mut self, text: &str) -> EndpointId {
         if let Some(id) = self.names.get(text) {
             return id.clone();
         }
-        let id: MemberId = Arc::from(text);
+        let id: EndpointId = Arc::from(text);
         self.names.insert(text.to_owned(), id.clone());
         id
     }
 
-    fn origin(&self, inst: u64) -> Result<Time, Fault> {
+    fn origin(&self, inst: u64) -> Result<Timestamp, Fault> {
         self.instances
             .get(&inst)
             .map(|i| i.origin)
@@ -113,7 +113,7 @@
         let Some(i) = self.instances.get_mut(&inst) else {
             return Err(format!("field proxyId: no instance {inst}"));
         };
-        i.brain.handle(now, event, &mut self.actions);
+        i.balancer.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             print(&mut self.reply, inst, action);
         }
@@ -166,11 +166,11 @@
                 let wrong = |e: &dyn std::fmt::Display| format!("field bootInfo: {e}");
                 let value = serde_json::from_str(&text).map_err(|e| wrong(&e))?;
                 let site = reelrill_routing_config::read(&value).map_err(|e| wrong(&e))?;
-                let brain = Brain::new(seed, site.settings).map_err(|e| wrong(&e))?;
+                let balancer = Balancer::new(seed, site.settings).map_err(|e| wrong(&e))?;
                 self.instances.insert(
                     inst,
                     Instance {
-                        brain,
+                        balancer,
                         origin: site.origin,
                     },
                 );
@@ -182,8 +182,8 @@
                 let inst = f.num("proxyId")?;
                 let kind = match f.text("kind")? {
                     "diff" => ListKind::Changes,
-                    "snapshot" => ListKind::Whole,
-                    "disk" => ListKind::Remembered,
+                    "snapshot" => ListKind::Full,
+                    "disk" => ListKind::Cached,
                     "error" => ListKind::Failed,
                     other => return Err(format!("field kind: unknown word '{other}'")),
                 };
@@ -202,7 +202,7 @@
                 let id = f.hex("call")?;
                 let session = f.maybe("clientKey")?.map(Arc::from);
                 let since: Option<f64> = f.maybe_num("sinceWriteMs")?;
-                let group = f.num::<f64>("cluster")? as u32;
+                let replica_set = f.num::<f64>("cluster")? as u32;
                 let work = f.maybe_num("work")?;
                 let tenant = f.maybe_num("project")?;
                 let class = f.num("band")?;
@@ -210,9 +210,9 @@
                 let req = Request {
                     id,
                     class,
-                    group,
+                    replica_set,
                     session,
-                    since_write: since.filter(|ms| *ms > 0.0).map(|ms| (ms * 1e6) as Span),
+                    since_write: since.filter(|ms| *ms > 0.0).map(|ms| (ms * 1e6) as Nanos),
                     tenant,
                     work: work.filter(|w| flags & 1 != 0 && *w > 0),
                     is_retry: flags & 2 != 0,
@@ -222,16 +222,16 @@
             }
             "SAMPLED" => {
                 let inst = f.num("proxyId")?;
-                let member = f.text("member")?;
-                let member = self.name(member);
-                let ending = ending(f.text("ending")?)?;
+                let endpoint = f.text("member")?;
+                let endpoint = self.name(endpoint);
+                let outcome = outcome(f.text("ending")?)?;
                 f.num::<u64>("took")?;
                 let report = report(f.maybe("feedback")?, self.origin(inst)?)?;
                 self.feed(
                     inst,
-                    Event::Probed {
-                        member,
-                        ending,
+                    Event::ProbeEnded {
+                        endpoint,
+                        outcome,
                         report,
                     },
                 )?;
@@ -241,14 +241,14 @@
                 let request = f.hex("call")?;
                 f.num::<u64>("took")?;
                 let attempt = f.num("n")?;
-                let member = f.text("member")?;
-                let member = self.name(member);
+                let endpoint = f.text("member")?;
+                let endpoint = self.name(endpoint);
                 self.feed(
                     inst,
-                    Event::Started {
+                    Event::ResponseStarted {
                         request,
                         attempt,
-                        member,
+                        endpoint,
                     },
                 )?;
             }
@@ -274,9 +274,9 @@
             "OUTCOME" => {
                 let inst = f.num("proxyId")?;
                 let request = f.hex("call")?;
-                let member = f.text("member")?;
-                let member = self.name(member);
-                let ending = ending(f.text("ending")?)?;
+                let endpoint = f.text("member")?;
+                let endpoint = self.name(endpoint);
+                let outcome = outcome(f.text("ending")?)?;
                 let stand: Option<u64> = f.maybe_num("stand")?;
                 let latency = f.num("took")?;
                 let attempt = f.num("n")?;
@@ -284,62 +284,62 @@
                 let origin = self.origin(inst)?;
                 let report = report(f.maybe("feedback")?, origin)?;
                 let note = stand.unwrap_or(0);
-                let standing = Standing {
+                let replication = ReplicationStatus {
                     role: match note % 4 {
                         1 => Some(Role::Primary),
                         2 => Some(Role::Replica),
                         _ => None,
                     },
-                    position: (note >= 4)
+                    applied_position: (note >= 4)
                         .then(|| origin.saturating_add((note / 4).saturating_mul(1_000_000))),
                 };
-                let o = Outcome {
+                let o = AttemptEnded {
                     request,
-                    member,
+                    endpoint,
                     attempt,
-                    ending,
-                    standing,
+                    outcome,
+                    replication,
                     report,
                     latency,
                     closed,
                 };
-                self.feed(inst, Event::Outcome(o))?;
+                self.feed(inst, Event::AttemptEnded(o))?;
             }
             other => return Err(format!("field message: unknown word '{other}'")),
         }
         Ok(false)
     }
 
-    fn row(&mut self, f: &mut Fields<'_>) -> Result<Entry, Fault> {
-        let member = f.text("member")?;
-        let member = self.name(member);
+    fn row(&mut self, f: &mut Fields<'_>) -> Result<EndpointEntry, Fault> {
+        let endpoint = f.text("member")?;
+        let endpoint = self.name(endpoint);
         let started = f.maybe_num("startTime")?.unwrap_or(0);
         let primary = f.maybe_num::<f64>("leads")?.unwrap_or(0.0) == 1.0;
         let state = match f.text("condition")? {
-            "SERVING" => State::Serving,
-            "DRAINING" => State::Draining,
-            "DELETED" => State::Gone,
+            "SERVING" => EndpointState::Serving,
+            "DRAINING" => EndpointState::Draining,
+            "DELETED" => EndpointState::Removed,
             other => return Err(format!("field condition: unknown word '{other}'")),
         };
         let weight = f.maybe_num("capacityHint")?.unwrap_or(1.0);
-        let group = f.num("db")?;
+        let replica_set = f.num("db")?;
         f.maybe_num::<u32>("model")?;
         let zone = f.maybe_num("failureDomain")?.unwrap_or(0);
-        Ok(Entry {
-            member,
+        Ok(EndpointEntry {
+            endpoint,
             started,
             primary,
             state,
             weight,
-            group,
+            replica_set,
             zone,
         })
     }
 }
 
 /// Reads a report's name:value pairs. Positions are rounded down by the report's last digit.
-fn report(text: Option<&str>, origin: Time) -> Result<Standing, Fault> {
-    let mut s = Standing::default();
+fn report(text: Option<&str>, origin: Timestamp) -> Result<ReplicationStatus, Fault> {
+    let mut s = ReplicationStatus::default();
     for pair in text.unwrap_or("").split(',').filter(|p| !p.is_empty()) {
         let (name, value) = pair
             .split_once(':')
@@ -348,7 +348,10 @@
             return Err(format!("field feedback: '{value}' is not a number"));
         };
         match name {
-            "x0" => s.position = Some(origin.saturating_add((value * 1e9 - 1e6).max(0.0) as u64)),
+            "x0" => {
+                s.applied_position =
+                    Some(origin.saturating_add((value * 1e9 - 1e6).max(0.0) as u64))
+            }
             "x1" => {
                 s.role = Some(if value == 1.0 {
                     Role::Primary
@@ -366,14 +369,14 @@
     let written = match action {
         Action::Send {
             request,
-            member,
+            endpoint,
             limit,
             by: _,
         } => match limit {
-            Some(limit) => writeln!(reply, "RELAY\t{inst}\t{request:016x}\t{member}\t{limit}"),
-            None => writeln!(reply, "RELAY\t{inst}\t{request:016x}\t{member}\t-"),
+            Some(limit) => writeln!(reply, "RELAY\t{inst}\t{request:016x}\t{endpoint}\t{limit}"),
+            None => writeln!(reply, "RELAY\t{inst}\t{request:016x}\t{endpoint}\t-"),
         },
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
             ..
@@ -386,7 +389,7 @@
             writeln!(reply, "DROP_ATTEMPT\t{inst}\t{request:016x}\t{attempt}")
         }
         Action::SetTimer { after, token } => writeln!(reply, "SET_TIMER\t{inst}\t{after}\t{token}"),
-        Action::Probe { member } => writeln!(reply, "PROBE\t{inst}\t{member}"),
+        Action::Probe { endpoint } => writeln!(reply, "PROBE\t{inst}\t{endpoint}"),
         Action::Subscribe => writeln!(reply, "WATCH\t{inst}\t1"),
         Action::FetchList => writeln!(reply, "REFRESH\t{inst}"),
     };
