--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line.
 
 use crate::config::{Config, ConfigError};
-use crate::edge::{Edge, EdgeError};
+use crate::extensions::{EdgeError, Extensions};
 use clap::{Parser, Subcommand};
 use std::path::{Path, PathBuf};
 
@@ -41,10 +41,10 @@
     }
 
     /// The project's own settings; the defaults, if there is no file.
-    pub fn settings(&self) -> Result<Edge, EdgeError> {
+    pub fn settings(&self) -> Result<Extensions, EdgeError> {
         self.edge
             .as_deref()
-            .map_or_else(|| Ok(Edge::default()), Edge::load)
+            .map_or_else(|| Ok(Extensions::default()), Extensions::load)
     }
 }
 
@@ -53,7 +53,7 @@
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error(transparent)]
-    Edge(#[from] EdgeError),
+    Extensions(#[from] EdgeError),
     #[error("{0}: settings: {1}")]
     Settings(String, reelrill_routing::SettingsError),
 }
@@ -68,6 +68,6 @@
             .map_err(|e| CheckError::Settings(file.display().to_string(), e))?;
         return Ok("a configuration of the platform");
     }
-    Edge::load(file)?;
+    Extensions::load(file)?;
     Ok("settings of the project")
 }
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client/mod.rs
@@ -4,13 +4,13 @@
 mod simple;
 mod socket;
 
-use crate::accept;
-use crate::buffer::Buffer;
-use crate::counters::count;
-use crate::edge::Mode;
-use crate::exchange::{Answer, Incoming, Mark, Reply};
-use crate::log::CloseReason;
-use crate::shared::{Cancel, Holder, Shared, Slot, Tally};
+use crate::extensions::Mode;
+use crate::messages::{Answer, CancellationFlag, ClientRequest, FinalResponse};
+use crate::observability::counters::count;
+use crate::observability::log::CloseReason;
+use crate::runtime::accept;
+use crate::runtime::buffer::Buffer;
+use crate::runtime::shared::{Cancel, DescriptorPermit, Holder, HolderCount, Shared};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future::or;
@@ -96,7 +96,12 @@
     }
 }
 
-async fn serve(shared: Rc<Shared>, stream: Async<TcpStream>, _slot: Slot, fresh: Tally) {
+async fn serve(
+    shared: Rc<Shared>,
+    stream: Async<TcpStream>,
+    _slot: DescriptorPermit,
+    fresh: HolderCount,
+) {
     let _ = stream.get_ref().set_nodelay(true);
     let accepted = shared.clock.now();
     let (buffer, fresh) = (Buffer::new(&shared.memory), Some(fresh));
@@ -143,7 +148,7 @@
     buffer: Buffer,
     accepted: Timestamp,
     /// No command has come yet.
-    fresh: Option<Tally>,
+    fresh: Option<HolderCount>,
     /// When a part of a message came whose rest has not.
     begun: Option<Timestamp>,
     /// Its startup has been answered.
@@ -413,9 +418,9 @@
         admitted: &Admitted,
         ask: Rc<Ask>,
         arrived: Timestamp,
-        left: Mark,
-    ) -> Incoming {
-        Incoming {
+        left: CancellationFlag,
+    ) -> ClientRequest {
+        ClientRequest {
             request: self.shared.next_request(),
             id: admitted.id.unwrap_or_else(rand::random),
             class: admitted.class,
@@ -555,15 +560,15 @@
 }
 
 /// Any other answer.
-fn put_failure(out: &mut Vec<u8>, reply: &Reply) {
+fn put_failure(out: &mut Vec<u8>, reply: &FinalResponse) {
     match reply {
-        Reply::Refused { retry_after } => {
+        FinalResponse::Refused { retry_after } => {
             let after = retry_after.map(|span| span.div_ceil(1_000_000).to_string());
             let text = "refused: trying again is harmless";
             backend::put_error(out, false, code::TOO_MANY, text, after.as_deref());
         }
-        Reply::Failed(why) => backend::put_error(out, false, code::FAILED, why, None),
-        Reply::Cancelled => {
+        FinalResponse::Failed(why) => backend::put_error(out, false, code::FAILED, why, None),
+        FinalResponse::Cancelled => {
             backend::put_error(
                 out,
                 false,
@@ -572,7 +577,7 @@
                 None,
             );
         }
-        Reply::Served(_) => {}
+        FinalResponse::Served(_) => {}
     }
 }
 
--- a/crates/router/src/client/pipeline.rs
+++ b/crates/router/src/client/pipeline.rs
@@ -2,10 +2,10 @@
 //! and what is owed is the plan's; here are the bytes, the decider's replies, and an eye on the client.
 
 use super::{Client, put_failure, read_ahead};
-use crate::counters::count;
-use crate::exchange::{Mark, Message, Reply, ReplyTo};
-use crate::log::CloseReason;
-use crate::shared::Shared;
+use crate::messages::{CancellationFlag, FinalResponse, Message, ResponseTarget};
+use crate::observability::counters::count;
+use crate::observability::log::CloseReason;
+use crate::runtime::shared::Shared;
 use async_channel::{Receiver, Sender};
 use futures_lite::future::or;
 use reelrill_pg_protocol::backend::{self, Column};
@@ -23,23 +23,23 @@
 struct Part {
     number: u64,
     request: RequestId,
-    left: Mark,
+    left: CancellationFlag,
     /// The format that its client wants its value in.
     result: Format,
 }
 
 pub struct Pipeline {
-    plan: Plan<Reply>,
+    plan: Plan<FinalResponse>,
     parts: Vec<Part>,
-    to: Sender<(u64, Reply)>,
-    answers: Receiver<(u64, Reply)>,
+    to: Sender<(u64, FinalResponse)>,
+    answers: Receiver<(u64, FinalResponse)>,
     /// The type of the one column.
     data: u32,
 }
 
 /// Why the client's task goes on.
 enum Woken {
-    Reply(u64, Reply),
+    FinalResponse(u64, FinalResponse),
     Cancelled,
     Read(std::io::Result<usize>),
 }
@@ -72,28 +72,30 @@
     }
 
     /// The reply in the format that its client wants.
-    fn in_format(&self, reply: Reply, wanted: Format) -> Reply {
-        let Reply::Served(mut answer) = reply else {
+    fn in_format(&self, reply: FinalResponse, wanted: Format) -> FinalResponse {
+        let FinalResponse::Served(mut answer) = reply else {
             return reply;
         };
         let given = answer.column.as_ref().map_or(wanted, |c| c.format);
         let Some(value) = convert(&answer.value, self.data, given, wanted) else {
-            return Reply::Failed("it has run; its value can't be given in the format asked for");
+            return FinalResponse::Failed(
+                "it has run; its value can't be given in the format asked for",
+            );
         };
         if let std::borrow::Cow::Owned(value) = value {
             answer.value = value;
         }
-        Reply::Served(answer)
+        FinalResponse::Served(answer)
     }
 
     /// A part has its reply. Returns the requests that are owed nothing any more.
-    fn on_reply(&mut self, part: u64, reply: Reply) -> Vec<RequestId> {
+    fn on_reply(&mut self, part: u64, reply: FinalResponse) -> Vec<RequestId> {
         let Some(at) = self.parts.iter().position(|p| p.number == part) else {
             return Vec::new();
         };
         let result = self.parts.swap_remove(at).result;
         let reply = self.in_format(reply, result);
-        let served = matches!(reply, Reply::Served(_));
+        let served = matches!(reply, FinalResponse::Served(_));
         let called_off = self.plan.finish(part, reply, served);
         let is_off = |p: &mut Part| called_off.contains(&p.number);
         let called_off = self.parts.extract_if(.., is_off);
@@ -120,7 +122,7 @@
         for part in parts {
             let _ = self
                 .shared
-                .decider
+                .dispatcher
                 .send(Message::ClientLeft {
                     request: part.request,
                 })
@@ -159,7 +161,7 @@
             }
             let reply = async {
                 match pipeline.answers.recv().await {
-                    Ok((part, reply)) => Woken::Reply(part, reply),
+                    Ok((part, reply)) => Woken::FinalResponse(part, reply),
                     // The pipeline itself holds the other end.
                     Err(_) => std::future::pending().await,
                 }
@@ -173,7 +175,7 @@
                 Woken::Read(read_ahead(&self.shared, &mut self.buffer, &self.stream).await)
             };
             match or(reply, or(cancelled, read)).await {
-                Woken::Reply(part, reply) => self.finish(part, reply).await,
+                Woken::FinalResponse(part, reply) => self.finish(part, reply).await,
                 Woken::Cancelled => {
                     self.cancel.reset();
                     let open = self.pipeline.as_ref().and_then(|p| p.plan.first_open());
@@ -222,14 +224,14 @@
         }
     }
 
-    async fn finish(&mut self, part: u64, reply: Reply) {
+    async fn finish(&mut self, part: u64, reply: FinalResponse) {
         let Some(pipeline) = &mut self.pipeline else {
             return;
         };
         for request in pipeline.on_reply(part, reply) {
             let _ = self
                 .shared
-                .decider
+                .dispatcher
                 .send(Message::ClientLeft { request })
                 .await;
         }
@@ -245,15 +247,15 @@
             Some(out) => {
                 out.left.raise();
                 requests.push(out.request);
-                requests.extend(pipeline.on_reply(part, Reply::Cancelled));
+                requests.extend(pipeline.on_reply(part, FinalResponse::Cancelled));
             }
             // It has not been started, and nothing behind it has.
-            None => drop(pipeline.plan.finish(part, Reply::Cancelled, false)),
+            None => drop(pipeline.plan.finish(part, FinalResponse::Cancelled, false)),
         }
         for request in requests {
             let _ = self
                 .shared
-                .decider
+                .dispatcher
                 .send(Message::ClientLeft { request })
                 .await;
         }
@@ -261,7 +263,7 @@
 
     async fn start_parts(&mut self) {
         while let Some(start) = self.pipeline.as_mut().and_then(|p| p.plan.start()) {
-            let left = Mark::default();
+            let left = CancellationFlag::default();
             let now = self.shared.clock.now();
             let incoming = self.incoming(&start.admitted, start.ask, now, left.clone());
             let Some(pipeline) = &mut self.pipeline else {
@@ -274,18 +276,18 @@
                 left,
                 result,
             });
-            let reply = ReplyTo {
+            let reply = ResponseTarget {
                 part: start.part,
                 to: pipeline.to.clone(),
             };
             if self
                 .shared
-                .decider
+                .dispatcher
                 .send(Message::Request { incoming, reply })
                 .await
                 .is_err()
             {
-                self.finish(start.part, Reply::Failed("the router is ending"))
+                self.finish(start.part, FinalResponse::Failed("the router is ending"))
                     .await;
             }
         }
@@ -313,7 +315,7 @@
                 }
                 Output::Complete(tag) => backend::put_complete(out, tag),
                 Output::Answer {
-                    answer: Reply::Served(answer),
+                    answer: FinalResponse::Served(answer),
                     suspended,
                 } => {
                     backend::put_value(out, &answer.value);
--- a/crates/router/src/client/simple.rs
+++ b/crates/router/src/client/simple.rs
@@ -2,9 +2,9 @@
 //! the decider's replies, and an eye on the client.
 
 use super::{Client, put_answer, put_failure, read_ahead};
-use crate::counters::count;
-use crate::exchange::{Mark, Message, Reply, ReplyTo};
-use crate::log::CloseReason;
+use crate::messages::{CancellationFlag, FinalResponse, Message, ResponseTarget};
+use crate::observability::counters::count;
+use crate::observability::log::CloseReason;
 use async_channel::{Receiver, Sender};
 use futures_lite::future::or;
 use reelrill_pg_protocol::{backend, code, frame};
@@ -22,7 +22,7 @@
 struct Part {
     number: u64,
     request: RequestId,
-    left: Mark,
+    left: CancellationFlag,
 }
 
 /// What is said without an endpoint.
@@ -37,15 +37,15 @@
 }
 
 pub struct Simples {
-    queue: Queue<Reply, Said>,
+    queue: Queue<FinalResponse, Said>,
     parts: Vec<Part>,
-    to: Sender<(u64, Reply)>,
-    answers: Receiver<(u64, Reply)>,
+    to: Sender<(u64, FinalResponse)>,
+    answers: Receiver<(u64, FinalResponse)>,
 }
 
 /// Why the client's task goes on.
 enum Woken {
-    Reply(u64, Reply),
+    FinalResponse(u64, FinalResponse),
     Cancelled,
     Ready,
     Read(std::io::Result<usize>),
@@ -78,7 +78,7 @@
         for part in parts {
             let _ = self
                 .shared
-                .decider
+                .dispatcher
                 .send(Message::ClientLeft {
                     request: part.request,
                 })
@@ -113,7 +113,7 @@
             }
             let reply = async {
                 match self.simple.answers.recv().await {
-                    Ok((part, reply)) => Woken::Reply(part, reply),
+                    Ok((part, reply)) => Woken::FinalResponse(part, reply),
                     // The client itself holds the other end.
                     Err(_) => std::future::pending().await,
                 }
@@ -134,7 +134,7 @@
                 Woken::Read(read_ahead(&self.shared, &mut self.buffer, &self.stream).await)
             };
             match or(reply, or(cancelled, or(ready, read))).await {
-                Woken::Reply(part, reply) => self.finish_simple(part, reply),
+                Woken::FinalResponse(part, reply) => self.finish_simple(part, reply),
                 Woken::Cancelled => {
                     self.cancel.reset();
                     if let Some(part) = self.simple.queue.first_open() {
@@ -209,7 +209,7 @@
 
     async fn start_simple(&mut self) {
         while let Some(start) = self.simple.queue.start() {
-            let left = Mark::default();
+            let left = CancellationFlag::default();
             let incoming = self.incoming(&start.admitted, start.ask, start.arrived, left.clone());
             let (number, request) = (start.part, incoming.request);
             self.simple.parts.push(Part {
@@ -217,23 +217,23 @@
                 request,
                 left,
             });
-            let reply = ReplyTo {
+            let reply = ResponseTarget {
                 part: number,
                 to: self.simple.to.clone(),
             };
             if self
                 .shared
-                .decider
+                .dispatcher
                 .send(Message::Request { incoming, reply })
                 .await
                 .is_err()
             {
-                self.finish_simple(number, Reply::Failed("the router is ending"));
+                self.finish_simple(number, FinalResponse::Failed("the router is ending"));
             }
         }
     }
 
-    fn finish_simple(&mut self, part: u64, reply: Reply) {
+    fn finish_simple(&mut self, part: u64, reply: FinalResponse) {
         self.simple.parts.retain(|p| p.number != part);
         self.simple.queue.finish(part, reply);
     }
@@ -241,13 +241,13 @@
     /// Its client calls a request off: it fails at once, and the decider owes it nothing any more.
     async fn call_off_simple(&mut self, part: u64) {
         let at = self.simple.parts.iter().position(|p| p.number == part);
-        self.simple.queue.finish(part, Reply::Cancelled);
+        self.simple.queue.finish(part, FinalResponse::Cancelled);
         // One that has not been started is only answered.
         if let Some(part) = at.map(|at| self.simple.parts.swap_remove(at)) {
             part.left.raise();
             let _ = self
                 .shared
-                .decider
+                .dispatcher
                 .send(Message::ClientLeft {
                     request: part.request,
                 })
@@ -265,7 +265,7 @@
                 .output(|s| is_ready || !matches!(s, Said::Ready))
         {
             match output {
-                Output::Answer(Reply::Served(answer)) => put_answer(out, &answer),
+                Output::Answer(FinalResponse::Served(answer)) => put_answer(out, &answer),
                 Output::Answer(other) => put_failure(out, &other),
                 Output::Said(Said::Ready) => reelrill_pg_protocol::put(out, b'I', &[]),
                 Output::Said(Said::Complete(tag)) => backend::put_complete(out, tag),
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,9 +1,9 @@
 //! The configuration: `RELAY_CONFIG`, overridden by the other variables. Read again on SIGHUP, the file's
 //! `discovery` counts before the variable, which tells where discovery was when the process started.
 
-use crate::edge::{Edge, EdgeError};
-use crate::exchange::Listed;
-use crate::list::{self, ListError};
+use crate::discovery::list::{self, ListError};
+use crate::extensions::{EdgeError, Extensions};
+use crate::messages::ListedEndpoint;
 use reelrill_routing_config::Site;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
         least: u64,
     },
     #[error(transparent)]
-    Edge(#[from] EdgeError),
+    Extensions(#[from] EdgeError),
     #[error("{path}: known: {source}")]
     Known { path: String, source: ListError },
 }
@@ -53,10 +53,10 @@
     /// Bytes of memory that the process may hold.
     pub memory: usize,
     /// The list as this router last had it: its version and entries.
-    pub known: (Option<u64>, Vec<Listed>),
+    pub known: (Option<u64>, Vec<ListedEndpoint>),
     pub site: Site,
     /// The project's own settings.
-    pub edge: Edge,
+    pub edge: Extensions,
     /// The file that they are read from.
     edge_path: Option<PathBuf>,
     /// The settings as they stand in the file.
@@ -65,7 +65,7 @@
 
 impl Config {
     /// `edge` was read from `edge_path`, if there is such a file.
-    pub fn load(edge: Edge, edge_path: Option<PathBuf>) -> Result<Config, ConfigError> {
+    pub fn load(edge: Extensions, edge_path: Option<PathBuf>) -> Result<Config, ConfigError> {
         let path = Config::path()?;
         let config = Config::read(&path, &Config::file(&path)?, edge, |name| {
             std::env::var(name).ok()
@@ -78,7 +78,7 @@
 
     /// A file by itself, whatever the environment says.
     pub fn check(path: &str) -> Result<Config, ConfigError> {
-        Config::read(path, &Config::file(path)?, Edge::default(), |_| None)
+        Config::read(path, &Config::file(path)?, Extensions::default(), |_| None)
     }
 
     /// The file as it is now, on top of this configuration.
@@ -92,7 +92,7 @@
         let edge = self
             .edge_path
             .as_deref()
-            .map_or_else(|| Ok(self.edge.clone()), Edge::load)?;
+            .map_or_else(|| Ok(self.edge.clone()), Extensions::load)?;
         Config::read(&path, &value, edge, |name| match name {
             "RELAY_DISCOVERY" => Some(discovery.clone()),
             _ => std::env::var(name).ok(),
@@ -127,7 +127,7 @@
     fn read(
         path: &str,
         value: &Value,
-        edge: Edge,
+        edge: Extensions,
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, ConfigError> {
         let path = path.to_owned();
--- a/crates/router/src/admin_socket.rs
+++ b/crates/router/src/discovery/admin_socket.rs
@@ -1,7 +1,7 @@
 //! What an operator sees of the endpoints: a Unix socket that tells, and the command that asks.
 
-use crate::accept;
-use crate::shared::Shared;
+use crate::runtime::accept;
+use crate::runtime::shared::Shared;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
--- a/crates/router/src/roster.rs
+++ b/crates/router/src/discovery/client.rs
@@ -1,11 +1,11 @@
 //! The list's actor: asks discovery when the decider says so, keeps the watch going, and tells what comes.
 
-use crate::counters::count;
-use crate::exchange::{Call, Message, News};
-use crate::http::{Connection, HttpError};
-use crate::list::{List, ListError, read_list};
-use crate::log::CloseReason;
-use crate::shared::Shared;
+use crate::discovery::http::{Connection, HttpError};
+use crate::discovery::list::{List, ListError, read_list};
+use crate::messages::{Call, Message, News};
+use crate::observability::counters::count;
+use crate::observability::log::CloseReason;
+use crate::runtime::shared::Shared;
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future::or;
@@ -29,7 +29,7 @@
     Silent,
 }
 
-struct Roster {
+struct DiscoveryClient {
     shared: Rc<Shared>,
     discovery: Cell<SocketAddr>,
     /// Taken out by a call while it runs, so that a call that is dropped half-way closes it.
@@ -56,7 +56,7 @@
     };
     let mut watch = Watch::new(service, shared.config.known.0);
     let discovery = Cell::new(shared.config.discovery);
-    let roster = Roster {
+    let roster = DiscoveryClient {
         shared,
         discovery,
         connection: Cell::default(),
@@ -150,7 +150,7 @@
     Err(CallError::Silent)
 }
 
-impl Roster {
+impl DiscoveryClient {
     /// Another address is another service. Says whether it is one.
     fn turn_to(&self, address: SocketAddr) -> bool {
         if self.discovery.replace(address) == address {
@@ -244,7 +244,7 @@
         match &self.shared.directory {
             Some(directory) => drop(
                 directory
-                    .send(News::Roster {
+                    .send(News::DiscoveryClient {
                         kind,
                         listed,
                         version,
@@ -253,7 +253,7 @@
             ),
             None => drop(
                 self.shared
-                    .decider
+                    .dispatcher
                     .send(Message::List { kind, listed })
                     .await,
             ),
--- a/crates/router/src/http.rs
+++ b/crates/router/src/discovery/http.rs
@@ -1,7 +1,7 @@
 //! A kept-alive HTTP/1.1 connection to discovery: one GET at a time.
 
-use crate::buffer::{Buffer, Memory};
-use crate::log::CloseReason;
+use crate::observability::log::CloseReason;
+use crate::runtime::buffer::{Buffer, Memory};
 use async_io::Async;
 use futures_lite::AsyncWriteExt as _;
 use slog::{Logger, info};
--- a/crates/router/src/list.rs
+++ b/crates/router/src/discovery/list.rs
@@ -1,6 +1,6 @@
 //! A list in discovery's form: read from the configuration and from the roster's answers.
 
-use crate::exchange::Listed;
+use crate::messages::ListedEndpoint;
 use reelrill_routing::{EndpointEntry, EndpointState};
 use serde_json::Value;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -15,7 +15,7 @@
 pub struct List {
     pub version: u64,
     pub whole: bool,
-    pub entries: Vec<Listed>,
+    pub entries: Vec<ListedEndpoint>,
 }
 
 /// Reads a list in discovery's form.
@@ -40,7 +40,7 @@
     })
 }
 
-fn read_target(target: &Value, zones: &[String]) -> Result<Listed, ListError> {
+fn read_target(target: &Value, zones: &[String]) -> Result<ListedEndpoint, ListError> {
     let text = |key: &'static str| {
         target
             .get(key)
@@ -80,5 +80,5 @@
         replica_set: replica_set.ok_or(ListError("pod_group"))?,
         zone: zone as u32,
     };
-    Ok(Listed { entry, address })
+    Ok(ListedEndpoint { entry, address })
 }
--- a/crates/router/src/directory.rs
+++ b/crates/router/src/discovery/registry.rs
@@ -1,11 +1,11 @@
 //! The directory's actor, where there are several sources of endpoints: it passes the sources' words to the endpoints'
 //! package, sends the queries for service records, and tells the decider what changes in the one list.
 
-use crate::admin_socket::{self, Question};
-use crate::counters::count;
-use crate::edge::{Discovery, DnsSd};
-use crate::exchange::{Call, Listed, Message, News};
-use crate::shared::Shared;
+use crate::discovery::admin_socket::{self, Question};
+use crate::extensions::{Discovery, DnsSd};
+use crate::messages::{Call, ListedEndpoint, Message, News};
+use crate::observability::counters::count;
+use crate::runtime::shared::Shared;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -32,7 +32,7 @@
 const PAUSE: (Duration, u32) = (Duration::from_millis(250), 5);
 
 #[derive(Debug, thiserror::Error)]
-pub enum DirectoryError {
+pub enum RegistryError {
     #[error("discovery.dns_sd: '{0}' is no name: {1}")]
     Name(String, String),
     #[error("members_socket: {0}")]
@@ -53,7 +53,7 @@
     queries: HashMap<u64, Sender<()>>,
 }
 
-pub struct Directory {
+pub struct EndpointRegistryTask {
     shared: Rc<Shared>,
     executor: Rc<LocalExecutor<'static>>,
     roster: Sender<Call>,
@@ -67,21 +67,21 @@
     failures: u32,
 }
 
-fn name(text: &str) -> Result<Name, DirectoryError> {
+fn name(text: &str) -> Result<Name, RegistryError> {
     let mut name =
-        Name::from_ascii(text).map_err(|e| DirectoryError::Name(text.to_owned(), e.to_string()))?;
+        Name::from_ascii(text).map_err(|e| RegistryError::Name(text.to_owned(), e.to_string()))?;
     name.set_fqdn(true);
     Ok(name)
 }
 
-impl Directory {
+impl EndpointRegistryTask {
     /// None: there is one source alone, and the roster speaks to the decider itself.
     pub fn new(
         shared: &Rc<Shared>,
         executor: &Rc<LocalExecutor<'static>>,
         roster: Sender<Call>,
         news: Receiver<News>,
-    ) -> Result<Option<Directory>, DirectoryError> {
+    ) -> Result<Option<EndpointRegistryTask>, RegistryError> {
         let discovery = &shared.config.edge.discovery;
         if shared.directory.is_none() {
             return Ok(None);
@@ -89,7 +89,7 @@
         let now = shared.clock.now();
         let vouch = discovery.vouch_s.saturating_mul(1_000_000_000);
         let questions = admin_socket::listen(shared, executor)?;
-        let mut directory = Directory {
+        let mut directory = EndpointRegistryTask {
             shared: shared.clone(),
             executor: executor.clone(),
             roster,
@@ -205,7 +205,7 @@
 
     async fn take(&mut self, now: Timestamp, news: News, changes: &mut Vec<Change>) {
         match news {
-            News::Roster {
+            News::DiscoveryClient {
                 kind: ListKind::Failed,
                 ..
             } => {
@@ -219,11 +219,11 @@
                 let (kind, listed) = (ListKind::Failed, Vec::new());
                 let _ = self
                     .shared
-                    .decider
+                    .dispatcher
                     .send(Message::List { kind, listed })
                     .await;
             }
-            News::Roster {
+            News::DiscoveryClient {
                 kind,
                 listed,
                 version,
@@ -245,7 +245,7 @@
                 let (kind, listed) = (ListKind::Changes, Vec::new());
                 let _ = self
                     .shared
-                    .decider
+                    .dispatcher
                     .send(Message::List { kind, listed })
                     .await;
             }
@@ -297,11 +297,11 @@
     fn on_entries(
         &mut self,
         now: Timestamp,
-        listed: Vec<Listed>,
+        listed: Vec<ListedEndpoint>,
         version: u64,
         changes: &mut Vec<Change>,
     ) {
-        for Listed { entry, address } in listed {
+        for ListedEndpoint { entry, address } in listed {
             let name = entry.endpoint.clone();
             let input = if entry.state == EndpointState::Removed {
                 Input::Removed {
@@ -334,7 +334,7 @@
     }
 
     /// Makes the services those of the settings; one whose settings are the same goes on. Returns those that are gone.
-    fn services_are(&mut self, discovery: &Discovery) -> Result<Vec<Source>, DirectoryError> {
+    fn services_are(&mut self, discovery: &Discovery) -> Result<Vec<Source>, RegistryError> {
         // All names are read before anything changes: a wrong one must not leave half of the services behind.
         for text in discovery
             .dns_sd
@@ -471,7 +471,7 @@
                     count(&self.shared.counters.members_went);
                     info!(self.shared.log, "member gone"; "member" => &*endpoint, "rule" => ?rule);
                     let address = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
-                    Listed { entry: entry(endpoint, EndpointState::Removed), address }
+                    ListedEndpoint { entry: entry(endpoint, EndpointState::Removed), address }
                 }
                 Change::Listed { endpoint, view, is_new } => {
                     let state = if view.word == Word::Draining { EndpointState::Draining } else { EndpointState::Serving };
@@ -482,13 +482,13 @@
                           "endpoint" => %view.address, "rule" => ?rule, "new" => is_new);
                     let (started, weight, replica_set, zone) = (view.started, view.weight, view.replica_set, view.zone);
                     let entry = EndpointEntry { started, weight, replica_set, zone, ..entry(endpoint, state) };
-                    Listed { entry, address: view.address }
+                    ListedEndpoint { entry, address: view.address }
                 }
             });
         }
         let _ = self
             .shared
-            .decider
+            .dispatcher
             .send(Message::List {
                 kind: ListKind::Changes,
                 listed,
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/dispatcher/mod.rs
@@ -1,11 +1,14 @@
 //! The actor that owns the balancer: it turns messages into events, actions into orders, and keeps the table
 //! of requests, attempt numbers, timers and deadlines. It never waits for another actor.
 
-use crate::counters::count;
-use crate::exchange::{Attempt, Call, Ended, Incoming, Listed, Mark, Message, Reply, ReplyTo};
-use crate::peer::{Order, PoolHandle};
-use crate::platform_clock::PlatformClock;
-use crate::shared::Shared;
+use crate::messages::{
+    Attempt, AttemptResult, Call, CancellationFlag, ClientRequest, FinalResponse, ListedEndpoint,
+    Message, ResponseTarget,
+};
+use crate::observability::counters::count;
+use crate::runtime::platform_clock::PlatformClock;
+use crate::runtime::shared::Shared;
+use crate::upstream::{PoolCommand, PoolHandle};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -25,7 +28,7 @@
     number: u32,
     endpoint: EndpointId,
     sent: Timestamp,
-    written: Mark,
+    written: CancellationFlag,
     _hold: Sender<()>,
 }
 
@@ -33,10 +36,10 @@
     /// The client's name for the request.
     id: u64,
     /// Taken once the final answer is given, or the client has left.
-    reply: Option<ReplyTo>,
+    reply: Option<ResponseTarget>,
     deadline: Timestamp,
     ask: Rc<Ask>,
-    left: Mark,
+    left: CancellationFlag,
     class: u32,
     sends: u32,
     out: Vec<Out>,
@@ -49,14 +52,14 @@
     Deadline(RequestId),
 }
 
-pub struct Decider {
+pub struct Dispatcher {
     shared: Rc<Shared>,
     executor: Rc<LocalExecutor<'static>>,
     balancer: Balancer,
     /// The decisions live in the platform's time, everything else in the router's.
     platform: PlatformClock,
     roster: Sender<Call>,
-    peers: HashMap<EndpointId, PoolHandle>,
+    pools: HashMap<EndpointId, PoolHandle>,
     open: HashMap<RequestId, Open>,
     /// The clients' names of the requests that are owed an answer.
     named: HashSet<u64>,
@@ -64,19 +67,19 @@
     events: VecDeque<Event>,
 }
 
-impl Decider {
+impl Dispatcher {
     pub fn new(
         shared: Rc<Shared>,
         executor: Rc<LocalExecutor<'static>>,
         roster: Sender<Call>,
-    ) -> Result<Decider, SettingsError> {
-        Ok(Decider {
+    ) -> Result<Dispatcher, SettingsError> {
+        Ok(Dispatcher {
             balancer: Balancer::new(shared.config.seed, shared.config.site.settings.clone())?,
             platform: PlatformClock::default(),
             shared,
             executor,
             roster,
-            peers: HashMap::new(),
+            pools: HashMap::new(),
             open: HashMap::new(),
             named: HashSet::new(),
             due: BinaryHeap::new(),
@@ -136,7 +139,11 @@
                     self.events.push_back(Event::Timer { token })
                 }
                 Some(Reverse((_, Due::Limit(request, number)))) => {
-                    self.resolve(request, number, Ended::silent(AttemptOutcome::TimedOut));
+                    self.resolve(
+                        request,
+                        number,
+                        AttemptResult::silent(AttemptOutcome::TimedOut),
+                    );
                 }
                 Some(Reverse((_, Due::Deadline(request)))) => self.on_deadline(request),
                 None => {}
@@ -152,18 +159,22 @@
         let numbers: Vec<u32> =
             out.map_or(Vec::new(), |o| o.out.iter().map(|a| a.number).collect());
         for number in numbers {
-            self.resolve(request, number, Ended::silent(AttemptOutcome::TimedOut));
+            self.resolve(
+                request,
+                number,
+                AttemptResult::silent(AttemptOutcome::TimedOut),
+            );
         }
         self.settle();
         if let Some(open) = self.open.get(&request).filter(|o| o.reply.is_some()) {
             count(&self.shared.counters.overdue);
             warn!(self.shared.log, "overdue"; "request" => format_args!("{:016x}", open.id));
             let was_sent = open.sends > 0;
-            let never = Reply::Refused { retry_after: None };
+            let never = FinalResponse::Refused { retry_after: None };
             self.answer(
                 request,
                 if was_sent {
-                    Reply::Failed("no answer in time")
+                    FinalResponse::Failed("no answer in time")
                 } else {
                     never
                 },
@@ -183,7 +194,7 @@
                     self.withdraw(request);
                 }
             }
-            Message::Ended {
+            Message::AttemptEnded {
                 request,
                 attempt,
                 ended,
@@ -213,11 +224,15 @@
             .map(|a| a.number)
             .collect();
         for number in unwritten {
-            self.resolve(request, number, Ended::silent(AttemptOutcome::Abandoned));
+            self.resolve(
+                request,
+                number,
+                AttemptResult::silent(AttemptOutcome::Abandoned),
+            );
         }
     }
 
-    fn on_request(&mut self, incoming: Incoming, reply: ReplyTo) {
+    fn on_request(&mut self, incoming: ClientRequest, reply: ResponseTarget) {
         count(&self.shared.counters.requests);
         let (request, id) = (incoming.request, incoming.id);
         if incoming.left.is_raised() {
@@ -231,15 +246,16 @@
             count(&self.shared.counters.refused);
             let _ = reply
                 .to
-                .try_send((reply.part, Reply::Refused { retry_after: None }));
+                .try_send((reply.part, FinalResponse::Refused { retry_after: None }));
             return;
         }
         if !self.named.insert(id) {
             // An id names one request: endpoints would take a second one under it for its copy.
             count(&self.shared.counters.rejected);
-            let _ = reply
-                .to
-                .try_send((reply.part, Reply::Failed("this id is already in use")));
+            let _ = reply.to.try_send((
+                reply.part,
+                FinalResponse::Failed("this id is already in use"),
+            ));
             return;
         }
         let now = self.shared.clock.now();
@@ -281,29 +297,29 @@
     }
 
     /// The list: peers come, move and go with it.
-    fn on_list(&mut self, kind: ListKind, listed: Vec<Listed>) {
+    fn on_list(&mut self, kind: ListKind, listed: Vec<ListedEndpoint>) {
         let now = self.shared.clock.now();
         // Where only draining binds, one that has left the list may still be sent to.
         let binds = !self.shared.config.site.settings.rules.only_draining_binds;
         if binds && matches!(kind, ListKind::Full | ListKind::Cached) {
             let named: BTreeSet<&EndpointId> = listed.iter().map(|l| &l.entry.endpoint).collect();
-            self.peers.retain(|endpoint, _| named.contains(endpoint));
+            self.pools.retain(|endpoint, _| named.contains(endpoint));
         }
-        for Listed { entry, address } in &listed {
+        for ListedEndpoint { entry, address } in &listed {
             self.platform.on_start(now, entry.started);
             if entry.state == EndpointState::Removed {
                 if binds {
-                    self.peers.remove(&entry.endpoint);
+                    self.pools.remove(&entry.endpoint);
                 }
                 continue;
             }
             let pool = self
-                .peers
+                .pools
                 .entry(entry.endpoint.clone())
                 .or_insert_with(|| PoolHandle::new(*address));
             pool.update(*address, entry.state == EndpointState::Draining, now);
         }
-        if !self.peers.is_empty() {
+        if !self.pools.is_empty() {
             self.shared.ready.raise();
         }
         let entries = listed.into_iter().map(|l| l.entry).collect();
@@ -340,23 +356,27 @@
                 retry_after,
             } => {
                 self.given_up(request, reason);
-                self.answer(request, Reply::Refused { retry_after });
+                self.answer(request, FinalResponse::Refused { retry_after });
             }
             Action::Fail { request, reason } => {
                 self.given_up(request, reason);
-                self.answer(request, Reply::Failed("not served"));
+                self.answer(request, FinalResponse::Failed("not served"));
             }
             Action::Cancel { request, attempt } => {
-                self.resolve(request, attempt, Ended::silent(AttemptOutcome::Cancelled));
+                self.resolve(
+                    request,
+                    attempt,
+                    AttemptResult::silent(AttemptOutcome::Cancelled),
+                );
             }
             Action::SetTimer { after, token } => {
                 self.due
                     .push(Reverse((now.saturating_add(after), Due::Timer(token))));
             }
             Action::Probe { endpoint } => {
-                let pool = self.peers.get(&endpoint);
-                let sent =
-                    pool.map(|p| p.send(&self.shared, &self.executor, &endpoint, Order::Probe));
+                let pool = self.pools.get(&endpoint);
+                let sent = pool
+                    .map(|p| p.send(&self.shared, &self.executor, &endpoint, PoolCommand::Probe));
                 if sent != Some(Ok(())) {
                     let (outcome, report) =
                         (AttemptOutcome::ConnectFailed, ReplicationStatus::default());
@@ -411,7 +431,7 @@
         let number = open.sends;
         open.sends += 1;
         let (hold, given_up) = async_channel::bounded(1);
-        let written = Mark::default();
+        let written = CancellationFlag::default();
         open.out.push(Out {
             number,
             endpoint: endpoint.clone(),
@@ -420,7 +440,11 @@
             _hold: hold,
         });
         if open.reply.is_none() || now >= open.deadline || number >= most {
-            return self.resolve(request, number, Ended::silent(AttemptOutcome::Abandoned));
+            return self.resolve(
+                request,
+                number,
+                AttemptResult::silent(AttemptOutcome::Abandoned),
+            );
         }
         let until = limit.map_or(open.deadline, |l| open.deadline.min(now.saturating_add(l)));
         let left = open.left.clone();
@@ -435,15 +459,15 @@
             left,
             written,
         };
-        let order = Order::Attempt(Box::new(attempt));
-        let ordered = match self.peers.get(&endpoint) {
+        let order = PoolCommand::Attempt(Box::new(attempt));
+        let ordered = match self.pools.get(&endpoint) {
             Some(pool) => pool
                 .send(&self.shared, &self.executor, &endpoint, order)
                 .map_err(|_| AttemptOutcome::NotSent),
             None => Err(AttemptOutcome::ConnectFailed),
         };
         if let Err(outcome) = ordered {
-            return self.resolve(request, number, Ended::silent(outcome));
+            return self.resolve(request, number, AttemptResult::silent(outcome));
         }
         if limit.is_some() {
             self.due.push(Reverse((until, Due::Limit(request, number))));
@@ -451,7 +475,7 @@
     }
 
     /// The one outcome of an attempt. A second one finds no attempt and changes nothing.
-    fn resolve(&mut self, request: RequestId, number: u32, ended: Ended) {
+    fn resolve(&mut self, request: RequestId, number: u32, ended: AttemptResult) {
         let Some(open) = self.open.get_mut(&request) else {
             return;
         };
@@ -516,7 +540,7 @@
                "class" => open.class, "number" => number, "member" => &*out.endpoint,
                "ending" => ?outcome, "ns" => latency, "position" => ?ended.replication.applied_position);
         if let Some(answer) = ended.answer {
-            self.answer(request, Reply::Served(answer));
+            self.answer(request, FinalResponse::Served(answer));
         }
         let closed = self.open.get(&request).is_none_or(|o| o.reply.is_none());
         self.events.push_back(Event::AttemptEnded(AttemptEnded {
@@ -539,7 +563,7 @@
         outcome: AttemptOutcome,
         told: ReplicationStatus,
     ) -> ReplicationStatus {
-        let (now, is_only) = (self.shared.clock.now(), self.peers.len() <= 1);
+        let (now, is_only) = (self.shared.clock.now(), self.pools.len() <= 1);
         let applied_position = told.applied_position.and_then(|at| match outcome {
             AttemptOutcome::MalformedResponse => self.platform.plausible(now, at),
             _ => self.platform.on_position(now, endpoint, at, is_only),
@@ -551,7 +575,7 @@
     }
 
     /// Nothing is owed for the request from now on; returns where its answer was to go.
-    fn conclude(&mut self, request: RequestId) -> Option<ReplyTo> {
+    fn conclude(&mut self, request: RequestId) -> Option<ResponseTarget> {
         let open = self.open.get_mut(&request)?;
         let reply = open.reply.take()?;
         self.named.remove(&open.id);
@@ -559,15 +583,15 @@
     }
 
     /// Gives the final answer, if it is still owed.
-    fn answer(&mut self, request: RequestId, reply: Reply) {
+    fn answer(&mut self, request: RequestId, reply: FinalResponse) {
         let Some(to) = self.conclude(request) else {
             return;
         };
         let c = &self.shared.counters;
         count(match &reply {
-            Reply::Served(_) => &c.served,
-            Reply::Refused { .. } => &c.refused,
-            Reply::Failed(_) | Reply::Cancelled => &c.failed,
+            FinalResponse::Served(_) => &c.served,
+            FinalResponse::Refused { .. } => &c.refused,
+            FinalResponse::Failed(_) | FinalResponse::Cancelled => &c.failed,
         });
         // A client that has just gone no longer listens; it says so by itself.
         let _ = to.to.try_send((to.part, reply));
--- a/crates/router/src/edge.rs
+++ b/crates/router/src/extensions.rs
@@ -27,7 +27,7 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Edge {
+pub struct Extensions {
     pub extended: Extended,
     pub discovery: Discovery,
     /// Where `reelrill endpoints` asks; none: nowhere.
@@ -177,9 +177,9 @@
     }
 }
 
-impl Edge {
+impl Extensions {
     /// Reads a file; names that it does not know are errors.
-    pub fn load(path: &Path) -> Result<Edge, EdgeError> {
+    pub fn load(path: &Path) -> Result<Extensions, EdgeError> {
         let path = || path.to_owned();
         let text = std::fs::read_to_string(path()).map_err(|source| EdgeError::Read {
             path: path(),
@@ -192,7 +192,7 @@
                 e.into_inner()
             })
         });
-        let edge: Edge = read.map_err(|e| {
+        let edge: Extensions = read.map_err(|e| {
             // The message's first line says what and where; the rest quotes the file.
             let whole = e.to_string();
             let what = format!("{field}: {}", whole.lines().next().unwrap_or_default());
@@ -288,10 +288,10 @@
     use super::*;
     use rstest::rstest;
 
-    fn load(text: &str) -> Result<Edge, String> {
+    fn load(text: &str) -> Result<Extensions, String> {
         let file = tempfile::NamedTempFile::new().unwrap();
         std::fs::write(file.path(), text).unwrap();
-        Edge::load(file.path()).map_err(|e| {
+        Extensions::load(file.path()).map_err(|e| {
             let said = e.to_string();
             let path = file.path().display().to_string();
             assert!(said.starts_with(&path), "{said}");
@@ -313,8 +313,8 @@
                 ..Limits::default()
             }
         );
-        assert_eq!(load("extended:\n  mode: off\n"), Ok(Edge::default()));
-        assert_eq!(load("{}"), Ok(Edge::default()));
+        assert_eq!(load("extended:\n  mode: off\n"), Ok(Extensions::default()));
+        assert_eq!(load("{}"), Ok(Extensions::default()));
     }
 
     /// Guards the person who edits the file: an error names the line and the field.
@@ -339,9 +339,9 @@
             env!("CARGO_MANIFEST_DIR"),
             "/../../deploy/edge.example.yaml"
         ));
-        assert_eq!(Edge::load(path).unwrap(), Edge::default());
+        assert_eq!(Extensions::load(path).unwrap(), Extensions::default());
         let text = std::fs::read_to_string(path).unwrap();
-        for name in format!("{:?}", Edge::default())
+        for name in format!("{:?}", Extensions::default())
             .split([' ', '{'])
             .filter_map(|w| w.strip_suffix(':'))
         {
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,25 +1,16 @@
 //! The reelrill router: wires the actors together on one thread and minds the signals.
 #![forbid(unsafe_code)]
 
-mod accept;
-mod admin_socket;
-mod buffer;
 mod cli;
 mod client;
 mod config;
-mod counters;
-mod decider;
-mod directory;
-mod edge;
-mod exchange;
-mod http;
-mod list;
-mod log;
-mod peer;
-mod platform_clock;
-mod roster;
-mod shared;
-mod shutdown;
+mod discovery;
+mod dispatcher;
+mod extensions;
+mod messages;
+mod observability;
+mod runtime;
+mod upstream;
 
 use async_channel::Sender;
 use async_executor::LocalExecutor;
@@ -28,7 +19,7 @@
 use clap::Parser as _;
 use futures_lite::StreamExt as _;
 use futures_lite::future::or;
-use shared::Shared;
+use runtime::shared::Shared;
 use slog::{Logger, error, info, warn};
 use std::net::{SocketAddr, TcpListener};
 use std::process::ExitCode;
@@ -48,7 +39,7 @@
     #[error("{0}: {1}")]
     Listen(SocketAddr, std::io::Error),
     #[error(transparent)]
-    Directory(#[from] directory::DirectoryError),
+    EndpointRegistryTask(#[from] discovery::registry::RegistryError),
     #[error("signals: {0}")]
     Signals(std::io::Error),
 }
@@ -71,7 +62,7 @@
             }
             Err(e) => wrong(&e, ExitCode::from(WRONG)),
         },
-        cli::Command::Members { socket } => match admin_socket::print(&socket) {
+        cli::Command::Members { socket } => match discovery::admin_socket::print(&socket) {
             Ok(()) => ExitCode::SUCCESS,
             Err(e) => wrong(
                 &format_args!("{}: {e}", socket.display()),
@@ -88,7 +79,7 @@
 /// Serves until the router is told to end. An error comes before anything has been served.
 fn serve(cli: &cli::Cli) -> Result<ExitCode, cli::CheckError> {
     let config = config::Config::load(cli.settings()?, cli.edge.clone())?;
-    let (log, _flush) = log::start(&config.name);
+    let (log, _flush) = observability::log::start(&config.name);
     Ok(match start(config, &log) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
@@ -115,27 +106,28 @@
 fn start(config: config::Config, log: &Logger) -> Result<(), StartError> {
     let address = config.listen;
     let executor = Rc::new(LocalExecutor::new());
-    let (decider, inbox) = async_channel::bounded(MAILBOX);
+    let (dispatcher, inbox) = async_channel::bounded(MAILBOX);
     let (calls, asked) = async_channel::bounded(4);
     let (told, news) = async_channel::bounded(MAILBOX);
     let told = config.edge.discovery.dns_sd.is_some().then_some(told);
-    let shared = Shared::new(config, log.clone(), decider, told);
+    let shared = Shared::new(config, log.clone(), dispatcher, told);
     // Room for the newest alone: what a later configuration says goes before what an earlier one said.
     let (place, places) = async_channel::bounded(1);
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup]);
     let signals = signals.map_err(StartError::Signals)?;
-    let decider = decider::Decider::new(shared.clone(), executor.clone(), calls.clone())?;
-    let directory = directory::Directory::new(&shared, &executor, calls, news)?;
+    let dispatcher = dispatcher::Dispatcher::new(shared.clone(), executor.clone(), calls.clone())?;
+    let directory =
+        discovery::registry::EndpointRegistryTask::new(&shared, &executor, calls, news)?;
     let listener = listener(address).map_err(|e| StartError::Listen(address, e))?;
     let bound = listener.get_ref().local_addr().unwrap_or(address);
     info!(log, "listening"; "address" => %bound, "instances" => shared.config.known.1.len());
-    executor.spawn(decider.run(inbox)).detach();
+    executor.spawn(dispatcher.run(inbox)).detach();
     if let Some(directory) = directory {
         executor.spawn(directory.run()).detach();
     }
     if shared.config.edge.discovery.roster {
         executor
-            .spawn(roster::run(shared.clone(), asked, places))
+            .spawn(discovery::client::run(shared.clone(), asked, places))
             .detach();
     }
     executor
@@ -158,8 +150,8 @@
                 shared.draining.raise();
                 // The decider ends last.
                 let _ = shared
-                    .decider
-                    .send(exchange::Message::ShutdownStarted)
+                    .dispatcher
+                    .send(messages::Message::ShutdownStarted)
                     .await;
             }
             Err(e) => error!(shared.log, "signals"; "error" => %e),
@@ -191,7 +183,7 @@
     match &shared.directory {
         Some(directory) => drop(
             directory
-                .send(exchange::News::Settings(new.edge.discovery))
+                .send(messages::News::Settings(new.edge.discovery))
                 .await,
         ),
         None if new.edge.discovery != shared.config.edge.discovery => {
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/messages.rs
@@ -1,7 +1,7 @@
 //! What passes between the front, the decider, the peers and the roster: plain data that names no
 //! front protocol, so that another one can be put before the same decisions.
 
-use crate::edge::Discovery;
+use crate::extensions::Discovery;
 use reelrill_pg_protocol::Format;
 use reelrill_pg_session::bound::Ask;
 use reelrill_routing::{
@@ -16,9 +16,9 @@
 
 /// Raised once, and seen at once by all that hold it: no message has to come through a mailbox first.
 #[derive(Debug, Clone, Default)]
-pub struct Mark(Rc<Cell<bool>>);
+pub struct CancellationFlag(Rc<Cell<bool>>);
 
-impl Mark {
+impl CancellationFlag {
     pub fn raise(&self) {
         self.0.set(true);
     }
@@ -30,7 +30,7 @@
 
 /// A client's request as a front has read it.
 #[derive(Debug)]
-pub struct Incoming {
+pub struct ClientRequest {
     /// The router's own name for this request: clients may name theirs alike.
     pub request: RequestId,
     /// The client's name for it, which endpoints get to see.
@@ -47,12 +47,12 @@
     pub ask: Rc<Ask>,
     /// Raised by the front in the instant in which the client has gone or called it off: nothing begins from then on,
     /// whatever still waits in a mailbox, for a connection or for a slot.
-    pub left: Mark,
+    pub left: CancellationFlag,
 }
 
 /// The one final answer to a request.
 #[derive(Debug)]
-pub enum Reply {
+pub enum FinalResponse {
     Served(Answer),
     Refused {
         retry_after: Option<Nanos>,
@@ -64,9 +64,9 @@
 
 /// Where the one reply goes: a client's parts share a channel that has room for all that it has out.
 #[derive(Debug, Clone)]
-pub struct ReplyTo {
+pub struct ResponseTarget {
     pub part: u64,
-    pub to: async_channel::Sender<(u64, Reply)>,
+    pub to: async_channel::Sender<(u64, FinalResponse)>,
 }
 
 /// A whole answer as an endpoint gave it: one value.
@@ -90,17 +90,17 @@
 
 /// How an attempt ended on its connection.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     pub outcome: AttemptOutcome,
     pub replication: ReplicationStatus,
     pub report: ReplicationStatus,
     pub answer: Option<Answer>,
 }
 
-impl Ended {
+impl AttemptResult {
     /// An ending that came without a word from the endpoint.
-    pub fn silent(outcome: AttemptOutcome) -> Ended {
-        Ended {
+    pub fn silent(outcome: AttemptOutcome) -> AttemptResult {
+        AttemptResult {
             outcome,
             replication: ReplicationStatus::default(),
             report: ReplicationStatus::default(),
@@ -111,7 +111,7 @@
 
 /// One line of the list of endpoints and where to dial it.
 #[derive(Debug, Clone)]
-pub struct Listed {
+pub struct ListedEndpoint {
     pub entry: EndpointEntry,
     pub address: SocketAddr,
 }
@@ -120,24 +120,24 @@
 #[derive(Debug)]
 pub enum Message {
     Request {
-        incoming: Incoming,
-        reply: ReplyTo,
+        incoming: ClientRequest,
+        reply: ResponseTarget,
     },
     ClientLeft {
         request: RequestId,
     },
-    Ended {
+    AttemptEnded {
         request: RequestId,
         attempt: u32,
-        ended: Ended,
+        ended: AttemptResult,
     },
     Probed {
         endpoint: EndpointId,
-        ended: Ended,
+        ended: AttemptResult,
     },
     List {
         kind: ListKind,
-        listed: Vec<Listed>,
+        listed: Vec<ListedEndpoint>,
     },
     /// SIGTERM has come.
     ShutdownStarted,
@@ -156,9 +156,9 @@
     /// Closed once the decider has given the attempt up.
     pub given_up: async_channel::Receiver<()>,
     /// Its client has gone: what has not been written is not written any more.
-    pub left: Mark,
+    pub left: CancellationFlag,
     /// Raised by the connection once the last byte with which the request may run has been written.
-    pub written: Mark,
+    pub written: CancellationFlag,
 }
 
 /// What the decider asks of the roster.
@@ -171,9 +171,9 @@
 /// What goes into the directory's mailbox.
 pub enum News {
     /// What the roster answered, and its version.
-    Roster {
+    DiscoveryClient {
         kind: ListKind,
-        listed: Vec<Listed>,
+        listed: Vec<ListedEndpoint>,
         version: u64,
     },
     /// An endpoint answered for itself.
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/runtime/shared.rs
@@ -1,11 +1,11 @@
 //! What all tasks of the one thread share: clock, log, counters, the descriptor budget and the phase.
 
-use crate::buffer::Memory;
 use crate::config::Config;
-use crate::counters::Counters;
-use crate::edge::Mode;
-use crate::exchange::{Message, News};
-use crate::shutdown::ShutdownSchedule;
+use crate::extensions::Mode;
+use crate::messages::{Message, News};
+use crate::observability::counters::Counters;
+use crate::runtime::buffer::Memory;
+use crate::runtime::shutdown::ShutdownSchedule;
 use event_listener::{Event, IntoNotification as _};
 use reelrill_pg_session::account::Accounts;
 use reelrill_pg_session::admit::Catalog;
@@ -48,7 +48,7 @@
 }
 
 /// The descriptors of one side. A [`Slot`] holds one and gives it back when dropped.
-pub struct Slots {
+pub struct DescriptorBudget {
     used: Cell<usize>,
     most: usize,
     freed: Event,
@@ -62,25 +62,28 @@
     resting: Cell<usize>,
 }
 
-pub struct Slot(Rc<Slots>);
+pub struct DescriptorPermit(Rc<DescriptorBudget>);
 
 /// Counts a holder as one of a kind until dropped.
-pub struct Tally {
-    slots: Rc<Slots>,
-    kind: fn(&Slots) -> &Cell<usize>,
+pub struct HolderCount {
+    slots: Rc<DescriptorBudget>,
+    kind: fn(&DescriptorBudget) -> &Cell<usize>,
 }
 
-impl Tally {
-    fn new(slots: &Rc<Slots>, kind: fn(&Slots) -> &Cell<usize>) -> Tally {
+impl HolderCount {
+    fn new(
+        slots: &Rc<DescriptorBudget>,
+        kind: fn(&DescriptorBudget) -> &Cell<usize>,
+    ) -> HolderCount {
         kind(slots).set(kind(slots).get() + 1);
-        Tally {
+        HolderCount {
             slots: slots.clone(),
             kind,
         }
     }
 }
 
-impl Drop for Tally {
+impl Drop for HolderCount {
     fn drop(&mut self) {
         let count = (self.kind)(&self.slots);
         count.set(count.get().saturating_sub(1));
@@ -98,11 +101,11 @@
     Stateful,
 }
 
-impl Slots {
-    fn new(most: usize) -> Rc<Slots> {
+impl DescriptorBudget {
+    fn new(most: usize) -> Rc<DescriptorBudget> {
         let event = Event::new;
         let (freed, useless, idle, stateful) = (event(), event(), event(), event());
-        Rc::new(Slots {
+        Rc::new(DescriptorBudget {
             used: Cell::new(0),
             most,
             freed,
@@ -114,12 +117,12 @@
         })
     }
 
-    pub fn take(self: &Rc<Self>) -> Option<Slot> {
+    pub fn take(self: &Rc<Self>) -> Option<DescriptorPermit> {
         if self.used.get() >= self.most {
             return None;
         }
         self.used.set(self.used.get() + 1);
-        Some(Slot(self.clone()))
+        Some(DescriptorPermit(self.clone()))
     }
 
     pub fn used(&self) -> usize {
@@ -136,12 +139,12 @@
         self.freed.total_listeners() > 0
     }
 
-    pub fn fresh(self: &Rc<Self>) -> Tally {
-        Tally::new(self, |s| &s.fresh)
+    pub fn fresh(self: &Rc<Self>) -> HolderCount {
+        HolderCount::new(self, |s| &s.fresh)
     }
 
-    pub fn resting(self: &Rc<Self>) -> Tally {
-        Tally::new(self, |s| &s.resting)
+    pub fn resting(self: &Rc<Self>) -> HolderCount {
+        HolderCount::new(self, |s| &s.resting)
     }
 
     /// Asks the holder that has listened longest to give its slot up, the useless ones first. Where many are
@@ -174,7 +177,7 @@
     }
 }
 
-impl Drop for Slot {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         self.0.used.set(self.0.used.get().saturating_sub(1));
         // Those who wait differ in what they wait for: all look.
@@ -213,8 +216,8 @@
     pub counters: Counters,
     /// Descriptors for clients and for endpoints, apart: a flood of clients must not keep the requests of others
     /// from the endpoints.
-    pub clients: Rc<Slots>,
-    pub upstream: Rc<Slots>,
+    pub clients: Rc<DescriptorBudget>,
+    pub upstream: Rc<DescriptorBudget>,
     /// The router knows endpoints to serve from.
     pub ready: Flag,
     /// SIGTERM has come.
@@ -225,7 +228,7 @@
     pub shutdown: ShutdownSchedule,
     /// When a connection or a request last came in.
     pub last_arrival: Cell<Timestamp>,
-    pub decider: async_channel::Sender<Message>,
+    pub dispatcher: async_channel::Sender<Message>,
     /// Where the roster's word goes, and what endpoints say of themselves, if there are other sources.
     pub directory: Option<async_channel::Sender<News>>,
     /// What the buffers of all connections may grow to.
@@ -312,7 +315,7 @@
     pub fn new(
         config: Config,
         log: Logger,
-        decider: async_channel::Sender<Message>,
+        dispatcher: async_channel::Sender<Message>,
         directory: Option<async_channel::Sender<News>>,
     ) -> Rc<Shared> {
         let most = config.sockets - SPARE;
@@ -332,8 +335,8 @@
             translate: extended.mode == Mode::Translate,
         });
         Rc::new(Shared {
-            clients: Slots::new(for_clients),
-            upstream: Slots::new(most - for_clients),
+            clients: DescriptorBudget::new(for_clients),
+            upstream: DescriptorBudget::new(most - for_clients),
             memory: Memory::new(config.memory * LARGE.0 / LARGE.1),
             config,
             log,
@@ -344,7 +347,7 @@
             shutdown,
             last_arrival: Cell::new(clock.now()),
             clock,
-            decider,
+            dispatcher,
             directory,
             scratch: RefCell::new(vec![0; SCRATCH]),
             requests: Cell::new(0),
--- a/crates/router/src/peer/link.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -1,11 +1,11 @@
 //! One connection to an endpoint: dialled, used for one request at a time, and logged once when it ends.
 
 use super::fault::{Blame, Stage, classify};
-use crate::buffer::{Buffer, MemoryLimitReached};
-use crate::counters::count;
-use crate::exchange::{Answer, Column, Mark};
-use crate::log::CloseReason;
-use crate::shared::{Shared, Slot};
+use crate::messages::{Answer, CancellationFlag, Column};
+use crate::observability::counters::count;
+use crate::observability::log::CloseReason;
+use crate::runtime::buffer::{Buffer, MemoryLimitReached};
+use crate::runtime::shared::{DescriptorPermit, Shared};
 use async_io::{Async, Timer};
 use futures_lite::AsyncWriteExt as _;
 use futures_lite::future::or;
@@ -30,7 +30,7 @@
 /// How often a connection passes on that its endpoint answers.
 const VOUCH: Nanos = 1_000_000_000;
 
-pub struct Link {
+pub struct UpstreamConnection {
     shared: Rc<Shared>,
     stream: Async<TcpStream>,
     buffer: Buffer,
@@ -43,10 +43,10 @@
     prepared: Prepared,
     /// When its word was last passed on.
     vouched: Timestamp,
-    _slot: Slot,
+    _slot: DescriptorPermit,
 }
 
-impl Drop for Link {
+impl Drop for UpstreamConnection {
     fn drop(&mut self) {
         info!(self.shared.log, "connection ended"; "with" => "instance", "member" => &*self.endpoint,
               "reason" => self.reason.code());
@@ -288,14 +288,14 @@
     report
 }
 
-impl Link {
+impl UpstreamConnection {
     /// Connects and waits for the welcome, within the settings' limit. An error never ran anything.
     pub async fn dial(
         shared: Rc<Shared>,
         endpoint: EndpointId,
         address: SocketAddr,
-        slot: Slot,
-    ) -> Result<Link, AttemptOutcome> {
+        slot: DescriptorPermit,
+    ) -> Result<UpstreamConnection, AttemptOutcome> {
         count(&shared.counters.dials);
         let limit = match shared.config.site.settings.limits.connect_timeout {
             0 => Duration::from_secs(1),
@@ -307,7 +307,7 @@
         };
         let c = shared.clone();
         let dialled = or(
-            async { Some(Link::welcome(shared, endpoint, address, slot).await) },
+            async { Some(UpstreamConnection::welcome(shared, endpoint, address, slot).await) },
             within,
         )
         .await;
@@ -324,14 +324,14 @@
         shared: Rc<Shared>,
         endpoint: EndpointId,
         address: SocketAddr,
-        slot: Slot,
-    ) -> Result<Link, AttemptOutcome> {
+        slot: DescriptorPermit,
+    ) -> Result<UpstreamConnection, AttemptOutcome> {
         let failed = |e: io::Error| dial_ending(&e);
         let stream = connect(address).await.map_err(failed)?;
         stream.get_ref().set_nodelay(true).map_err(failed)?;
         let memory = shared.memory.clone();
         let limit = shared.config.edge.extended.limits.prepared;
-        let mut link = Link {
+        let mut connection = UpstreamConnection {
             idle_since: shared.clock.now(),
             shared,
             stream,
@@ -347,19 +347,19 @@
         frontend::put_startup(&mut hello);
         let mut written = 0;
         while written < hello.len() {
-            written += write_some(&link.stream, &hello[written..])
+            written += write_some(&connection.stream, &hello[written..])
                 .await
                 .map_err(failed)?;
         }
         loop {
-            match frame::within(link.buffer.bytes(), frame::LARGEST_WORD) {
+            match frame::within(connection.buffer.bytes(), frame::LARGEST_WORD) {
                 Ok(Some((b'E', body, _))) => {
                     if backend::error_code(body) == Some(code::LEAVING) {
-                        link.shared.vouch(&link.endpoint, true);
+                        connection.shared.vouch(&connection.endpoint, true);
                     }
                     let outcome =
                         backend::error_code(body).map_or(AttemptOutcome::ConnectFailed, ending_of);
-                    link.reason = CloseReason::TurnedAway;
+                    connection.reason = CloseReason::TurnedAway;
                     return Err(if outcome == AttemptOutcome::Overloaded {
                         outcome
                     } else {
@@ -367,15 +367,21 @@
                     });
                 }
                 Ok(Some((tag, _, len))) => {
-                    link.buffer.consume(len);
+                    connection.buffer.consume(len);
                     if tag == b'Z' {
                         // From here on, dropped while in use means given up.
-                        link.reason = CloseReason::GivenUp;
-                        return Ok(link);
+                        connection.reason = CloseReason::GivenUp;
+                        return Ok(connection);
                     }
                 }
                 Ok(None) => {
-                    if link.buffer.fill(&link.stream).await.map_err(failed)? == 0 {
+                    if connection
+                        .buffer
+                        .fill(&connection.stream)
+                        .await
+                        .map_err(failed)?
+                        == 0
+                    {
                         return Err(AttemptOutcome::ConnectFailed);
                     }
                 }
@@ -401,7 +407,12 @@
     }
 
     /// Asks for what a request wants, within the time that the router will wait.
-    pub async fn ask(&mut self, ask: &Ask, wait: Nanos, sent: &Mark) -> Result<Response, Fault> {
+    pub async fn ask(
+        &mut self,
+        ask: &Ask,
+        wait: Nanos,
+        sent: &CancellationFlag,
+    ) -> Result<Response, Fault> {
         match ask {
             Ask::Simple(simple) => self.query(&simple.with_wait(wait), sent).await,
             Ask::Bound(bound) => {
@@ -419,7 +430,7 @@
     }
 
     /// Sends one query and reads all of its response.
-    pub async fn query(&mut self, text: &[u8], sent: &Mark) -> Result<Response, Fault> {
+    pub async fn query(&mut self, text: &[u8], sent: &CancellationFlag) -> Result<Response, Fault> {
         let mut out = Vec::with_capacity(text.len() + 6);
         frontend::put_query(&mut out, text);
         let runs_from = out.len();
@@ -428,7 +439,12 @@
     }
 
     /// Runs a prepared statement: all that it needs here in one write, a Parse only where it is lacking.
-    async fn run(&mut self, bound: &Bound, wait: Nanos, sent: &Mark) -> Result<Response, Fault> {
+    async fn run(
+        &mut self,
+        bound: &Bound,
+        wait: Nanos,
+        sent: &CancellationFlag,
+    ) -> Result<Response, Fault> {
         let (template, mut out) = (bound.template(), Vec::new());
         let need = self.prepared.need(template.id);
         let name = template.name();
@@ -467,7 +483,7 @@
         &mut self,
         out: &[u8],
         runs_from: usize,
-        sent: &Mark,
+        sent: &CancellationFlag,
         mut response: Response,
     ) -> Result<Response, Fault> {
         // Looked at again right before the write: what came unasked would be taken for this query's answer.
--- a/crates/router/src/peer/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -4,19 +4,19 @@
 //! the list says of its endpoint; the pool's task and mailboxes are started by the first command and retired after
 //! a quiet time, in which the pool has no connection, no waiting attempt and nothing in flight.
 
+mod connection;
 mod fault;
-mod link;
 
-use crate::counters::count;
-use crate::exchange::{Attempt, Ended, Mark, Message};
-use crate::log::CloseReason;
-use crate::shared::{Holder, Shared};
+use crate::messages::{Attempt, AttemptResult, CancellationFlag, Message};
+use crate::observability::counters::count;
+use crate::observability::log::CloseReason;
+use crate::runtime::shared::{Holder, Shared};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
+use connection::{Fault, UpstreamConnection};
 use fault::Blame;
 use futures_lite::future::or;
-use link::{Fault, Link};
 use reelrill_routing::{AttemptOutcome, EndpointId, Nanos, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -63,7 +63,7 @@
     }
 }
 
-pub enum Order {
+pub enum PoolCommand {
     Attempt(Box<Attempt>),
     Probe,
     /// The endpoint or the state has changed.
@@ -71,7 +71,7 @@
 }
 
 /// Where a running pool takes its commands; empty while there is none.
-type Commands = RefCell<Option<Sender<Order>>>;
+type Commands = RefCell<Option<Sender<PoolCommand>>>;
 
 /// The dispatcher's view of one listed endpoint. Dropping it ends the pool: attempts that still wait are not sent.
 pub struct PoolHandle {
@@ -99,7 +99,7 @@
             && let Some(commands) = &*self.commands.borrow()
         {
             // A full mailbox means that the pool is about to look anyway.
-            let _ = commands.try_send(Order::Told);
+            let _ = commands.try_send(PoolCommand::Told);
         }
     }
 
@@ -109,7 +109,7 @@
         shared: &Rc<Shared>,
         executor: &Rc<LocalExecutor<'static>>,
         endpoint: &EndpointId,
-        order: Order,
+        order: PoolCommand,
     ) -> Result<(), PoolBusy> {
         let mut commands = self.commands.borrow_mut();
         let commands = commands.get_or_insert_with(|| self.start(shared, executor, endpoint));
@@ -121,11 +121,11 @@
         shared: &Rc<Shared>,
         executor: &Rc<LocalExecutor<'static>>,
         endpoint: &EndpointId,
-    ) -> Sender<Order> {
+    ) -> Sender<PoolCommand> {
         count(&shared.counters.pools_started);
         let (commands, inbox) = async_channel::bounded(MAILBOX);
         let (news, back) = async_channel::bounded(HANDED_BACK);
-        let pool = Peer {
+        let pool = EndpointPool {
             shared: shared.clone(),
             executor: executor.clone(),
             endpoint: endpoint.clone(),
@@ -149,18 +149,18 @@
 type Job = Option<Box<Attempt>>;
 
 enum News {
-    Dialled(Result<Box<Link>, AttemptOutcome>),
-    Back(Box<Link>),
+    Dialled(Result<Box<UpstreamConnection>, AttemptOutcome>),
+    Back(Box<UpstreamConnection>),
 }
 
-struct Peer {
+struct EndpointPool {
     shared: Rc<Shared>,
     executor: Rc<LocalExecutor<'static>>,
     endpoint: EndpointId,
     told: Rc<Told>,
     /// Gone once the handle has been dropped.
     commands: Weak<Commands>,
-    idle: Vec<Link>,
+    idle: Vec<UpstreamConnection>,
     /// Those without a connection, and since when.
     waiting: VecDeque<(Timestamp, Job)>,
     dialling: usize,
@@ -168,7 +168,7 @@
 }
 
 enum Next {
-    Order(Option<Order>),
+    PoolCommand(Option<PoolCommand>),
     News(News),
     /// Time to look for connections that are too old.
     Sweep,
@@ -182,15 +182,15 @@
     Quiet,
 }
 
-impl Peer {
-    async fn run(mut self, inbox: Receiver<Order>, back: Receiver<News>) {
+impl EndpointPool {
+    async fn run(mut self, inbox: Receiver<PoolCommand>, back: Receiver<News>) {
         let limit = self.shared.config.site.idle_close;
         let retire = (if limit == 0 { 10e9 } else { limit as f64 } * RETIRE) as u64;
         loop {
             let news = async {
                 match back.recv().await {
                     Ok(news) => Next::News(news),
-                    Err(_) => Next::Order(None),
+                    Err(_) => Next::PoolCommand(None),
                 }
             };
             let sweep = async {
@@ -233,17 +233,17 @@
                 Timer::after(QUIET_TIME).await;
                 Next::Quiet
             };
-            let order = async { Next::Order(inbox.recv().await.ok()) };
+            let order = async { Next::PoolCommand(inbox.recv().await.ok()) };
             match or(
                 news,
                 or(order, or(or(freed, late), or(or(spare, sweep), quiet))),
             )
             .await
             {
-                Next::Order(Some(Order::Attempt(attempt))) => self.wait(Some(attempt)),
-                Next::Order(Some(Order::Probe)) => self.wait(None),
-                Next::Order(Some(Order::Told)) => self.drop_moved(),
-                Next::Order(None) => {
+                Next::PoolCommand(Some(PoolCommand::Attempt(attempt))) => self.wait(Some(attempt)),
+                Next::PoolCommand(Some(PoolCommand::Probe)) => self.wait(None),
+                Next::PoolCommand(Some(PoolCommand::Told)) => self.drop_moved(),
+                Next::PoolCommand(None) => {
                     // The endpoint has left the list: what still waits must not be sent to it.
                     while let Some((_, job)) = self.waiting.pop_front() {
                         self.unsent(job, AttemptOutcome::NotSent).await;
@@ -251,11 +251,11 @@
                     self.idle.drain(..).for_each(|l| l.end(CloseReason::Moved));
                     return;
                 }
-                Next::News(News::Back(link)) => self.keep(*link),
+                Next::News(News::Back(connection)) => self.keep(*connection),
                 Next::News(News::Dialled(result)) => {
                     self.dialling -= 1;
                     match result {
-                        Ok(link) => self.keep(*link),
+                        Ok(connection) => self.keep(*connection),
                         Err(outcome) => self.dial_failed(outcome).await,
                     }
                 }
@@ -283,9 +283,10 @@
                 }
                 Next::Sweep => {
                     let now = self.shared.clock.now();
-                    let old = |l: &mut Link| l.idle_since + retire < now || !l.is_open();
-                    for link in self.idle.extract_if(.., old) {
-                        link.end(CloseReason::Idle);
+                    let old =
+                        |l: &mut UpstreamConnection| l.idle_since + retire < now || !l.is_open();
+                    for connection in self.idle.extract_if(.., old) {
+                        connection.end(CloseReason::Idle);
                     }
                 }
             }
@@ -294,7 +295,7 @@
     }
 
     /// Holds no connection and no attempt: each dial and each attempt in flight has a sender of its own.
-    fn is_unused(&self, inbox: &Receiver<Order>) -> bool {
+    fn is_unused(&self, inbox: &Receiver<PoolCommand>) -> bool {
         let in_flight = self.news.sender_count() - 1;
         self.idle.is_empty() && self.waiting.is_empty() && inbox.is_empty() && in_flight == 0
     }
@@ -313,22 +314,22 @@
 
     fn drop_moved(&mut self) {
         let address = self.told.address.get();
-        for link in self.idle.extract_if(.., |l| l.address != address) {
-            link.end(CloseReason::Moved);
+        for connection in self.idle.extract_if(.., |l| l.address != address) {
+            connection.end(CloseReason::Moved);
         }
     }
 
-    fn keep(&mut self, mut link: Link) {
-        if link.address != self.told.address.get() {
-            return link.end(CloseReason::Moved);
+    fn keep(&mut self, mut connection: UpstreamConnection) {
+        if connection.address != self.told.address.get() {
+            return connection.end(CloseReason::Moved);
         }
         // An idle connection must not keep a descriptor that another peer waits for.
         if self.waiting.is_empty() && self.shared.upstream.is_wanted() {
             count(&self.shared.counters.evicted);
-            return link.end(CloseReason::Evicted);
+            return connection.end(CloseReason::Evicted);
         }
-        link.idle_since = self.shared.clock.now();
-        self.idle.push(link);
+        connection.idle_since = self.shared.clock.now();
+        self.idle.push(connection);
     }
 
     /// One dial was begun for one that waits: without other dials it gets no connection.
@@ -343,18 +344,18 @@
 
     async fn unsent(&self, job: Job, outcome: AttemptOutcome) {
         let message = match job {
-            Some(a) => Message::Ended {
+            Some(a) => Message::AttemptEnded {
                 request: a.request,
                 attempt: a.number,
-                ended: Ended::silent(outcome),
+                ended: AttemptResult::silent(outcome),
             },
             None => Message::Probed {
                 endpoint: self.endpoint.clone(),
-                ended: Ended::silent(outcome),
+                ended: AttemptResult::silent(outcome),
             },
         };
         // The decider ends last; without it there is nobody to tell.
-        let _ = self.shared.decider.send(message).await;
+        let _ = self.shared.dispatcher.send(message).await;
     }
 
     /// Gives idle connections to those that wait, and dials for the rest.
@@ -370,11 +371,13 @@
         }
         while !self.waiting.is_empty() {
             // The one used last: the others may grow old and be retired.
-            let Some(link) = self.idle.pop() else { break };
-            if link.idle_since + retire < now || !link.is_open() {
-                link.end(CloseReason::Idle);
+            let Some(connection) = self.idle.pop() else {
+                break;
+            };
+            if connection.idle_since + retire < now || !connection.is_open() {
+                connection.end(CloseReason::Idle);
             } else if let Some((_, job)) = self.waiting.pop_front() {
-                self.begin(link, job);
+                self.begin(connection, job);
             }
         }
         while self.dialling < self.waiting.len() {
@@ -384,7 +387,7 @@
             self.dialling += 1;
             let (endpoint, address) = (self.endpoint.clone(), self.told.address.get());
             let (dial, news) = (
-                Link::dial(self.shared.clone(), endpoint, address, slot),
+                UpstreamConnection::dial(self.shared.clone(), endpoint, address, slot),
                 self.news.clone(),
             );
             let task = async move {
@@ -395,7 +398,7 @@
         }
     }
 
-    fn begin(&self, link: Link, job: Job) {
+    fn begin(&self, connection: UpstreamConnection, job: Job) {
         let (shared, news, endpoint) = (
             self.shared.clone(),
             self.news.clone(),
@@ -404,11 +407,11 @@
         match job {
             Some(a) => self
                 .executor
-                .spawn(attempt(shared, self.told.clone(), news, link, a))
+                .spawn(attempt(shared, self.told.clone(), news, connection, a))
                 .detach(),
             None => self
                 .executor
-                .spawn(probe(shared, news, link, endpoint))
+                .spawn(probe(shared, news, connection, endpoint))
                 .detach(),
         }
     }
@@ -419,18 +422,18 @@
     shared: Rc<Shared>,
     told: Rc<Told>,
     news: Sender<News>,
-    mut link: Link,
+    mut connection: UpstreamConnection,
     a: Box<Attempt>,
 ) {
     // Looked at again in the step in which the first byte is written: this task may have waited for its turn.
     let is_late = a.by.is_some_and(|by| shared.clock.now() >= by);
     if !a.is_wanted() || is_late || told.is_closed_to_new(&shared) {
-        let _ = news.send(News::Back(Box::new(link))).await;
+        let _ = news.send(News::Back(Box::new(connection))).await;
         if a.is_wanted() {
-            let ended = Ended::silent(AttemptOutcome::NotSent);
+            let ended = AttemptResult::silent(AttemptOutcome::NotSent);
             let _ = shared
-                .decider
-                .send(Message::Ended {
+                .dispatcher
+                .send(Message::AttemptEnded {
                     request: a.request,
                     attempt: a.number,
                     ended,
@@ -446,7 +449,7 @@
         None
     };
     let Some(result) = or(
-        async { Some(link.ask(&a.ask, wait, &a.written).await) },
+        async { Some(connection.ask(&a.ask, wait, &a.written).await) },
         given_up,
     )
     .await
@@ -454,21 +457,23 @@
         return;
     };
     let ended = match result {
-        Err(Fault::Stale) => Ended::silent(AttemptOutcome::NotSent),
-        Err(Fault::NotWritten(Blame::Endpoint)) => Ended::silent(AttemptOutcome::ConnectFailed),
+        Err(Fault::Stale) => AttemptResult::silent(AttemptOutcome::NotSent),
+        Err(Fault::NotWritten(Blame::Endpoint)) => {
+            AttemptResult::silent(AttemptOutcome::ConnectFailed)
+        }
         Err(Fault::NotWritten(Blame::Host | Blame::Nobody)) => {
-            Ended::silent(AttemptOutcome::NotSent)
+            AttemptResult::silent(AttemptOutcome::NotSent)
         }
-        Err(Fault::Broken) => Ended::silent(AttemptOutcome::ConnectionReset),
-        Err(Fault::Spoilt) => Ended::silent(AttemptOutcome::MalformedResponse),
+        Err(Fault::Broken) => AttemptResult::silent(AttemptOutcome::ConnectionReset),
+        Err(Fault::Spoilt) => AttemptResult::silent(AttemptOutcome::MalformedResponse),
         Ok(response) => {
             let (replication, report, ready) =
                 (response.replication, response.report, response.ready);
             let (outcome, answer) = response.outcome();
             if ready {
-                let _ = news.send(News::Back(Box::new(link))).await;
+                let _ = news.send(News::Back(Box::new(connection))).await;
             }
-            Ended {
+            AttemptResult {
                 outcome,
                 replication,
                 report,
@@ -477,8 +482,8 @@
         }
     };
     let _ = shared
-        .decider
-        .send(Message::Ended {
+        .dispatcher
+        .send(Message::AttemptEnded {
             request: a.request,
             attempt: a.number,
             ended,
@@ -486,7 +491,12 @@
         .await;
 }
 
-async fn probe(shared: Rc<Shared>, news: Sender<News>, mut link: Link, endpoint: EndpointId) {
+async fn probe(
+    shared: Rc<Shared>,
+    news: Sender<News>,
+    mut connection: UpstreamConnection,
+    endpoint: EndpointId,
+) {
     count(&shared.counters.probes);
     let limit = Duration::from_nanos(
         shared
@@ -502,21 +512,30 @@
         None
     };
     let ended = match or(
-        async { Some(link.query(b"SHOW gauges", &Mark::default()).await) },
+        async {
+            Some(
+                connection
+                    .query(b"SHOW gauges", &CancellationFlag::default())
+                    .await,
+            )
+        },
         late,
     )
     .await
     {
-        None => Ended::silent(AttemptOutcome::TimedOut),
-        Some(Err(_)) => Ended::silent(AttemptOutcome::ConnectionReset),
+        None => AttemptResult::silent(AttemptOutcome::TimedOut),
+        Some(Err(_)) => AttemptResult::silent(AttemptOutcome::ConnectionReset),
         Some(Ok(response)) => {
-            let report = response.text().map(link::read_report).unwrap_or_default();
+            let report = response
+                .text()
+                .map(connection::read_report)
+                .unwrap_or_default();
             let (replication, ready) = (response.replication, response.ready);
             let (outcome, _) = response.outcome();
             if ready {
-                let _ = news.send(News::Back(Box::new(link))).await;
+                let _ = news.send(News::Back(Box::new(connection))).await;
             }
-            Ended {
+            AttemptResult {
                 outcome,
                 replication,
                 report,
@@ -525,7 +544,7 @@
         }
     };
     let _ = shared
-        .decider
+        .dispatcher
         .send(Message::Probed { endpoint, ended })
         .await;
 }
--- a/crates/router/tests/upstream.rs
+++ b/crates/router/tests/upstream.rs
@@ -206,15 +206,15 @@
     let router = start_with(&discovery, &list, 1024, settings, None);
     let mut client = router.client();
     client.send(&reelrill_test_support::client::query(&read(1, 8000)));
-    let mut address = Scripted::accept(&listener);
+    let mut endpoint = Scripted::accept(&listener);
     discovery.publish(vec![target("s-1", address, "draining")]);
     // The next call tells that the list has been read.
     let called = |c: &mut Vec<String>| c.iter().any(|path| path.contains("since=2")).then_some(());
     assert!(discovery.calls.wait_for(LIMIT, called).is_some());
     std::thread::sleep(Duration::from_millis(after_ms));
-    address.welcome();
+    endpoint.welcome();
     assert_eq!(
-        !address.read_within(Duration::from_secs(1)).is_empty(),
+        !endpoint.read_within(Duration::from_secs(1)).is_empty(),
         is_sent
     );
 }
--- a/crates/service-discovery/tests/browse.rs
+++ b/crates/service-discovery/tests/browse.rs
@@ -123,9 +123,11 @@
         for change in changes {
             match change {
                 Change::Listed { endpoint, view, .. } => {
-                    drop(self.list.insert(endpoint.to_string(), view))
+                    self.list.insert(endpoint.to_string(), view);
+                }
+                Change::Gone { endpoint } => {
+                    self.list.remove(&*endpoint);
                 }
-                Change::Gone { endpoint } => drop(self.list.remove(&*endpoint)),
             }
         }
         self.most_told = self.most_told.max(self.list.len());
