--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -406,11 +406,13 @@
             && peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Asks for what a request wants, within the time that the router will wait.
+    /// Asks for what a request wants, within the time that the router will wait. `time_left` says how long that is
+    /// when something has to be written again, or that nothing may be.
     pub async fn ask(
         &mut self,
         ask: &Ask,
         wait: Nanos,
+        time_left: impl Fn() -> Option<Nanos>,
         sent: &CancellationFlag,
     ) -> Result<Response, Fault> {
         match ask {
@@ -421,7 +423,10 @@
                 if !forgot || !response.ready {
                     return Ok(response);
                 }
-                // It has lost the statement, and nothing has run: once more, with a Parse.
+                // It has lost the statement, and nothing has run: once more, with a Parse, if there still is time.
+                let Some(wait) = time_left() else {
+                    return Ok(response);
+                };
                 count(&self.shared.counters.reprepared);
                 self.prepared.forgotten(bound.template().id);
                 self.run(bound, wait, sent).await
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -61,6 +61,15 @@
     fn is_wanted(&self) -> bool {
         !self.given_up.is_closed() && !self.left.is_raised()
     }
+
+    /// How long the endpoint may take if the request is written now; none: it must not be written any more. Asked in
+    /// the step that writes, since the attempt may have waited for its turn, and again for each further write.
+    fn time_left(&self, shared: &Shared, told: &Told) -> Option<Nanos> {
+        let now = shared.clock.now();
+        let is_late = now >= self.until || self.by.is_some_and(|by| now >= by);
+        let may_begin = self.is_wanted() && !is_late && !told.is_closed_to_new(shared);
+        may_begin.then(|| self.until - now)
+    }
 }
 
 pub enum PoolCommand {
@@ -425,9 +434,8 @@
     mut connection: UpstreamConnection,
     a: Box<Attempt>,
 ) {
-    // Looked at again in the step in which the first byte is written: this task may have waited for its turn.
-    let is_late = a.by.is_some_and(|by| shared.clock.now() >= by);
-    if !a.is_wanted() || is_late || told.is_closed_to_new(&shared) {
+    let time_left = || a.time_left(&shared, &told);
+    let Some(wait) = time_left() else {
         let _ = news.send(News::Back(Box::new(connection))).await;
         if a.is_wanted() {
             let ended = AttemptResult::silent(AttemptOutcome::NotSent);
@@ -441,15 +449,14 @@
                 .await;
         }
         return;
-    }
-    let wait = a.until.saturating_sub(shared.clock.now());
+    };
     let given_up = async {
         // Nothing is ever sent: it ends when the decider drops its end.
         let _ = a.given_up.recv().await;
         None
     };
     let Some(result) = or(
-        async { Some(connection.ask(&a.ask, wait, &a.written).await) },
+        async { Some(connection.ask(&a.ask, wait, time_left, &a.written).await) },
         given_up,
     )
     .await
--- a/crates/router/tests/upstream.rs
+++ b/crates/router/tests/upstream.rs
@@ -301,3 +301,92 @@
     );
     assert!(router.counted("served=100"));
 }
+
+/// The `d` that a statement in words tells.
+fn wait_told(query: &str) -> u64 {
+    query
+        .split(",d=")
+        .nth(1)
+        .and_then(|t| t.split(',').next()?.parse().ok())
+        .unwrap()
+}
+
+/// Guards the time that is told with a statement that has to be prepared once more: the first answer may come late.
+#[rstest]
+#[case(400, true)]
+#[case(3000, false)]
+fn a_statement_prepared_again_tells_what_is_left(#[case] pause_ms: u64, #[case] is_sent: bool) {
+    const READ: &str = "SELECT data FROM facts WHERE code = $1 /* id=$2,c=board,d=$3,cluster=2 */";
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let mut settings = settings();
+    settings["ceilings"]["probes"] = json!(false);
+    settings["ceilings"]["secondCopies"] = json!(false);
+    settings["ceilings"]["mayCancel"] = json!(false);
+    let list = vec![target("s-1", listener.local_addr().unwrap(), "ready")];
+    let discovery = Discovery::start(Some(list.clone()));
+    let router = start_with(
+        &discovery,
+        &list,
+        1024,
+        settings,
+        Some("extended: {mode: on}"),
+    );
+    let mut client = router.client();
+    let values = [Some("k"), Some("00000000000000a1"), Some("2000")];
+    let commands = [
+        reelrill_test_support::client::parse("", READ, &[]),
+        reelrill_test_support::client::run("", &values),
+    ]
+    .concat();
+    client.send(&[commands, reelrill_test_support::client::sync()].concat());
+    let mut endpoint = Scripted::accept(&listener);
+    endpoint.welcome();
+    assert!(!endpoint.read_within(LIMIT).is_empty());
+    std::thread::sleep(Duration::from_millis(pause_ms));
+    // Unknown statement, and ready for the next.
+    address
+        .stream
+        .write_all(b"E\0\0\0\x13SERROR\0C26000\0\0Z\0\0\0\x05I")
+        .unwrap();
+    let again = endpoint.read_within(Duration::from_secs(1));
+    assert_eq!(!again.is_empty(), is_sent);
+    if is_sent {
+        // In the Bind behind the Parse: the id, and the time in milliseconds behind it.
+        let id = b"00000000000000a1";
+        let at = again.windows(id.len()).rposition(|w| w == id).unwrap() + id.len();
+        let length =
+            usize::try_from(u32::from_be_bytes(again[at..at + 4].try_into().unwrap())).unwrap();
+        let told: u64 = std::str::from_utf8(&again[at + 4..at + 4 + length])
+            .unwrap()
+            .parse()
+            .unwrap();
+        println!("told: {told} ms");
+        assert!(told <= 2000 - pause_ms, "{told}");
+    }
+}
+
+/// Guards requests with very little time left, which an endpoint drops without a word: each has its answer, none is
+/// waited for beyond its time, and the endpoint is not left out for it.
+#[test]
+fn requests_with_little_time_left_are_answered_and_blame_nobody() {
+    let instance = Instance::start("master", Act::Silence);
+    let list = vec![target("s-1", instance.address, "ready")];
+    let discovery = Discovery::start(Some(list.clone()));
+    let router = start(&discovery, &list, 1024);
+    let mut client = router.client();
+    for (id, wait_ms) in (1..).zip([1, 5, 8, 9, 12, 20, 40]) {
+        let begun = Instant::now();
+        assert_eq!(client.ask(&read(id, wait_ms)).code, "53300");
+        assert!(
+            begun.elapsed() < Duration::from_millis(wait_ms + 500),
+            "{:?}",
+            begun.elapsed()
+        );
+    }
+    let told = instance
+        .seen
+        .change(|s| s.queries.iter().map(|q| wait_told(q)).max());
+    assert!(told.is_none_or(|wait| wait <= 40), "{told:?}");
+    instance.act.change(|a| *a = Act::Serve);
+    assert_eq!(client.ask(&read(100, 5000)).value, format!("{:016x}", 100));
+}
