--- a/crates/router/src/discovery/http.rs
+++ b/crates/router/src/discovery/http.rs
@@ -2,8 +2,8 @@
 
 use crate::observability::log::CloseReason;
 use crate::runtime::buffer::{Buffer, Memory};
+use crate::runtime::interrupted::{retry_interrupted, write_all};
 use async_io::Async;
-use futures_lite::AsyncWriteExt as _;
 use slog::{Logger, info};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -52,7 +52,7 @@
         memory: &Rc<Memory>,
         log: Logger,
     ) -> Result<Connection, HttpError> {
-        let stream = Async::<TcpStream>::connect(host).await?;
+        let stream = retry_interrupted(async || Async::<TcpStream>::connect(host).await).await?;
         stream.get_ref().set_nodelay(true)?;
         // Dropped inside a call: the caller took another or stopped waiting.
         let reason = CloseReason::Replaced;
@@ -107,7 +107,7 @@
             "GET {path} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
             self.host
         );
-        (&self.stream).write_all(head.as_bytes()).await?;
+        write_all(&self.stream, head.as_bytes()).await?;
         if self.buffer.bytes().is_empty() {
             self.more().await
         } else {
@@ -129,7 +129,7 @@
             Length::Chunked => self.chunks().await?,
             Length::ToEnd => {
                 self.keep = false;
-                while self.buffer.fill(&self.stream).await? > 0 {
+                while self.fill().await? > 0 {
                     if self.buffer.bytes().len() > LARGEST {
                         return Err(HttpError::Length);
                     }
@@ -144,11 +144,15 @@
         }
     }
 
+    async fn fill(&mut self) -> std::io::Result<usize> {
+        retry_interrupted(async || self.buffer.fill(&self.stream).await).await
+    }
+
     async fn more(&mut self) -> Result<(), HttpError> {
         if self.buffer.bytes().len() > LARGEST {
             return Err(HttpError::Length);
         }
-        match self.buffer.fill(&self.stream).await? {
+        match self.fill().await? {
             0 => Err(std::io::Error::from(std::io::ErrorKind::UnexpectedEof).into()),
             _ => Ok(()),
         }
--- a/crates/router/src/runtime/mod.rs
+++ b/crates/router/src/runtime/mod.rs
@@ -2,6 +2,7 @@
 
 pub mod accept;
 pub mod buffer;
+pub mod interrupted;
 pub mod platform_clock;
 pub mod shared;
 pub mod shutdown;
--- a/crates/router/tests/pushed_lists.rs
+++ b/crates/router/tests/pushed_lists.rs
@@ -222,3 +222,54 @@
     let paths = next.calls.change(|c| c.clone());
     assert_eq!(paths.iter().filter(|p| *p == "/api/targets").count(), 1);
 }
+
+/// After a watch that broke, in whatever way, only what is newer is asked for, also where discovery is one service of
+/// all routers; a whole list is taken where the service gives one.
+#[rstest]
+#[case::agent(pushed())]
+#[case::shared_service(settings())]
+fn after_a_broken_watch_only_what_is_newer_is_asked_for(
+    #[case] settings: Value,
+    #[values(Manner::Proper, Manner::Torn)] down: Manner,
+) {
+    let (old, new) = (
+        Instance::start("master", Act::Serve),
+        Instance::start("master", Act::Serve),
+    );
+    let known = vec![target("s-old", old.address, "ready")];
+    let discovery = Discovery::start(Some(known.clone()));
+    let router = start_with(&discovery, &known, 1024, settings, None);
+    assert!(
+        discovery
+            .calls
+            .wait_for(LIMIT, |c| (!c.is_empty()).then_some(()))
+            .is_some()
+    );
+    discovery.manner.change(|m| *m = down);
+    discovery
+        .list
+        .change(|l| *l = (2, (down == Manner::Torn).then(|| known.clone())));
+    assert!(router.logged("discovery call failed"));
+    discovery.manner.change(|m| *m = Manner::Proper);
+    discovery.publish(vec![target("s-new", new.address, "ready")]);
+    assert!(
+        discovery
+            .calls
+            .wait_for(LIMIT, |c| c
+                .iter()
+                .any(|p| p.contains("since=3&"))
+                .then_some(()))
+            .is_some()
+    );
+    assert_eq!(
+        router.client().ask(&read(1, 5000)).value,
+        "0000000000000001"
+    );
+    assert_eq!(new.seen.change(|s| s.queries.len()), 1);
+    assert!(
+        discovery
+            .calls
+            .change(|c| c.iter().all(|p| p.contains("since="))),
+        "the whole list was asked for"
+    );
+}
--- a/crates/router/tests/upstream.rs
+++ b/crates/router/tests/upstream.rs
@@ -344,7 +344,7 @@
     assert!(!endpoint.read_within(LIMIT).is_empty());
     std::thread::sleep(Duration::from_millis(pause_ms));
     // Unknown statement, and ready for the next.
-    address
+    endpoint
         .stream
         .write_all(b"E\0\0\0\x13SERROR\0C26000\0\0Z\0\0\0\x05I")
         .unwrap();
