--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -3,8 +3,9 @@
 //! The ordinary path is the query cost calibrator's: an endpoint's calibrated cost is its running average
 //! of observed over estimated latency, a read rotates over the fit replicas within 20% of the cheapest
 //! (the two cheapest at least), a failed endpoint costs infinity. The rest guards that path.
-use crate::interface::*;
-use crate::samples::{DecayingAverage, SplitMix64};
+use crate::decaying_average::DecayingAverage;
+use crate::random::SplitMix64;
+use crate::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -262,12 +263,12 @@
                 .saturating_mul(1 << self.failures.min(6))
                 .min(AGAIN)
                 .max(self.tick);
-            self.subscribe_at = Some(now + self.rng.within(span));
+            self.subscribe_at = Some(now + self.rng.next_below(span));
             self.failures += 1;
             return;
         }
         if kind == ListKind::Cached {
-            let phase = self.rng.within(self.turns());
+            let phase = self.rng.next_below(self.turns());
             self.subscribe_at = self.set.must_subscribe.then_some(now + phase);
         } else {
             self.failures = 0;
@@ -416,7 +417,7 @@
             .get(&replica_set)
             .map_or(&[][..], |g| &g.endpoints)
         {
-            let (sum, n) = self.endpoints[m].latency[0].now(now, tau);
+            let (sum, n) = self.endpoints[m].latency[0].totals(now, tau);
             (o, e) = (o + sum, e + n);
         }
         o / e
@@ -426,7 +427,7 @@
     /// have none. The pool of a role keeps its last samples.
     fn tau(&self, now: Timestamp, w: usize) -> f64 {
         let gap =
-            PACE * self.max_objective / self.pace.now(now, PACE * self.max_objective).1.max(1.0);
+            PACE * self.max_objective / self.pace.totals(now, PACE * self.max_objective).1.max(1.0);
         let own = gap * self.index.len() as f64;
         match w {
             0 => (WINDOW * self.max_objective).max(FEW.0 * own),
@@ -461,7 +462,7 @@
         } else {
             self.pooled(now, m)
         };
-        let (sum, n) = x.latency[w].now(now, tau);
+        let (sum, n) = x.latency[w].totals(now, tau);
         (sum + age + o) / (n + e)
     }
 
@@ -478,14 +479,14 @@
             self.leads(m),
             &self.replica_sets[&self.endpoints[m].replica_set],
         );
-        let (sum, n) = self.pool[role].now(now, self.tau(now, 2));
+        let (sum, n) = self.pool[role].totals(now, self.tau(now, 2));
         let (mut o, mut e) = (sum / n.max(1.0), n.clamp(0.2, 1.0));
         for &i in replica_set
             .endpoints
             .iter()
             .filter(|&&i| i != m && self.leads(i) == role)
         {
-            let (sum, n) = self.endpoints[i].latency[1].now(now, self.tau(now, 1));
+            let (sum, n) = self.endpoints[i].latency[1].totals(now, self.tau(now, 1));
             (o, e) = (o + sum, e + n);
         }
         (o / e.max(1.0), e.min(1.0))
@@ -836,7 +837,7 @@
         let is_over_quota = self.is_over_quota(now, &req);
         self.pace.add(now, PACE * self.max_objective, 1.0);
         // A reserve that each of many routers may spend at once is a flood: it follows the own traffic.
-        let most = (EXTRA * self.pace.n).clamp(1.0, RESERVE);
+        let most = (EXTRA * self.pace.count_at_last_sample()).clamp(1.0, RESERVE);
         self.budget = (self.budget + EXTRA).min(most);
         let p = Pending {
             deadline: now.saturating_add(req.time_left),
@@ -864,8 +865,8 @@
         };
         let tau = 4.0 * self.max_objective;
         self.tenants[i].add(now, tau, if req.is_retry { 0.0 } else { 1.0 });
-        let rate =
-            self.tenants[i].now(now, tau).0 / (tau / 1e9) * f64::from(self.set.router_count.max(1));
+        let rate = self.tenants[i].totals(now, tau).0 / (tau / 1e9)
+            * f64::from(self.set.router_count.max(1));
         self.rng.next_f64() < 1.0 - quota / rate
     }
 
@@ -947,7 +948,8 @@
         let on_lead = !to_lead && Some(m) == self.lead(now, p.req.replica_set);
         let less = if on_lead { FAR } else { 1.0 } * if p.is_over_quota { FAR } else { 1.0 };
         // Few samples may hide a queue: the less is known of the endpoint, the more they weigh.
-        let doubt = 1.0 + 1.0 / (PRIOR + self.endpoints[m].latency[1].now(now, self.tau(now, 1)).1);
+        let doubt =
+            1.0 + 1.0 / (PRIOR + self.endpoints[m].latency[1].totals(now, self.tau(now, 1)).1);
         less * doubt * self.cost(now, m, 1) * self.min_objective / p.latency_objective as f64
     }
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,16 +1,29 @@
 //! The decisions of a read/write splitter for replicated database clusters, without any I/O.
 //!
-//! A router owns one [`Brain`] and feeds it [`Event`]s with its own clock; the balancer answers with
+//! A router owns one [`Balancer`] and feeds it [`Event`]s with its own clock; the balancer answers with
 //! [`Action`]s, which the router carries out in order. See the README for a complete example.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod balancer;
-pub mod interface;
-mod samples;
+mod action;
+mod balancer;
+mod decaying_average;
+mod event;
+mod random;
+mod settings;
+mod units;
 
+pub use action::{Action, RejectReason};
 pub use balancer::Balancer;
-pub use interface::*;
+pub use event::{
+    AttemptEnded, AttemptOutcome, EndpointEntry, EndpointState, Event, ListKind, ReplicationStatus,
+    Request, Role,
+};
+pub use settings::{
+    Class, Consistency, Idempotency, KeyScope, Limits, ListRole, Operation, ReportSource, Rules,
+    SCHEDULING_DELAY, Settings, SettingsError, StaleReadPolicy, Tenant,
+};
+pub use units::{EndpointId, Nanos, RequestId, Timestamp};
 
 #[doc = include_str!("../../../README.md")]
 #[cfg(doctest)]
