--- /dev/null
+++ b/crates/routing/src/admission.rs
@@ -0,0 +1,66 @@
+//! Admission control: tenants' quotas and load shedding.
+//!
+//! A request that would probably miss its latency objective is rejected at once, while retrying elsewhere is still
+//! worthwhile for the client. The probability of rejection grows linearly with the latency expected at the selected
+//! endpoint; requests over their tenant's quota, and reads that would go to the primary, are rejected first. Owns the
+//! tenants' request rates; it must never reject an attempt after the first one.
+
+use crate::decaying_average::DecayingAverage;
+use crate::event::Request;
+use crate::random::SplitMix64;
+use crate::settings::Settings;
+use crate::units::Timestamp;
+
+/// Expected latency, in latency objectives, at which load shedding begins.
+const SHED_START: f64 = 1.2;
+/// Expected latency, in latency objectives, from which every request is shed.
+const SHED_ALL: f64 = 2.1;
+/// Averaging window of a tenant's request rate, in longest latency objectives.
+const QUOTA_WINDOW: f64 = 4.0;
+/// Nanoseconds per second.
+const NANOS_PER_SECOND: f64 = 1e9;
+
+/// Probability of rejecting a request whose expected latency is `expected_latency` latency objectives; below 0 means
+/// never, above 1 always.
+pub(crate) fn shed_probability(expected_latency: f64) -> f64 {
+    (expected_latency - SHED_START) / (SHED_ALL - SHED_START)
+}
+
+/// Request rates of the tenants at this router.
+///
+/// Invariant: one average per tenant of the settings, in their order.
+pub(crate) struct QuotaTracker {
+    request_rates: Vec<DecayingAverage>,
+    /// Averaging window, nanoseconds.
+    window: f64,
+}
+
+impl QuotaTracker {
+    pub(crate) fn new(settings: &Settings, max_objective: f64) -> QuotaTracker {
+        QuotaTracker {
+            request_rates: vec![DecayingAverage::default(); settings.tenants.len()],
+            window: QUOTA_WINDOW * max_objective,
+        }
+    }
+
+    /// Counts the request and says whether it is over its tenant's quota, as far as this router's part of the
+    /// tenant's requests shows. Requests over the quota are chosen at random, in proportion to the excess.
+    pub(crate) fn is_over_quota(
+        &mut self,
+        now: Timestamp,
+        request: &Request,
+        settings: &Settings,
+        rng: &mut SplitMix64,
+    ) -> bool {
+        let index = request.tenant.map_or(usize::MAX, |tenant| tenant as usize);
+        let Some(tenant) = settings.tenants.get(index) else {
+            return false;
+        };
+        let rate = &mut self.request_rates[index];
+        rate.add(now, self.window, if request.is_retry { 0.0 } else { 1.0 });
+        let (requests, _) = rate.totals(now, self.window);
+        let routers = f64::from(settings.router_count.max(1));
+        let requests_per_second = requests / (self.window / NANOS_PER_SECOND) * routers;
+        rng.next_f64() < 1.0 - tenant.quota / requests_per_second
+    }
+}
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -3,8 +3,12 @@
 //! The ordinary path is the query cost calibrator's: an endpoint's calibrated cost is its running average
 //! of observed over estimated latency, a read rotates over the fit replicas within 20% of the cheapest
 //! (the two cheapest at least), a failed endpoint costs infinity. The rest guards that path.
+use crate::admission::{self, QuotaTracker};
 use crate::decaying_average::DecayingAverage;
+use crate::discovery_backoff::ListSubscription;
 use crate::random::SplitMix64;
+use crate::retry::RetryBudget;
+use crate::session_consistency::SessionTokens;
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -24,23 +28,13 @@
 const PACE: f64 = 8.0;
 /// Weight of the replica set's mean in each endpoint's average, in aims: an endpoint unheard of drifts back to it.
 const PRIOR: f64 = 1.0;
-/// Further attempts that may have cost work, as a share of requests, and the reserve of them.
-const EXTRA: f64 = 0.15;
-const RESERVE: f64 = 20.0;
 /// Spoilt answers, or broken connections, in a row and without a good answer, that tell of the endpoint.
 const IN_A_ROW: u32 = 3;
 /// What an answer tells counts as known this long after it was given, whether or not it came (the protocol).
 const HEARD: Nanos = 100_000_000;
-/// What one call may take of a slow list's service. In a queue that outlasts its calls none is served.
-const TURN: Nanos = 30_000_000;
-/// A call that failed is made again within this time, however many routers call: news counts as told 6 s
-/// after the list's service had it and could be reached, and one more failure has to fit, too.
-const AGAIN: Nanos = 2_000_000_000;
 /// Part of the multiple that a cold primary takes of its writes: the allowance beyond the multiple covers chance in one
 /// window, and not the worst of all windows while it warms up.
 const WRITE_MARGIN: f64 = 0.85;
-/// Mean latency, in aims, at which refusals begin, and at which all are refused.
-const SHED: (f64, f64) = (1.2, 2.1);
 
 /// An attempt that is out.
 struct Attempt {
@@ -134,18 +128,16 @@
     /// The replica sets with requests that are held.
     holding: BTreeSet<u32>,
     pending: BTreeMap<RequestId, Pending>,
-    sessions: BTreeMap<Arc<str>, Timestamp>,
-    token_floor: Option<Timestamp>,
-    tenants: Vec<DecayingAverage>,
-    budget: f64,
+    sessions: SessionTokens,
+    quotas: QuotaTracker,
+    retry_budget: RetryBudget,
     /// This router's requests: how fast evidence comes in.
     pace: DecayingAverage,
     /// Crowding of all replicas, and of all primaries.
     pool: [DecayingAverage; 2],
     picks: f64,
     ticking: bool,
-    subscribe_at: Option<Timestamp>,
-    failures: u32,
+    subscription: ListSubscription,
     max_objective: f64,
     min_objective: f64,
     min_bound: Option<Nanos>,
@@ -167,6 +159,7 @@
             Operation::Read(Consistency::BoundedStaleness(b)) => Some(b),
             _ => None,
         });
+        let tick = (min_objective / 12).max(set.round).max(1_000_000);
         Ok(Balancer {
             rng: SplitMix64::new(seed),
             endpoints: Vec::new(),
@@ -176,20 +169,18 @@
             unlisted: BTreeSet::new(),
             holding: BTreeSet::new(),
             pending: BTreeMap::new(),
-            sessions: BTreeMap::new(),
-            token_floor: None,
-            tenants: vec![DecayingAverage::default(); set.tenants.len()],
-            budget: 1.0,
+            sessions: SessionTokens::default(),
+            quotas: QuotaTracker::new(&set, max_objective as f64),
+            retry_budget: RetryBudget::new(),
             pace: DecayingAverage::default(),
             pool: Default::default(),
             picks: 0.0,
             ticking: false,
-            subscribe_at: None,
-            failures: 0,
+            subscription: ListSubscription::new(&set, tick),
             max_objective: max_objective as f64,
             min_objective: min_objective as f64,
             min_bound: bounds.min(),
-            tick: (min_objective / 12).max(set.round).max(1_000_000),
+            tick,
             set,
         })
     }
@@ -227,12 +218,10 @@
                 }
             }
         }
-        if self.subscribe_at.is_some_and(|t| t <= now) {
-            // No word for a long while counts as a failed call: ask again.
-            self.subscribe_at = Some(now + (self.set.rules.poll_interval / 2).max(self.tick));
+        if self.subscription.poll(now) {
             out.push(Action::Subscribe);
         }
-        if !self.ticking && (!self.pending.is_empty() || self.subscribe_at.is_some()) {
+        if !self.ticking && (!self.pending.is_empty() || self.subscription.is_pending()) {
             self.ticking = true;
             out.push(Action::SetTimer {
                 after: self.tick,
@@ -247,32 +236,15 @@
 
     // ---- the list of endpoints ----
 
-    /// The span over which all routers' calls to the list's one service are spread: a turn for each.
-    fn turns(&self) -> Nanos {
-        TURN.saturating_mul(Nanos::from(self.set.router_count))
-            .min(AGAIN)
-            .max(self.tick)
-    }
-
     fn on_list(&mut self, now: Timestamp, kind: ListKind, entries: Vec<EndpointEntry>) {
         if kind == ListKind::Failed {
-            // A subscription breaks for all routers at once: each renews it at a drawn time. While calls
-            // keep failing the span grows, but when the service can be reached again is not told.
-            let span = self
-                .turns()
-                .saturating_mul(1 << self.failures.min(6))
-                .min(AGAIN)
-                .max(self.tick);
-            self.subscribe_at = Some(now + self.rng.next_below(span));
-            self.failures += 1;
+            self.subscription.record_failure(now, &mut self.rng);
             return;
         }
         if kind == ListKind::Cached {
-            let phase = self.rng.next_below(self.turns());
-            self.subscribe_at = self.set.must_subscribe.then_some(now + phase);
+            self.subscription.record_cached_list(now, &mut self.rng);
         } else {
-            self.failures = 0;
-            self.subscribe_at = None;
+            self.subscription.record_success();
         }
         let binds = !self.set.rules.only_draining_binds;
         if kind != ListKind::Changes {
@@ -825,20 +797,14 @@
         let token = if self.set.sessions_carry_position {
             req.since_write.map(|ago| now.saturating_sub(ago))
         } else {
-            let known = req
-                .session
-                .as_ref()
-                .and_then(|s| self.sessions.get(s))
-                .copied();
-            known
-                .max(self.token_floor)
-                .max(self.is_writing(now, &req).then_some(now))
+            let position = self.sessions.required_position(req.session.as_ref());
+            position.max(self.is_writing(now, &req).then_some(now))
         };
-        let is_over_quota = self.is_over_quota(now, &req);
+        let is_over_quota = self
+            .quotas
+            .is_over_quota(now, &req, &self.set, &mut self.rng);
         self.pace.add(now, PACE * self.max_objective, 1.0);
-        // A reserve that each of many routers may spend at once is a flood: it follows the own traffic.
-        let most = (EXTRA * self.pace.count_at_last_sample()).clamp(1.0, RESERVE);
-        self.budget = (self.budget + EXTRA).min(most);
+        self.retry_budget.deposit(self.pace.count_at_last_sample());
         let p = Pending {
             deadline: now.saturating_add(req.time_left),
             objective_end: now.saturating_add(latency_objective.min(req.time_left)),
@@ -857,19 +823,6 @@
         self.place(now, id, p, out);
     }
 
-    /// Whether the request lies beyond its tenant's share, as far as this router's part of it tells.
-    fn is_over_quota(&mut self, now: Timestamp, req: &Request) -> bool {
-        let i = req.tenant.map_or(usize::MAX, |t| t as usize);
-        let Some(quota) = self.set.tenants.get(i).map(|t| t.quota) else {
-            return false;
-        };
-        let tau = 4.0 * self.max_objective;
-        self.tenants[i].add(now, tau, if req.is_retry { 0.0 } else { 1.0 });
-        let rate = self.tenants[i].totals(now, tau).0 / (tau / 1e9)
-            * f64::from(self.set.router_count.max(1));
-        self.rng.next_f64() < 1.0 - quota / rate
-    }
-
     /// Sends the request, holds it, or gives it up.
     fn place(&mut self, now: Timestamp, id: RequestId, mut p: Pending, out: &mut Vec<Action>) {
         let (class, replica_set) = (self.class(&p).clone(), p.req.replica_set);
@@ -923,8 +876,7 @@
         // the reads that crowd the primary. Could harm when one endpoint's queue is taken for the replica set's.
         let load = self.load(now, m, &p);
         let trial = self.endpoints[m].down;
-        let shed =
-            p.sent == 0 && !trial && self.rng.next_f64() < (load - SHED.0) / (SHED.1 - SHED.0);
+        let shed = p.sent == 0 && !trial && self.rng.next_f64() < admission::shed_probability(load);
         if shed || !self.may_send(now, m, &p) {
             return self.give_up(
                 p,
@@ -1098,7 +1050,10 @@
                 .replication
                 .applied_position
                 .filter(|_| o.outcome == AttemptOutcome::Served);
-            self.remember(attempt.session, commit.unwrap_or(now));
+            let session = attempt
+                .session
+                .filter(|_| !self.set.sessions_carry_position);
+            self.sessions.record_write(session, commit.unwrap_or(now));
         }
         if let Some(mut p) = self.pending.remove(&o.request) {
             p.out = p.out.saturating_sub(1);
@@ -1130,19 +1085,6 @@
             .any(|&m| self.endpoints[m].out.iter().any(own))
     }
 
-    /// A session's reads must see its writes. Memory is bounded: sessions that are forgotten are taken to
-    /// have written as late as any of them.
-    fn remember(&mut self, session: Option<Arc<str>>, commit: Timestamp) {
-        if self.sessions.len() > 200_000 {
-            self.token_floor = self.token_floor.max(self.sessions.values().copied().max());
-            self.sessions.clear();
-        }
-        if let Some(s) = session.filter(|_| !self.set.sessions_carry_position) {
-            let token = self.sessions.entry(s).or_insert(commit);
-            *token = commit.max(*token);
-        }
-    }
-
     /// What an outcome tells of the endpoint.
     fn judge(&mut self, now: Timestamp, m: usize, a: &Attempt, o: &AttemptEnded) {
         let mut replication = o.replication;
@@ -1260,7 +1202,7 @@
         } else {
             1.0
         };
-        if !allowed || self.budget < price || outcome == AttemptOutcome::Abandoned {
+        if !allowed || !self.retry_budget.covers(price) || outcome == AttemptOutcome::Abandoned {
             let reason = match outcome {
                 AttemptOutcome::Abandoned => RejectReason::DeadlineTooClose,
                 _ if allowed => RejectReason::RetryBudgetExhausted,
@@ -1269,7 +1211,7 @@
             };
             return self.give_up(p, reason, out);
         }
-        self.budget -= price;
+        self.retry_budget.withdraw(price);
         // Turned away by a cold endpoint it has pushed it all the same: back at half the chance, or none.
         if outcome == AttemptOutcome::Overloaded {
             p.luck = 2.0 * p.luck.max(0.5);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -6,10 +6,14 @@
 #![warn(missing_docs)]
 
 mod action;
+mod admission;
 mod balancer;
 mod decaying_average;
+mod discovery_backoff;
 mod event;
 mod random;
+mod retry;
+mod session_consistency;
 mod settings;
 mod units;
 
