--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -5,8 +5,12 @@
 //! endpoint; requests over their tenant's quota, and reads that would go to the primary, are rejected first. Owns the
 //! tenants' request rates; it must never reject an attempt after the first one.
 
+use crate::balancer::Balancer;
 use crate::decaying_average::DecayingAverage;
+use crate::endpoint_list::EndpointIndex;
 use crate::event::Request;
+use crate::latency_cost::PRIOR_WEIGHT;
+use crate::pending_request::PendingRequest;
 use crate::random::SplitMix64;
 use crate::settings::Settings;
 use crate::units::Timestamp;
@@ -15,6 +19,10 @@
 const SHED_START: f64 = 1.2;
 /// Expected latency, in latency objectives, from which every request is shed.
 const SHED_ALL: f64 = 2.1;
+/// Factor on the expected latency of a read that a replica could answer, at the primary.
+const PRIMARY_READ_PENALTY: f64 = 2.0;
+/// Factor on the expected latency of a request over its tenant's quota.
+const OVER_QUOTA_PENALTY: f64 = 2.0;
 /// Averaging window of a tenant's request rate, in longest latency objectives.
 const QUOTA_WINDOW: f64 = 4.0;
 /// Nanoseconds per second.
@@ -22,7 +30,7 @@
 
 /// Probability of rejecting a request whose expected latency is `expected_latency` latency objectives; below 0 means
 /// never, above 1 always.
-pub(crate) fn shed_probability(expected_latency: f64) -> f64 {
+fn shed_probability(expected_latency: f64) -> f64 {
     (expected_latency - SHED_START) / (SHED_ALL - SHED_START)
 }
 
@@ -64,3 +72,55 @@
         rng.next_f64() < 1.0 - tenant.quota / requests_per_second
     }
 }
+
+impl Balancer {
+    /// Whether load shedding rejects the request's first attempt at the endpoint. A recovery probe is never shed.
+    /// This could mislead where one endpoint's queue is taken for the replica set's.
+    pub(crate) fn is_shed(
+        &mut self,
+        now: Timestamp,
+        index: EndpointIndex,
+        pending: &PendingRequest,
+    ) -> bool {
+        if pending.attempts_sent > 0 || self.endpoints[index].health.is_ejected {
+            return false;
+        }
+        let expected_latency = self.expected_latency(now, index, pending);
+        self.rng.next_f64() < shed_probability(expected_latency)
+    }
+
+    /// Pessimistic latency of the request at the endpoint, in its latency objectives.
+    fn expected_latency(
+        &self,
+        now: Timestamp,
+        index: EndpointIndex,
+        pending: &PendingRequest,
+    ) -> f64 {
+        let is_primary = self.current_primary(now, pending.request.replica_set) == Some(index);
+        let mut penalty = 1.0;
+        if is_primary && !self.needs_primary(pending) {
+            penalty *= PRIMARY_READ_PENALTY;
+        }
+        if pending.is_over_quota {
+            penalty *= OVER_QUOTA_PENALTY;
+        }
+        // Few samples may hide a queue: the fewer there are, the more they count.
+        let cost = &self.latency_cost;
+        let samples = cost.load_sample_count(&self.endpoints, now, index);
+        let uncertainty = 1.0 + 1.0 / (PRIOR_WEIGHT + samples);
+        let load = cost.load(&self.endpoints, now, index);
+        penalty * uncertainty * load * cost.min_objective / pending.latency_objective as f64
+    }
+
+    /// Whether any endpoint of the replica set may accept the request within the first half of its time.
+    pub(crate) fn may_become_available(&self, now: Timestamp, pending: &PendingRequest) -> bool {
+        let half_time = pending
+            .deadline
+            .saturating_sub(pending.request.time_left / 2)
+            .max(now);
+        self.endpoints
+            .members(pending.request.replica_set)
+            .iter()
+            .any(|&index| self.endpoints[index].accepts_new_work(half_time))
+    }
+}
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -10,11 +10,18 @@
 mod balancer;
 mod decaying_average;
 mod discovery_backoff;
+mod endpoint_list;
 mod event;
+mod latency_cost;
+mod outlier_detection;
+mod pending_request;
+mod primary_tracking;
 mod random;
+mod replica_selection;
 mod retry;
 mod session_consistency;
 mod settings;
+mod slow_start;
 mod units;
 
 pub use action::{Action, RejectReason};
