--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -12,7 +12,7 @@
 use crate::endpoint_list::{Attempt, EndpointIndex, EndpointList};
 use crate::event::{AttemptEnded, AttemptOutcome, EndpointEntry, Event, ListKind, Request};
 use crate::latency_cost::LatencyCost;
-use crate::pending_request::{PendingRequest, SentAttempt};
+use crate::pending_request::PendingRequest;
 use crate::random::SplitMix64;
 use crate::replica_selection::Rotation;
 use crate::retry::RetryBudget;
@@ -27,8 +27,6 @@
 const TICKS_PER_OBJECTIVE: Nanos = 12;
 /// Shortest time between two timer ticks, nanoseconds.
 const MIN_TICK: Nanos = 1_000_000;
-/// Most of a latency objective that a response is assumed to take, when a request is checked for enough time.
-const MAX_EXPECTED_FACTOR: f64 = 0.5;
 
 /// One router's decisions.
 ///
@@ -45,8 +43,8 @@
     pub(crate) sessions: SessionTokens,
     quotas: QuotaTracker,
     subscription: ListSubscription,
-    pending: BTreeMap<RequestId, PendingRequest>,
-    replica_sets_with_queue: BTreeSet<u32>,
+    pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
+    pub(crate) replica_sets_with_queue: BTreeSet<u32>,
     is_timer_set: bool,
     /// Shortest staleness bound of all classes, nanoseconds.
     pub(crate) min_staleness_bound: Option<Nanos>,
@@ -212,120 +210,6 @@
         self.dispatch(now, pending, out);
     }
 
-    /// Sends the request, queues it, or gives it its final response.
-    pub(crate) fn dispatch(
-        &mut self,
-        now: Timestamp,
-        pending: PendingRequest,
-        out: &mut Vec<Action>,
-    ) {
-        if let Some(reason) = self.dispatch_obstacle(now, &pending) {
-            return self.reject_or_fail(pending, reason, out);
-        }
-        if let Some(index) = self.select_position_refresh(now, &pending) {
-            return self.send(now, index, pending, out);
-        }
-        let selected = if self.needs_primary(&pending) {
-            self.select_primary(now, &pending)
-        } else {
-            self.select_read_endpoint(now, &pending)
-        };
-        let Some(index) = selected else {
-            return self.queue_or_reject(now, pending, out);
-        };
-        if self.is_shed(now, index, &pending) {
-            self.reject_or_fail(pending, RejectReason::LoadShed, out);
-        } else if !self.is_safe_to_send(now, index, &pending) {
-            self.reject_or_fail(pending, RejectReason::NotRetryable, out);
-        } else {
-            self.send(now, index, pending, out);
-        }
-    }
-
-    /// Why no endpoint can serve the request any more, if so.
-    fn dispatch_obstacle(&self, now: Timestamp, pending: &PendingRequest) -> Option<RejectReason> {
-        let replica_set = pending.request.replica_set;
-        if !self.endpoints.replica_sets.contains_key(&replica_set) {
-            return Some(RejectReason::UnknownReplicaSet);
-        }
-        let has_value_after_objective = self.class(pending).late_weight > 0.0;
-        let end = if has_value_after_objective {
-            pending.deadline
-        } else {
-            pending.objective_end
-        };
-        let factor = self
-            .latency_cost
-            .replica_set_factor(&self.endpoints, now, replica_set)
-            .min(MAX_EXPECTED_FACTOR);
-        let expected_latency = (pending.latency_objective as f64 * factor) as Nanos;
-        if now + self.tick.max(expected_latency) >= end {
-            return Some(RejectReason::DeadlineTooClose);
-        }
-        let has_attempts = pending.attempts_sent < self.settings.limits.max_attempts;
-        (!has_attempts).then_some(RejectReason::AttemptLimitReached)
-    }
-
-    /// Without an endpoint now: queues the request, unless none is expected before half of its time is over. The client
-    /// can then do something else with the rest of it.
-    fn queue_or_reject(
-        &mut self,
-        now: Timestamp,
-        mut pending: PendingRequest,
-        out: &mut Vec<Action>,
-    ) {
-        if pending.attempts_sent == 0 && !self.may_become_available(now, &pending) {
-            return self.reject_or_fail(pending, RejectReason::NoEligibleEndpoint, out);
-        }
-        let id = pending.request.id;
-        let replica_set = pending.request.replica_set;
-        pending.is_queued = true;
-        pending.tried.clear();
-        if let Some(known) = self.endpoints.replica_sets.get_mut(&replica_set) {
-            known.queue.push_back(id);
-            self.replica_sets_with_queue.insert(replica_set);
-        }
-        self.pending.insert(id, pending);
-    }
-
-    fn send(
-        &mut self,
-        now: Timestamp,
-        index: EndpointIndex,
-        mut pending: PendingRequest,
-        out: &mut Vec<Action>,
-    ) {
-        let id = pending.request.id;
-        let is_write = self.class(&pending).operation == Operation::Write;
-        // The attempt may have to wait for a connection: the window has to be open when it is written, too.
-        let write_before = self.deduplication_deadline(&pending);
-        let endpoint = &mut self.endpoints[index];
-        endpoint.in_flight.push(Attempt {
-            request: id,
-            number: pending.attempts_sent,
-            sent_at: now,
-            latency_objective: pending.latency_objective as f64,
-            is_write,
-            session: pending.request.session.clone().filter(|_| is_write),
-        });
-        out.push(Action::Send {
-            request: id,
-            endpoint: endpoint.id.clone(),
-            limit: None,
-            by: write_before,
-        });
-        pending.possibly_executed.push(SentAttempt {
-            number: pending.attempts_sent,
-            endpoint: index,
-            sent_at: now,
-        });
-        pending.tried.push(index);
-        pending.attempts_sent += 1;
-        pending.in_flight += 1;
-        pending.is_queued = false;
-        self.pending.insert(id, pending);
-    }
-
     fn on_response_started(&mut self, now: Timestamp, request: RequestId, endpoint: &EndpointId) {
         if let Some(pending) = self.pending.get_mut(&request) {
             pending.is_streaming = true;
@@ -457,36 +341,6 @@
             }
         }
     }
-
-    fn remove_from_queue(&mut self, id: RequestId, replica_set: u32) {
-        let Some(known) = self.endpoints.replica_sets.get_mut(&replica_set) else {
-            return;
-        };
-        known.queue.retain(|queued| *queued != id);
-        if known.queue.is_empty() {
-            self.replica_sets_with_queue.remove(&replica_set);
-        }
-    }
-
-    /// Dispatches the queued requests of a replica set again, in order of arrival.
-    fn retry_queued(&mut self, now: Timestamp, replica_set: u32, out: &mut Vec<Action>) {
-        let Some(known) = self.endpoints.replica_sets.get_mut(&replica_set) else {
-            return;
-        };
-        self.replica_sets_with_queue.remove(&replica_set);
-        for id in std::mem::take(&mut known.queue) {
-            if let Some(pending) = self.pending.remove(&id) {
-                self.dispatch(now, pending, out);
-            }
-        }
-    }
-
-    fn retry_all_queued(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let replica_sets: Vec<u32> = self.replica_sets_with_queue.iter().copied().collect();
-        for replica_set in replica_sets {
-            self.retry_queued(now, replica_set, out);
-        }
-    }
 }
 
 fn staleness_bound(class: &Class) -> Option<Nanos> {
--- /dev/null
+++ b/crates/routing/src/dispatch.rs
@@ -0,0 +1,164 @@
+//! Dispatch: what happens to a request now. It is sent to an endpoint, queued until one is available, or rejected.
+//!
+//! The order of the checks is: enough time and attempts left, a position refresh, the endpoint that the selection
+//! modules choose, load shedding, idempotency. Queued requests are dispatched again in order of arrival, on each timer
+//! tick and after each attempt of their replica set. Owns the queues of the replica sets; it must never send an
+//! attempt that these checks have not let through.
+
+use crate::action::{Action, RejectReason};
+use crate::balancer::Balancer;
+use crate::endpoint_list::{Attempt, EndpointIndex};
+use crate::pending_request::{PendingRequest, SentAttempt};
+use crate::settings::Operation;
+use crate::units::{Nanos, RequestId, Timestamp};
+
+/// Most of its latency objective that a response is assumed to take, when a request is checked for enough time.
+const MAX_EXPECTED_FACTOR: f64 = 0.5;
+
+impl Balancer {
+    /// Sends the request, queues it, or gives it its final response.
+    pub(crate) fn dispatch(
+        &mut self,
+        now: Timestamp,
+        pending: PendingRequest,
+        out: &mut Vec<Action>,
+    ) {
+        if let Some(reason) = self.dispatch_obstacle(now, &pending) {
+            return self.reject_or_fail(pending, reason, out);
+        }
+        if let Some(index) = self.select_position_refresh(now, &pending) {
+            return self.send(now, index, pending, out);
+        }
+        let selected = if self.needs_primary(&pending) {
+            self.select_primary(now, &pending)
+        } else {
+            self.select_read_endpoint(now, &pending)
+        };
+        let Some(index) = selected else {
+            return self.queue_or_reject(now, pending, out);
+        };
+        if self.is_shed(now, index, &pending) {
+            self.reject_or_fail(pending, RejectReason::LoadShed, out);
+        } else if !self.is_safe_to_send(now, index, &pending) {
+            self.reject_or_fail(pending, RejectReason::NotRetryable, out);
+        } else {
+            self.send(now, index, pending, out);
+        }
+    }
+
+    /// Why no endpoint can serve the request any more, if so.
+    fn dispatch_obstacle(&self, now: Timestamp, pending: &PendingRequest) -> Option<RejectReason> {
+        let replica_set = pending.request.replica_set;
+        if !self.endpoints.replica_sets.contains_key(&replica_set) {
+            return Some(RejectReason::UnknownReplicaSet);
+        }
+        let has_value_after_objective = self.class(pending).late_weight > 0.0;
+        let end = if has_value_after_objective {
+            pending.deadline
+        } else {
+            pending.objective_end
+        };
+        let factor = self
+            .latency_cost
+            .replica_set_factor(&self.endpoints, now, replica_set)
+            .min(MAX_EXPECTED_FACTOR);
+        let expected_latency = (pending.latency_objective as f64 * factor) as Nanos;
+        if now + self.tick.max(expected_latency) >= end {
+            return Some(RejectReason::DeadlineTooClose);
+        }
+        let has_attempts = pending.attempts_sent < self.settings.limits.max_attempts;
+        (!has_attempts).then_some(RejectReason::AttemptLimitReached)
+    }
+
+    /// Without an endpoint now: queues the request, unless none is expected before half of its time is over. The client
+    /// can then do something else with the rest of it.
+    fn queue_or_reject(
+        &mut self,
+        now: Timestamp,
+        mut pending: PendingRequest,
+        out: &mut Vec<Action>,
+    ) {
+        if pending.attempts_sent == 0 && !self.may_become_available(now, &pending) {
+            return self.reject_or_fail(pending, RejectReason::NoEligibleEndpoint, out);
+        }
+        let id = pending.request.id;
+        let replica_set = pending.request.replica_set;
+        pending.is_queued = true;
+        pending.tried.clear();
+        if let Some(known) = self.endpoints.replica_sets.get_mut(&replica_set) {
+            known.queue.push_back(id);
+            self.replica_sets_with_queue.insert(replica_set);
+        }
+        self.pending.insert(id, pending);
+    }
+
+    fn send(
+        &mut self,
+        now: Timestamp,
+        index: EndpointIndex,
+        mut pending: PendingRequest,
+        out: &mut Vec<Action>,
+    ) {
+        let id = pending.request.id;
+        let is_write = self.class(&pending).operation == Operation::Write;
+        // The attempt may have to wait for a connection: the window has to be open when it is written, too.
+        let write_before = self.deduplication_deadline(&pending);
+        let endpoint = &mut self.endpoints[index];
+        endpoint.in_flight.push(Attempt {
+            request: id,
+            number: pending.attempts_sent,
+            sent_at: now,
+            latency_objective: pending.latency_objective as f64,
+            is_write,
+            session: pending.request.session.clone().filter(|_| is_write),
+        });
+        out.push(Action::Send {
+            request: id,
+            endpoint: endpoint.id.clone(),
+            limit: None,
+            by: write_before,
+        });
+        pending.possibly_executed.push(SentAttempt {
+            number: pending.attempts_sent,
+            endpoint: index,
+            sent_at: now,
+        });
+        pending.tried.push(index);
+        pending.attempts_sent += 1;
+        pending.in_flight += 1;
+        pending.is_queued = false;
+        self.pending.insert(id, pending);
+    }
+
+    /// Dispatches the queued requests of a replica set again, in order of arrival.
+    pub(crate) fn retry_queued(&mut self, now: Timestamp, replica_set: u32, out: &mut Vec<Action>) {
+        let Some(known) = self.endpoints.replica_sets.get_mut(&replica_set) else {
+            return;
+        };
+        self.replica_sets_with_queue.remove(&replica_set);
+        for id in std::mem::take(&mut known.queue) {
+            if let Some(pending) = self.pending.remove(&id) {
+                self.dispatch(now, pending, out);
+            }
+        }
+    }
+
+    /// Dispatches the queued requests of all replica sets again.
+    pub(crate) fn retry_all_queued(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        let replica_sets: Vec<u32> = self.replica_sets_with_queue.iter().copied().collect();
+        for replica_set in replica_sets {
+            self.retry_queued(now, replica_set, out);
+        }
+    }
+
+    /// The request is complete and need not wait any longer.
+    pub(crate) fn remove_from_queue(&mut self, id: RequestId, replica_set: u32) {
+        let Some(known) = self.endpoints.replica_sets.get_mut(&replica_set) else {
+            return;
+        };
+        known.queue.retain(|queued| *queued != id);
+        if known.queue.is_empty() {
+            self.replica_sets_with_queue.remove(&replica_set);
+        }
+    }
+}
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -10,6 +10,7 @@
 mod balancer;
 mod decaying_average;
 mod discovery_backoff;
+mod dispatch;
 mod endpoint_list;
 mod event;
 mod latency_cost;
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -27,7 +27,8 @@
 
 /// Health of one endpoint as its attempts show it.
 ///
-/// Invariant: after each response that counts as a sign of life all failure counters are 0 and `is_ejected` is false.
+/// Invariant: a response sets all failure counters to 0 and ends the ejection for errors; an error counts as a response
+/// and then ejects the endpoint again.
 #[derive(Default)]
 pub(crate) struct EndpointHealth {
     /// Latest sign of life.
--- a/crates/routing/src/pending_request.rs
+++ b/crates/routing/src/pending_request.rs
@@ -1,4 +1,6 @@
-//! A request that has no final response yet.
+//! A request that has no final response yet: its limits of time, its attempts, and what was decided for it at arrival.
+//!
+//! Plain state of one request; it must never decide what happens to the request.
 
 use crate::endpoint_list::EndpointIndex;
 use crate::event::Request;
@@ -13,7 +15,7 @@
 
 /// A request from its arrival to its final response.
 ///
-/// Invariants: `in_flight <= attempts_sent`; while `is_queued`, its replica set's queue holds its id.
+/// Invariant: `in_flight <= attempts_sent`.
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
     pub(crate) deadline: Timestamp,
@@ -33,6 +35,7 @@
     pub(crate) admission_draw: f64,
     /// A streamed response has begun.
     pub(crate) is_streaming: bool,
+    /// It waits in its replica set's queue, or was just taken from it to be dispatched again.
     pub(crate) is_queued: bool,
 }
 
