--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,7 +1,7 @@
 //! Admission control: tenants' quotas and load shedding.
 //!
-//! A request that would probably miss its latency objective is rejected at once, while retrying elsewhere is still
-//! worthwhile for the client. The probability of rejection grows linearly with the latency expected at the selected
+//! A request that would probably miss its latency objective is rejected at once, while the client still has
+//! time to retry. The probability of rejection grows linearly with the latency expected at the selected
 //! endpoint; requests over their tenant's quota, and reads that would go to the primary, are rejected first. Owns the
 //! tenants' request rates; it must never reject an attempt after the first one.
 
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -70,8 +70,8 @@
         (!has_attempts).then_some(RejectReason::AttemptLimitReached)
     }
 
-    /// Without an endpoint now: queues the request, unless none is expected before half of its time is over. The client
-    /// can then do something else with the rest of it.
+    /// Without an endpoint now: queues the request, unless none is expected before half of its time is over: the client
+    /// then still has time to react.
     fn queue_or_reject(
         &mut self,
         now: Timestamp,
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -137,24 +137,12 @@
             }
             AttemptOutcome::Error => self.record_error(now, index, attempt, latency),
             AttemptOutcome::MalformedResponse => {
-                // Any endpoint's response may be damaged in transit, so a single one shows no fault.
-                let health = &mut self.endpoints[index].health;
-                health.consecutive_malformed += 1;
-                if health.consecutive_malformed >= FAULT_THRESHOLD {
-                    self.record_error(now, index, attempt, latency);
-                }
+                self.record_malformed(now, index, attempt, latency);
             }
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => {
                 self.record_no_response(now, index, attempt, latency);
             }
-            AttemptOutcome::ConnectionReset => {
-                // One connection may break on its own; a process that dies breaks all and refuses new ones.
-                let health = &mut self.endpoints[index].health;
-                health.consecutive_resets += 1;
-                if health.consecutive_resets >= FAULT_THRESHOLD {
-                    self.record_unreachable(now, index);
-                }
-            }
+            AttemptOutcome::ConnectionReset => self.record_reset(now, index),
             AttemptOutcome::ConnectFailed => self.record_unreachable(now, index),
             AttemptOutcome::Abandoned | AttemptOutcome::NotSent => {}
         }
@@ -204,6 +192,30 @@
             .eject_until_recovered(now + delay as Nanos);
     }
 
+    /// Any endpoint's response may be damaged in transit, so a single one shows no fault.
+    fn record_malformed(
+        &mut self,
+        now: Timestamp,
+        index: EndpointIndex,
+        attempt: &Attempt,
+        latency: f64,
+    ) {
+        let health = &mut self.endpoints[index].health;
+        health.consecutive_malformed += 1;
+        if health.consecutive_malformed >= FAULT_THRESHOLD {
+            self.record_error(now, index, attempt, latency);
+        }
+    }
+
+    /// One connection may break on its own; a process that dies breaks all and refuses new ones.
+    fn record_reset(&mut self, now: Timestamp, index: EndpointIndex) {
+        let health = &mut self.endpoints[index].health;
+        health.consecutive_resets += 1;
+        if health.consecutive_resets >= FAULT_THRESHOLD {
+            self.record_unreachable(now, index);
+        }
+    }
+
     /// The response may only be lost: no sample of its load, unless the endpoint says that it is at capacity.
     fn record_no_response(
         &mut self,
--- a/crates/routing/src/primary_tracking.rs
+++ b/crates/routing/src/primary_tracking.rs
@@ -1,6 +1,6 @@
 //! Primary tracking: which endpoint of a replica set takes writes, and how to find it after a failover.
 //!
-//! An endpoint's own word on its role comes before the list's, which may be seconds late. While no primary is known or
+//! The role that an endpoint reports itself takes precedence over the list's, which may be seconds late. While no primary is known or
 //! it is out of reach, requests that need it are queued, and one write at a time is sent to the endpoint most likely to
 //! have taken over: a replica rejects it without executing it and says what it is. Where only responses carry
 //! positions, a write now and then goes to a replica first in the same way, to refresh its position. Owns each replica
