--- a/crates/routing/tests/failures.rs
+++ b/crates/routing/tests/failures.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 #[test]
-fn reads_rotate_over_both_replicas_and_leave_the_primary_alone() {
+fn reads_rotate_over_both_replicas_and_spare_the_primary() {
     let mut h = Host::new(settings());
     h.warm_up();
     let mut got = Vec::new();
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_bounded_read_never_goes_to_a_replica_behind_its_bound() {
+fn bounded_read_never_goes_to_a_replica_behind_its_bound() {
     let mut h = Host::new(settings());
     for _ in 0..12 {
         h.serve(SESSION, T0 - 400 * MS);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_session_read_goes_only_to_endpoints_that_have_its_write() {
+fn session_read_goes_only_to_endpoints_that_have_its_write() {
     let mut h = Host::new(settings());
     h.warm_up();
     assert_eq!(h.serve(WRITE, h.now + 5 * MS), "a");
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_request_with_less_patience_than_a_tick_is_answered_at_once() {
+fn request_with_less_time_left_than_a_tick_is_rejected_at_once() {
     let mut h = Host::new(settings());
     let req = Request {
         id: 9,
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn one_time_out_does_not_take_a_busy_endpoint_out() {
+fn single_timeout_does_not_exclude_a_busy_endpoint() {
     let mut h = Host::new(settings());
     h.warm_up();
     let (id, out) = h.request(BOUNDED);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_silent_replica_is_left_out_and_tried_again_after_a_while() {
+fn unresponsive_replica_is_excluded_and_probed_later() {
     let mut h = Host::new(settings());
     h.warm_up();
     let mut waiting = Vec::new();
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_endpoint_out_of_reach_rests_for_longer_each_time_and_no_probe_brings_it_back() {
+fn unreachable_endpoint_is_ejected_for_longer_each_time_and_health_checks_do_not_end_it() {
     let mut h = Host::new(settings());
     h.warm_up();
     let mut tries = Vec::new();
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn quick_errors_do_not_look_cheap() {
+fn quick_errors_do_not_lower_the_cost_of_an_endpoint() {
     let mut h = Host::new(settings());
     h.warm_up();
     let mut to_bad = 0;
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn an_unsafe_write_that_may_have_run_is_failed_not_repeated() {
+fn possibly_executed_non_idempotent_write_fails_without_retry() {
     let mut h = Host::new(settings());
     h.warm_up();
     let (id, out) = h.request(WRITE);
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_keyed_write_is_repeated_inside_its_replica_set_and_window() {
+fn write_with_idempotency_key_is_retried_within_its_replica_set_and_window() {
     let mut h = Host::new(settings());
     h.warm_up();
     let (id, out) = h.request(KEYED);
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn writes_are_held_while_the_primary_is_away_and_move_to_its_successor() {
+fn writes_are_queued_while_the_primary_is_unreachable_and_go_to_its_successor() {
     let mut h = Host::new(settings());
     h.warm_up();
     let (id, out) = h.request(WRITE);
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn a_miss_moves_a_write_on() {
+fn misrouted_write_is_sent_to_another_endpoint() {
     let mut set = settings();
     set.list_role = ListRole::Silent;
     set.reports = ReportSource::Answers;
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_draining_endpoint_after_its_grace() {
+fn draining_endpoint_gets_no_new_work_after_its_grace() {
     let mut h = Host::new(settings());
     h.warm_up();
     let mut e = entry("b", false);
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn a_cold_endpoint_gets_a_share_but_is_not_left_idle() {
+fn endpoint_in_slow_start_gets_a_fraction_of_reads_but_not_none() {
     let mut h = Host::new(settings());
     h.warm_up();
     let mut e = entry("c", false);
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn a_stale_replica_learns_its_place_from_a_write_it_turns_away() {
+fn position_refresh_makes_a_stale_replica_eligible_again() {
     let mut h = Host::new(settings());
     h.warm_up();
     h.wait(400 * MS);
@@ -394,7 +394,7 @@
 }
 
 #[test]
-fn a_broken_subscription_is_renewed_soon_at_times_that_differ_between_routers() {
+fn broken_subscription_is_renewed_soon_at_times_that_differ_between_routers() {
     let mut set = settings();
     set.must_subscribe = true;
     let mut at = std::collections::BTreeSet::new();
@@ -416,7 +416,7 @@
 }
 
 #[test]
-fn overload_is_refused_early_with_advice() {
+fn overload_is_shed_early_with_retry_advice() {
     let mut h = Host::new(settings());
     h.warm_up();
     let mut refused = 0;
@@ -441,7 +441,7 @@
 }
 
 #[test]
-fn the_list_cannot_make_a_primary_of_a_endpoint_that_said_it_follows() {
+fn endpoint_that_reports_itself_as_replica_does_not_become_primary_by_the_list() {
     let mut h = Host::new(settings());
     h.warm_up();
     h.outcome(77, "a", 0, AttemptOutcome::Served, replica(h.now));
@@ -484,7 +484,7 @@
 }
 
 #[test]
-fn a_fresh_router_refuses_nothing() {
+fn new_router_rejects_nothing() {
     let mut h = Host::new(settings());
     for class in [BOUNDED, FRESH, SESSION, WRITE] {
         assert!(!refused(&h.request(class).1));
@@ -492,7 +492,7 @@
 }
 
 #[test]
-fn a_write_served_after_its_client_left_still_binds_its_session() {
+fn write_served_after_its_client_left_still_binds_its_session() {
     let mut h = Host::new(settings());
     h.warm_up();
     let (id, out) = h.request(WRITE);
@@ -508,7 +508,7 @@
 }
 
 #[test]
-fn a_keyed_write_is_not_repeated_once_its_key_may_be_forgotten() {
+fn write_with_idempotency_key_is_not_retried_after_its_deduplication_window() {
     let mut set = settings();
     set.classes[KEYED as usize].deduplication_window = 100 * MS;
     let mut h = Host::new(set);
@@ -524,7 +524,7 @@
 /// Guards a session's own writes against answers that are lost: one that may have run binds the session's reads like one
 /// that was served, as does one whose answer said nothing of its place; one that never ran does not.
 #[test]
-fn a_write_that_may_have_run_binds_its_session() {
+fn possibly_executed_write_binds_its_session() {
     let cases = [
         (AttemptOutcome::ConnectionReset, true),
         (AttemptOutcome::MalformedResponse, true),
@@ -552,7 +552,7 @@
 /// Guards a session's own write whose answer is lost while its connection stays open: a read that comes later than the
 /// answer counts as known does not go to a replica; one that comes at once, or of another session, may.
 #[test]
-fn a_write_that_is_out_for_long_binds_its_session() {
+fn write_in_flight_for_long_binds_its_session() {
     for (waited, binds) in [(10, false), (101, true)] {
         let mut h = Host::new(settings());
         h.warm_up();
@@ -569,7 +569,7 @@
 /// Guards the window for what waits at the host: a further copy says by when it has to be written, counted from when the
 /// first may have run, whatever was sent between; the first copy, and classes that are safe, have no such end.
 #[test]
-fn a_further_copy_says_by_when_it_must_be_written() {
+fn retry_states_the_time_by_which_it_must_be_written() {
     let by = |out: &[Action]| {
         out.iter().find_map(|a| match a {
             Action::Send { by, .. } => Some(*by),
@@ -605,7 +605,7 @@
 /// Guards an endpoint's health against answers that are spoilt on their way: one says nothing of it, only three
 /// without a good one between them do. A request that may be repeated goes on to another endpoint.
 #[test]
-fn a_spoilt_answer_costs_its_endpoint_nothing_until_nothing_else_comes() {
+fn malformed_responses_eject_an_endpoint_only_when_several_come_in_a_row() {
     let mut h = Host::new(settings());
     h.warm_up();
     let spoil = |h: &mut Host, wanted: &str| loop {
@@ -640,7 +640,7 @@
 /// Guards a warm endpoint against being taken for one that has restarted: one broken connection, and a log as far
 /// behind as ever, are no sign of a cold start, which would cost it most of its reads for many seconds.
 #[test]
-fn a_broken_connection_does_not_make_a_endpoint_cold() {
+fn connection_reset_does_not_put_an_endpoint_in_slow_start() {
     let mut h = Host::new(settings());
     h.warm_up();
     let (id, out) = h.request(BOUNDED);
@@ -664,7 +664,7 @@
 /// Guards the long day: endpoints that are replaced one after the other are forgotten, but not while an attempt on
 /// one is out; its request then goes on elsewhere.
 #[test]
-fn members_that_are_gone_are_forgotten() {
+fn removed_endpoints_are_forgotten() {
     let mut h = Host::new(settings());
     h.warm_up();
     let (id, out) = h.request(BOUNDED);
@@ -708,7 +708,7 @@
 /// Guards an endpoint against resting for one connection that broke: its requests would be held or refused though
 /// its other connections answer. Three in a row, as of a process that died, do rest it.
 #[test]
-fn one_broken_connection_does_not_rest_its_endpoint() {
+fn single_connection_reset_does_not_eject_its_endpoint() {
     let mut h = Host::new(settings());
     (0..4).for_each(|_| h.warm_up());
     let reset = |h: &mut Host| {
@@ -733,7 +733,7 @@
 /// Guards a replica set whose endpoints are all out of reach: what could not be sent in the first half of its time is
 /// refused at once, an endpoint is tried again before long, and one that the list says has started again at once.
 #[test]
-fn a_replica_set_that_is_all_out_of_reach_is_refused_early_and_found_back_soon() {
+fn unreachable_replica_set_is_rejected_early_and_recovers_soon() {
     let mut h = Host::new(settings());
     (0..4).for_each(|_| h.warm_up());
     let mut sends = std::collections::HashMap::new();
@@ -813,7 +813,7 @@
 }
 
 #[test]
-fn what_is_given_up_names_its_cause() {
+fn each_rejection_names_its_reason() {
     let reason = |out: &[Action], id: RequestId| {
         out.iter().find_map(|a| match a {
             Action::Reject {
@@ -906,7 +906,7 @@
 /// A cold endpoint takes its share of the reads in turn; those it does not take go on, but not to one that hangs while
 /// the primary answers: for many routers that one would be the spare of all.
 #[test]
-fn what_a_cold_replica_does_not_take_goes_to_the_primary_before_one_that_hangs() {
+fn reads_beyond_slow_start_capacity_go_to_the_primary_rather_than_to_a_hanging_replica() {
     let (mut to_hung, mut to_lead) = (0, 0);
     for seed in 0..10 {
         let mut h = Host::seeded(settings(), seed);
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -292,7 +292,7 @@
 /// a whole zone of endpoints returns; a cold endpoint that rejects half of it; and a cold primary, up to writes that fill it
 /// when it is warm.
 #[test]
-fn cold_endpoints_get_no_more_than_their_allowance_from_any_fleet() {
+fn endpoints_in_slow_start_get_no_more_than_their_allowance_from_any_number_of_routers() {
     let mut beyond = Vec::new();
     for Case {
         name,
@@ -346,7 +346,7 @@
 /// Guards the clock of a discovery that comes back: with 300 routers and a service that does a call in 10 ms and ends
 /// one that has waited for 2 s, each has news within 6 s of its return, less the half second that an answer may be late.
 #[test]
-fn all_routers_have_news_in_time_after_their_service_returns() {
+fn all_routers_have_the_list_in_time_after_the_discovery_service_returns() {
     const N: usize = 300;
     for seed in 0..3 {
         let mut set = settings();
--- a/crates/routing/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -573,7 +573,7 @@
 }
 
 #[test]
-fn the_same_days_lead_to_the_same_actions_as_when_this_was_written() {
+fn scripted_days_give_the_recorded_actions() {
     let mut changed = Vec::new();
     for expected in EXPECTED {
         let (hash, counts) = Day::new(expected.seed).run();
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn rules_hold_under_odd_event_orders() {
+fn rules_hold_under_unusual_event_orders() {
     for seed in 1..=32 {
         // Every kind of settings: endpoints that check reads or not, session marks carried or local, both drain
         // rules, a list with and without roles, reports or none.
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn odd_input_never_panics() {
+fn unusual_input_never_panics() {
     let mut h = Host::new(settings());
     let mut odd = |id: RequestId, class: u32, replica_set: u32, time_left: Nanos| {
         let req = Request {
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn the_same_events_lead_to_the_same_actions() {
+fn same_seed_and_events_give_the_same_actions() {
     let run = || {
         let mut h = Host::new(settings());
         h.warm_up();
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn many_routers_do_not_turn_to_the_same_endpoint_first() {
+fn many_new_routers_do_not_all_select_the_same_endpoint_first() {
     let mut first = BTreeMap::new();
     let mut hosts = fleet(&settings());
     for h in &mut hosts {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn many_routers_together_fill_a_cold_endpoint_at_the_pace_of_its_share() {
+fn many_routers_together_load_an_endpoint_in_slow_start_in_proportion_to_its_capacity() {
     let set = settings();
     let mut hosts = fleet(&set);
     for h in &mut hosts {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn further_tries_and_shown_writes_do_not_push_a_cold_endpoint() {
+fn retries_and_position_refreshes_do_not_load_an_endpoint_in_slow_start() {
     let mut to_cold = 0;
     for mut h in fleet(&settings()) {
         h.warm_up();
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_endpoint_whose_log_stood_still_is_cold_when_it_comes_back() {
+fn returning_endpoint_whose_position_stood_still_is_in_slow_start() {
     // With its log still: most routers keep from it. With a fresh one: a full connection table, no restart.
     let mut used = [0, 0];
     for (fresh, used) in used.iter_mut().enumerate() {
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn lost_answers_are_no_crowding() {
+fn lost_responses_do_not_count_as_load() {
     // One answer in four of every replica is lost, its work done; the others come in time.
     let mut refusals = 0;
     let mut sends = 0;
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn errors_of_one_endpoint_are_no_crowding_of_others() {
+fn errors_of_one_endpoint_do_not_count_as_load_of_others() {
     let mut h = Host::new(settings());
     h.warm_up();
     let mut refusals = 0;
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_live_endpoint_called_gone_serves_on_where_only_draining_binds() {
+fn removed_endpoint_still_serves_where_only_draining_binds() {
     for binds in [true, false] {
         let mut set = settings();
         set.rules.only_draining_binds = !binds;
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_name_that_never_answers_gets_rare_trials_and_no_probes() {
+fn endpoint_that_never_responds_gets_rare_recovery_probes_and_no_health_checks() {
     let mut h = Host::new(settings());
     h.warm_up();
     h.feed(changed(entry("ghost", false)));
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn a_bad_link_is_left_out_by_its_own_router_only() {
+fn endpoint_behind_a_bad_link_is_excluded_by_its_own_router_only() {
     let mut used = [0, 0];
     for (cut, used) in [true, false].into_iter().zip(&mut used) {
         let mut h = Host::seeded(settings(), 3 + u64::from(cut));
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn odd_lists_and_positions_have_a_defined_reading() {
+fn unusual_lists_and_positions_have_a_defined_meaning() {
     let mut h = Host::new(settings());
     h.warm_up();
     // A known endpoint under another replica set stays where it was; a start in the future is a start now.
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn writes_that_a_cold_primary_turns_away_do_not_come_back_for_ever() {
+fn writes_rejected_by_a_primary_in_slow_start_are_not_retried_forever() {
     let (mut writes, mut sends) = (0, 0);
     for mut h in fleet(&settings()) {
         h.warm_up();
@@ -391,7 +391,7 @@
 /// A hundred routers on a list's service that serves one call in 25 ms, as a slow one does, and ends one that has
 /// waited 2 s in its queue. Calls that come together all wait too long, and repeated at once do so for ever.
 #[test]
-fn a_hundred_routers_find_the_list_though_its_service_is_slow() {
+fn hundred_routers_get_the_list_from_a_slow_discovery_service() {
     let mut set = settings();
     (set.must_subscribe, set.router_count) = (true, 100);
     for seed in 0..3 {
@@ -460,7 +460,7 @@
 /// With little traffic the next write may be seconds away: a read that must be current looks for the primary itself,
 /// but only where endpoints turn away what they are behind for.
 #[test]
-fn a_read_that_must_be_current_looks_for_the_primary_where_endpoints_check() {
+fn strong_read_takes_part_in_primary_discovery_where_endpoints_reject_stale_reads() {
     for stale_reads in [StaleReadPolicy::Reject, StaleReadPolicy::Serve] {
         let mut set = settings();
         (set.stale_reads, set.list_role) = (stale_reads, ListRole::Silent);
