--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -27,7 +27,7 @@
     InvalidRequest,
 }
 
-/// What the router is to do.
+/// What the router has to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send the request to an endpoint.
@@ -78,8 +78,8 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Ask for changes of the list from now on.
+    /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// Ask for the whole list once.
+    /// Fetch the whole endpoint list once.
     FetchList,
 }
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -3,25 +3,25 @@
 use crate::units::{EndpointId, Nanos, RequestId, Timestamp};
 use std::sync::Arc;
 
-/// What the list says of an endpoint.
+/// State of an endpoint in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
     /// In service.
     Serving,
-    /// Finishing its work; nothing new.
+    /// Finishing its work in progress; it gets no new work.
     Draining,
     /// Removed (in changes only).
     Removed,
 }
 
-/// One line of the list of endpoints.
+/// One entry of the endpoint list.
 #[derive(Debug, Clone)]
 pub struct EndpointEntry {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// When it last started (0: long past).
+    /// When its process last started (0: long ago).
     pub started: Timestamp,
-    /// The list takes it for its replica set's primary.
+    /// Whether the list names it as its replica set's primary.
     pub primary: bool,
     /// Its state.
     pub state: EndpointState,
@@ -40,9 +40,9 @@
     Changes,
     /// The whole list.
     Full,
-    /// The whole list as this router last had it, maybe old.
+    /// The whole list as this router last stored it, possibly outdated.
     Cached,
-    /// A call to the list failed, or the subscription broke; the old list stands.
+    /// A call to the discovery service failed, or the subscription broke; the old list stays valid.
     Failed,
 }
 
@@ -57,7 +57,7 @@
     pub replica_set: u32,
     /// Its session, where it has one.
     pub session: Option<Arc<str>>,
-    /// How long ago its session's last write was committed, where requests carry this.
+    /// Time since its session's last write was committed, nanoseconds, where requests carry it.
     pub since_write: Option<Nanos>,
     /// Its tenant, as counted in [`Settings::tenants`](crate::Settings::tenants).
     pub tenant: Option<u32>,
@@ -78,7 +78,7 @@
     Replica,
 }
 
-/// What an endpoint said of itself: with an answer as of that answer, in a report as of some time earlier.
+/// What an endpoint reports about itself: with a response as of that response, in a report as of some time earlier.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicationStatus {
     /// Its role.
@@ -87,7 +87,7 @@
     pub applied_position: Option<Timestamp>,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// Answered.
@@ -142,7 +142,7 @@
     pub attempt: u32,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// What the answer said of the endpoint.
+    /// What the response says about the endpoint.
     pub replication: ReplicationStatus,
     /// The report that came along, if any.
     pub report: ReplicationStatus,
@@ -166,7 +166,7 @@
     Request(Request),
     /// The end of an attempt.
     AttemptEnded(AttemptEnded),
-    /// A streamed answer has begun: the request's deadline ceases to apply.
+    /// A streamed response has begun: the request's deadline no longer applies.
     ResponseStarted {
         /// The request.
         request: RequestId,
@@ -185,11 +185,11 @@
         /// As given with [`Action::SetTimer`](crate::Action::SetTimer).
         token: u64,
     },
-    /// The result of a probe.
+    /// The result of a health check.
     ProbeEnded {
         /// The endpoint.
         endpoint: EndpointId,
-        /// How the probe ended.
+        /// How it ended.
         outcome: AttemptOutcome,
         /// What the endpoint reported.
         report: ReplicationStatus,
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -18,11 +18,11 @@
 pub enum Consistency {
     /// Any endpoint may answer.
     Eventual,
-    /// Data no older than this when the request is sent.
+    /// Data that is no older than this when the request is sent, nanoseconds.
     BoundedStaleness(Nanos),
-    /// All that the session has written.
+    /// Data with all earlier writes of the same session (read-your-writes).
     ReadYourWrites,
-    /// All that was written before the request came in.
+    /// Data with all writes that were committed before the request arrived.
     Strong,
 }
 
@@ -37,7 +37,7 @@
     NonIdempotent,
 }
 
-/// The endpoints that share their record of idempotency keys.
+/// The endpoints that share their record of idempotency keys, and so drop each other's duplicates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyScope {
     /// Every endpoint.
@@ -53,7 +53,7 @@
 pub struct Class {
     /// What data may answer it.
     pub operation: Operation,
-    /// Whether it may be repeated.
+    /// Whether it may be sent again after it was possibly executed.
     pub idempotency: Idempotency,
     /// How long a key is remembered, nanoseconds (for [`Idempotency::IdempotencyKey`]).
     pub deduplication_window: Nanos,
@@ -79,9 +79,9 @@
 /// Where the endpoints' reports about themselves come from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportSource {
-    /// With every answer and probe result.
+    /// With every response and health check result.
     Answers,
-    /// With probe results only.
+    /// With health check results only.
     Probes,
     /// Nowhere.
     Silent,
@@ -94,7 +94,7 @@
     Serve,
     /// They reject it at once.
     Reject,
-    /// They wait up to this long to catch up, then reject it.
+    /// They wait for the data up to this long, nanoseconds, then reject it.
     Wait(Nanos),
 }
 
@@ -133,7 +133,7 @@
 pub const SCHEDULING_DELAY: Nanos = 150_000_000;
 
 impl Rules {
-    /// How long after a drain was learned of a send may still begin. The scheduling delay is part of the grace, which
+    /// How long after the notification of a drain a send may still begin, nanoseconds. The scheduling delay is part of the grace, which
     /// counts to the first byte that is written; a grace that is no longer than the delay allows no send at all.
     pub fn drain_cutoff(&self) -> Nanos {
         self.drain_grace.saturating_sub(SCHEDULING_DELAY)
@@ -143,9 +143,9 @@
 /// Features that the platform allows, and their limits.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Attempts for one request.
+    /// Most attempts for one request.
     pub max_attempts: u32,
-    /// Probes are allowed.
+    /// Health checks are allowed.
     pub probes: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
@@ -176,19 +176,19 @@
     pub over_quota_weight: f64,
     /// Where reports come from.
     pub reports: ReportSource,
-    /// Whether answers carry positions.
+    /// Whether responses carry the endpoint's applied position.
     pub positions: bool,
-    /// Whether session reads carry the age of their session's last write; if not, the balancer remembers.
+    /// Whether session reads carry the age of their session's last write; if not, the balancer remembers it.
     pub sessions_carry_position: bool,
     /// What endpoints do with reads for which they are too far behind.
     pub stale_reads: StaleReadPolicy,
-    /// What the list says of the primary.
+    /// What the list says about the primary.
     pub list_role: ListRole,
     /// The endpoint list is sent only to subscribers.
     pub must_subscribe: bool,
     /// The limits that the router has to keep.
     pub rules: Rules,
-    /// What is allowed.
+    /// The features that the platform allows.
     pub limits: Limits,
 }
 
