--- /dev/null
+++ b/crates/routing/tests/failures/endpoint_list.rs
@@ -0,0 +1,134 @@
+//! Draining, removed and forgotten endpoints, the subscription to the list, and contradicting settings.
+
+use crate::common::*;
+use reelrill_routing::*;
+
+#[test]
+fn draining_endpoint_gets_no_new_work_after_its_grace() {
+    let mut h = Host::new(settings());
+    h.warm_up();
+    let mut e = entry("b", false);
+    e.state = EndpointState::Draining;
+    h.feed(Event::List {
+        kind: ListKind::Changes,
+        entries: vec![e],
+    });
+    let mut p = entry("a", true);
+    p.state = EndpointState::Draining;
+    h.feed(Event::List {
+        kind: ListKind::Changes,
+        entries: vec![p],
+    });
+    h.wait(1000 * MS);
+    for class in [BOUNDED, SESSION, WRITE, FRESH, KEYED] {
+        let (_, out) = h.request(class);
+        assert!(!matches!(sent(&out), Some("a" | "b")), "{out:?}");
+    }
+}
+
+/// A process may be held up for 0.15 s between its clock and its write: the grace has to cover that, too.
+#[test]
+fn writes_to_a_draining_primary_stop_before_a_delayed_write_could_pass_the_grace() {
+    for (grace, stop) in [(1000, 500), (250, 100), (200, 50), (150, 0), (20, 0)] {
+        let mut set = settings();
+        set.rules.drain_grace = grace * MS;
+        // Where answers tell positions, writes go to the primary at once.
+        set.reports = ReportSource::Answers;
+        let mut h = Host::new(set);
+        h.warm_up();
+        let mut primary = entry("a", true);
+        primary.state = EndpointState::Draining;
+        h.feed(Event::List {
+            kind: ListKind::Changes,
+            entries: vec![primary],
+        });
+        if stop > 0 {
+            h.wait((stop - 1) * MS);
+            assert_eq!(sent(&h.request(WRITE).1), Some("a"), "grace {grace} ms");
+            h.wait(MS);
+        }
+        assert_ne!(sent(&h.request(WRITE).1), Some("a"), "grace {grace} ms");
+    }
+}
+
+#[test]
+fn broken_subscription_is_renewed_soon_at_times_that_differ_between_routers() {
+    let mut set = settings();
+    set.must_subscribe = true;
+    let mut at = std::collections::BTreeSet::new();
+    for seed in 0..20 {
+        let mut h = Host::seeded(set.clone(), seed);
+        h.wait(1000 * MS);
+        h.feed(Event::List {
+            kind: ListKind::Full,
+            entries: vec![entry("a", true)],
+        });
+        h.feed(Event::List {
+            kind: ListKind::Failed,
+            entries: Vec::new(),
+        });
+        let soon = (0..100).find(|_| h.wait(MS).contains(&Action::Subscribe));
+        at.insert(soon.expect("within three ticks"));
+    }
+    assert!(at.len() > 1, "all in step: {at:?}");
+}
+
+#[test]
+fn contradicting_settings_are_named() {
+    let mut set = settings();
+    set.classes[1].latency_objective = set.classes[1].deadline + 1;
+    assert!(
+        Balancer::new(1, set)
+            .err()
+            .unwrap()
+            .to_string()
+            .contains("classes[1]")
+    );
+    let mut set = settings();
+    set.classes.clear();
+    assert!(Balancer::new(1, set).is_err());
+}
+
+/// Guards the long day: endpoints that are replaced one after the other are forgotten, but not while an attempt on
+/// one is out; its request then goes on elsewhere.
+#[test]
+fn removed_endpoints_are_forgotten() {
+    let mut h = Host::new(settings());
+    h.warm_up();
+    let (id, out) = h.request(BOUNDED);
+    let to = sent(&out).unwrap().to_string();
+    let change = |name: &str, state| {
+        let entries = vec![EndpointEntry {
+            state,
+            ..entry(name, false)
+        }];
+        Event::List {
+            kind: ListKind::Changes,
+            entries,
+        }
+    };
+    h.feed(change(&to, EndpointState::Removed));
+    assert_eq!(h.balancer.known(), 3);
+    let out = h.outcome(
+        id,
+        &to,
+        0,
+        AttemptOutcome::ConnectionReset,
+        ReplicationStatus::default(),
+    );
+    let other = sent(&out).expect("goes on").to_string();
+    h.outcome(id, &other, 1, AttemptOutcome::Served, replica(h.now));
+    for n in 0..200 {
+        h.wait(100 * MS);
+        h.feed(change(&format!("n{n}"), EndpointState::Serving));
+        h.serve(SESSION, h.now);
+        h.feed(change(&format!("n{n}"), EndpointState::Removed));
+    }
+    h.wait(10_001 * MS);
+    h.feed(Event::List {
+        kind: ListKind::Changes,
+        entries: Vec::new(),
+    });
+    assert_eq!(h.balancer.known(), 2);
+    assert!((0..4).all(|_| ["a", &other].contains(&&*h.serve(SESSION, h.now))));
+}
--- /dev/null
+++ b/crates/routing/tests/failures/main.rs
@@ -0,0 +1,13 @@
+//! Regression tests of the balancer alone, one for each failure found, by the module that decides.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod admission;
+mod endpoint_list;
+mod outlier_detection;
+mod primary_tracking;
+mod replica_selection;
+mod retry;
+mod session_consistency;
+mod slow_start;
--- /dev/null
+++ b/crates/routing/tests/failures/retry.rs
@@ -0,0 +1,96 @@
+//! Retries, idempotency and deduplication windows.
+
+use crate::common::*;
+use reelrill_routing::*;
+
+#[test]
+fn possibly_executed_non_idempotent_write_fails_without_retry() {
+    let mut h = Host::new(settings());
+    h.warm_up();
+    let (id, out) = h.request(WRITE);
+    assert_eq!(sent(&out), Some("a"));
+    let out = h.outcome(
+        id,
+        "a",
+        0,
+        AttemptOutcome::ConnectionReset,
+        ReplicationStatus::default(),
+    );
+    assert!(failed(&out) && sent(&out).is_none());
+}
+
+#[test]
+fn write_with_idempotency_key_is_retried_within_its_replica_set_and_window() {
+    let mut h = Host::new(settings());
+    h.warm_up();
+    let (id, out) = h.request(KEYED);
+    assert_eq!(sent(&out), Some("a"));
+    let out = h.outcome(id, "a", 0, AttemptOutcome::Error, primary(h.now));
+    assert_eq!(
+        sent(&out),
+        Some("a"),
+        "the primary is the only one to take it"
+    );
+}
+
+#[test]
+fn misrouted_write_is_sent_to_another_endpoint() {
+    let mut set = settings();
+    set.list_role = ListRole::Silent;
+    set.reports = ReportSource::Answers;
+    let mut h = Host::new(set);
+    let (id, out) = h.request(WRITE);
+    let first = sent(&out).unwrap().to_string();
+    let out = h.outcome(id, &first, 0, AttemptOutcome::Misrouted, replica(h.now));
+    assert!(sent(&out).is_some_and(|m| m != first));
+}
+
+#[test]
+fn write_with_idempotency_key_is_not_retried_after_its_deduplication_window() {
+    let mut set = settings();
+    set.classes[KEYED as usize].deduplication_window = 100 * MS;
+    let mut h = Host::new(set);
+    h.warm_up();
+    let (id, out) = h.request(KEYED);
+    assert_eq!(sent(&out), Some("a"));
+    h.wait(150 * MS);
+    let mut out = h.outcome(id, "a", 0, AttemptOutcome::Error, primary(h.now));
+    out.extend(h.wait(2000 * MS));
+    assert!(failed(&out) && sent(&out).is_none(), "{out:?}");
+}
+
+/// Guards the window for what waits at the host: a further copy says by when it has to be written, counted from when the
+/// first may have run, whatever was sent between; the first copy, and classes that are safe, have no such end.
+#[test]
+fn retry_states_the_time_by_which_it_must_be_written() {
+    let by = |out: &[Action]| {
+        out.iter().find_map(|a| match a {
+            Action::Send { by, .. } => Some(*by),
+            _ => None,
+        })
+    };
+    for (class, is_bound, copies) in [(KEYED, true, 2), (SESSION, false, 1)] {
+        let mut h = Host::new(settings());
+        // Requests enough for a reserve of further attempts.
+        (0..4).for_each(|_| h.warm_up());
+        let first = h.now;
+        let (id, mut out) = h.request(class);
+        assert_eq!(by(&out), Some(None));
+        for n in 0..copies {
+            let to = sent(&out).unwrap().to_string();
+            h.wait(100 * MS);
+            let replication = if to == "a" {
+                primary(h.now)
+            } else {
+                replica(h.now)
+            };
+            out = h.outcome(id, &to, n, AttemptOutcome::ConnectionReset, replication);
+            out.extend(h.wait(300 * MS));
+            assert_eq!(
+                by(&out),
+                Some(is_bound.then_some(first + 3000 * MS)),
+                "{class} {n}"
+            );
+        }
+    }
+}
