--- a/crates/routing/tests/failures/admission.rs
+++ b/crates/routing/tests/failures/admission.rs
@@ -124,7 +124,7 @@
     }
     assert!(
         seen.iter().all(|m| m == "b") && !seen.is_empty(),
-        "it has started again, and is cold: {seen:?}"
+        "it has started again, and is in slow start: {seen:?}"
     );
     h.wait(600 * MS);
     let again = (0..12)
@@ -132,7 +132,7 @@
         .any(|m| m != "b");
     assert!(
         again,
-        "the last one to go rests for one and a half longest aims at most"
+        "the last one is ejected for one and a half longest objectives at most"
     );
 }
 
--- a/crates/routing/tests/failures/endpoint_list.rs
+++ b/crates/routing/tests/failures/endpoint_list.rs
@@ -26,13 +26,13 @@
     }
 }
 
-/// A process may be held up for 0.15 s between its clock and its write: the grace has to cover that, too.
+/// A process may be delayed for 0.15 s between its clock and its write: the grace has to cover that, too.
 #[test]
 fn writes_to_a_draining_primary_stop_before_a_delayed_write_could_pass_the_grace() {
     for (grace, stop) in [(1000, 500), (250, 100), (200, 50), (150, 0), (20, 0)] {
         let mut set = settings();
         set.rules.drain_grace = grace * MS;
-        // Where answers tell positions, writes go to the primary at once.
+        // Where responses carry positions, writes go to the primary at once.
         set.reports = ReportSource::Answers;
         let mut h = Host::new(set);
         h.warm_up();
--- a/crates/routing/tests/failures/outlier_detection.rs
+++ b/crates/routing/tests/failures/outlier_detection.rs
@@ -96,10 +96,13 @@
             h.wait(5 * MS);
         }
     }
-    assert!(to_bad < 6, "{to_bad} of 40 reads went to the erring member");
+    assert!(
+        to_bad < 6,
+        "{to_bad} of 40 reads went to the endpoint with errors"
+    );
 }
 
-/// Guards an endpoint's health against answers that are spoilt on their way: one says nothing of it, only three
+/// Guards an endpoint's health against responses that are damaged in transit: one says nothing of it, only three
 /// without a good one between them do. A request that may be repeated goes on to another endpoint.
 #[test]
 fn malformed_responses_eject_an_endpoint_only_when_several_come_in_a_row() {
@@ -134,8 +137,8 @@
     assert_eq!(share(&mut h), 0);
 }
 
-/// Guards a warm endpoint against being taken for one that has restarted: one broken connection, and a log as far
-/// behind as ever, are no sign of a cold start, which would cost it most of its reads for many seconds.
+/// Guards an endpoint against being taken for one that has restarted: one broken connection, and a log as far
+/// behind as ever, are no sign of a restart, which would cost it most of its reads for many seconds.
 #[test]
 fn connection_reset_does_not_put_an_endpoint_in_slow_start() {
     let mut h = Host::new(settings());
@@ -158,8 +161,8 @@
     assert_eq!(got.iter().filter(|m| **m == to).count(), 12, "{got:?}");
 }
 
-/// Guards an endpoint against resting for one connection that broke: its requests would be held or refused though
-/// its other connections answer. Three in a row, as of a process that died, do rest it.
+/// Guards an endpoint against ejection for one connection reset: its requests would be queued or rejected though
+/// its other connections answer. Three in a row, as of a process that died, do eject it.
 #[test]
 fn single_connection_reset_does_not_eject_its_endpoint() {
     let mut h = Host::new(settings());
--- a/crates/routing/tests/failures/primary_tracking.rs
+++ b/crates/routing/tests/failures/primary_tracking.rs
@@ -20,7 +20,7 @@
         !refused(&out) && !failed(&out),
         "it never ran and has time left"
     );
-    // A read shows who leads now.
+    // A read shows which endpoint is the primary now.
     let (read, out) = h.request(SESSION);
     let to = sent(&out).unwrap().to_string();
     let mut moved = h.outcome(read, &to, 0, AttemptOutcome::Served, primary(h.now));
--- a/crates/routing/tests/failures/replica_selection.rs
+++ b/crates/routing/tests/failures/replica_selection.rs
@@ -74,7 +74,7 @@
     for _ in 0..4 {
         assert_ne!(h.serve(SESSION, h.now), "b", "left out");
     }
-    // Its requests time out; what is held against it fades, and it is tried again.
+    // Its requests time out; the evidence against it decays, and it is tried again.
     h.wait(1600 * MS);
     for request in waiting {
         let (replication, report) = (ReplicationStatus::default(), ReplicationStatus::default());
@@ -91,7 +91,11 @@
         };
         h.feed(Event::AttemptEnded(o));
     }
-    assert_ne!(h.serve(SESSION, h.now), "b", "a time-out is no good news");
+    assert_ne!(
+        h.serve(SESSION, h.now),
+        "b",
+        "a timeout is no sign of recovery"
+    );
     let back = (0..300).find(|_| {
         h.wait(100 * MS);
         h.serve(SESSION, h.now) == "b"
--- a/crates/routing/tests/failures/session_consistency.rs
+++ b/crates/routing/tests/failures/session_consistency.rs
@@ -68,7 +68,7 @@
     for (waited, binds) in [(10, false), (101, true)] {
         let mut h = Host::new(settings());
         h.warm_up();
-        // The primary is known not to be crowded.
+        // The primary is known not to be overloaded.
         (0..12).for_each(|_| drop(h.serve(WRITE, h.now)));
         let before = h.now;
         let (_, out) = h.request(WRITE);
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of 20 to 300 routers that share nothing: what they send to cold endpoints together, and how soon each has news
+//! Fleets of 20 to 300 routers that share nothing: what they send to starting endpoints together, and how soon each has news
 //! again after its list's service was down.
 
 mod common;
@@ -6,7 +6,7 @@
 use reelrill_routing::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-const MEMBERS: [&str; 5] = ["a", "b", "c", "d", "e"];
+const ENDPOINTS: [&str; 5] = ["a", "b", "c", "d", "e"];
 /// Requests a second that a warm endpoint can do: with the larger the settings allow a cold one over 30 requests from the
 /// start, with the smaller fewer.
 const CAPACITIES: [f64; 2] = [60.0, 16.0];
@@ -21,7 +21,7 @@
     };
     Event::List {
         kind: ListKind::Full,
-        entries: MEMBERS.iter().map(one).collect(),
+        entries: ENDPOINTS.iter().map(one).collect(),
     }
 }
 
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -64,7 +64,7 @@
                     if let Some(t) = self.barred.get(&*endpoint) {
                         assert!(
                             self.h.now <= t + 1000 * MS,
-                            "rule 3: sent to a leaving member"
+                            "rule 3: sent to a draining endpoint"
                         );
                     }
                     if self.unchecked && o.class == BOUNDED && self.replicas.contains(&*endpoint) {
@@ -82,7 +82,7 @@
                     let unsure = o.class == WRITE || o.class == KEYED;
                     assert!(
                         !unsure || o.may_have_run == 0,
-                        "rule 2: refused though it may have run"
+                        "rule 2: rejected though possibly executed"
                     );
                     o.over = true;
                 }
@@ -196,7 +196,7 @@
                 c.check(out);
             }
             9 => {
-                // Things that are no longer held, and unknown ones.
+                // Things that are no longer known, and unknown ones.
                 let endpoint: EndpointId = Arc::from(["a", "zz"][rng.below(2) as usize]);
                 let mut out = c.h.outcome(
                     1 << 40,
@@ -274,8 +274,11 @@
         refused(&odd(1, 77, 1, MS)),
         "a class that is not in the settings"
     );
-    assert!(refused(&odd(2, 0, 55, 500 * MS)), "a group without members");
-    assert!(refused(&odd(3, 0, 1, 0)), "no time to live");
+    assert!(
+        refused(&odd(2, 0, 55, 500 * MS)),
+        "a replica set without endpoints"
+    );
+    assert!(refused(&odd(3, 0, 1, 0)), "no time left");
     odd(4, 1, 1, Nanos::MAX);
     h.feed(Event::List {
         kind: ListKind::Full,
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Many routers with few requests each: what they do together, driven as brains that share nothing.
+//! Many routers with few requests each: what they do together, driven as balancers that share nothing.
 
 mod common;
 use common::*;
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const PROXIES: u64 = 150;
+const ROUTERS: u64 = 150;
 
 fn fleet(set: &Settings) -> Vec<Host> {
-    (0..PROXIES)
+    (0..ROUTERS)
         .map(|seed| Host::seeded(set.clone(), seed * 7919 + 1))
         .collect()
 }
@@ -45,7 +45,7 @@
         *first.entry(one(h, SESSION).unwrap()).or_insert(0) += 1;
     }
     assert!(
-        first.values().all(|n| *n > PROXIES / 4),
+        first.values().all(|n| *n > ROUTERS / 4),
         "after a restart: {first:?}"
     );
     let mut to_new = 0;
@@ -54,8 +54,8 @@
         to_new += u64::from(one(h, SESSION).unwrap() == "d");
     }
     assert!(
-        to_new < PROXIES / 2,
-        "{to_new} of {PROXIES} turn to the new member at once"
+        to_new < ROUTERS / 2,
+        "{to_new} of {ROUTERS} select the new endpoint at once"
     );
 }
 
@@ -334,7 +334,7 @@
         };
         (id, h.feed(Event::Request(req)))
     };
-    assert!(refused(&out), "group 9 has no members: {out:?}");
+    assert!(refused(&out), "replica set 9 has no endpoints: {out:?}");
     h.feed(Event::List {
         kind: ListKind::Changes,
         entries: Vec::new(),
@@ -385,7 +385,7 @@
         }
     }
     assert!(sends <= 2 * writes, "{sends} sends of {writes} writes");
-    assert!(sends > writes / 2, "held back for nothing");
+    assert!(sends > writes / 2, "queued without need");
 }
 
 /// A hundred routers on a list's service that serves one call in 25 ms, as a slow one does, and ends one that has
@@ -457,8 +457,8 @@
     }
 }
 
-/// With little traffic the next write may be seconds away: a read that must be current looks for the primary itself,
-/// but only where endpoints turn away what they are behind for.
+/// With little traffic the next write may be seconds away: a read that must be current takes part in primary discovery,
+/// but only where endpoints reject what they are behind for.
 #[test]
 fn strong_read_takes_part_in_primary_discovery_where_endpoints_reject_stale_reads() {
     for stale_reads in [StaleReadPolicy::Reject, StaleReadPolicy::Serve] {
