--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -1,4 +1,5 @@
-//! Output of the balancer: what the router has to carry out, in order, as plain data without policy.
+//! Output of the balancer: what the router has to carry out, in order, as plain data without
+//! policy.
 
 use crate::units::{EndpointId, Nanos, RequestId, Timestamp};
 
@@ -17,7 +18,8 @@
     NoEligibleEndpoint,
     /// Overload: the selected endpoint would probably respond too late.
     LoadShed,
-    /// Possibly executed, and its class or its key's deduplication window does not allow another attempt.
+    /// Possibly executed, and its class or its key's deduplication window does not allow another
+    /// attempt.
     NotRetryable,
     /// An attempt had no response until its time was over.
     AttemptTimedOut,
@@ -38,8 +40,8 @@
         endpoint: EndpointId,
         /// Time limit of the attempt, nanoseconds; none: the request's deadline.
         limit: Option<Nanos>,
-        /// It must not be written later than this: the deduplication window of an earlier, possibly executed
-        /// attempt is then over. An attempt that can't be written by then ends as
+        /// It must not be written later than this: the deduplication window of an earlier, possibly
+        /// executed attempt is then over. An attempt that can't be written by then ends as
         /// [`AttemptOutcome::NotSent`](crate::AttemptOutcome::NotSent).
         by: Option<Timestamp>,
     },
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,9 +1,10 @@
 //! Admission control: tenants' quotas and load shedding.
 //!
-//! A request that would probably miss its latency objective is rejected at once, while the client still has
-//! time to retry. The probability of rejection grows linearly with the latency expected at the selected
-//! endpoint; requests over their tenant's quota, and reads that would go to the primary, are rejected first. Owns the
-//! tenants' request rates; it must never reject an attempt after the first one.
+//! A request that would probably miss its latency objective is rejected at once, while the client
+//! still has time to retry. The probability of rejection grows linearly with the latency expected
+//! at the selected endpoint; requests over their tenant's quota, and reads that would go to the
+//! primary, are rejected first. Owns the tenants' request rates; it must never reject an attempt
+//! after the first one.
 
 use crate::balancer::Balancer;
 use crate::decaying_average::DecayingAverage;
@@ -28,8 +29,8 @@
 /// Nanoseconds per second.
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// Probability of rejecting a request whose expected latency is `expected_latency` latency objectives; below 0 means
-/// never, above 1 always.
+/// Probability of rejecting a request whose expected latency is `expected_latency` latency
+/// objectives; below 0 means never, above 1 always.
 fn shed_probability(expected_latency: f64) -> f64 {
     (expected_latency - SHED_START) / (SHED_ALL - SHED_START)
 }
@@ -51,8 +52,9 @@
         }
     }
 
-    /// Counts the request and says whether it is over its tenant's quota, as far as this router's part of the
-    /// tenant's requests shows. Requests over the quota are chosen at random, in proportion to the excess.
+    /// Counts the request and says whether it is over its tenant's quota, as far as this router's
+    /// part of the tenant's requests shows. Requests over the quota are chosen at random, in
+    /// proportion to the excess.
     pub(crate) fn is_over_quota(
         &mut self,
         now: Timestamp,
@@ -74,8 +76,8 @@
 }
 
 impl Balancer {
-    /// Whether load shedding rejects the request's first attempt at the endpoint. A recovery probe is never shed.
-    /// This could mislead where one endpoint's queue is taken for the replica set's.
+    /// Whether load shedding rejects the request's first attempt at the endpoint. A recovery probe
+    /// is never shed. This could mislead where one endpoint's queue is taken for the replica set's.
     pub(crate) fn is_shed(
         &mut self,
         now: Timestamp,
@@ -112,7 +114,8 @@
         penalty * uncertainty * load * cost.min_objective / pending.latency_objective as f64
     }
 
-    /// Whether any endpoint of the replica set may accept the request within the first half of its time.
+    /// Whether any endpoint of the replica set may accept the request within the first half of its
+    /// time.
     pub(crate) fn may_become_available(&self, now: Timestamp, pending: &PendingRequest) -> bool {
         let half_time = pending
             .deadline
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -1,10 +1,11 @@
-//! The balancer: takes events, composes the decisions of the other modules, and answers with actions.
+//! The balancer: takes events, composes the decisions of the other modules, and answers with
+//! actions.
 //!
-//! The ordinary path follows the query cost calibrator: an endpoint's calibrated cost is its running average of observed
-//! over estimated latency, a read rotates over the eligible replicas within 20% of the cheapest, and a failed endpoint
-//! has infinite cost. A request is dispatched to an endpoint, queued until one is available, or gets its final response
-//! at once. Owns the pending requests, the timer, and one value of each module's state; it must never read a clock or do
-//! I/O.
+//! The ordinary path follows the query cost calibrator: an endpoint's calibrated cost is its
+//! running average of observed over estimated latency, a read rotates over the eligible replicas
+//! within 20% of the cheapest, and a failed endpoint has infinite cost. A request is dispatched to
+//! an endpoint, queued until one is available, or gets its final response at once. Owns the pending
+//! requests, the timer, and one value of each module's state; it must never read a clock or do I/O.
 
 use crate::action::{Action, RejectReason};
 use crate::admission::QuotaTracker;
@@ -30,9 +31,10 @@
 
 /// One router's decisions.
 ///
-/// Invariants: each pending request gets exactly one final response, unless its client leaves or the router reports it
-/// complete; `replica_sets_with_queue` holds exactly the replica sets whose queue is not empty; a timer is set while
-/// any request is pending or a call to the discovery service is planned.
+/// Invariants: each pending request gets exactly one final response, unless its client leaves or
+/// the router reports it complete; `replica_sets_with_queue` holds exactly the replica sets whose
+/// queue is not empty; a timer is set while any request is pending or a call to the discovery
+/// service is planned.
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: SplitMix64,
@@ -104,7 +106,8 @@
                 self.retry_all_queued(now, out);
             }
             Event::Timer { .. } => {}
-            // A health check can't see a full connection table, a cut link or a hang: it ends no ejection.
+            // A health check can't see a full connection table, a cut link or a hang: it ends no
+            // ejection.
             Event::ProbeEnded {
                 endpoint, report, ..
             } => {
@@ -239,8 +242,8 @@
         self.retry_queued(now, replica_set, out);
     }
 
-    /// A write that was possibly executed binds its session, too; all that is known of its commit is that it was before
-    /// now.
+    /// A write that was possibly executed binds its session, too; all that is known of its commit
+    /// is that it was before now.
     fn record_session_write(&mut self, now: Timestamp, attempt: Attempt, ended: &AttemptEnded) {
         if !attempt.is_write || ended.outcome.is_never_executed() {
             return;
@@ -278,7 +281,8 @@
         }
     }
 
-    /// The final response, at once: a rejection where the client may repeat the request, else a failure.
+    /// The final response, at once: a rejection where the client may repeat the request, else a
+    /// failure.
     pub(crate) fn reject_or_fail(
         &mut self,
         pending: PendingRequest,
@@ -319,7 +323,8 @@
         }
     }
 
-    /// The request has its final response or needs none: takes it out of the queue and cancels its attempts in flight.
+    /// The request has its final response or needs none: takes it out of the queue and cancels its
+    /// attempts in flight.
     fn complete_request(&mut self, pending: PendingRequest, out: &mut Vec<Action>) {
         let id = pending.request.id;
         if pending.is_queued {
@@ -350,7 +355,8 @@
     }
 }
 
-/// The request's latency objective, nanoseconds: its class's, extended by its expected execution time.
+/// The request's latency objective, nanoseconds: its class's, extended by its expected execution
+/// time.
 fn latency_objective(class: &Class, request: &Request) -> Nanos {
     let work = request.work.unwrap_or(0) as f64;
     let extension = (work * class.objective_stretch) as Nanos;
--- a/crates/routing/src/decaying_average.rs
+++ b/crates/routing/src/decaying_average.rs
@@ -1,12 +1,15 @@
-//! Exponentially decaying average: recent samples weigh more, and all fade with the time constant `tau`.
+//! Exponentially decaying average: recent samples weigh more, and all fade with the time constant
+//! `tau`.
 //!
-//! Sum and number are kept apart, so that a caller can add a prior or pool several averages before it divides.
+//! Sum and number are kept apart, so that a caller can add a prior or pool several averages before
+//! it divides.
 
 use crate::units::Timestamp;
 
 /// Sum and number of samples, decaying exponentially with time.
 ///
-/// Invariant: sum and number are as of `updated_at`, which never goes back while the host's clock does not.
+/// Invariant: sum and number are as of `updated_at`, which never goes back while the host's clock
+/// does not.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DecayingAverage {
     sum: f64,
@@ -15,8 +18,8 @@
 }
 
 impl DecayingAverage {
-    /// Sum and number of samples at `now`, each decayed by a factor of e per `tau` nanoseconds since the latest
-    /// sample.
+    /// Sum and number of samples at `now`, each decayed by a factor of e per `tau` nanoseconds
+    /// since the latest sample.
     pub fn totals(&self, now: Timestamp, tau: f64) -> (f64, f64) {
         let decay = (-(now.saturating_sub(self.updated_at) as f64) / tau).exp();
         (self.sum * decay, self.count * decay)
--- a/crates/routing/src/discovery_backoff.rs
+++ b/crates/routing/src/discovery_backoff.rs
@@ -1,19 +1,19 @@
 //! Subscription to the endpoint list: when to ask for it, with randomised exponential backoff.
 //!
-//! A subscription breaks for all routers at the same moment, and the discovery service answers one call at a time.
-//! Each router therefore renews it at a random point within a span that grows with the number of routers and with
-//! consecutive failures, up to a fixed limit. Owns the time of the next call and the count of failures; it must never
-//! change the endpoint list itself.
+//! A subscription breaks for all routers at the same moment, and the discovery service answers one
+//! call at a time. Each router therefore renews it at a random point within a span that grows with
+//! the number of routers and with consecutive failures, up to a fixed limit. Owns the time of the
+//! next call and the count of failures; it must never change the endpoint list itself.
 
 use crate::random::SplitMix64;
 use crate::settings::Settings;
 use crate::units::{Nanos, Timestamp};
 
-/// Share of the discovery service's time that one call may take, nanoseconds. In a queue that outlasts the calls'
-/// time limits none is served.
+/// Share of the discovery service's time that one call may take, nanoseconds. In a queue that
+/// outlasts the calls' time limits none is served.
 const CALL_SLOT: Nanos = 30_000_000;
-/// Longest span of the backoff, nanoseconds, at any number of routers: a change counts as notified 6 s after the
-/// service had it and could be reached, and one more failure has to fit in.
+/// Longest span of the backoff, nanoseconds, at any number of routers: a change counts as notified
+/// 6 s after the service had it and could be reached, and one more failure has to fit in.
 const MAX_BACKOFF: Nanos = 2_000_000_000;
 /// Highest exponent of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -1,9 +1,11 @@
-//! Dispatch: what happens to a request now. It is sent to an endpoint, queued until one is available, or rejected.
+//! Dispatch: what happens to a request now. It is sent to an endpoint, queued until one is
+//! available, or rejected.
 //!
-//! The order of the checks is: enough time and attempts left, a position refresh, the endpoint that the selection
-//! modules choose, load shedding, idempotency. Queued requests are dispatched again in order of arrival, on each timer
-//! tick and after each attempt of their replica set. Owns the queues of the replica sets; it must never send an
-//! attempt that these checks have not let through.
+//! The order of the checks is: enough time and attempts left, a position refresh, the endpoint that
+//! the selection modules choose, load shedding, idempotency. Queued requests are dispatched again
+//! in order of arrival, on each timer tick and after each attempt of their replica set. Owns the
+//! queues of the replica sets; it must never send an attempt that these checks have not let
+//! through.
 
 use crate::action::{Action, RejectReason};
 use crate::balancer::Balancer;
@@ -12,7 +14,8 @@
 use crate::settings::Operation;
 use crate::units::{Nanos, RequestId, Timestamp};
 
-/// Most of its latency objective that a response is assumed to take, when a request is checked for enough time.
+/// Most of its latency objective that a response is assumed to take, when a request is checked for
+/// enough time.
 const MAX_EXPECTED_FACTOR: f64 = 0.5;
 
 impl Balancer {
@@ -70,8 +73,8 @@
         (!has_attempts).then_some(RejectReason::AttemptLimitReached)
     }
 
-    /// Without an endpoint now: queues the request, unless none is expected before half of its time is over: the client
-    /// then still has time to react.
+    /// Without an endpoint now: queues the request, unless none is expected before half of its time
+    /// is over: the client then still has time to react.
     fn queue_or_reject(
         &mut self,
         now: Timestamp,
@@ -101,7 +104,8 @@
     ) {
         let id = pending.request.id;
         let is_write = self.class(&pending).operation == Operation::Write;
-        // The attempt may have to wait for a connection: the window has to be open when it is written, too.
+        // The attempt may have to wait for a connection: the window has to be open when it is
+        // written, too.
         let write_before = self.deduplication_deadline(&pending);
         let endpoint = &mut self.endpoints[index];
         endpoint.in_flight.push(Attempt {
--- a/crates/routing/src/endpoint_list.rs
+++ b/crates/routing/src/endpoint_list.rs
@@ -1,11 +1,13 @@
-//! The endpoints that the balancer knows, as the endpoint list names them, grouped into replica sets.
+//! The endpoints that the balancer knows, as the endpoint list names them, grouped into replica
+//! sets.
 //!
-//! Endpoints are kept in slots that are reused, and other modules refer to them by slot. An endpoint that leaves the
-//! list is kept for a while, in case the list leaves it out for a moment only, and then forgotten: otherwise a long
-//! day of replacements would fill memory, and evidence would be averaged as if the removed endpoints shared the
-//! traffic. The cost of forgetting follows the number of removed endpoints, not the size of the fleet.
-//! Owns which endpoints exist, their replica sets, and what the list says of them; it must never judge their health or
-//! choose among them.
+//! Endpoints are kept in slots that are reused, and other modules refer to them by slot. An
+//! endpoint that leaves the list is kept for a while, in case the list leaves it out for a moment
+//! only, and then forgotten: otherwise a long day of replacements would fill memory, and evidence
+//! would be averaged as if the removed endpoints shared the traffic. The cost of forgetting follows
+//! the number of removed endpoints, not the size of the fleet. Owns which endpoints exist, their
+//! replica sets, and what the list says of them; it must never judge their health or choose among
+//! them.
 
 use crate::event::{EndpointEntry, EndpointState, ListKind, Role};
 use crate::latency_cost::LatencySamples;
@@ -83,8 +85,9 @@
 
 /// All known endpoints.
 ///
-/// Invariants: `by_id` and the replica sets hold exactly the slots that are not in `free_slots`; `unlisted` holds
-/// exactly the known endpoints that are not listed, by the time when each left the list.
+/// Invariants: `by_id` and the replica sets hold exactly the slots that are not in `free_slots`;
+/// `unlisted` holds exactly the known endpoints that are not listed, by the time when each left the
+/// list.
 #[derive(Default)]
 pub(crate) struct EndpointList {
     endpoints: Vec<Endpoint>,
@@ -126,7 +129,8 @@
         }
     }
 
-    /// Takes over a list or changes of it. `initial_rotation_position` places each new endpoint in the rotation.
+    /// Takes over a list or changes of it. `initial_rotation_position` places each new endpoint in
+    /// the rotation.
     pub(crate) fn apply(
         &mut self,
         now: Timestamp,
@@ -237,7 +241,8 @@
         index
     }
 
-    /// The endpoints that left the list more than `retention` nanoseconds ago and have no attempt in flight.
+    /// The endpoints that left the list more than `retention` nanoseconds ago and have no attempt
+    /// in flight.
     pub(crate) fn expired(&self, now: Timestamp, retention: Nanos) -> Vec<EndpointIndex> {
         self.unlisted
             .iter()
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -78,7 +78,8 @@
     Replica,
 }
 
-/// What an endpoint reports about itself: with a response as of that response, in a report as of some time earlier.
+/// What an endpoint reports about itself: with a response as of that response, in a report as of
+/// some time earlier.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicationStatus {
     /// Its role.
--- a/crates/routing/src/latency_cost.rs
+++ b/crates/routing/src/latency_cost.rs
@@ -1,12 +1,13 @@
-//! Calibrated cost of endpoints: a running average of observed over estimated latency, as in the query cost
-//! calibrator, where the estimate is the request's latency objective.
+//! Calibrated cost of endpoints: a running average of observed over estimated latency, as in the
+//! query cost calibrator, where the estimate is the request's latency objective.
 //!
-//! Two estimates are kept. The calibrated cost averages over a long window and ranks replicas. The load estimate
-//! averages over a short window, in shortest latency objectives, and shows queueing. Attempts in flight count with
-//! their age, as censored observations do in the mean of a lifetime: the estimate rises with a hang, a cut link, a slow
-//! machine or a queue before any time-out. This could mislead where one class is far slower than its objective.
-//! Each average starts from a prior: the replica set's mean, or the mean of all endpoints of the same role.
-//! Owns the averages and the router's request rate; it must never eject or select an endpoint.
+//! Two estimates are kept. The calibrated cost averages over a long window and ranks replicas. The
+//! load estimate averages over a short window, in shortest latency objectives, and shows queueing.
+//! Attempts in flight count with their age, as censored observations do in the mean of a lifetime:
+//! the estimate rises with a hang, a cut link, a slow machine or a queue before any time-out. This
+//! could mislead where one class is far slower than its objective. Each average starts from a
+//! prior: the replica set's mean, or the mean of all endpoints of the same role. Owns the averages
+//! and the router's request rate; it must never eject or select an endpoint.
 
 use crate::decaying_average::DecayingAverage;
 use crate::endpoint_list::{Attempt, EndpointIndex, EndpointList};
@@ -22,8 +23,8 @@
 const ROLE_LOAD_MIN_SAMPLES: f64 = 8.0;
 /// Window of the request rate, in longest latency objectives.
 const REQUEST_RATE_WINDOW: f64 = 8.0;
-/// Weight, in samples, of the replica set's mean in each endpoint's average: an endpoint without recent samples drifts
-/// back to it.
+/// Weight, in samples, of the replica set's mean in each endpoint's average: an endpoint without
+/// recent samples drifts back to it.
 pub(crate) const PRIOR_WEIGHT: f64 = 1.0;
 /// Samples, each at the latency objective, with which a replica set's mean starts.
 const REPLICA_SET_PRIOR_WEIGHT: f64 = 0.2;
@@ -95,8 +96,8 @@
         window / requests.max(1.0)
     }
 
-    /// Time constant of an endpoint's calibrated cost, nanoseconds: never so short that a router with few requests
-    /// would have no evidence.
+    /// Time constant of an endpoint's calibrated cost, nanoseconds: never so short that a router
+    /// with few requests would have no evidence.
     fn cost_window(&self, list: &EndpointList, now: Timestamp) -> f64 {
         let sample_interval = self.request_interval(now) * list.len() as f64;
         (COST_WINDOW * self.max_objective).max(COST_MIN_SAMPLES * sample_interval)
@@ -154,8 +155,9 @@
     /// Latency of an endpoint over a short window, in shortest latency objectives.
     pub(crate) fn load(&self, list: &EndpointList, now: Timestamp, index: EndpointIndex) -> f64 {
         let endpoint = &list[index];
-        // An attempt that was overtaken by one sent a shortest objective later is not in a queue: it runs for long,
-        // or its response is lost. Over a shorter time, endpoints with several cores overtake by chance.
+        // An attempt that was overtaken by one sent a shortest objective later is not in a queue:
+        // it runs for long, or its response is lost. Over a shorter time, endpoints with several
+        // cores overtake by chance.
         let overtaken_before = endpoint.latency.latest_served_send;
         let margin = self.min_objective as Nanos;
         let in_flight_age: f64 = endpoint
@@ -181,8 +183,8 @@
         list[index].latency.load.totals(now, window).1
     }
 
-    /// The mean load of endpoints of the same role: of all replica sets together, and of the other endpoints of its
-    /// own, as far as these have recent samples.
+    /// The mean load of endpoints of the same role: of all replica sets together, and of the other
+    /// endpoints of its own, as far as these have recent samples.
     fn role_prior(&self, list: &EndpointList, now: Timestamp, index: EndpointIndex) -> Prior {
         let is_primary = list.is_confirmed_primary(index);
         let role_load = if is_primary {
@@ -237,8 +239,8 @@
         list[index].latency.load.add(now, window, sample);
     }
 
-    /// Adds a served attempt to the load estimates of the endpoint and of its role. Only served attempts count for the
-    /// role, so that one faulty endpoint is not taken for all.
+    /// Adds a served attempt to the load estimates of the endpoint and of its role. Only served
+    /// attempts count for the role, so that one faulty endpoint is not taken for all.
     pub(crate) fn record_served_load(
         &mut self,
         list: &mut EndpointList,
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -1,20 +1,22 @@
-//! Outlier detection and recovery: which endpoints are ejected after failures, and when they may return.
+//! Outlier detection and recovery: which endpoints are ejected after failures, and when they may
+//! return.
 //!
-//! An endpoint that returns an error is ejected (its cost is infinite) until a response, if need be to a recovery
-//! probe, shows that it has recovered. An endpoint that is at capacity or out of reach is ejected for a time that grows
-//! exponentially with consecutive failures; the time out of reach is randomised, so that many routers do not return
-//! in step. Owns each endpoint's health; it must never choose where a request goes.
+//! An endpoint that returns an error is ejected (its cost is infinite) until a response, if need be
+//! to a recovery probe, shows that it has recovered. An endpoint that is at capacity or out of
+//! reach is ejected for a time that grows exponentially with consecutive failures; the time out of
+//! reach is randomised, so that many routers do not return in step. Owns each endpoint's health; it
+//! must never choose where a request goes.
 
 use crate::balancer::Balancer;
 use crate::endpoint_list::{Attempt, EndpointIndex};
 use crate::event::{AttemptEnded, AttemptOutcome, Role};
 use crate::units::{Nanos, Timestamp};
 
-/// Malformed responses, or broken connections, in a row that are taken for a fault of the endpoint: fewer may come from
-/// the network.
+/// Malformed responses, or broken connections, in a row that are taken for a fault of the endpoint:
+/// fewer may come from the network.
 const FAULT_THRESHOLD: u32 = 3;
-/// Least latency, in latency objectives, that an error or a rejection at capacity counts as: quick failures must not
-/// make an endpoint cheap.
+/// Least latency, in latency objectives, that an error or a rejection at capacity counts as: quick
+/// failures must not make an endpoint cheap.
 const FAILURE_LATENCY: f64 = 2.0;
 /// Longest time until an ejected endpoint gets another request, nanoseconds (from the design).
 const MAX_EJECTION: Nanos = 5_000_000_000;
@@ -27,8 +29,8 @@
 
 /// Health of one endpoint as its attempts show it.
 ///
-/// Invariant: a response sets all failure counters to 0 and ends the ejection for errors; an error counts as a response
-/// and then ejects the endpoint again.
+/// Invariant: a response sets all failure counters to 0 and ends the ejection for errors; an error
+/// counts as a response and then ejects the endpoint again.
 #[derive(Default)]
 pub(crate) struct EndpointHealth {
     /// Latest sign of life.
@@ -63,7 +65,8 @@
         self.probe_at <= now
     }
 
-    /// A recovery probe is sent: plans the next one, with exponential backoff from the longest latency objective.
+    /// A recovery probe is sent: plans the next one, with exponential backoff from the longest
+    /// latency objective.
     pub(crate) fn record_probe(&mut self, now: Timestamp, max_objective: f64) {
         self.recovery_probes += 1;
         let doublings = self.recovery_probes.min(MAX_PROBE_DOUBLINGS);
@@ -96,7 +99,8 @@
         self.ejected_until = now + (tick << overloads) / 2;
     }
 
-    /// Returns the number of consecutive connect failures, up to the highest exponent of the backoff.
+    /// Returns the number of consecutive connect failures, up to the highest exponent of the
+    /// backoff.
     fn record_connect_failure(&mut self, now: Timestamp) -> u32 {
         if self.consecutive_connect_failures == 0 {
             self.unreachable_since = now;
@@ -164,8 +168,9 @@
         self.record_response(now, index);
     }
 
-    /// At capacity or draining: no sample of its cost, but a short ejection that grows as this repeats, and a sample
-    /// of its load: with all queues full nothing is served in time, and no latency would show it.
+    /// At capacity or draining: no sample of its cost, but a short ejection that grows as this
+    /// repeats, and a sample of its load: with all queues full nothing is served in time, and no
+    /// latency would show it.
     fn record_overload(&mut self, now: Timestamp, index: EndpointIndex, attempt: &Attempt) {
         let list = &mut self.endpoints;
         list[index].health.record_overload(now, self.tick);
@@ -216,7 +221,8 @@
         }
     }
 
-    /// The response may only be lost: no sample of its load, unless the endpoint says that it is at capacity.
+    /// The response may only be lost: no sample of its load, unless the endpoint says that it is at
+    /// capacity.
     fn record_no_response(
         &mut self,
         now: Timestamp,
@@ -232,9 +238,10 @@
         }
     }
 
-    /// A dead process, a cut link and a full connection table look alike, and a health check shows none of them: the
-    /// endpoint is ejected for a growing, randomised time. With the whole replica set out of reach a failed connect
-    /// costs little and a long ejection much, so the limit is lower there.
+    /// A dead process, a cut link and a full connection table look alike, and a health check shows
+    /// none of them: the endpoint is ejected for a growing, randomised time. With the whole replica
+    /// set out of reach a failed connect costs little and a long ejection much, so the limit is
+    /// lower there.
     fn record_unreachable(&mut self, now: Timestamp, index: EndpointIndex) {
         let jitter = 0.5 + self.rng.next_f64();
         let failures = self.endpoints[index].health.record_connect_failure(now);
@@ -258,9 +265,10 @@
     pub(crate) fn record_response(&mut self, now: Timestamp, index: EndpointIndex) {
         let max_objective = self.latency_cost.max_objective as Nanos;
         let endpoint = &mut self.endpoints[index];
-        // Reachable again: if its process had died, its position would have stood still. The list shows the restart
-        // seconds later, when all routers together would have overloaded it. A short time out of reach proves
-        // nothing: the usual lag is longer, and a wrong slow start costs capacity.
+        // Reachable again: if its process had died, its position would have stood still. The list
+        // shows the restart seconds later, when all routers together would have overloaded it. A
+        // short time out of reach proves nothing: the usual lag is longer, and a wrong slow start
+        // costs capacity.
         let unreachable_for = now.saturating_sub(endpoint.health.unreachable_since);
         let position = endpoint.applied_position.unwrap_or(0);
         let is_behind = position.saturating_add(unreachable_for / 2) < now;
--- a/crates/routing/src/pending_request.rs
+++ b/crates/routing/src/pending_request.rs
@@ -1,4 +1,5 @@
-//! A request that has no final response yet: its limits of time, its attempts, and what was decided for it at arrival.
+//! A request that has no final response yet: its limits of time, its attempts, and what was decided
+//! for it at arrival.
 //!
 //! Plain state of one request; it must never decide what happens to the request.
 
@@ -31,7 +32,8 @@
     /// Endpoints that the next attempt avoids.
     pub(crate) tried: Vec<EndpointIndex>,
     pub(crate) is_over_quota: bool,
-    /// One random number in `[0, 1)` for the request's whole life: an endpoint in slow start admits it or does not.
+    /// One random number in `[0, 1)` for the request's whole life: an endpoint in slow start admits
+    /// it or does not.
     pub(crate) admission_draw: f64,
     /// A streamed response has begun.
     pub(crate) is_streaming: bool,
--- a/crates/routing/src/primary_tracking.rs
+++ b/crates/routing/src/primary_tracking.rs
@@ -1,11 +1,13 @@
-//! Primary tracking: which endpoint of a replica set takes writes, and how to find it after a failover.
+//! Primary tracking: which endpoint of a replica set takes writes, and how to find it after a
+//! failover.
 //!
-//! The role that an endpoint reports itself takes precedence over the list's, which may be seconds late. While no primary is known or
-//! it is out of reach, requests that need it are queued, and one write at a time is sent to the endpoint most likely to
-//! have taken over: a replica rejects it without executing it and says what it is. Where only responses carry
-//! positions, a write now and then goes to a replica first in the same way, to refresh its position. Owns each replica
-//! set's primary and the state of the discovery; it must never send a read that has to be current to an endpoint that
-//! has said that it is a replica.
+//! The role that an endpoint reports itself takes precedence over the list's, which may be seconds
+//! late. While no primary is known or it is out of reach, requests that need it are queued, and one
+//! write at a time is sent to the endpoint most likely to have taken over: a replica rejects it
+//! without executing it and says what it is. Where only responses carry positions, a write now and
+//! then goes to a replica first in the same way, to refresh its position. Owns each replica set's
+//! primary and the state of the discovery; it must never send a read that has to be current to an
+//! endpoint that has said that it is a replica.
 
 use crate::balancer::Balancer;
 use crate::endpoint_list::{EndpointIndex, EndpointList};
@@ -56,7 +58,8 @@
         self.available_since = now;
     }
 
-    /// An attempt has failed: without a known primary the next discovery attempt may be sent at once.
+    /// An attempt has failed: without a known primary the next discovery attempt may be sent at
+    /// once.
     pub(crate) fn record_failed_attempt(&mut self, now: Timestamp) {
         if self.confirmed.is_none() {
             self.next_discovery_at = now;
@@ -80,7 +83,8 @@
 }
 
 impl Balancer {
-    /// Takes over what an endpoint says of itself, in a response (`is_current`) or in a report of some time earlier.
+    /// Takes over what an endpoint says of itself, in a response (`is_current`) or in a report of
+    /// some time earlier.
     pub(crate) fn observe_replication(
         &mut self,
         now: Timestamp,
@@ -112,9 +116,10 @@
         self.endpoints[index].role = Some(role);
     }
 
-    /// The primary as responses name it, else as the list does, unless that endpoint has said that it is a replica: the
-    /// list is late, and a read sent to it could be stale. A draining one takes writes until half of the grace has
-    /// passed, which leaves time for a connection, and never after the cutoff.
+    /// The primary as responses name it, else as the list does, unless that endpoint has said that
+    /// it is a replica: the list is late, and a read sent to it could be stale. A draining one
+    /// takes writes until half of the grace has passed, which leaves time for a connection, and
+    /// never after the cutoff.
     pub(crate) fn current_primary(
         &self,
         now: Timestamp,
@@ -144,7 +149,8 @@
         if self.endpoints[index].health.ejected_until > now {
             return None;
         }
-        // What many routers have queued must not arrive in the same instant: each request at a time of its own.
+        // What many routers have queued must not arrive in the same instant: each request at a time
+        // of its own.
         let state = &self.endpoints.replica_sets[&replica_set].primary;
         let delay = pending.admission_draw * self.latency_cost.max_objective / 2.0;
         if pending.is_queued && now < state.available_since + delay as Nanos {
@@ -167,8 +173,8 @@
         if primary.is_some() {
             return primary;
         }
-        // A read that must be current may take part in the discovery where endpoints reject reads that they are behind
-        // for: with little traffic the next write may be seconds away.
+        // A read that must be current may take part in the discovery where endpoints reject reads
+        // that they are behind for: with little traffic the next write may be seconds away.
         let is_rejected_by_replicas = self.settings.stale_reads == StaleReadPolicy::Reject
             || self.class(pending).operation == Operation::Write;
         let has_attempts =
@@ -191,8 +197,9 @@
         failures >= LOST_PRIMARY_FAILURES || is_wrongly_listed
     }
 
-    /// Primary discovery: one queued request at a time goes to the endpoint most likely to have taken over, the listed
-    /// one or else the one with most of the log. An endpoint that is a replica rejects it at no cost.
+    /// Primary discovery: one queued request at a time goes to the endpoint most likely to have
+    /// taken over, the listed one or else the one with most of the log. An endpoint that is a
+    /// replica rejects it at no cost.
     fn discover_primary(
         &mut self,
         now: Timestamp,
@@ -232,9 +239,9 @@
         candidate
     }
 
-    /// Position refresh: where only responses carry positions, replicas that get few reads fall out of the staleness
-    /// bound, and then get none: their reads would load the primary. A new write first goes to such a replica, which
-    /// rejects it without executing it and says its position.
+    /// Position refresh: where only responses carry positions, replicas that get few reads fall out
+    /// of the staleness bound, and then get none: their reads would load the primary. A new write
+    /// first goes to such a replica, which rejects it without executing it and says its position.
     pub(crate) fn select_position_refresh(
         &mut self,
         now: Timestamp,
@@ -264,8 +271,8 @@
         Some(index)
     }
 
-    /// Not an endpoint that may hang, which would swallow the write, nor one in slow start: what it rejects counts as
-    /// load, too.
+    /// Not an endpoint that may hang, which would swallow the write, nor one in slow start: what it
+    /// rejects counts as load, too.
     fn needs_position_refresh(
         &self,
         now: Timestamp,
--- a/crates/routing/src/replica_selection.rs
+++ b/crates/routing/src/replica_selection.rs
@@ -1,10 +1,11 @@
 //! Replica selection: which endpoint answers a read.
 //!
-//! Reads rotate (round robin) over the sufficiently fresh replicas whose calibrated cost is within 20% of the cheapest,
-//! as in the query cost calibrator; the two cheapest take part in any case, unless one costs far more. An ejected
-//! endpoint gets a recovery probe when one is due. The primary takes reads only when it is far cheaper than every
-//! replica, or when none can. Owns the order of the rotation; it must never choose an endpoint that is draining, ejected
-//! or not fresh enough.
+//! Reads rotate (round robin) over the sufficiently fresh replicas whose calibrated cost is within
+//! 20% of the cheapest, as in the query cost calibrator; the two cheapest take part in any case,
+//! unless one costs far more. An ejected endpoint gets a recovery probe when one is due. The
+//! primary takes reads only when it is far cheaper than every replica, or when none can. Owns the
+//! order of the rotation; it must never choose an endpoint that is draining, ejected or not fresh
+//! enough.
 
 use crate::balancer::Balancer;
 use crate::endpoint_list::EndpointIndex;
@@ -16,21 +17,22 @@
 const ROTATION_COST_RATIO: f64 = 1.2;
 /// Replicas that take part in the rotation up to [`OUTLIER_COST_RATIO`].
 const MIN_ROTATION: usize = 2;
-/// An endpoint that costs more than this multiple of the cheapest leaves the rotation in any case; the primary takes
-/// reads when it is cheaper than every replica by this factor.
+/// An endpoint that costs more than this multiple of the cheapest leaves the rotation in any case;
+/// the primary takes reads when it is cheaper than every replica by this factor.
 const OUTLIER_COST_RATIO: f64 = 2.0;
 
 /// Round-robin order of the endpoints at this router.
 ///
-/// Invariant: `selections` is no less than any endpoint's `rotation_position` that was set by a selection.
+/// Invariant: `selections` is no less than any endpoint's `rotation_position` that was set by a
+/// selection.
 #[derive(Default)]
 pub(crate) struct Rotation {
     selections: f64,
 }
 
 impl Rotation {
-    /// The place of a new endpoint: last, in a random order. Routers that learn of the same endpoints at the same
-    /// moment must not all turn to the same one first.
+    /// The place of a new endpoint: last, in a random order. Routers that learn of the same
+    /// endpoints at the same moment must not all turn to the same one first.
     pub(crate) fn initial_position(&self, rng: &mut SplitMix64) -> f64 {
         self.selections + rng.next_f64()
     }
@@ -99,8 +101,9 @@
         if let Some(index) = self.select_by_rotation(now, &candidates.replicas, pending) {
             return Some(index);
         }
-        // All of the rotation is in slow start: the read goes to a more expensive replica, but not to one that hangs
-        // while the primary does not: otherwise all routers would use that one as their reserve.
+        // All of the rotation is in slow start: the read goes to a more expensive replica, but not
+        // to one that hangs while the primary does not: otherwise all routers would use that one as
+        // their reserve.
         let highest_cost = primary_cost.unwrap_or(f64::INFINITY);
         candidates
             .replicas
@@ -147,8 +150,8 @@
         }
     }
 
-    /// The replica whose turn it is and that admits the read. A replica in slow start loses its turn whether it takes
-    /// the read or not.
+    /// The replica whose turn it is and that admits the read. A replica in slow start loses its
+    /// turn whether it takes the read or not.
     fn select_by_rotation(
         &mut self,
         now: Timestamp,
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,9 +1,9 @@
 //! Retries: a budget that keeps them from amplifying an overload, and the rules of idempotency.
 //!
-//! The budget is a token bucket that follows the router's own requests: each request adds a fraction of a token, each
-//! retry that may cost an endpoint work takes one. Outcomes that prove that nothing was executed are free. A request
-//! that was possibly executed is sent again only as its class's idempotency allows. Owns the budget; it must never
-//! select an endpoint.
+//! The budget is a token bucket that follows the router's own requests: each request adds a
+//! fraction of a token, each retry that may cost an endpoint work takes one. Outcomes that prove
+//! that nothing was executed are free. A request that was possibly executed is sent again only as
+//! its class's idempotency allows. Owns the budget; it must never select an endpoint.
 
 use crate::action::{Action, RejectReason};
 use crate::balancer::Balancer;
@@ -34,8 +34,8 @@
         }
     }
 
-    /// A request has come in. The capacity follows the router's recent requests: a budget that each of many routers
-    /// may spend at once would add up to an overload.
+    /// A request has come in. The capacity follows the router's recent requests: a budget that each
+    /// of many routers may spend at once would add up to an overload.
     pub(crate) fn deposit(&mut self, recent_requests: f64) {
         let capacity = (RETRY_RATIO * recent_requests).clamp(MIN_CAPACITY, MAX_TOKENS);
         self.tokens = (self.tokens + RETRY_RATIO).min(capacity);
@@ -82,7 +82,8 @@
         }
         self.retry_budget.withdraw(retry_cost(outcome));
         if outcome == AttemptOutcome::Overloaded {
-            // An endpoint in slow start has spent capacity on the rejection: half the chance next time, or none.
+            // An endpoint in slow start has spent capacity on the rejection: half the chance next
+            // time, or none.
             pending.admission_draw = 2.0 * pending.admission_draw.max(0.5);
         }
         let replica_set = pending.request.replica_set;
@@ -119,8 +120,9 @@
         }
     }
 
-    /// Whether the request may be sent to the endpoint: one that was possibly executed only as its class allows, where
-    /// the endpoint shares the record of keys with all earlier ones and the deduplication window is open.
+    /// Whether the request may be sent to the endpoint: one that was possibly executed only as its
+    /// class allows, where the endpoint shares the record of keys with all earlier ones and the
+    /// deduplication window is open.
     pub(crate) fn is_safe_to_send(
         &self,
         now: Timestamp,
@@ -144,8 +146,8 @@
         })
     }
 
-    /// Until when a further attempt may be written: as long as the deduplication window of the first, possibly
-    /// executed one is open.
+    /// Until when a further attempt may be written: as long as the deduplication window of the
+    /// first, possibly executed one is open.
     pub(crate) fn deduplication_deadline(&self, pending: &PendingRequest) -> Option<Timestamp> {
         let class = self.class(pending);
         if class.idempotency == Idempotency::Idempotent {
--- a/crates/routing/src/session_consistency.rs
+++ b/crates/routing/src/session_consistency.rs
@@ -1,9 +1,10 @@
-//! Read-your-writes and bounded staleness: which position of the log a read needs, and which endpoints have it.
+//! Read-your-writes and bounded staleness: which position of the log a read needs, and which
+//! endpoints have it.
 //!
-//! Where requests do not carry their session's position, the balancer remembers the commit time of each session's
-//! last write. The memory is bounded: when it is full it is cleared, and a floor stands for every forgotten session,
-//! so a read may ask for newer data than necessary but never for older. Owns these commit times; it must never
-//! weaken the consistency that a class asks for.
+//! Where requests do not carry their session's position, the balancer remembers the commit time of
+//! each session's last write. The memory is bounded: when it is full it is cleared, and a floor
+//! stands for every forgotten session, so a read may ask for newer data than necessary but never
+//! for older. Owns these commit times; it must never weaken the consistency that a class asks for.
 
 use crate::balancer::Balancer;
 use crate::endpoint_list::EndpointIndex;
@@ -16,12 +17,14 @@
 
 /// Most sessions whose last write is remembered; beyond, all are replaced by the floor.
 const MAX_SESSIONS: usize = 200_000;
-/// A response counts as known this long after it was given, whether or not it arrived, nanoseconds (from the protocol).
+/// A response counts as known this long after it was given, whether or not it arrived, nanoseconds
+/// (from the protocol).
 const RESPONSE_VISIBLE_AFTER: Nanos = 100_000_000;
 
 /// The commit time of each session's last write.
 ///
-/// Invariant: for every session, the larger of its entry and `floor` is no earlier than its last recorded write.
+/// Invariant: for every session, the larger of its entry and `floor` is no earlier than its last
+/// recorded write.
 #[derive(Default)]
 pub(crate) struct SessionTokens {
     last_commits: BTreeMap<Arc<str>, Timestamp>,
@@ -60,7 +63,8 @@
         recorded.max(unanswered)
     }
 
-    /// Whether a write of the request's session is in flight for so long that its response may have been lost.
+    /// Whether a write of the request's session is in flight for so long that its response may have
+    /// been lost.
     fn has_unanswered_write(&self, now: Timestamp, request: &Request) -> bool {
         self.endpoints
             .members(request.replica_set)
@@ -73,9 +77,9 @@
             })
     }
 
-    /// Whether a replica is known to be fresh enough for a read. Where endpoints check reads themselves, its lag when
-    /// last observed is taken to hold on: a wrong guess only costs an attempt. Where they don't, only what is known
-    /// counts.
+    /// Whether a replica is known to be fresh enough for a read. Where endpoints check reads
+    /// themselves, its lag when last observed is taken to hold on: a wrong guess only costs an
+    /// attempt. Where they don't, only what is known counts.
     pub(crate) fn is_fresh_enough(
         &self,
         now: Timestamp,
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -31,7 +31,8 @@
 pub enum Idempotency {
     /// Executing it twice has the same effect as once.
     Idempotent,
-    /// Carries a key; the endpoints of the scope drop a duplicate for the class's deduplication window.
+    /// Carries a key; the endpoints of the scope drop a duplicate for the class's deduplication
+    /// window.
     IdempotencyKey(KeyScope),
     /// Must never be executed twice.
     NonIdempotent,
@@ -112,29 +113,34 @@
 /// Limits that the router has to keep.
 #[derive(Debug, Clone, Copy)]
 pub struct Rules {
-    /// New work for a draining or removed endpoint must stop within this time of the notification, nanoseconds.
+    /// New work for a draining or removed endpoint must stop within this time of the notification,
+    /// nanoseconds.
     pub drain_grace: Nanos,
     /// Only an entry in state draining forbids new work; absence from the list does not.
     pub only_draining_binds: bool,
-    /// Slow start: an endpoint that has just started has at least this fraction of its capacity (0 to 1).
+    /// Slow start: an endpoint that has just started has at least this fraction of its capacity (0
+    /// to 1).
     pub slow_start_initial_fraction: f64,
     /// Slow start: time from its start until an endpoint has its full capacity, nanoseconds.
     pub slow_start_duration: Nanos,
-    /// Load above this multiple of its current capacity for `overload_window` overloads a starting endpoint.
+    /// Load above this multiple of its current capacity for `overload_window` overloads a starting
+    /// endpoint.
     pub overload_multiple: f64,
     /// Averaging window of `overload_multiple`, nanoseconds.
     pub overload_window: Nanos,
-    /// Without a subscription, a change of the list counts as notified after this time, nanoseconds.
+    /// Without a subscription, a change of the list counts as notified after this time,
+    /// nanoseconds.
     pub poll_interval: Nanos,
 }
 
-/// Longest delay by the operating system's scheduler between reading the clock and writing, nanoseconds
-/// (from the operators' rules).
+/// Longest delay by the operating system's scheduler between reading the clock and writing,
+/// nanoseconds (from the operators' rules).
 pub const SCHEDULING_DELAY: Nanos = 150_000_000;
 
 impl Rules {
-    /// How long after the notification of a drain a send may still begin, nanoseconds. The scheduling delay is part of the grace, which
-    /// counts to the first byte that is written; a grace that is no longer than the delay allows no send at all.
+    /// How long after the notification of a drain a send may still begin, nanoseconds. The
+    /// scheduling delay is part of the grace, which counts to the first byte that is written; a
+    /// grace that is no longer than the delay allows no send at all.
     pub fn drain_cutoff(&self) -> Nanos {
         self.drain_grace.saturating_sub(SCHEDULING_DELAY)
     }
@@ -170,7 +176,8 @@
     pub round: Nanos,
     /// The classes, in the order that [`Request::class`](crate::Request::class) counts.
     pub classes: Vec<Class>,
-    /// The tenants, in the order that [`Request::tenant`](crate::Request::tenant) counts; may be empty.
+    /// The tenants, in the order that [`Request::tenant`](crate::Request::tenant) counts; may be
+    /// empty.
     pub tenants: Vec<Tenant>,
     /// Value of a request over its tenant's quota, as a fraction of its class's priority weight.
     pub over_quota_weight: f64,
@@ -178,7 +185,8 @@
     pub reports: ReportSource,
     /// Whether responses carry the endpoint's applied position.
     pub positions: bool,
-    /// Whether session reads carry the age of their session's last write; if not, the balancer remembers it.
+    /// Whether session reads carry the age of their session's last write; if not, the balancer
+    /// remembers it.
     pub sessions_carry_position: bool,
     /// What endpoints do with reads for which they are too far behind.
     pub stale_reads: StaleReadPolicy,
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -1,9 +1,10 @@
 //! Slow start: an endpoint that has just started gets a growing part of its usual load.
 //!
-//! Its capacity grows linearly from an initial fraction to all of it. No router knows how much the others send, so each
-//! admits a request with a probability in proportion to the capacity: the sum over all routers keeps to the limit,
-//! however many there are. One random number per request decides, for all its attempts. Owns no state; it must never
-//! let work through that the operators' overload rule forbids. It could delay the return of a busy replica set.
+//! Its capacity grows linearly from an initial fraction to all of it. No router knows how much the
+//! others send, so each admits a request with a probability in proportion to the capacity: the sum
+//! over all routers keeps to the limit, however many there are. One random number per request
+//! decides, for all its attempts. Owns no state; it must never let work through that the operators'
+//! overload rule forbids. It could delay the return of a busy replica set.
 
 use crate::balancer::Balancer;
 use crate::endpoint_list::EndpointIndex;
@@ -11,8 +12,8 @@
 use crate::settings::{Consistency, Operation, Rules};
 use crate::units::Timestamp;
 
-/// Part of the overload multiple that a starting primary takes of its writes. The multiple covers chance in one window,
-/// and not the worst of all windows of the slow start.
+/// Part of the overload multiple that a starting primary takes of its writes. The multiple covers
+/// chance in one window, and not the worst of all windows of the slow start.
 const PRIMARY_WRITE_MARGIN: f64 = 0.85;
 
 /// The fraction of its full capacity that an endpoint started at `started` has at `now`.
@@ -46,15 +47,15 @@
         if pending.attempts_sent > 0 && !is_primary {
             return false;
         }
-        // What is queued does not become admissible as the capacity grows: otherwise the requests of a window and the
-        // queued ones of the seconds before would come together.
+        // What is queued does not become admissible as the capacity grows: otherwise the requests
+        // of a window and the queued ones of the seconds before would come together.
         let capacity_at_arrival = self.capacity_fraction(now.min(pending.arrived_at()), index);
         let load_multiple = self.slow_start_load_multiple(is_primary, pending);
         pending.admission_draw < capacity_at_arrival * load_multiple
     }
 
-    /// Load, as a multiple of the capacity, that a starting endpoint takes. Writes have no other endpoint and get most
-    /// of the overload multiple, reads half.
+    /// Load, as a multiple of the capacity, that a starting endpoint takes. Writes have no other
+    /// endpoint and get most of the overload multiple, reads half.
     fn slow_start_load_multiple(&self, is_primary: bool, pending: &PendingRequest) -> f64 {
         let multiple = self.settings.rules.overload_multiple;
         match self.class(pending).operation {
@@ -64,7 +65,8 @@
                 | Consistency::BoundedStaleness(_)
                 | Consistency::ReadYourWrites,
             ) if !is_primary => multiple / 2.0,
-            // When no other endpoint is eligible, all reads of the replica set come here: it takes one endpoint's part.
+            // When no other endpoint is eligible, all reads of the replica set come here: it takes
+            // one endpoint's part.
             Operation::Write | Operation::Read(_) => {
                 let members = self.endpoints.members(pending.request.replica_set).len();
                 multiple / 2.0 / members as f64
