--- a/crates/router/src/dispatcher/mod.rs
+++ b/crates/router/src/dispatcher/mod.rs
@@ -1,6 +1,8 @@
 //! The actor that owns the balancer: it turns messages into events, actions into orders, and keeps the table
 //! of requests, attempt numbers, timers and deadlines. It never waits for another actor.
 
+pub mod mailbox;
+
 use crate::messages::{
     Attempt, AttemptResult, Call, CancellationFlag, ClientRequest, FinalResponse, ListedEndpoint,
     Message, ResponseTarget,
@@ -9,10 +11,11 @@
 use crate::runtime::platform_clock::PlatformClock;
 use crate::runtime::shared::Shared;
 use crate::upstream::{PoolCommand, PoolHandle};
-use async_channel::{Receiver, Sender};
+use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use futures_lite::future::or;
+use futures_lite::future::{or, yield_now};
+use mailbox::Mailbox;
 use reelrill_pg_session::bound::Ask;
 use reelrill_routing::*;
 use slog::{debug, error, warn};
@@ -23,6 +26,9 @@
 /// The final answer leaves this long before the client gives up: it has to travel.
 const MARGIN: Nanos = 8_000_000;
 
+/// Messages handled in a row before other tasks get a turn, such as the one that reads changes of the list.
+const MAX_MESSAGES_IN_A_ROW: u32 = 32;
+
 /// An attempt that is out. Dropping `hold` tells its peer that it has been given up.
 struct Out {
     number: u32,
@@ -87,9 +93,10 @@
         })
     }
 
-    pub async fn run(mut self, inbox: Receiver<Message>) {
+    pub async fn run(mut self, mailbox: Mailbox) {
         self.on_list(ListKind::Cached, self.shared.config.known.1.clone());
         self.settle();
+        let mut in_a_row = 0;
         loop {
             let next = self
                 .due
@@ -102,9 +109,15 @@
                 };
                 Ok(None)
             };
-            let message = match inbox.try_recv() {
-                Ok(message) => Ok(Some(message)),
-                Err(_) => or(async { inbox.recv().await.map(Some) }, timer).await,
+            let message = match mailbox.try_next() {
+                Some(message) => {
+                    in_a_row += 1;
+                    Ok(Some(message))
+                }
+                None => {
+                    in_a_row = 0;
+                    or(async { mailbox.next().await.map(Some) }, timer).await
+                }
             };
             match message {
                 Ok(Some(message)) => self.on_message(message),
@@ -113,6 +126,10 @@
             }
             self.settle();
             self.on_due();
+            if in_a_row >= MAX_MESSAGES_IN_A_ROW {
+                in_a_row = 0;
+                yield_now().await;
+            }
         }
     }
 
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -106,7 +106,7 @@
 fn start(config: config::Config, log: &Logger) -> Result<(), StartError> {
     let address = config.listen;
     let executor = Rc::new(LocalExecutor::new());
-    let (dispatcher, inbox) = async_channel::bounded(MAILBOX);
+    let (dispatcher, inbox) = dispatcher::mailbox::mailbox();
     let (calls, asked) = async_channel::bounded(4);
     let (told, news) = async_channel::bounded(MAILBOX);
     let told = config.edge.discovery.dns_sd.is_some().then_some(told);
--- a/crates/router/src/runtime/shared.rs
+++ b/crates/router/src/runtime/shared.rs
@@ -1,8 +1,9 @@
 //! What all tasks of the one thread share: clock, log, counters, the descriptor budget and the phase.
 
 use crate::config::Config;
+use crate::dispatcher::mailbox::MailboxSender;
 use crate::extensions::Mode;
-use crate::messages::{Message, News};
+use crate::messages::News;
 use crate::observability::counters::Counters;
 use crate::runtime::buffer::Memory;
 use crate::runtime::shutdown::ShutdownSchedule;
@@ -228,7 +229,7 @@
     pub shutdown: ShutdownSchedule,
     /// When a connection or a request last came in.
     pub last_arrival: Cell<Timestamp>,
-    pub dispatcher: async_channel::Sender<Message>,
+    pub dispatcher: MailboxSender,
     /// Where the roster's word goes, and what endpoints say of themselves, if there are other sources.
     pub directory: Option<async_channel::Sender<News>>,
     /// What the buffers of all connections may grow to.
@@ -315,7 +316,7 @@
     pub fn new(
         config: Config,
         log: Logger,
-        dispatcher: async_channel::Sender<Message>,
+        dispatcher: MailboxSender,
         directory: Option<async_channel::Sender<News>>,
     ) -> Rc<Shared> {
         let most = config.sockets - SPARE;
