--- a/crates/router/src/dispatcher/mod.rs
+++ b/crates/router/src/dispatcher/mod.rs
@@ -4,8 +4,8 @@
 pub mod mailbox;
 
 use crate::messages::{
-    Attempt, AttemptResult, Call, CancellationFlag, ClientRequest, FinalResponse, ListedEndpoint,
-    Message, ResponseTarget,
+    Attempt, AttemptProgress, AttemptResult, Call, CancellationFlag, ClientRequest, FinalResponse,
+    ListedEndpoint, Message, ResponseTarget,
 };
 use crate::observability::counters::count;
 use crate::runtime::platform_clock::PlatformClock;
@@ -34,7 +34,7 @@
     number: u32,
     endpoint: EndpointId,
     sent: Timestamp,
-    written: CancellationFlag,
+    progress: AttemptProgress,
     _hold: Sender<()>,
 }
 
@@ -237,7 +237,7 @@
         let unwritten: Vec<u32> = open
             .out
             .iter()
-            .filter(|a| !a.written.is_raised())
+            .filter(|a| !a.progress.is_written())
             .map(|a| a.number)
             .collect();
         for number in unwritten {
@@ -392,8 +392,14 @@
             }
             Action::Probe { endpoint } => {
                 let pool = self.pools.get(&endpoint);
-                let sent = pool
-                    .map(|p| p.send(&self.shared, &self.executor, &endpoint, PoolCommand::Probe));
+                let sent = pool.map(|p| {
+                    p.send(
+                        &self.shared,
+                        &self.executor,
+                        &endpoint,
+                        PoolCommand::HealthCheck,
+                    )
+                });
                 if sent != Some(Ok(())) {
                     let (outcome, report) =
                         (AttemptOutcome::ConnectFailed, ReplicationStatus::default());
@@ -447,13 +453,13 @@
         count(&self.shared.counters.attempts);
         let number = open.sends;
         open.sends += 1;
-        let (hold, given_up) = async_channel::bounded(1);
-        let written = CancellationFlag::default();
+        let (hold, abandoned) = async_channel::bounded(1);
+        let progress = AttemptProgress::default();
         open.out.push(Out {
             number,
             endpoint: endpoint.clone(),
             sent: now,
-            written: written.clone(),
+            progress: progress.clone(),
             _hold: hold,
         });
         if open.reply.is_none() || now >= open.deadline || number >= most {
@@ -471,10 +477,10 @@
             number,
             ask,
             until,
-            by,
-            given_up,
-            left,
-            written,
+            write_by: by,
+            abandoned,
+            client_left: left,
+            progress,
         };
         let order = PoolCommand::Attempt(Box::new(attempt));
         let ordered = match self.pools.get(&endpoint) {
@@ -502,7 +508,7 @@
         let out = open.out.swap_remove(at);
         let c = &self.shared.counters;
         let mut outcome = ended.outcome;
-        if !out.written.is_raised()
+        if !out.progress.is_written()
             && matches!(
                 outcome,
                 AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::Abandoned
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -1,5 +1,7 @@
-//! What passes between the front, the decider, the peers and the roster: plain data that names no
-//! front protocol, so that another one can be put before the same decisions.
+//! What passes between the client tasks, the dispatcher, the endpoint pools and discovery.
+//!
+//! Plain data that names no client protocol, so that another one can be put before the same dispatcher. Nothing here
+//! owns a task or a socket.
 
 use crate::extensions::Discovery;
 use reelrill_pg_protocol::Format;
@@ -14,7 +16,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Raised once, and seen at once by all that hold it: no message has to come through a mailbox first.
+/// Raised once, and seen at once by all that hold it: no message has to pass through a mailbox first.
 #[derive(Debug, Clone, Default)]
 pub struct CancellationFlag(Rc<Cell<bool>>);
 
@@ -28,7 +30,7 @@
     }
 }
 
-/// A client's request as a front has read it.
+/// A client's request as its task has read it.
 #[derive(Debug)]
 pub struct ClientRequest {
     /// The router's own name for this request: clients may name theirs alike.
@@ -41,12 +43,12 @@
     /// The position that a session read must see.
     pub after: Option<Timestamp>,
     pub is_retry: bool,
-    /// How long the client waits from `arrived` on.
+    /// How long the client waits from `arrived` on, in nanoseconds.
     pub wait: Nanos,
     pub arrived: Timestamp,
     pub ask: Rc<Ask>,
-    /// Raised by the front in the instant in which the client has gone or called it off: nothing begins from then on,
-    /// whatever still waits in a mailbox, for a connection or for a slot.
+    /// Raised by the client's task as soon as the client has gone or called the request off: nothing begins from then
+    /// on, whatever still waits in a mailbox, for a connection or for a descriptor.
     pub left: CancellationFlag,
 }
 
@@ -69,7 +71,7 @@
     pub to: async_channel::Sender<(u64, FinalResponse)>,
 }
 
-/// A whole answer as an endpoint gave it: one value.
+/// A complete answer as an endpoint gave it: one value.
 #[derive(Debug)]
 pub struct Answer {
     /// What the endpoint said of it; none: it was asked for in a format, and is in that.
@@ -98,7 +100,7 @@
 }
 
 impl AttemptResult {
-    /// An ending that came without a word from the endpoint.
+    /// An outcome that came without a report from the endpoint.
     pub fn silent(outcome: AttemptOutcome) -> AttemptResult {
         AttemptResult {
             outcome,
@@ -116,7 +118,7 @@
     pub address: SocketAddr,
 }
 
-/// What goes into the decider's mailbox.
+/// What goes into the dispatcher's mailbox.
 #[derive(Debug)]
 pub enum Message {
     Request {
@@ -143,34 +145,69 @@
     ShutdownStarted,
 }
 
-/// One attempt as a peer gets it.
+/// How far an attempt has come with its endpoint.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+enum AttemptPhase {
+    /// It waits in a pool. Nothing has been written.
+    #[default]
+    WaitingForConnection,
+    /// Its connection writes. Not enough has been written for the request to run.
+    Writing,
+    /// The last byte with which the request may run has been written.
+    Written,
+}
+
+/// How far an attempt has come, as its connection tells the dispatcher without a message.
+#[derive(Debug, Clone, Default)]
+pub struct AttemptProgress(Rc<Cell<AttemptPhase>>);
+
+impl AttemptProgress {
+    /// A connection begins to write. A request that may have run stays so, also when it is written again.
+    pub fn start_writing(&self) {
+        if self.0.get() == AttemptPhase::WaitingForConnection {
+            self.0.set(AttemptPhase::Writing);
+        }
+    }
+
+    /// The last byte with which the request may run has been written.
+    pub fn finish_writing(&self) {
+        self.0.set(AttemptPhase::Written);
+    }
+
+    /// The request may have run.
+    pub fn is_written(&self) -> bool {
+        self.0.get() == AttemptPhase::Written
+    }
+}
+
+/// One attempt as a pool gets it.
 #[derive(Debug)]
 pub struct Attempt {
     pub request: RequestId,
+    /// Counts the attempts of a request from 0 on.
     pub number: u32,
     pub ask: Rc<Ask>,
     /// When the router stops waiting.
     pub until: Timestamp,
     /// It must be written by then, or not at all.
-    pub by: Option<Timestamp>,
-    /// Closed once the decider has given the attempt up.
-    pub given_up: async_channel::Receiver<()>,
+    pub write_by: Option<Timestamp>,
+    /// Closed once the dispatcher waits for the attempt no more.
+    pub abandoned: async_channel::Receiver<()>,
     /// Its client has gone: what has not been written is not written any more.
-    pub left: CancellationFlag,
-    /// Raised by the connection once the last byte with which the request may run has been written.
-    pub written: CancellationFlag,
+    pub client_left: CancellationFlag,
+    pub progress: AttemptProgress,
 }
 
-/// What the decider asks of the roster.
+/// What the dispatcher asks of the discovery client.
 #[derive(Debug, Clone, Copy)]
 pub enum Call {
     Subscribe,
     Fetch,
 }
 
-/// What goes into the directory's mailbox.
+/// What goes into the endpoint registry's mailbox.
 pub enum News {
-    /// What the roster answered, and its version.
+    /// What the discovery service answered, and the list's version.
     DiscoveryClient {
         kind: ListKind,
         listed: Vec<ListedEndpoint>,
--- a/crates/router/src/upstream/fault.rs
+++ b/crates/router/src/upstream/fault.rs
@@ -4,6 +4,8 @@
 //! must not count towards its ejection. What a failed call means for a request depends on the stage alone: nothing has
 //! run before the last byte is written, and anything may have run after it.
 
+use reelrill_pg_protocol::code;
+use reelrill_routing::AttemptOutcome;
 use rustix::io::Errno;
 use std::io;
 
@@ -68,5 +70,68 @@
     )
 }
 
+/// Why a request got no complete response on its connection.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ExchangeError {
+    /// Nothing was written.
+    #[error("the connection had ended, or held bytes that nobody asked for")]
+    StaleConnection,
+    /// Nothing has run.
+    #[error("the connection failed before the last byte was written")]
+    NotWritten(Blame),
+    /// The request may have run.
+    #[error("the connection broke or ended before the response was complete")]
+    ConnectionBroken,
+    /// The request has run, and the connection is of no further use.
+    #[error("what came back is no response")]
+    MalformedResponse,
+}
+
+impl ExchangeError {
+    /// What a failed write or read means for the request. A lack of this host's own after the write tells nothing of
+    /// the endpoint: it counts as a response that could not be read.
+    pub fn from_io(error: &io::Error, stage: Stage) -> ExchangeError {
+        let fault = classify(error, stage);
+        match fault.blame {
+            blame if !fault.possibly_executed => ExchangeError::NotWritten(blame),
+            Blame::Endpoint => ExchangeError::ConnectionBroken,
+            Blame::Host | Blame::Nobody => ExchangeError::MalformedResponse,
+        }
+    }
+
+    /// What it means for the attempt.
+    pub fn outcome(&self) -> AttemptOutcome {
+        match self {
+            ExchangeError::StaleConnection
+            | ExchangeError::NotWritten(Blame::Host | Blame::Nobody) => AttemptOutcome::NotSent,
+            ExchangeError::NotWritten(Blame::Endpoint) => AttemptOutcome::ConnectFailed,
+            ExchangeError::ConnectionBroken => AttemptOutcome::ConnectionReset,
+            ExchangeError::MalformedResponse => AttemptOutcome::MalformedResponse,
+        }
+    }
+}
+
+/// What a connection that could not be made means for the attempt that waits for it: nothing has run.
+pub fn outcome_of_dial(error: &io::Error) -> AttemptOutcome {
+    match classify(error, Stage::Connect).blame {
+        Blame::Endpoint => AttemptOutcome::ConnectFailed,
+        Blame::Host | Blame::Nobody => AttemptOutcome::NotSent,
+    }
+}
+
+/// What an endpoint's error code means for the attempt: by the protocol's table, and by the classes of codes that blame
+/// the statement (22 for data, 42 for syntax).
+pub fn outcome_of_error(code: &str) -> AttemptOutcome {
+    match code {
+        code::READ_ONLY | code::BEHIND => AttemptOutcome::Misrouted,
+        code::TOO_MANY => AttemptOutcome::Overloaded,
+        code::PROTOCOL_VIOLATION => AttemptOutcome::InvalidRequest,
+        // Only a prepared statement ends so: the endpoint has forgotten it, twice in a row.
+        code::NO_STATEMENT => AttemptOutcome::NotSent,
+        _ if code.starts_with("22") || code.starts_with("42") => AttemptOutcome::InvalidRequest,
+        _ => AttemptOutcome::Error,
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/router/src/upstream/fault/tests.rs
+++ b/crates/router/src/upstream/fault/tests.rs
@@ -1,4 +1,5 @@
-use super::{Blame, IoFault, Stage, classify};
+use super::{Blame, ExchangeError, IoFault, Stage, classify, outcome_of_dial};
+use reelrill_routing::AttemptOutcome;
 use rstest::rstest;
 use rustix::io::Errno;
 use std::io;
@@ -47,3 +48,90 @@
         assert_eq!(classify(&kind.into(), Stage::Read).blame, Blame::Endpoint);
     }
 }
+
+/// Guards against a broken connection that reads as a malformed answer or as a lack of the router's own memory, and
+/// against a lack of this host's that counts against the endpoint.
+#[rstest]
+#[case(
+    Errno::TIMEDOUT,
+    AttemptOutcome::ConnectFailed,
+    ExchangeError::NotWritten(Blame::Endpoint),
+    ExchangeError::ConnectionBroken
+)]
+#[case(
+    Errno::HOSTUNREACH,
+    AttemptOutcome::ConnectFailed,
+    ExchangeError::NotWritten(Blame::Endpoint),
+    ExchangeError::ConnectionBroken
+)]
+#[case(
+    Errno::PIPE,
+    AttemptOutcome::ConnectFailed,
+    ExchangeError::NotWritten(Blame::Endpoint),
+    ExchangeError::ConnectionBroken
+)]
+#[case(
+    Errno::CONNRESET,
+    AttemptOutcome::ConnectFailed,
+    ExchangeError::NotWritten(Blame::Endpoint),
+    ExchangeError::ConnectionBroken
+)]
+#[case(
+    Errno::CONNREFUSED,
+    AttemptOutcome::ConnectFailed,
+    ExchangeError::NotWritten(Blame::Endpoint),
+    ExchangeError::ConnectionBroken
+)]
+#[case(
+    Errno::CONNABORTED,
+    AttemptOutcome::ConnectFailed,
+    ExchangeError::NotWritten(Blame::Endpoint),
+    ExchangeError::ConnectionBroken
+)]
+#[case(
+    Errno::NFILE,
+    AttemptOutcome::NotSent,
+    ExchangeError::NotWritten(Blame::Host),
+    ExchangeError::MalformedResponse
+)]
+#[case(
+    Errno::MFILE,
+    AttemptOutcome::NotSent,
+    ExchangeError::NotWritten(Blame::Host),
+    ExchangeError::MalformedResponse
+)]
+#[case(
+    Errno::NOBUFS,
+    AttemptOutcome::NotSent,
+    ExchangeError::NotWritten(Blame::Host),
+    ExchangeError::MalformedResponse
+)]
+#[case(
+    Errno::NOMEM,
+    AttemptOutcome::NotSent,
+    ExchangeError::NotWritten(Blame::Host),
+    ExchangeError::MalformedResponse
+)]
+#[case(
+    Errno::ADDRNOTAVAIL,
+    AttemptOutcome::NotSent,
+    ExchangeError::NotWritten(Blame::Host),
+    ExchangeError::MalformedResponse
+)]
+#[case(
+    Errno::NETUNREACH,
+    AttemptOutcome::NotSent,
+    ExchangeError::NotWritten(Blame::Host),
+    ExchangeError::MalformedResponse
+)]
+fn a_failed_call_means_the_same_at_each_stage(
+    #[case] errno: Errno,
+    #[case] dial: AttemptOutcome,
+    #[case] write: ExchangeError,
+    #[case] read: ExchangeError,
+) {
+    let error = io::Error::from_raw_os_error(errno.raw_os_error());
+    assert_eq!(outcome_of_dial(&error), dial);
+    assert_eq!(ExchangeError::from_io(&error, Stage::Write), write);
+    assert_eq!(ExchangeError::from_io(&error, Stage::Read), read);
+}
