--- a/crates/router/src/upstream/exchange.rs
+++ b/crates/router/src/upstream/exchange.rs
@@ -6,6 +6,7 @@
 use super::endpoint_status::EndpointStatus;
 use super::load_report::parse_load_report;
 use super::pool::PoolEvent;
+use super::response::Response;
 use crate::messages::{Attempt, AttemptProgress, AttemptResult, Message};
 use crate::observability::counters::count;
 use crate::runtime::shared::Shared;
@@ -77,21 +78,8 @@
         return;
     };
     let result = match response {
-        Err(fault) => AttemptResult::silent(fault.outcome()),
-        Ok(response) => {
-            let (replication, report) = (response.replication, response.report);
-            let is_ready = response.is_ready;
-            let (outcome, answer) = response.into_outcome();
-            if is_ready {
-                give_back(&pool, connection).await;
-            }
-            AttemptResult {
-                outcome,
-                replication,
-                report,
-                answer,
-            }
-        }
+        Err(error) => AttemptResult::silent(error.outcome()),
+        Ok(response) => finish(&pool, connection, response).await,
     };
     tell_dispatcher(&shared, attempt.ended(result)).await;
 }
@@ -112,29 +100,43 @@
     };
     let progress = AttemptProgress::default();
     let exchange = async { Some(connection.query(REPORT_QUERY, &progress).await) };
-    let result = match or(exchange, timed_out).await {
+    let ended = match or(exchange, timed_out).await {
         None => AttemptResult::silent(AttemptOutcome::TimedOut),
         Some(Err(_)) => AttemptResult::silent(AttemptOutcome::ConnectionReset),
         Some(Ok(response)) => {
             let report = response.text().map(parse_load_report).unwrap_or_default();
-            let replication = response.replication;
-            let is_ready = response.is_ready;
-            let (outcome, _) = response.into_outcome();
-            if is_ready {
-                give_back(&pool, connection).await;
-            }
+            let result = finish(&pool, connection, response).await;
             AttemptResult {
-                outcome,
-                replication,
                 report,
                 answer: None,
+                ..result
             }
         }
     };
-    let ended = result;
     tell_dispatcher(&shared, Message::Probed { endpoint, ended }).await;
 }
 
+/// Turns a response into the result, and gives the connection back if it is ready for another request.
+async fn finish(
+    pool: &Sender<PoolEvent>,
+    connection: UpstreamConnection,
+    response: Response,
+) -> AttemptResult {
+    let is_ready = response.is_ready;
+    let replication = response.replication;
+    let report = response.report;
+    let (outcome, answer) = response.into_outcome();
+    if is_ready {
+        give_back(pool, connection).await;
+    }
+    AttemptResult {
+        outcome,
+        replication,
+        report,
+        answer,
+    }
+}
+
 /// A connection that no pool takes any more ends with its log line.
 async fn give_back(pool: &Sender<PoolEvent>, connection: UpstreamConnection) {
     let _ = pool.send(PoolEvent::Returned(Box::new(connection))).await;
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -263,16 +263,10 @@
         ControlFlow::Break(())
     }
 
-    fn has_expired(&self, connection: &UpstreamConnection, now: Timestamp) -> bool {
-        connection.idle_since + self.max_idle < now || !connection.is_open()
-    }
-
     fn close_expired(&mut self) {
         let now = self.shared.clock.now();
         let max_idle = self.max_idle;
-        let has_expired =
-            |c: &mut UpstreamConnection| c.idle_since + max_idle < now || !c.is_open();
-        for connection in self.idle.extract_if(.., has_expired) {
+        for connection in self.idle.extract_if(.., |c| has_expired(c, now, max_idle)) {
             connection.close(CloseReason::Idle);
         }
     }
@@ -322,7 +316,7 @@
             let Some(connection) = self.idle.pop() else {
                 return;
             };
-            if self.has_expired(&connection, now) {
+            if has_expired(&connection, now, self.max_idle) {
                 connection.close(CloseReason::Idle);
             } else if let Some(waiting) = self.waiting.pop_front() {
                 self.start(connection, waiting.job);
@@ -385,6 +379,11 @@
     }
 }
 
+/// Idle for too long, or closed by the endpoint.
+fn has_expired(connection: &UpstreamConnection, now: Timestamp, max_idle: Nanos) -> bool {
+    connection.idle_since + max_idle < now || !connection.is_open()
+}
+
 /// Waits for something under a condition; else for ever.
 async fn when(condition: bool, future: impl Future<Output = Wakeup>) -> Wakeup {
     if condition {
