--- /dev/null
+++ b/crates/router/src/dispatcher/actions.rs
@@ -0,0 +1,91 @@
+//! Carrying out what the balancer decided.
+
+use super::Dispatcher;
+use super::deadlines::DeadlineEntry;
+use crate::messages::{AttemptResult, Call, FinalResponse};
+use crate::observability::counters::count;
+use crate::upstream::PoolCommand;
+use reelrill_routing::{
+    Action, AttemptOutcome, EndpointId, Event, RejectReason, ReplicationStatus, RequestId,
+    Timestamp,
+};
+use slog::debug;
+
+impl Dispatcher {
+    /// Carries out one action of the balancer.
+    pub(super) fn carry_out(&mut self, now: Timestamp, action: Action) {
+        match action {
+            Action::Send {
+                request,
+                endpoint,
+                limit,
+                by,
+            } => {
+                let write_by = by.map(|by| self.platform.own(by));
+                self.start_attempt(now, request, endpoint, limit, write_by);
+            }
+            Action::Reject {
+                request,
+                reason,
+                retry_after,
+            } => {
+                self.count_rejected(request, reason);
+                self.answer(request, FinalResponse::Refused { retry_after });
+            }
+            Action::Fail { request, reason } => {
+                self.count_rejected(request, reason);
+                self.answer(request, FinalResponse::Failed("not served"));
+            }
+            Action::Cancel { request, attempt } => {
+                let cancelled = AttemptResult::silent(AttemptOutcome::Cancelled);
+                self.finish_attempt(request, attempt, cancelled);
+            }
+            Action::SetTimer { after, token } => {
+                let at = now.saturating_add(after);
+                self.deadlines.add(at, DeadlineEntry::BalancerTimer(token));
+            }
+            Action::Probe { endpoint } => self.start_health_check(endpoint),
+            // A call that still waits in the mailbox will do for this one, too.
+            Action::Subscribe => drop(self.discovery.try_send(Call::Subscribe)),
+            Action::FetchList => drop(self.discovery.try_send(Call::Fetch)),
+        }
+    }
+
+    /// A health check that can't be started has failed.
+    fn start_health_check(&mut self, endpoint: EndpointId) {
+        let started = self.pools.get(&endpoint).is_some_and(|pool| {
+            let command = PoolCommand::HealthCheck;
+            pool.send(&self.shared, &self.executor, &endpoint, command)
+                .is_ok()
+        });
+        if !started {
+            self.events.push_back(Event::ProbeEnded {
+                endpoint,
+                outcome: AttemptOutcome::ConnectFailed,
+                report: ReplicationStatus::default(),
+            });
+        }
+    }
+
+    /// Counts why the balancer rejects or fails a request.
+    fn count_rejected(&self, id: RequestId, reason: RejectReason) {
+        let counters = &self.shared.counters;
+        count(match reason {
+            RejectReason::UnknownClass => &counters.gave_class,
+            RejectReason::UnknownReplicaSet => &counters.gave_group,
+            RejectReason::DeadlineTooClose => &counters.gave_late,
+            RejectReason::AttemptLimitReached => &counters.gave_attempts,
+            RejectReason::NoEligibleEndpoint => &counters.gave_nobody,
+            RejectReason::LoadShed => &counters.gave_crowded,
+            RejectReason::NotRetryable => &counters.gave_unsafe,
+            RejectReason::AttemptTimedOut => &counters.gave_silent,
+            RejectReason::RetryBudgetExhausted => &counters.gave_reserve,
+            RejectReason::InvalidRequest => &counters.gave_unfit,
+        });
+        if let Some(request) = self.requests.get(id) {
+            debug!(self.shared.log, "request rejected";
+                   "request" => format_args!("{:016x}", request.client_id),
+                   "class" => request.class, "sends" => request.attempts_made, "cause" => ?reason);
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/src/dispatcher/endpoint_list.rs
@@ -0,0 +1,54 @@
+//! Changes of the endpoint list: pools are added, updated and removed with it.
+
+use super::Dispatcher;
+use crate::messages::ListedEndpoint;
+use crate::upstream::PoolHandle;
+use reelrill_routing::{EndpointId, EndpointState, Event, ListKind, Timestamp};
+use std::collections::BTreeSet;
+
+impl Dispatcher {
+    /// Takes over a whole list, or changes of it, and passes it on to the balancer.
+    pub(super) fn on_list(&mut self, kind: ListKind, listed: Vec<ListedEndpoint>) {
+        let now = self.shared.clock.now();
+        if matches!(kind, ListKind::Full | ListKind::Cached) {
+            self.remove_unlisted_pools(&listed);
+        }
+        for endpoint in &listed {
+            self.update_pool(now, endpoint);
+        }
+        if !self.pools.is_empty() {
+            self.shared.ready.raise();
+        }
+        let entries = listed.into_iter().map(|l| l.entry).collect();
+        self.events.push_back(Event::List { kind, entries });
+    }
+
+    /// Where only draining binds, an endpoint that has left the list may still be sent to.
+    fn removal_binds(&self) -> bool {
+        !self.shared.config.site.settings.rules.only_draining_binds
+    }
+
+    fn remove_unlisted_pools(&mut self, listed: &[ListedEndpoint]) {
+        if !self.removal_binds() {
+            return;
+        }
+        let names: BTreeSet<&EndpointId> = listed.iter().map(|l| &l.entry.endpoint).collect();
+        self.pools.retain(|endpoint, _| names.contains(endpoint));
+    }
+
+    fn update_pool(&mut self, now: Timestamp, listed: &ListedEndpoint) {
+        let ListedEndpoint { entry, address } = listed;
+        self.platform.on_start(now, entry.started);
+        if entry.state == EndpointState::Removed {
+            if self.removal_binds() {
+                self.pools.remove(&entry.endpoint);
+            }
+            return;
+        }
+        let pool = self
+            .pools
+            .entry(entry.endpoint.clone())
+            .or_insert_with(|| PoolHandle::new(*address));
+        pool.update(*address, entry.state == EndpointState::Draining, now);
+    }
+}
