--- a/crates/router/src/dispatcher/mailbox.rs
+++ b/crates/router/src/dispatcher/mailbox.rs
@@ -39,7 +39,7 @@
             Message::Request { .. }
             | Message::ClientLeft { .. }
             | Message::AttemptEnded { .. }
-            | Message::Probed { .. } => &self.requests,
+            | Message::HealthCheckEnded { .. } => &self.requests,
         };
         queue.send(message).await
     }
--- a/crates/router/src/dispatcher/mod.rs
+++ b/crates/router/src/dispatcher/mod.rs
@@ -123,15 +123,17 @@
             Message::AttemptEnded {
                 request,
                 attempt,
-                ended,
-            } => self.finish_attempt(request, attempt, ended),
-            Message::Probed { endpoint, ended } => self.on_health_check_result(endpoint, ended),
+                result,
+            } => self.finish_attempt(request, attempt, result),
+            Message::HealthCheckEnded { endpoint, result } => {
+                self.on_health_check_ended(endpoint, result)
+            }
             Message::List { kind, listed } => self.on_list(kind, listed),
             Message::ShutdownStarted => self.on_shutdown(),
         }
     }
 
-    fn on_health_check_result(&mut self, endpoint: EndpointId, result: AttemptResult) {
+    fn on_health_check_ended(&mut self, endpoint: EndpointId, result: AttemptResult) {
         let report = self.plausible_status(&endpoint, result.outcome, result.report);
         self.events.push_back(Event::ProbeEnded {
             endpoint,
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -131,11 +131,11 @@
     AttemptEnded {
         request: RequestId,
         attempt: u32,
-        ended: AttemptResult,
+        result: AttemptResult,
     },
-    Probed {
+    HealthCheckEnded {
         endpoint: EndpointId,
-        ended: AttemptResult,
+        result: AttemptResult,
     },
     List {
         kind: ListKind,
--- a/crates/router/src/upstream/exchange.rs
+++ b/crates/router/src/upstream/exchange.rs
@@ -43,7 +43,7 @@
         Message::AttemptEnded {
             request: self.request,
             attempt: self.number,
-            ended: result,
+            result,
         }
     }
 }
@@ -100,7 +100,7 @@
     };
     let progress = AttemptProgress::default();
     let exchange = async { Some(connection.query(REPORT_QUERY, &progress).await) };
-    let ended = match or(exchange, timed_out).await {
+    let result = match or(exchange, timed_out).await {
         None => AttemptResult::silent(AttemptOutcome::TimedOut),
         Some(Err(_)) => AttemptResult::silent(AttemptOutcome::ConnectionReset),
         Some(Ok(response)) => {
@@ -113,7 +113,7 @@
             }
         }
     };
-    tell_dispatcher(&shared, Message::Probed { endpoint, ended }).await;
+    tell_dispatcher(&shared, Message::HealthCheckEnded { endpoint, result }).await;
 }
 
 /// Turns a response into the result, and gives the connection back if it is ready for another request.
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -367,12 +367,12 @@
 
     /// A job that got no connection has this outcome.
     async fn fail(&self, job: Job, outcome: AttemptOutcome) {
-        let ended = AttemptResult::silent(outcome);
+        let result = AttemptResult::silent(outcome);
         let message = match job {
-            Job::Attempt(attempt) => attempt.ended(ended),
-            Job::HealthCheck => Message::Probed {
+            Job::Attempt(attempt) => attempt.ended(result),
+            Job::HealthCheck => Message::HealthCheckEnded {
                 endpoint: self.endpoint.clone(),
-                ended,
+                result,
             },
         };
         tell_dispatcher(&self.shared, message).await;
