--- a/crates/router/src/client/mod.rs
+++ b/crates/router/src/client/mod.rs
@@ -9,7 +9,7 @@
 use crate::observability::counters::count;
 use crate::observability::log::CloseReason;
 use crate::runtime::accept;
-use crate::runtime::buffer::Buffer;
+use crate::runtime::buffer::{Buffer, MemoryLimitReached};
 use crate::runtime::shared::{Cancel, DescriptorPermit, Holder, HolderCount, Shared};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -280,10 +280,11 @@
             }
             match self.buffer.fill_now(self.stream.get_ref()) {
                 Ok(n) => self.has_ended = n == 0,
+                // Without memory it waits, as with a full buffer.
+                Err(e) if MemoryLimitReached::caused(&e) => return Ok(()),
                 Err(e) => match e.kind() {
                     ErrorKind::Interrupted => {}
-                    // Without memory it waits, as with a full buffer.
-                    ErrorKind::WouldBlock | ErrorKind::OutOfMemory => return Ok(()),
+                    ErrorKind::WouldBlock => return Ok(()),
                     _ => return Err(CloseReason::Reset),
                 },
             }
@@ -390,10 +391,7 @@
         };
         let read = async { Waited::Read(self.buffer.fill(&self.stream).await) };
         match or(read, or(late, or(outcome, evicted))).await {
-            Waited::Read(Err(e)) if e.kind() == ErrorKind::OutOfMemory => {
-                Err(self.no_memory().await)
-            }
-            Waited::Read(Err(e)) if e.kind() == ErrorKind::Interrupted => Ok(()),
+            Waited::Read(Err(e)) if MemoryLimitReached::caused(&e) => Err(self.no_memory().await),
             Waited::Read(read) => self.gone(&read).map_or(Ok(()), Err),
             Waited::Done(reason) => {
                 // Decided and done in one step: what has come up to now is served first.
@@ -534,8 +532,7 @@
 ) -> std::io::Result<usize> {
     while buffer.bytes().len() < AHEAD && !shared.is_closed_to_new() {
         match buffer.fill(stream).await {
-            Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) if e.kind() == ErrorKind::OutOfMemory => break,
+            Err(e) if MemoryLimitReached::caused(&e) => break,
             read => return read,
         }
     }
