--- a/crates/router/src/client/mod.rs
+++ b/crates/router/src/client/mod.rs
@@ -23,6 +23,7 @@
 use reelrill_routing::{Nanos, Timestamp};
 use simple::Simples;
 use slog::{info, warn};
+use std::cell::Cell;
 use std::io::{ErrorKind, Read as _};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -49,6 +50,8 @@
 const CLOSING: Duration = Duration::from_millis(500);
 /// The same for one that has never asked anything and makes room for another.
 const CLOSING_USELESS: Duration = Duration::from_millis(20);
+/// What a connection may still send, beyond what lies in its socket, once all that is owed an answer has come.
+const LATE_BYTES: u64 = 64 * 1024;
 /// What a client may send ahead while it waits for an answer. Its end can only be read behind what it has sent.
 const AHEAD: usize = 64 * 1024;
 
@@ -123,6 +126,7 @@
         pipeline,
         cancel,
         process,
+        late_reading: LateReading::default(),
     };
     let reason = client
         .session()
@@ -165,6 +169,35 @@
     cancel: Rc<Cancel>,
     /// The number that such a wish names.
     process: Option<u32>,
+    /// While the router is ending: how much is read of it.
+    late_reading: LateReading,
+}
+
+/// Bounds what is read from one connection late in a shutdown: a client that never pauses would otherwise be read, and
+/// rejected, at full speed to the end of all reading.
+#[derive(Default)]
+struct LateReading {
+    /// The count of bytes read from the connection at which reading ends; none: it is not late yet.
+    until: Cell<Option<u64>>,
+}
+
+impl LateReading {
+    /// Whether nothing more may be read from the connection.
+    fn has_ended(&self, shared: &Shared, buffer: &Buffer, stream: &TcpStream) -> bool {
+        if shared.is_closed_to_new() {
+            return true;
+        }
+        if !shared.owes_nothing_new() {
+            return false;
+        }
+        let until = self.until.get().unwrap_or_else(|| {
+            // What lies in the socket may have come in time.
+            let waiting = rustix::io::ioctl_fionread(stream).unwrap_or(0);
+            buffer.bytes_read() + waiting + LATE_BYTES
+        });
+        self.until.set(Some(until));
+        buffer.bytes_read() >= until
+    }
 }
 
 /// What a connection between messages waits for, or what has come.
@@ -273,7 +306,7 @@
     /// Reads what has come, up to what may be read ahead, without waiting for more.
     fn look(&mut self) -> Result<(), CloseReason> {
         while !self.has_ended {
-            if self.buffer.bytes().len() >= AHEAD || self.shared.is_closed_to_new() {
+            if self.buffer.bytes().len() >= AHEAD || self.has_reading_ended() {
                 // Nothing more is read: its end can stand behind what is left unread.
                 self.has_ended = socket::has_hung_up(self.stream.get_ref());
                 return Ok(());
@@ -292,6 +325,12 @@
         Ok(())
     }
 
+    /// Whether nothing more may be read, since the router is ending.
+    fn has_reading_ended(&self) -> bool {
+        self.late_reading
+            .has_ended(&self.shared, &self.buffer, self.stream.get_ref())
+    }
+
     /// Whether the buffer begins with a message that is complete, or can't be read: either is owed an answer.
     fn has_whole_message(&self) -> bool {
         is_whole(
@@ -325,7 +364,8 @@
                 CloseReason::Truncated
             });
         }
-        if is_between && shared.is_closed_to_new() {
+        // A part of a message came too late to be owed an answer.
+        if self.has_reading_ended() {
             return Err(CloseReason::Shutdown);
         }
         let resting = if self.pipeline.as_ref().is_some_and(Pipeline::has_state) {
@@ -529,8 +569,10 @@
     shared: &Shared,
     buffer: &mut Buffer,
     stream: &Async<TcpStream>,
+    late_reading: &LateReading,
 ) -> std::io::Result<usize> {
-    while buffer.bytes().len() < AHEAD && !shared.is_closed_to_new() {
+    while buffer.bytes().len() < AHEAD && !late_reading.has_ended(shared, buffer, stream.get_ref())
+    {
         match buffer.fill(stream).await {
             Err(e) if MemoryLimitReached::caused(&e) => break,
             read => return read,
--- a/crates/router/src/client/pipeline.rs
+++ b/crates/router/src/client/pipeline.rs
@@ -172,7 +172,15 @@
             };
             // What is pipelined stays in the buffer, which must not grow without an end.
             let read = async {
-                Woken::Read(read_ahead(&self.shared, &mut self.buffer, &self.stream).await)
+                Woken::Read(
+                    read_ahead(
+                        &self.shared,
+                        &mut self.buffer,
+                        &self.stream,
+                        &self.late_reading,
+                    )
+                    .await,
+                )
             };
             match or(reply, or(cancelled, read)).await {
                 Woken::FinalResponse(part, reply) => self.finish(part, reply).await,
--- a/crates/router/src/client/simple.rs
+++ b/crates/router/src/client/simple.rs
@@ -131,7 +131,15 @@
                 Woken::Ready
             };
             let read = async {
-                Woken::Read(read_ahead(&self.shared, &mut self.buffer, &self.stream).await)
+                Woken::Read(
+                    read_ahead(
+                        &self.shared,
+                        &mut self.buffer,
+                        &self.stream,
+                        &self.late_reading,
+                    )
+                    .await,
+                )
             };
             match or(reply, or(cancelled, or(ready, read))).await {
                 Woken::FinalResponse(part, reply) => self.finish_simple(part, reply),
--- a/crates/router/src/runtime/buffer.rs
+++ b/crates/router/src/runtime/buffer.rs
@@ -45,6 +45,8 @@
     data: Vec<u8>,
     start: usize,
     end: usize,
+    /// Bytes read since the connection began.
+    read: u64,
 }
 
 impl Drop for Buffer {
@@ -64,6 +66,7 @@
             data: Vec::new(),
             start: 0,
             end: 0,
+            read: 0,
         }
     }
 
@@ -72,6 +75,11 @@
         &self.data[self.start..self.end]
     }
 
+    /// How many bytes have been read since the connection began.
+    pub fn bytes_read(&self) -> u64 {
+        self.read
+    }
+
     pub fn consume(&mut self, n: usize) {
         self.start = (self.start + n).min(self.end);
         if self.start == self.end {
@@ -111,10 +119,15 @@
         Ok(&mut self.data[self.end..])
     }
 
+    fn on_read(&mut self, n: usize) {
+        self.end += n;
+        self.read += n as u64;
+    }
+
     /// Reads what has come, without waiting for more.
     pub fn fill_now(&mut self, mut stream: &TcpStream) -> io::Result<usize> {
         let n = stream.read(self.room()?)?;
-        self.end += n;
+        self.on_read(n);
         Ok(n)
     }
 
@@ -126,7 +139,7 @@
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
                 Ok(n) => {
-                    self.end += n;
+                    self.on_read(n);
                     return Ok(n);
                 }
             }
--- a/crates/router/src/runtime/shared.rs
+++ b/crates/router/src/runtime/shared.rs
@@ -390,6 +390,15 @@
         last.is_some_and(|last| self.clock.now() > last)
     }
 
+    /// The router is ending, and what comes from now on is not owed an answer any more.
+    pub fn owes_nothing_new(&self) -> bool {
+        let last = self
+            .ended_at
+            .get()
+            .map(|at| at.saturating_add(self.shutdown.last_owed));
+        last.is_some_and(|last| self.clock.now() > last)
+    }
+
     /// The router is ending, and reads nothing more.
     pub fn is_closed_to_new(&self) -> bool {
         self.last_read().is_some_and(|last| self.clock.now() > last)
--- a/crates/router/src/runtime/shutdown.rs
+++ b/crates/router/src/runtime/shutdown.rs
@@ -6,6 +6,7 @@
 //! | up to | what happens |
 //! | --- | --- |
 //! | `last_forward` | a request is forwarded as usual |
+//! | `last_owed` | what comes is owed an answer; later on, little more is read of each connection |
 //! | `last_answer` | a request that was forwarded gets its answer; a later one is rejected as soon as it is read |
 //! | `last_read` | whatever comes is still read; after that connections are only closed |
 
@@ -32,6 +33,8 @@
 pub struct ShutdownSchedule {
     /// A request that is read later is rejected.
     pub last_forward: Nanos,
+    /// What comes later is not owed an answer: the router may close the connection.
+    pub last_owed: Nanos,
     /// By then all answers are out.
     pub last_answer: Nanos,
     /// After that nothing more is read.
@@ -46,6 +49,7 @@
         let last_answer = longest_deadline.min(LONGEST_DEADLINE) + ANSWER_AFTER_DEADLINE;
         ShutdownSchedule {
             last_forward: LAST_FORWARD.min(last_answer - FORWARD_BEFORE_ANSWER),
+            last_owed: LEAST_READ,
             last_answer,
             last_read: LEAST_READ.max(last_answer - READ_BEFORE_ANSWER),
             min_drain: MIN_DRAIN.min(last_answer),
--- a/crates/router/src/runtime/shutdown/tests.rs
+++ b/crates/router/src/runtime/shutdown/tests.rs
@@ -24,6 +24,10 @@
         schedule.last_read >= 700 * MILLISECOND && schedule.last_read <= kill,
         "{schedule:?}"
     );
+    assert!(
+        schedule.last_owed >= 700 * MILLISECOND && schedule.last_owed <= schedule.last_read,
+        "{schedule:?}"
+    );
     assert!(
         schedule.min_drain > NEW_CONNECTIONS && schedule.min_drain < kill,
         "{schedule:?}"
