--- a/crates/router/src/client/mod.rs
+++ b/crates/router/src/client/mod.rs
@@ -571,10 +571,12 @@
     stream: &Async<TcpStream>,
     late_reading: &LateReading,
 ) -> std::io::Result<usize> {
-    while buffer.bytes().len() < AHEAD && !late_reading.has_ended(shared, buffer, stream.get_ref())
-    {
+    let may_read =
+        buffer.bytes().len() < AHEAD && !late_reading.has_ended(shared, buffer, stream.get_ref());
+    if may_read {
         match buffer.fill(stream).await {
-            Err(e) if MemoryLimitReached::caused(&e) => break,
+            // Without memory it waits, as with a full buffer.
+            Err(e) if MemoryLimitReached::caused(&e) => {}
             read => return read,
         }
     }
