--- a/crates/router/src/runtime/mod.rs
+++ b/crates/router/src/runtime/mod.rs
@@ -1,7 +1,12 @@
-//! What all tasks of the one thread share: buffers, the clock, the descriptor budget and the shutdown phase.
+//! What all tasks of the one thread share: buffers, clocks, the descriptor budget, the cancellation registry and the
+//! phases of a graceful shutdown.
 
 pub mod accept;
 pub mod buffer;
+pub mod cancellation;
+pub mod clock;
+pub mod descriptor_budget;
+pub mod flag;
 pub mod interrupted;
 pub mod platform_clock;
 pub mod shared;
--- a/crates/router/src/runtime/shared.rs
+++ b/crates/router/src/runtime/shared.rs
@@ -6,8 +6,13 @@
 use crate::messages::News;
 use crate::observability::counters::Counters;
 use crate::runtime::buffer::Memory;
+pub use crate::runtime::cancellation::{Cancel, Cancels};
+pub use crate::runtime::clock::Clock;
+pub use crate::runtime::descriptor_budget::{
+    DescriptorBudget, DescriptorPermit, Holder, HolderCount,
+};
+pub use crate::runtime::flag::Flag;
 use crate::runtime::shutdown::ShutdownSchedule;
-use event_listener::{Event, IntoNotification as _};
 use reelrill_pg_session::account::Accounts;
 use reelrill_pg_session::admit::Catalog;
 use reelrill_pg_session::plan::Common;
@@ -15,200 +20,7 @@
 use reelrill_routing::{EndpointId, Timestamp};
 use slog::Logger;
 use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
 use std::rc::Rc;
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
-
-/// Unix nanoseconds at the start plus monotonic time since: a step of the system's clock moves no timer.
-#[derive(Debug, Clone, Copy)]
-pub struct Clock {
-    start: Instant,
-    unix: u64,
-}
-
-impl Clock {
-    pub fn new() -> Clock {
-        let unix = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap_or_default()
-            .as_nanos();
-        Clock {
-            start: Instant::now(),
-            unix: unix as u64,
-        }
-    }
-
-    pub fn now(&self) -> Timestamp {
-        self.unix + self.start.elapsed().as_nanos() as u64
-    }
-
-    /// The instant of a time, for timers.
-    pub fn instant(&self, at: Timestamp) -> Instant {
-        self.start + std::time::Duration::from_nanos(at.saturating_sub(self.unix))
-    }
-}
-
-/// The descriptors of one side. A [`Slot`] holds one and gives it back when dropped.
-pub struct DescriptorBudget {
-    used: Cell<usize>,
-    most: usize,
-    freed: Event,
-    /// Holders that could go, by what they are.
-    useless: Event,
-    idle: Event,
-    stateful: Event,
-    /// Holders of which nothing is known yet.
-    fresh: Cell<usize>,
-    /// Holders between requests that would lose nothing, also those too young to go.
-    resting: Cell<usize>,
-}
-
-pub struct DescriptorPermit(Rc<DescriptorBudget>);
-
-/// Counts a holder as one of a kind until dropped.
-pub struct HolderCount {
-    slots: Rc<DescriptorBudget>,
-    kind: fn(&DescriptorBudget) -> &Cell<usize>,
-}
-
-impl HolderCount {
-    fn new(
-        slots: &Rc<DescriptorBudget>,
-        kind: fn(&DescriptorBudget) -> &Cell<usize>,
-    ) -> HolderCount {
-        kind(slots).set(kind(slots).get() + 1);
-        HolderCount {
-            slots: slots.clone(),
-            kind,
-        }
-    }
-}
-
-impl Drop for HolderCount {
-    fn drop(&mut self) {
-        let count = (self.kind)(&self.slots);
-        count.set(count.get().saturating_sub(1));
-    }
-}
-
-/// What somebody holds a slot for that others want.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Holder {
-    /// A connection that has never asked anything, has stalled, or is being closed: it goes first.
-    Useless,
-    /// A connection between requests.
-    Idle,
-    /// The same, with prepared statements that its client would have to prepare again: it goes last.
-    Stateful,
-}
-
-impl DescriptorBudget {
-    fn new(most: usize) -> Rc<DescriptorBudget> {
-        let event = Event::new;
-        let (freed, useless, idle, stateful) = (event(), event(), event(), event());
-        Rc::new(DescriptorBudget {
-            used: Cell::new(0),
-            most,
-            freed,
-            useless,
-            idle,
-            stateful,
-            fresh: Cell::new(0),
-            resting: Cell::new(0),
-        })
-    }
-
-    pub fn take(self: &Rc<Self>) -> Option<DescriptorPermit> {
-        if self.used.get() >= self.most {
-            return None;
-        }
-        self.used.set(self.used.get() + 1);
-        Some(DescriptorPermit(self.clone()))
-    }
-
-    pub fn used(&self) -> usize {
-        self.used.get()
-    }
-
-    /// Half are in use: a burst needs the rest.
-    pub fn is_short(&self) -> bool {
-        self.used.get() > self.most / 2
-    }
-
-    /// Somebody waits for a slot.
-    pub fn is_wanted(&self) -> bool {
-        self.freed.total_listeners() > 0
-    }
-
-    pub fn fresh(self: &Rc<Self>) -> HolderCount {
-        HolderCount::new(self, |s| &s.fresh)
-    }
-
-    pub fn resting(self: &Rc<Self>) -> HolderCount {
-        HolderCount::new(self, |s| &s.resting)
-    }
-
-    /// Asks the holder that has listened longest to give its slot up, the useless ones first. Where many are
-    /// fresh, those that will turn out useless are waited for: the idle ones are in use. Says whether somebody was
-    /// asked, or will be soon.
-    pub fn want(&self) -> bool {
-        self.useless.notify(1.additional()) > 0
-            || self.fresh.get() * 4 > self.used.get()
-            || self.idle.notify(1.additional()) > 0
-            || self.resting.get() > 0
-    }
-
-    /// The same where there is no slot left: the holders that lose something go, if there is no other.
-    pub fn need(&self) {
-        if !self.want() {
-            self.stateful.notify(1.additional());
-        }
-    }
-
-    pub async fn wanted(&self, from: Holder) {
-        match from {
-            Holder::Useless => self.useless.listen().await,
-            Holder::Idle => self.idle.listen().await,
-            Holder::Stateful => self.stateful.listen().await,
-        }
-    }
-
-    pub async fn freed(&self) {
-        self.freed.listen().await;
-    }
-}
-
-impl Drop for DescriptorPermit {
-    fn drop(&mut self) {
-        self.0.used.set(self.0.used.get().saturating_sub(1));
-        // Those who wait differ in what they wait for: all look.
-        self.0.freed.notify(usize::MAX);
-    }
-}
-
-/// A condition that comes true once.
-#[derive(Default)]
-pub struct Flag {
-    set: Cell<bool>,
-    event: Event,
-}
-
-impl Flag {
-    pub fn raise(&self) {
-        self.set.set(true);
-        self.event.notify(usize::MAX);
-    }
-
-    pub fn is_raised(&self) -> bool {
-        self.set.get()
-    }
-
-    pub async fn wait(&self) {
-        while !self.set.get() {
-            self.event.listen().await;
-        }
-    }
-}
 
 pub struct Shared {
     pub config: Config,
@@ -242,65 +54,6 @@
     pub cancels: Cancels,
 }
 
-/// The clients that may call off what they wait for, by the numbers that BackendKeyData told them.
-#[derive(Default)]
-pub struct Cancels {
-    clients: RefCell<HashMap<u32, (u32, Rc<Cancel>)>>,
-    next: Cell<u32>,
-}
-
-/// A client's wish to call off what it waits for.
-#[derive(Default)]
-pub struct Cancel {
-    wanted: Cell<bool>,
-    event: Event,
-}
-
-impl Cancel {
-    /// What was wished before does not count for what comes now.
-    pub fn reset(&self) {
-        self.wanted.set(false);
-    }
-
-    pub async fn wait(&self) {
-        while !self.wanted.get() {
-            self.event.listen().await;
-        }
-    }
-}
-
-impl Cancels {
-    /// Numbers that no other open client has: the process, and a secret.
-    pub fn register(&self, cancel: &Rc<Cancel>) -> (u32, u32) {
-        let mut clients = self.clients.borrow_mut();
-        // Clients are far fewer than numbers.
-        let free = |n: &u32| *n != 0 && !clients.contains_key(n);
-        let process = std::iter::successors(Some(self.next.get().wrapping_add(1)), |n| {
-            Some(n.wrapping_add(1))
-        });
-        let process = process.into_iter().find(free).unwrap_or_default();
-        self.next.set(process);
-        let secret = rand::random();
-        clients.insert(process, (secret, cancel.clone()));
-        (process, secret)
-    }
-
-    pub fn remove(&self, process: u32) {
-        self.clients.borrow_mut().remove(&process);
-    }
-
-    /// Calls off what a client waits for; says whether the numbers are those of one.
-    pub fn cancel(&self, process: u32, secret: u32) -> bool {
-        let clients = self.clients.borrow();
-        let found = clients.get(&process).filter(|(known, _)| *known == secret);
-        if let Some((_, cancel)) = found {
-            cancel.wanted.set(true);
-            cancel.event.notify(usize::MAX);
-        }
-        found.is_some()
-    }
-}
-
 /// Kept back for the listener, the reactor, the log, discovery and what a library may open.
 const SPARE: usize = 24;
 /// The clients' part of the rest. Requests hold up to a third of all descriptors on the clients' side, and about
