--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,4 +1,6 @@
-//! The reelrill router: wires the actors together on one thread and minds the signals.
+//! The reelrill router: command line, and the wiring of its tasks on one thread.
+//!
+//! Must never hold state of its own: what tasks share is in [`runtime::shared::Shared`].
 #![forbid(unsafe_code)]
 
 mod cli;
@@ -6,32 +8,28 @@
 mod config;
 mod discovery;
 mod dispatcher;
+mod drain;
 mod extensions;
 mod messages;
 mod observability;
+mod reload;
 mod runtime;
+mod signals;
 mod upstream;
 
-use async_channel::Sender;
 use async_executor::LocalExecutor;
-use async_io::{Async, Timer};
-use async_signal::{Signal, Signals};
+use async_io::Async;
 use clap::Parser as _;
-use futures_lite::StreamExt as _;
 use futures_lite::future::or;
 use runtime::shared::Shared;
-use slog::{Logger, error, info, warn};
+use slog::{Logger, error, info};
 use std::net::{SocketAddr, TcpListener};
 use std::process::ExitCode;
 use std::rc::Rc;
-use std::time::Duration;
 
 /// Requests count as taken from the kernel's backlog on, so it must hold a burst.
 const BACKLOG: i32 = 4096;
 const MAILBOX: usize = 1024;
-/// After SIGTERM, the time without an arrival after which the process ends, if nobody is connected.
-const QUIESCENCE: Duration = Duration::from_millis(500);
-
 #[derive(Debug, thiserror::Error)]
 enum StartError {
     #[error("settings: {0}")]
@@ -44,27 +42,27 @@
     Signals(std::io::Error),
 }
 
-/// The exit code of a file that makes no sense.
-const WRONG: u8 = 2;
+/// The exit code of `check` for a file that is not valid.
+const INVALID_FILE: u8 = 2;
 
 fn main() -> ExitCode {
     let cli = cli::Cli::parse();
-    let wrong = |e: &dyn std::fmt::Display, code| {
+    let fail = |e: &dyn std::fmt::Display, code| {
         eprintln!("reelrill: {e}");
         code
     };
     match cli.command() {
-        cli::Command::Serve => serve(&cli).unwrap_or_else(|e| wrong(&e, ExitCode::FAILURE)),
+        cli::Command::Serve => serve(&cli).unwrap_or_else(|e| fail(&e, ExitCode::FAILURE)),
         cli::Command::Check { file } => match cli::check(&file) {
             Ok(what) => {
                 println!("{}: {what}, nothing wrong with it", file.display());
                 ExitCode::SUCCESS
             }
-            Err(e) => wrong(&e, ExitCode::from(WRONG)),
+            Err(e) => fail(&e, ExitCode::from(INVALID_FILE)),
         },
         cli::Command::Members { socket } => match discovery::admin_socket::print(&socket) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(e) => wrong(
+            Err(e) => fail(
                 &format_args!("{}: {e}", socket.display()),
                 ExitCode::FAILURE,
             ),
@@ -112,9 +110,8 @@
     let told = config.edge.discovery.dns_sd.is_some().then_some(told);
     let shared = Shared::new(config, log.clone(), dispatcher, told);
     // Room for the newest alone: what a later configuration says goes before what an earlier one said.
-    let (place, places) = async_channel::bounded(1);
-    let signals = Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup]);
-    let signals = signals.map_err(StartError::Signals)?;
+    let (discovery_address, discovery_addresses) = async_channel::bounded(1);
+    let signals = signals::listen().map_err(StartError::Signals)?;
     let dispatcher = dispatcher::Dispatcher::new(shared.clone(), executor.clone(), calls.clone())?;
     let directory =
         discovery::registry::EndpointRegistryTask::new(&shared, &executor, calls, news)?;
@@ -127,88 +124,18 @@
     }
     if shared.config.edge.discovery.roster {
         executor
-            .spawn(discovery::client::run(shared.clone(), asked, places))
+            .spawn(discovery::client::run(
+                shared.clone(),
+                asked,
+                discovery_addresses,
+            ))
             .detach();
     }
     executor
         .spawn(client::listen(shared.clone(), executor.clone(), listener))
         .detach();
-    async_io::block_on(executor.run(or(mind(&shared, signals, place), until_ended(&shared))));
+    let handle_signals = signals::handle(&shared, signals, discovery_address);
+    async_io::block_on(executor.run(or(handle_signals, drain::until_drained(&shared))));
     info!(log, "counters"; "all" => %shared.counters);
     Ok(())
 }
-
-/// Minds the signals, also while the router is ending.
-async fn mind(shared: &Shared, mut signals: Signals, place: Sender<SocketAddr>) {
-    while let Some(signal) = signals.next().await {
-        match signal {
-            Ok(Signal::Usr1) => info!(shared.log, "counters"; "all" => %shared.counters),
-            Ok(Signal::Hup) => reload(shared, &place).await,
-            Ok(_) if shared.draining.is_raised() => info!(shared.log, "already ending"),
-            Ok(_) => {
-                shared.ended_at.set(Some(shared.clock.now()));
-                shared.draining.raise();
-                // The decider ends last.
-                let _ = shared
-                    .dispatcher
-                    .send(messages::Message::ShutdownStarted)
-                    .await;
-            }
-            Err(e) => error!(shared.log, "signals"; "error" => %e),
-        }
-        // A flood of signals is always ready: without a pause it would keep all other tasks from running.
-        futures_lite::future::yield_now().await;
-    }
-    futures_lite::future::pending().await
-}
-
-/// Reads the configuration again. A file that makes no sense changes nothing.
-async fn reload(shared: &Shared, place: &Sender<SocketAddr>) {
-    let new = match shared.config.reload() {
-        Ok(new) => new,
-        Err(e) => {
-            return error!(shared.log, "the new configuration is wrong, the old one stays"; "error" => %e);
-        }
-    };
-    info!(shared.log, "configuration read again"; "discovery" => %new.discovery);
-    let kept = shared.config.needs_restart(&new);
-    if !kept.is_empty() {
-        warn!(shared.log, "a change takes effect at the next start"; "of" => kept.join(", "));
-    }
-    // Without a roster there is nobody to tell.
-    let _ = place.force_send(new.discovery);
-    if new.edge.extended != shared.config.edge.extended {
-        warn!(shared.log, "a change takes effect at the next start"; "of" => "extended");
-    }
-    match &shared.directory {
-        Some(directory) => drop(
-            directory
-                .send(messages::News::Settings(new.edge.discovery))
-                .await,
-        ),
-        None if new.edge.discovery != shared.config.edge.discovery => {
-            warn!(shared.log, "a change takes effect at the next start"; "of" => "discovery");
-        }
-        None => {}
-    }
-}
-
-/// Waits for SIGTERM, and then until the router may end.
-async fn until_ended(shared: &Shared) {
-    shared.draining.wait().await;
-    info!(shared.log, "ending");
-    let began = shared.ended_at.get().unwrap_or_else(|| shared.clock.now());
-    // Clients keep coming for a while, by the listener and by the connections that they still hold.
-    loop {
-        Timer::after(Duration::from_millis(20)).await;
-        let now = shared.clock.now();
-        let spent = now.saturating_sub(began);
-        let is_quiet = now.saturating_sub(shared.last_arrival.get()) > QUIESCENCE.as_nanos() as u64;
-        let is_drained =
-            spent > shared.shutdown.min_drain && is_quiet || spent > shared.shutdown.last_read;
-        // The listener holds one slot for the connection that it waits for.
-        if is_drained && shared.clients.used() <= 1 {
-            return;
-        }
-    }
-}
