--- a/crates/service-discovery/src/lib.rs
+++ b/crates/service-discovery/src/lib.rs
@@ -2,8 +2,8 @@
 //! endpoints' own answers and the time come in as arguments, changes of the list come out.
 //!
 //! ```
-//! use reelrill_service_discovery::{Claim, Input, Kind, Endpoints, Settings, Word};
-//! let mut endpoints = Endpoints::new(Settings::default(), 0);
+//! use reelrill_service_discovery::{Claim, Input, Kind, Members, Settings};
+//! let mut endpoints = Members::new(Settings::default(), 0);
 //! endpoints.handle(0, Input::Source { source: 0, kind: Kind::Roster }, &mut Vec::new());
 //! let claim = Claim::new("s-1", "127.0.0.1:7001".parse().unwrap(), 1);
 //! let mut changes = Vec::new();
