--- a/crates/router/src/discovery/http.rs
+++ b/crates/router/src/discovery/http.rs
@@ -67,7 +67,7 @@
     }
 
     /// Whether another call may follow on this connection.
-    pub fn keeps(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         self.keep
     }
 
--- a/crates/router/src/discovery/list.rs
+++ b/crates/router/src/discovery/list.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct List {
     pub version: u64,
-    pub whole: bool,
+    pub is_complete: bool,
     pub entries: Vec<ListedEndpoint>,
 }
 
@@ -29,7 +29,7 @@
             .get("rev")
             .and_then(Value::as_u64)
             .ok_or(ListError("rev"))?,
-        whole: value
+        is_complete: value
             .get("all")
             .and_then(Value::as_bool)
             .ok_or(ListError("all"))?,
--- /dev/null
+++ b/crates/router/src/discovery/list_watch.rs
@@ -0,0 +1,200 @@
+//! The task that keeps the endpoint list watched: it polls the discovery service when the dispatcher asks for it or
+//! the watch demands it, and passes on what comes.
+//!
+//! It owns the [`ListWatch`] and the [`DiscoveryClient`]. It never changes a list: it goes to the endpoint registry
+//! where there are several sources, else straight to the dispatcher.
+
+use crate::discovery::client::{self, DiscoveryClient, PollResult};
+use crate::messages::{Call, Message, News};
+use crate::runtime::shared::Shared;
+use async_channel::Receiver;
+use async_io::Timer;
+use futures_lite::future::or;
+use reelrill_routing::{ListKind, Nanos, Timestamp};
+use reelrill_service_discovery::watch::{
+    ListRequest, ListService, ListWatch, NextStep, PollRequest,
+};
+use slog::debug;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// What wakes the task.
+enum Wakeup {
+    PollEnded(PollResult),
+    Requested(Call),
+    /// The configuration has been read again and names this address of the service.
+    AddressRead(SocketAddr),
+    /// The dispatcher has ended.
+    DispatcherEnded,
+}
+
+/// A poll to be sent after a delay, in nanoseconds.
+#[derive(Clone, Copy)]
+struct ScheduledPoll {
+    request: PollRequest,
+    delay: Nanos,
+}
+
+struct ListWatchTask {
+    shared: Rc<Shared>,
+    client: DiscoveryClient,
+    watch: ListWatch,
+    requests: Receiver<Call>,
+    addresses: Receiver<SocketAddr>,
+    scheduled: Option<ScheduledPoll>,
+}
+
+/// Runs until the dispatcher's end of `requests` is dropped. `addresses` brings the service's address whenever the
+/// configuration has been read again.
+pub async fn run(shared: Rc<Shared>, requests: Receiver<Call>, addresses: Receiver<SocketAddr>) {
+    let service = if shared.config.site.settings.must_subscribe {
+        ListService::Shared
+    } else {
+        ListService::LocalAgent
+    };
+    let mut task = ListWatchTask {
+        client: DiscoveryClient::new(shared.clone()),
+        watch: ListWatch::new(service, shared.config.known.0),
+        shared,
+        requests,
+        addresses,
+        scheduled: None,
+    };
+    let now = task.shared.clock.now();
+    let initial = task.watch.initial_poll(now);
+    task.scheduled = initial.map(|request| ScheduledPoll { request, delay: 0 });
+    task.run().await;
+}
+
+impl ListWatchTask {
+    async fn run(&mut self) {
+        loop {
+            let scheduled = self.scheduled.take();
+            let wakeup = self.next_wakeup(scheduled).await;
+            let now = self.shared.clock.now();
+            match wakeup {
+                Wakeup::PollEnded(result) => self.on_poll_ended(now, result).await,
+                Wakeup::Requested(request) => self.schedule_request(now, list_request(request)),
+                Wakeup::AddressRead(address) => self.on_address(now, address),
+                Wakeup::DispatcherEnded => return,
+            }
+        }
+    }
+
+    /// Carries out the scheduled poll, if there is one, unless something that matters more comes first.
+    async fn next_wakeup(&self, scheduled: Option<ScheduledPoll>) -> Wakeup {
+        let address = self.next_address();
+        let Some(scheduled) = scheduled else {
+            return or(address, self.next_request()).await;
+        };
+        let poll = self.poll(scheduled);
+        // A new address ends the poll at the old one, which may hang or be about to close. So does a request for the
+        // complete list a watch that waits; a poll that opens a watch is answered soon.
+        if self.watch.is_open() {
+            or(address, or(self.next_request(), poll)).await
+        } else {
+            or(address, poll).await
+        }
+    }
+
+    async fn poll(&self, scheduled: ScheduledPoll) -> Wakeup {
+        if scheduled.delay > 0 {
+            Timer::after(Duration::from_nanos(scheduled.delay)).await;
+        }
+        Wakeup::PollEnded(self.client.poll(&scheduled.request).await)
+    }
+
+    async fn next_address(&self) -> Wakeup {
+        match self.addresses.recv().await {
+            Ok(address) => Wakeup::AddressRead(address),
+            Err(_) => futures_lite::future::pending().await,
+        }
+    }
+
+    async fn next_request(&self) -> Wakeup {
+        loop {
+            match self.requests.recv().await {
+                // The open watch is what is requested: to break it off would cost another poll.
+                Ok(Call::Subscribe) if self.watch.is_open() => {}
+                Ok(request) => return Wakeup::Requested(request),
+                Err(_) => return Wakeup::DispatcherEnded,
+            }
+        }
+    }
+
+    fn schedule_request(&mut self, now: Timestamp, request: ListRequest) {
+        let request = self.watch.request(now, request);
+        self.scheduled = Some(ScheduledPoll { request, delay: 0 });
+    }
+
+    fn on_address(&mut self, now: Timestamp, address: SocketAddr) {
+        if self.client.set_address(address) {
+            self.watch.service_replaced();
+        }
+        // Polled at once, also if the address is the old one: a poll of it may have been dropped just now.
+        self.schedule_request(now, ListRequest::Changes);
+    }
+
+    async fn on_poll_ended(&mut self, now: Timestamp, result: PollResult) {
+        let next_step = self.watch.complete(now, client::outcome(&result));
+        let mut is_reported = true;
+        if let NextStep::Poll {
+            request,
+            delay,
+            suppresses_report,
+        } = next_step
+        {
+            self.scheduled = Some(ScheduledPoll { request, delay });
+            is_reported = !suppresses_report;
+        }
+        // This poll answers what was requested meanwhile, but for a request for the complete list.
+        while let Ok(request) = self.requests.try_recv() {
+            if matches!(request, Call::Fetch) {
+                self.schedule_request(now, ListRequest::Snapshot);
+            }
+        }
+        if let Err(error) = &result {
+            self.client.record_failure(error);
+        }
+        if is_reported {
+            self.report(result).await;
+        }
+    }
+
+    async fn report(&self, result: PollResult) {
+        let version = result.as_ref().map_or(0, |list| list.version);
+        let (kind, listed) = match result {
+            Ok(list) => {
+                debug!(self.shared.log, "list"; "rev" => list.version, "whole" => list.is_complete,
+                       "entries" => list.entries.len(), "ms" => self.client.elapsed_ms());
+                let kind = if list.is_complete {
+                    ListKind::Full
+                } else {
+                    ListKind::Changes
+                };
+                (kind, list.entries)
+            }
+            Err(_) => (ListKind::Failed, Vec::new()),
+        };
+        // The dispatcher ends last; without a receiver there is nobody to report to.
+        if let Some(registry) = &self.shared.directory {
+            let event = News::DiscoveryClient {
+                kind,
+                listed,
+                version,
+            };
+            let _ = registry.send(event).await;
+        } else {
+            let message = Message::List { kind, listed };
+            let _ = self.shared.dispatcher.send(message).await;
+        }
+    }
+}
+
+fn list_request(request: Call) -> ListRequest {
+    match request {
+        Call::Subscribe => ListRequest::Changes,
+        Call::Fetch => ListRequest::Snapshot,
+    }
+}
--- a/crates/router/src/discovery/mod.rs
+++ b/crates/router/src/discovery/mod.rs
@@ -4,4 +4,5 @@
 pub mod client;
 pub mod http;
 pub mod list;
+pub mod list_watch;
 pub mod registry;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -124,7 +124,7 @@
     }
     if shared.config.edge.discovery.roster {
         executor
-            .spawn(discovery::client::run(
+            .spawn(discovery::list_watch::run(
                 shared.clone(),
                 asked,
                 discovery_addresses,
