--- a/crates/router/src/discovery/list.rs
+++ b/crates/router/src/discovery/list.rs
@@ -1,84 +1,178 @@
-//! A list in discovery's form: read from the configuration and from the roster's answers.
+//! The wire form of an endpoint list: read from the configuration and from the discovery service's responses.
+//!
+//! The wire types name every field that is used; others are ignored. An optional field of the wrong type counts as
+//! absent. This module never judges the endpoints: it only converts them.
 
 use crate::messages::ListedEndpoint;
 use reelrill_routing::{EndpointEntry, EndpointState};
+use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Why a value is no list: the field at fault.
+const NANOS_PER_MILLISECOND: u64 = 1_000_000;
+/// The value of `part` for the primary of a replica set.
+const PRIMARY: &str = "master";
+/// The weight of an endpoint whose capacity is not stated.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// Why a value is no endpoint list.
 #[derive(Debug, thiserror::Error)]
-#[error("{0}: missing or wrong")]
-pub struct ListError(pub &'static str);
+pub enum ListError {
+    /// A field is missing or has the wrong type.
+    #[error("{path}: {source}")]
+    Field {
+        /// The field, or what lacks it, as in `targets[3].state`.
+        path: String,
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
+    /// An endpoint that may get requests has no usable address.
+    #[error("targets[{index}].endpoint: {}", describe_address(.value.as_deref()))]
+    Address {
+        /// The endpoint's place in the list.
+        index: usize,
+        /// What stands for its address, if it is text.
+        value: Option<String>,
+    },
+}
 
-/// One answer of discovery.
+fn describe_address(value: Option<&str>) -> String {
+    match value {
+        Some(value) => format!("'{value}' is no socket address"),
+        None => "missing or no text".to_owned(),
+    }
+}
+
+/// An endpoint list, or the changes of one.
 #[derive(Debug)]
 pub struct List {
+    /// The version that the list has with these entries.
     pub version: u64,
+    /// The entries are the complete list, not only changes.
     pub is_complete: bool,
+    /// The endpoints.
     pub entries: Vec<ListedEndpoint>,
 }
 
-/// Reads a list in discovery's form.
+#[derive(Debug, Deserialize)]
+struct WireList {
+    #[serde(rename = "rev")]
+    version: u64,
+    #[serde(rename = "all")]
+    is_complete: bool,
+    targets: Vec<WireTarget>,
+}
+
+#[derive(Debug, Deserialize)]
+struct WireTarget {
+    uid: String,
+    state: WireState,
+    #[serde(rename = "pod_group")]
+    replica_set: u32,
+    #[serde(default, rename = "endpoint", deserialize_with = "optional_text")]
+    address: Option<String>,
+    #[serde(default, rename = "az", deserialize_with = "optional_text")]
+    zone: Option<String>,
+    #[serde(default, rename = "part", deserialize_with = "optional_text")]
+    role: Option<String>,
+    #[serde(default, rename = "boot_ms", deserialize_with = "optional_number")]
+    started_ms: Option<f64>,
+    #[serde(
+        default,
+        rename = "capacity_hint",
+        deserialize_with = "optional_number"
+    )]
+    weight: Option<f64>,
+}
+
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "lowercase")]
+enum WireState {
+    Ready,
+    Draining,
+    Gone,
+}
+
+/// Text; a value of another type counts as absent.
+fn optional_text<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<String>, D::Error> {
+    let value = Value::deserialize(deserializer)?;
+    Ok(value.as_str().map(str::to_owned))
+}
+
+/// A number; a value of another type counts as absent.
+fn optional_number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<f64>, D::Error> {
+    let value = Value::deserialize(deserializer)?;
+    Ok(value.as_f64())
+}
+
+/// Converts a list from its wire form. `zones` are the zones' names, in the order of their numbers.
+///
+/// # Errors
+/// If a required field is missing or wrong; the error names it.
 pub fn read_list(value: &Value, zones: &[String]) -> Result<List, ListError> {
-    let targets = value
-        .get("targets")
-        .and_then(Value::as_array)
-        .ok_or(ListError("targets"))?;
+    let list: WireList =
+        serde_path_to_error::deserialize(value).map_err(|error| ListError::Field {
+            path: error.path().to_string(),
+            source: error.into_inner(),
+        })?;
+    let entries = list
+        .targets
+        .into_iter()
+        .enumerate()
+        .map(|(index, target)| target.into_listed(index, zones))
+        .collect::<Result<_, _>>()?;
     Ok(List {
-        version: value
-            .get("rev")
-            .and_then(Value::as_u64)
-            .ok_or(ListError("rev"))?,
-        is_complete: value
-            .get("all")
-            .and_then(Value::as_bool)
-            .ok_or(ListError("all"))?,
-        entries: targets
-            .iter()
-            .map(|t| read_target(t, zones))
-            .collect::<Result<_, _>>()?,
+        version: list.version,
+        is_complete: list.is_complete,
+        entries,
     })
 }
 
-fn read_target(target: &Value, zones: &[String]) -> Result<ListedEndpoint, ListError> {
-    let text = |key: &'static str| {
-        target
-            .get(key)
-            .and_then(Value::as_str)
-            .ok_or(ListError(key))
-    };
-    let state = match text("state")? {
-        "ready" => EndpointState::Serving,
-        "draining" => EndpointState::Draining,
-        "gone" => EndpointState::Removed,
-        _ => return Err(ListError("state")),
-    };
-    let address = match text("endpoint").map(str::parse) {
-        Ok(Ok(address)) => address,
-        // One that is gone is dialled no more.
-        _ if state == EndpointState::Removed => SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
-        _ => return Err(ListError("endpoint")),
-    };
-    let zone = text("az")
-        .ok()
-        .and_then(|az| zones.iter().position(|z| z == az))
-        .unwrap_or(0);
-    let replica_set = target
-        .get("pod_group")
-        .and_then(Value::as_u64)
-        .and_then(|g| u32::try_from(g).ok());
-    let started_ms = target.get("boot_ms").and_then(Value::as_f64).unwrap_or(0.0);
-    let entry = EndpointEntry {
-        endpoint: text("uid")?.into(),
-        started: (started_ms.max(0.0) as u64).saturating_mul(1_000_000),
-        primary: target.get("part").and_then(Value::as_str) == Some("master"),
-        state,
-        weight: target
-            .get("capacity_hint")
-            .and_then(Value::as_f64)
-            .unwrap_or(1.0),
-        replica_set: replica_set.ok_or(ListError("pod_group"))?,
-        zone: zone as u32,
-    };
-    Ok(ListedEndpoint { entry, address })
+impl WireTarget {
+    fn into_listed(self, index: usize, zones: &[String]) -> Result<ListedEndpoint, ListError> {
+        let address = self.socket_address(index)?;
+        let zone = self
+            .zone
+            .and_then(|name| zones.iter().position(|zone| *zone == name))
+            .unwrap_or(0);
+        let started_ms = self.started_ms.unwrap_or(0.0).max(0.0) as u64;
+        let entry = EndpointEntry {
+            endpoint: self.uid.as_str().into(),
+            started: started_ms.saturating_mul(NANOS_PER_MILLISECOND),
+            primary: self.role.as_deref() == Some(PRIMARY),
+            state: self.state.into(),
+            weight: self.weight.unwrap_or(DEFAULT_WEIGHT),
+            replica_set: self.replica_set,
+            zone: zone as u32,
+        };
+        Ok(ListedEndpoint { entry, address })
+    }
+
+    fn socket_address(&self, index: usize) -> Result<SocketAddr, ListError> {
+        let parsed = self.address.as_deref().and_then(|text| text.parse().ok());
+        match parsed {
+            Some(address) => Ok(address),
+            // A removed endpoint is not connected to any more.
+            None if self.state == WireState::Gone => {
+                Ok(SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)))
+            }
+            None => Err(ListError::Address {
+                index,
+                value: self.address.clone(),
+            }),
+        }
+    }
+}
+
+impl From<WireState> for EndpointState {
+    fn from(state: WireState) -> EndpointState {
+        match state {
+            WireState::Ready => EndpointState::Serving,
+            WireState::Draining => EndpointState::Draining,
+            WireState::Gone => EndpointState::Removed,
+        }
+    }
 }
+
+#[cfg(test)]
+mod tests;
