--- a/crates/experiments/src/membership.rs
+++ b/crates/experiments/src/membership.rs
@@ -4,8 +4,10 @@
 use anyhow::{Context as _, ensure};
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
-use reelrill_service_discovery::wheel::{Handle, Wheel};
-use reelrill_service_discovery::{Claim, Input, Kind, Members, Settings, Word};
+use reelrill_service_discovery::wheel::{TimerHandle, TimerWheel};
+use reelrill_service_discovery::{
+    Claim, ClaimedState, EndpointRegistry, Input, RegistrySettings, SourceKind,
+};
 use reelrill_test_support::dns::{self, Server, Zone};
 use reelrill_test_support::{Client, Discovery, Group, Instance, Router, settings};
 use std::cmp::Reverse;
@@ -55,8 +57,8 @@
     let end = 200 * SECOND;
     for _ in 0..rounds {
         let began = Instant::now();
-        let mut wheel = Wheel::new(0);
-        let handles: Vec<Handle> = spans
+        let mut wheel = TimerWheel::new(0);
+        let handles: Vec<TimerHandle> = spans
             .iter()
             .enumerate()
             .map(|(i, s)| wheel.insert(*s, i))
@@ -145,17 +147,17 @@
     }
 }
 
-fn filled(names: &Names) -> Members {
-    let mut endpoints = Members::new(
-        Settings {
-            most: 1 << 20,
-            ..Settings::default()
+fn filled(names: &Names) -> EndpointRegistry {
+    let mut endpoints = EndpointRegistry::new(
+        RegistrySettings {
+            max_endpoints: 1 << 20,
+            ..RegistrySettings::default()
         },
         0,
     );
     let mut out = Vec::new();
-    for (source, kind) in [(0, Kind::Roster), (1, Kind::Records)] {
-        endpoints.handle(0, Input::Source { source, kind }, &mut out);
+    for (source, kind) in [(0, SourceKind::EndpointList), (1, SourceKind::DnsRecords)] {
+        endpoints.handle(0, Input::SourceAdded { source, kind }, &mut out);
     }
     for (n, id) in names.ids.iter().enumerate() {
         let claim = Claim {
@@ -165,7 +167,7 @@
         };
         endpoints.handle(
             0,
-            Input::Told {
+            Input::Claimed {
                 source: 0,
                 name: id.clone(),
                 claim: claim.clone(),
@@ -179,7 +181,7 @@
         };
         endpoints.handle(
             0,
-            Input::Told {
+            Input::Claimed {
                 source: 1,
                 name: names.records[n].clone(),
                 claim,
@@ -194,7 +196,7 @@
 /// The plain way: the list made anew from all claims after each change, and compared with the one before.
 struct Plain {
     claims: HashMap<Arc<str>, [Claim; 2]>,
-    list: HashMap<Arc<str>, (SocketAddr, Word, u32)>,
+    list: HashMap<Arc<str>, (SocketAddr, ClaimedState, u32)>,
 }
 
 impl Plain {
@@ -205,9 +207,13 @@
         let mut list = HashMap::with_capacity(self.claims.len());
         for (id, [a, b]) in &self.claims {
             let best = if b.started > a.started { b } else { a };
-            let drains = a.word == Word::Draining || b.word == Word::Draining;
-            let word = if drains { Word::Draining } else { Word::Ready };
-            list.insert(id.clone(), (best.address, word, best.replica_set));
+            let drains = a.state == ClaimedState::Draining || b.state == ClaimedState::Draining;
+            let state = if drains {
+                ClaimedState::Draining
+            } else {
+                ClaimedState::Ready
+            };
+            list.insert(id.clone(), (best.address, state, best.replica_set));
         }
         let changed = list
             .iter()
@@ -229,17 +235,17 @@
             for _ in 0..changes {
                 version += 1;
                 let n = random.random_range(0..n);
-                let word = if random.random() {
-                    Word::Ready
+                let state = if random.random() {
+                    ClaimedState::Ready
                 } else {
-                    Word::Draining
+                    ClaimedState::Draining
                 };
                 let claim = Claim {
-                    word,
+                    state,
                     version,
                     ..Claim::new(&names.ids[n], address(n), n as u32 / 5)
                 };
-                inputs.push(Input::Told {
+                inputs.push(Input::Claimed {
                     source: 0,
                     name: names.ids[n].clone(),
                     claim,
@@ -283,7 +289,7 @@
         for n in 0..20 {
             let n = (round * 20 + n) * 7 % 10_000;
             let claim = Claim {
-                word: Word::Draining,
+                state: ClaimedState::Draining,
                 ..claims(n, &names.ids[n])
             };
             ensure!(
--- a/crates/router/src/discovery/admin_socket.rs
+++ b/crates/router/src/discovery/admin_socket.rs
@@ -8,7 +8,7 @@
 use futures_lite::AsyncWriteExt as _;
 use futures_lite::future::or;
 use reelrill_routing::Timestamp;
-use reelrill_service_discovery::{Members, Source, Word};
+use reelrill_service_discovery::{ClaimedState, EndpointRegistry, SourceId};
 use slog::warn;
 use std::fmt::Write as _;
 use std::io::{Read as _, Write as _};
@@ -79,11 +79,15 @@
 }
 
 /// One line for each endpoint, and one below it for each claim.
-pub fn table(endpoints: &Members, now: Timestamp, name: impl Fn(Source) -> String) -> String {
+pub fn table(
+    endpoints: &EndpointRegistry,
+    now: Timestamp,
+    name: impl Fn(SourceId) -> String,
+) -> String {
     let mut out = String::new();
     for m in endpoints.status() {
         let state = m.listed.as_ref().map_or("-", |v| {
-            if v.word == Word::Ready {
+            if v.state == ClaimedState::Ready {
                 "ready"
             } else {
                 "draining"
@@ -112,7 +116,7 @@
                 out,
                 "    {} says {:?} {} start {} told {} ago, the same for {}{stale}{silent}",
                 name(h.source),
-                h.claim.word,
+                h.claim.state,
                 h.claim.address,
                 h.claim.started / 1_000_000,
                 age(now, h.told),
@@ -125,9 +129,9 @@
         out,
         "{} members, {} contradicted, {} ambiguous, {} refused",
         endpoints.len(),
-        counts.contradicted,
-        counts.ambiguous,
-        counts.refused
+        counts.contradictions,
+        counts.ambiguous_names,
+        counts.rejected_claims
     );
     out
 }
--- a/crates/router/src/discovery/registry.rs
+++ b/crates/router/src/discovery/registry.rs
@@ -15,7 +15,8 @@
 use reelrill_routing::{EndpointEntry, EndpointState, ListKind, Timestamp};
 use reelrill_service_discovery::browse::{Ask, Browser, Config, Output};
 use reelrill_service_discovery::{
-    Change, Claim, Input, Kind, Members, Removal, Settings, Source, Word,
+    Change, Claim, ClaimedState, EndpointRegistry, Input, RegistrySettings, SourceId, SourceKind,
+    Withdrawal,
 };
 use slog::{info, warn};
 use std::collections::{BTreeMap, HashMap};
@@ -25,7 +26,7 @@
 use std::time::Duration;
 
 /// The roster's number among the sources; services count from 1.
-const ROSTER: Source = 0;
+const ROSTER: SourceId = 0;
 /// The largest datagram that is looked at.
 const DATAGRAM: usize = 4096;
 /// The pauses between calls to a roster that fails: the first, and how often it doubles.
@@ -59,9 +60,9 @@
     roster: Sender<Call>,
     news: Receiver<News>,
     questions: Receiver<Question>,
-    endpoints: Members,
-    services: BTreeMap<Source, Service>,
-    next: Source,
+    endpoints: EndpointRegistry,
+    services: BTreeMap<SourceId, Service>,
+    next: SourceId,
     /// When the roster is asked again, and how often it has failed in a row.
     retry: Option<Timestamp>,
     failures: u32,
@@ -87,7 +88,7 @@
             return Ok(None);
         }
         let now = shared.clock.now();
-        let vouch = discovery.vouch_s.saturating_mul(1_000_000_000);
+        let heartbeat_ttl = discovery.vouch_s.saturating_mul(1_000_000_000);
         let questions = admin_socket::listen(shared, executor)?;
         let mut directory = EndpointRegistryTask {
             shared: shared.clone(),
@@ -95,10 +96,10 @@
             roster,
             news,
             questions,
-            endpoints: Members::new(
-                Settings {
-                    vouch,
-                    ..Settings::default()
+            endpoints: EndpointRegistry::new(
+                RegistrySettings {
+                    heartbeat_ttl,
+                    ..RegistrySettings::default()
                 },
                 now,
             ),
@@ -117,9 +118,9 @@
         if self.shared.config.edge.discovery.roster {
             self.endpoints.handle(
                 now,
-                Input::Source {
+                Input::SourceAdded {
                     source: ROSTER,
-                    kind: Kind::Roster,
+                    kind: SourceKind::EndpointList,
                 },
                 &mut changes,
             );
@@ -128,7 +129,7 @@
             let (version, known) = self.shared.config.known.clone();
             self.on_entries(now, known, version.unwrap_or(0), &mut changes);
         }
-        let sources: Vec<Source> = self.services.keys().copied().collect();
+        let sources: Vec<SourceId> = self.services.keys().copied().collect();
         for source in sources {
             self.start_service(now, source, &mut changes);
         }
@@ -178,7 +179,7 @@
 
     fn on_due(&mut self, now: Timestamp, changes: &mut Vec<Change>) {
         self.endpoints.on_due(now, changes);
-        let sources: Vec<Source> = self.services.keys().copied().collect();
+        let sources: Vec<SourceId> = self.services.keys().copied().collect();
         for source in sources {
             let mut out = Vec::new();
             if let Some(service) = self.services.get_mut(&source) {
@@ -194,9 +195,9 @@
     }
 
     async fn on_news(&mut self, now: Timestamp, news: News, changes: &mut Vec<Change>) {
-        let before = self.endpoints.counts().contradicted;
+        let before = self.endpoints.counts().contradictions;
         self.take(now, news, changes).await;
-        let contradicted = self.endpoints.counts().contradicted - before;
+        let contradicted = self.endpoints.counts().contradictions - before;
         if contradicted > 0 {
             let endpoint = self.endpoints.contradicted().map_or("", |id| id);
             warn!(self.shared.log, "sources contradict"; "times" => contradicted, "last" => endpoint);
@@ -210,7 +211,7 @@
                 ..
             } => {
                 self.endpoints
-                    .handle(now, Input::Failed { source: ROSTER }, changes);
+                    .handle(now, Input::SourceFailed { source: ROSTER }, changes);
                 // The decider thinks that the list is kept up as long as changes come, also those of records.
                 let pause = PAUSE.0.as_nanos() as u64;
                 let pause = pause << self.failures.min(PAUSE.1);
@@ -233,7 +234,7 @@
                     let names = listed.iter().map(|l| l.entry.endpoint.clone()).collect();
                     self.endpoints.handle(
                         now,
-                        Input::Whole {
+                        Input::Snapshot {
                             source: ROSTER,
                             names,
                         },
@@ -250,8 +251,14 @@
                     .await;
             }
             News::Answered { endpoint, leaving } => {
-                self.endpoints
-                    .handle(now, Input::Answered { endpoint, leaving }, changes);
+                self.endpoints.handle(
+                    now,
+                    Input::EndpointResponded {
+                        endpoint,
+                        is_draining: leaving,
+                    },
+                    changes,
+                );
             }
             News::Records {
                 source,
@@ -268,14 +275,14 @@
                 self.carry(now, source, out, changes);
             }
             News::Settings(discovery) => {
-                let before: Vec<Source> = self.services.keys().copied().collect();
+                let before: Vec<SourceId> = self.services.keys().copied().collect();
                 let gone = match self.services_are(&discovery) {
                     Ok(gone) => gone,
                     Err(e) => {
                         return warn!(self.shared.log, "the new sources are not used"; "error" => %e);
                     }
                 };
-                let new: Vec<Source> = self
+                let new: Vec<SourceId> = self
                     .services
                     .keys()
                     .copied()
@@ -288,7 +295,7 @@
                 }
                 for source in gone {
                     self.endpoints
-                        .handle(now, Input::NoSource { source }, changes);
+                        .handle(now, Input::SourceRemoved { source }, changes);
                 }
             }
         }
@@ -304,26 +311,26 @@
         for ListedEndpoint { entry, address } in listed {
             let name = entry.endpoint.clone();
             let input = if entry.state == EndpointState::Removed {
-                Input::Removed {
+                Input::Withdrawn {
                     source: ROSTER,
                     name,
-                    how: Removal::Gone,
+                    how: Withdrawal::Removed,
                 }
             } else {
-                let word = if entry.state == EndpointState::Draining {
-                    Word::Draining
+                let state = if entry.state == EndpointState::Draining {
+                    ClaimedState::Draining
                 } else {
-                    Word::Ready
+                    ClaimedState::Ready
                 };
                 let claim = Claim {
                     zone: entry.zone,
-                    word,
+                    state,
                     started: entry.started,
                     version,
                     weight: entry.weight,
                     ..Claim::new(&entry.endpoint, address, entry.replica_set)
                 };
-                Input::Told {
+                Input::Claimed {
                     source: ROSTER,
                     name,
                     claim,
@@ -334,7 +341,7 @@
     }
 
     /// Makes the services those of the settings; one whose settings are the same goes on. Returns those that are gone.
-    fn services_are(&mut self, discovery: &Discovery) -> Result<Vec<Source>, RegistryError> {
+    fn services_are(&mut self, discovery: &Discovery) -> Result<Vec<SourceId>, RegistryError> {
         // All names are read before anything changes: a wrong one must not leave half of the services behind.
         for text in discovery
             .dns_sd
@@ -386,7 +393,7 @@
             );
             kept.push(source);
         }
-        let gone: Vec<Source> = self
+        let gone: Vec<SourceId> = self
             .services
             .keys()
             .copied()
@@ -397,12 +404,12 @@
         Ok(gone)
     }
 
-    fn start_service(&mut self, now: Timestamp, source: Source, changes: &mut Vec<Change>) {
+    fn start_service(&mut self, now: Timestamp, source: SourceId, changes: &mut Vec<Change>) {
         self.endpoints.handle(
             now,
-            Input::Source {
+            Input::SourceAdded {
                 source,
-                kind: Kind::Records,
+                kind: SourceKind::DnsRecords,
             },
             changes,
         );
@@ -416,7 +423,7 @@
     fn carry(
         &mut self,
         now: Timestamp,
-        source: Source,
+        source: SourceId,
         out: Vec<Output>,
         changes: &mut Vec<Change>,
     ) {
@@ -474,11 +481,11 @@
                     ListedEndpoint { entry: entry(endpoint, EndpointState::Removed), address }
                 }
                 Change::Listed { endpoint, view, is_new } => {
-                    let state = if view.word == Word::Draining { EndpointState::Draining } else { EndpointState::Serving };
+                    let state = if view.state == ClaimedState::Draining { EndpointState::Draining } else { EndpointState::Serving };
                     if is_new {
                         count(&self.shared.counters.members_came);
                     }
-                    info!(self.shared.log, "member listed"; "member" => &*endpoint, "state" => ?view.word,
+                    info!(self.shared.log, "member listed"; "member" => &*endpoint, "state" => ?view.state,
                           "endpoint" => %view.address, "rule" => ?rule, "new" => is_new);
                     let (started, weight, replica_set, zone) = (view.started, view.weight, view.replica_set, view.zone);
                     let entry = EndpointEntry { started, weight, replica_set, zone, ..entry(endpoint, state) };
@@ -498,7 +505,7 @@
 }
 
 /// Sends one query from a port of its own, and passes on what comes back until it is dropped.
-async fn send(source: Source, ask: Ask, news: Sender<News>) {
+async fn send(source: SourceId, ask: Ask, news: Sender<News>) {
     let query = ask.query;
     let result = if ask.over_tcp {
         over_tcp(&ask).await.map(Some)
@@ -519,7 +526,7 @@
 /// The kernel draws the port, and passes on nothing that does not come from the server. What is no answer does not
 /// end the wait for it.
 async fn over_udp(
-    source: Source,
+    source: SourceId,
     ask: &Ask,
     news: &Sender<News>,
 ) -> std::io::Result<Option<Vec<u8>>> {
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -10,7 +10,7 @@
     AttemptOutcome, EndpointEntry, EndpointId, ListKind, Nanos, ReplicationStatus, RequestId,
     Timestamp,
 };
-use reelrill_service_discovery::Source;
+use reelrill_service_discovery::SourceId;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -217,7 +217,7 @@
     Answered { endpoint: EndpointId, leaving: bool },
     /// What came for a query of a service; none: it could not be sent, or its connection broke.
     Records {
-        source: Source,
+        source: SourceId,
         query: u64,
         bytes: Option<Vec<u8>>,
     },
--- a/crates/service-discovery/src/browse.rs
+++ b/crates/service-discovery/src/browse.rs
@@ -6,11 +6,11 @@
 //! records takes one round trip at a server that sends them along, and three at most.
 //!
 //! What fails takes nothing away: a server that fails is followed by the next, and when all have failed the source is
-//! [`Input::Failed`] and asked again after a growing pause. An empty list of endpoints counts as a failure until it
+//! [`Input::SourceFailed`] and asked again after a growing pause. An empty list of endpoints counts as a failure until it
 //! has come [`EMPTY`] times in a row; a server that has lost its zone must not empty the router's list.
 
-use crate::wheel::{Handle, Wheel};
-use crate::{Claim, Input, Removal, Source, Word};
+use crate::wheel::{TimerHandle, TimerWheel};
+use crate::{Claim, ClaimedState, Input, SourceId, Withdrawal};
 use hickory_proto::op::{Edns, Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
 use rand::rngs::StdRng;
@@ -107,7 +107,7 @@
     /// Servers tried so far, this one included.
     tries: usize,
     over_tcp: bool,
-    timer: Handle,
+    timer: TimerHandle,
 }
 
 /// Records of one name and type; none: there are none, as the server said.
@@ -115,7 +115,7 @@
 struct Set {
     records: Vec<RData>,
     until: Timestamp,
-    timer: Option<Handle>,
+    timer: Option<TimerHandle>,
 }
 
 #[derive(Debug, Clone)]
@@ -128,7 +128,7 @@
 /// The client of one service.
 pub struct Browser {
     config: Config,
-    source: Source,
+    source: SourceId,
     random: StdRng,
     asked: HashMap<u64, Asked>,
     /// Names that are asked for or wait to be.
@@ -144,7 +144,7 @@
     held: HashSet<Key>,
     /// There is a timer for what waits for the budget.
     is_paced: bool,
-    wheel: Wheel<Due>,
+    wheel: TimerWheel<Due>,
     next: u64,
     tokens: f64,
     filled: Timestamp,
@@ -155,7 +155,7 @@
 
 impl Browser {
     /// A client that has asked nothing yet; `seed` is for ids and jitter.
-    pub fn new(config: Config, source: Source, seed: u64, now: Timestamp) -> Browser {
+    pub fn new(config: Config, source: SourceId, seed: u64, now: Timestamp) -> Browser {
         Browser {
             tokens: config.budget.max(1.0),
             config,
@@ -170,7 +170,7 @@
             is_failing: false,
             held: HashSet::new(),
             is_paced: false,
-            wheel: Wheel::new(now),
+            wheel: TimerWheel::new(now),
             next: 0,
             filled: now,
             failures: 0,
@@ -311,7 +311,7 @@
 
     /// Nothing is known now that was not known before; asked again after a pause that grows.
     fn failed(&mut self, now: Timestamp, key: Key, out: &mut Vec<Output>) {
-        out.push(Output::Tell(Input::Failed {
+        out.push(Output::Tell(Input::SourceFailed {
             source: self.source,
         }));
         let pause = self.config.ttl.0.max(100_000_000) << self.failures.min(8);
@@ -493,8 +493,8 @@
 
     fn untell(&mut self, instance: &Name, out: &mut Vec<Output>) {
         if self.told.remove(instance).is_some() {
-            let (source, name, how) = (self.source, label(instance), Removal::Absent);
-            out.push(Output::Tell(Input::Removed { source, name, how }));
+            let (source, name, how) = (self.source, label(instance), Withdrawal::Absent);
+            out.push(Output::Tell(Input::Withdrawn { source, name, how }));
         }
         if let Some((target, ..)) = self.target(instance)
             && let Some(of) = self.targets.get_mut(&target)
@@ -596,10 +596,10 @@
             address: SocketAddr::new(ip, port),
             replica_set,
             zone: zone as u32,
-            word: if texts.get("state").is_none_or(|s| s == "ready") {
-                Word::Ready
+            state: if texts.get("state").is_none_or(|s| s == "ready") {
+                ClaimedState::Ready
             } else {
-                Word::Draining
+                ClaimedState::Draining
             },
             started: boot_ms.saturating_mul(1_000_000),
             version: 0,
@@ -613,7 +613,7 @@
             until: Some(until),
         };
         self.told.insert(instance.clone(), claim.clone());
-        out.push(Output::Tell(Input::Told {
+        out.push(Output::Tell(Input::Claimed {
             source: self.source,
             name: label(instance),
             claim,
--- a/crates/service-discovery/src/lib.rs
+++ b/crates/service-discovery/src/lib.rs
@@ -2,12 +2,12 @@
 //! endpoints' own answers and the time come in as arguments, changes of the list come out.
 //!
 //! ```
-//! use reelrill_service_discovery::{Claim, Input, Kind, Members, Settings};
-//! let mut endpoints = Members::new(Settings::default(), 0);
-//! endpoints.handle(0, Input::Source { source: 0, kind: Kind::Roster }, &mut Vec::new());
+//! use reelrill_service_discovery::{Claim, EndpointRegistry, Input, RegistrySettings, SourceKind};
+//! let mut endpoints = EndpointRegistry::new(RegistrySettings::default(), 0);
+//! endpoints.handle(0, Input::SourceAdded { source: 0, kind: SourceKind::EndpointList }, &mut Vec::new());
 //! let claim = Claim::new("s-1", "127.0.0.1:7001".parse().unwrap(), 1);
 //! let mut changes = Vec::new();
-//! endpoints.handle(0, Input::Told { source: 0, name: "s-1".into(), claim }, &mut changes);
+//! endpoints.handle(0, Input::Claimed { source: 0, name: "s-1".into(), claim }, &mut changes);
 //! assert_eq!(changes[0].endpoint(), "s-1");
 //! ```
 //!
@@ -20,6 +20,6 @@
 pub mod wheel;
 
 pub use registry::{
-    Binding, Change, Claim, Counts, Held, Input, Kind, Members, Removal, Rule, Settings, Source,
-    Status, View, Word,
+    Change, Claim, ClaimedState, EndpointRegistry, EndpointStatus, EndpointView, HeldClaim, Input,
+    ListingRule, RegistryCounts, RegistrySettings, SourceId, SourceKind, StateMarker, Withdrawal,
 };
--- a/crates/service-discovery/src/registry.rs
+++ b/crates/service-discovery/src/registry.rs
@@ -1,26 +1,26 @@
 //! The claims, the rules, and the list.
 
-use crate::wheel::{Handle, Wheel};
+use crate::wheel::{TimerHandle, TimerWheel};
 use reelrill_routing::{Nanos, Timestamp};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 /// A source, as its host numbers them.
-pub type Source = u16;
+pub type SourceId = u16;
 
 /// What a source is. A later kind is the better source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum SourceKind {
     /// Records: no versions, and a secondary may be behind.
-    Records,
+    DnsRecords,
     /// The roster: its versions only go up.
-    Roster,
+    EndpointList,
 }
 
 /// What a claim says of the endpoint's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Word {
+pub enum ClaimedState {
     /// In service.
     Ready,
     /// Finishing its work; nothing new.
@@ -39,7 +39,7 @@
     /// Its zone.
     pub zone: u32,
     /// Its state.
-    pub word: Word,
+    pub state: ClaimedState,
     /// When it last started, in Unix nanoseconds; 0: not told, or long past.
     pub started: Timestamp,
     /// The source's version of this word; 0 where it has none.
@@ -55,13 +55,13 @@
 impl Claim {
     /// An endpoint in service, with nothing else told.
     pub fn new(uid: &str, address: SocketAddr, replica_set: u32) -> Claim {
-        let (word, uid) = (Word::Ready, Some(uid.into()));
+        let (state, uid) = (ClaimedState::Ready, Some(uid.into()));
         Claim {
             uid,
             address,
             replica_set,
             zone: 0,
-            word,
+            state,
             started: 0,
             version: 0,
             weight: 1.0,
@@ -93,9 +93,9 @@
 
 /// How a source takes an endpoint's name back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Removal {
+pub enum Withdrawal {
     /// It says that the endpoint is gone.
-    Gone,
+    Removed,
     /// It does not name it any more.
     Absent,
 }
@@ -104,59 +104,59 @@
 #[derive(Debug, Clone)]
 pub enum Input {
     /// A source is there from now on.
-    Source {
+    SourceAdded {
         /// Its number.
-        source: Source,
+        source: SourceId,
         /// What it is.
-        kind: Kind,
+        kind: SourceKind,
     },
     /// A source was taken out of the configuration: what it says no longer counts.
-    NoSource {
+    SourceRemoved {
         /// Its number.
-        source: Source,
+        source: SourceId,
     },
     /// A source names an endpoint, or says something else of it.
-    Told {
+    Claimed {
         /// The source.
-        source: Source,
+        source: SourceId,
         /// The endpoint, as the source names it.
         name: Arc<str>,
         /// What it says.
         claim: Claim,
     },
     /// A source names an endpoint no longer.
-    Removed {
+    Withdrawn {
         /// The source.
-        source: Source,
+        source: SourceId,
         /// The endpoint, as the source names it.
         name: Arc<str>,
         /// How.
-        how: Removal,
+        how: Withdrawal,
     },
     /// These are all that the source names.
-    Whole {
+    Snapshot {
         /// The source.
-        source: Source,
+        source: SourceId,
         /// As the source names them.
         names: HashSet<Arc<str>>,
     },
     /// A source can't be heard: it answered with a failure, or not at all.
-    Failed {
+    SourceFailed {
         /// The source.
-        source: Source,
+        source: SourceId,
     },
     /// An endpoint answered for itself.
-    Answered {
+    EndpointResponded {
         /// The endpoint.
         endpoint: Arc<str>,
         /// It says that it leaves.
-        leaving: bool,
+        is_draining: bool,
     },
 }
 
 /// What is in the list of an endpoint.
 #[derive(Debug, Clone, PartialEq)]
-pub struct View {
+pub struct EndpointView {
     /// Where it is dialled.
     pub address: SocketAddr,
     /// Its replica set.
@@ -164,7 +164,7 @@
     /// Its zone.
     pub zone: u32,
     /// Its state.
-    pub word: Word,
+    pub state: ClaimedState,
     /// When it last started.
     pub started: Timestamp,
     /// Its size as compared with others.
@@ -179,7 +179,7 @@
         /// The endpoint.
         endpoint: Arc<str>,
         /// What the list says of it.
-        view: View,
+        view: EndpointView,
         /// It was not in the list before.
         is_new: bool,
     },
@@ -201,7 +201,7 @@
 
 /// The rule that decided what the list says of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Rule {
+pub enum ListingRule {
     /// A source names it and nothing speaks against it.
     Named,
     /// No source names it now, but it answered a short while ago.
@@ -222,9 +222,9 @@
 
 /// A claim as it is kept.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Held {
+pub struct HeldClaim {
     /// Who says it.
-    pub source: Source,
+    pub source: SourceId,
     /// The name there.
     pub name: Arc<str>,
     /// What is said.
@@ -239,11 +239,11 @@
 
 /// A word that binds until something newer lifts it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Binding {
+pub struct StateMarker {
     /// Who said it.
-    pub by: Source,
+    pub by: SourceId,
     /// What that source is.
-    pub kind: Kind,
+    pub kind: SourceKind,
     /// The start of the endpoint that it was said of.
     pub started: Timestamp,
     /// The source's version of it.
@@ -253,133 +253,134 @@
 }
 
 #[derive(Debug, Clone, Default)]
-struct Endpoint {
+struct EndpointRecord {
     /// Its number among all that ever were: shorter to compare than its name.
     serial: u64,
-    claims: Vec<Held>,
-    drain: Option<Binding>,
-    gone: Option<Binding>,
-    own_drain: Option<Timestamp>,
+    claims: Vec<HeldClaim>,
+    drain: Option<StateMarker>,
+    gone: Option<StateMarker>,
+    draining_since: Option<Timestamp>,
     answered: Option<Timestamp>,
     /// The view that the claims last gave: what an endpoint that only vouches for itself is listed by.
-    last: Option<View>,
+    last: Option<EndpointView>,
     last_tier: u16,
     /// Its place among those that are in service, by replica set and tier.
     ranked: Option<(u32, u16)>,
-    listed: Option<View>,
-    rule: Option<Rule>,
+    listed: Option<EndpointView>,
+    rule: Option<ListingRule>,
     /// The rule but for the tier.
-    judged: Option<Rule>,
+    judged: Option<ListingRule>,
     /// The endpoint of the claim that counts.
     best: Option<SocketAddr>,
     /// When to look at it again.
-    timer: Option<(Handle, Timestamp)>,
+    timer: Option<(TimerHandle, Timestamp)>,
 }
 
 #[derive(Debug, Clone)]
-struct Heard {
-    kind: Kind,
+struct SourceState {
+    kind: SourceKind,
     /// Since when it has not been heard.
     silent: Option<Timestamp>,
 }
 
 /// What the rules are to go by.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Settings {
+pub struct RegistrySettings {
     /// How long an endpoint's own answer vouches for it, and its own word that it leaves binds.
-    pub vouch: Nanos,
+    pub heartbeat_ttl: Nanos,
     /// How long an endpoint that nobody names is kept in mind, so that an old word about it is known for one.
-    pub remember: Nanos,
+    pub retention: Nanos,
     /// The most endpoints; what comes beyond is not taken in, and counted.
-    pub most: usize,
+    pub max_endpoints: usize,
     /// Only newer word lifts a drain. Off only to show that a check finds it.
-    pub drains_hold: bool,
+    pub has_sticky_drains: bool,
     /// A failure of a source takes nothing away. Off only to show that a check finds it.
-    pub silence_keeps: bool,
+    pub keeps_claims_of_failed_sources: bool,
     /// An endpoint that one source no longer names stays as long as others name it or it answers. Off only to show
     /// that a check finds it.
-    pub absence_needs_all: bool,
+    pub requires_all_sources_for_removal: bool,
 }
 
-impl Default for Settings {
-    fn default() -> Settings {
-        let (vouch, remember) = (30_000_000_000, 600_000_000_000);
-        let (drains_hold, silence_keeps, absence_needs_all) = (true, true, true);
-        Settings {
-            vouch,
-            remember,
-            most: 65_536,
-            drains_hold,
-            silence_keeps,
-            absence_needs_all,
+impl Default for RegistrySettings {
+    fn default() -> RegistrySettings {
+        let (heartbeat_ttl, retention) = (30_000_000_000, 600_000_000_000);
+        let (has_sticky_drains, keeps_claims_of_failed_sources, requires_all_sources_for_removal) =
+            (true, true, true);
+        RegistrySettings {
+            heartbeat_ttl,
+            retention,
+            max_endpoints: 65_536,
+            has_sticky_drains,
+            keeps_claims_of_failed_sources,
+            requires_all_sources_for_removal,
         }
     }
 }
 
 /// What has been counted since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct RegistryCounts {
     /// Endpoints that came into the list, and that left it.
-    pub came: u64,
-    /// See `came`.
-    pub went: u64,
+    pub added: u64,
+    /// See `added`.
+    pub removed: u64,
     /// Words that another source's contradict, as they were told.
-    pub contradicted: u64,
+    pub contradictions: u64,
     /// Names that could stand for more than one endpoint.
-    pub ambiguous: u64,
+    pub ambiguous_names: u64,
     /// Claims beyond the bound.
-    pub refused: u64,
+    pub rejected_claims: u64,
 }
 
 /// An endpoint, for people.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Status {
+pub struct EndpointStatus {
     /// The endpoint.
     pub endpoint: Arc<str>,
     /// What the list says of it, if it is there.
-    pub listed: Option<View>,
+    pub listed: Option<EndpointView>,
     /// Why.
-    pub rule: Rule,
+    pub rule: ListingRule,
     /// Who says what.
-    pub claims: Vec<Held>,
+    pub claims: Vec<HeldClaim>,
     /// A drain that was told and not lifted.
-    pub drain: Option<Binding>,
+    pub drain: Option<StateMarker>,
     /// Since when it says itself that it leaves.
-    pub own_drain: Option<Timestamp>,
+    pub draining_since: Option<Timestamp>,
     /// It was said to be gone, and that was not lifted.
-    pub gone: Option<Binding>,
+    pub gone: Option<StateMarker>,
     /// When it last answered.
     pub answered: Option<Timestamp>,
 }
 
 /// All endpoints.
 #[derive(Debug, Clone)]
-pub struct Members {
-    settings: Settings,
-    sources: BTreeMap<Source, Heard>,
-    endpoints: HashMap<Arc<str>, Endpoint>,
+pub struct EndpointRegistry {
+    settings: RegistrySettings,
+    sources: BTreeMap<SourceId, SourceState>,
+    endpoints: HashMap<Arc<str>, EndpointRecord>,
     /// Which endpoint a source's name stands for.
-    names: HashMap<(Source, Arc<str>), Arc<str>>,
+    names: HashMap<(SourceId, Arc<str>), Arc<str>>,
     /// Which endpoints have claims of an endpoint, or were listed there last.
     addresses: HashMap<SocketAddr, Vec<Arc<str>>>,
     /// The endpoints in service, by replica set and tier.
     tiers: HashMap<u32, BTreeMap<(u16, u64), Arc<str>>>,
     /// Endpoints so far.
     serial: u64,
-    wheel: Wheel<Arc<str>>,
+    wheel: TimerWheel<Arc<str>>,
     /// Endpoints whose claims differ in what the list would say.
     disputed: HashSet<Arc<str>>,
     contradicted: Option<Arc<str>>,
-    counts: Counts,
+    counts: RegistryCounts,
 }
 
 /// What stands before the name of an endpoint whose own name no source tells.
 const NAMELESS: &str = "name:";
 
-impl Members {
+impl EndpointRegistry {
     /// No sources and no endpoints.
-    pub fn new(settings: Settings, now: Timestamp) -> Members {
-        Members {
+    pub fn new(settings: RegistrySettings, now: Timestamp) -> EndpointRegistry {
+        EndpointRegistry {
             settings,
             sources: BTreeMap::new(),
             endpoints: HashMap::new(),
@@ -387,15 +388,15 @@
             addresses: HashMap::new(),
             tiers: HashMap::new(),
             serial: 0,
-            wheel: Wheel::new(now),
+            wheel: TimerWheel::new(now),
             disputed: HashSet::new(),
             contradicted: None,
-            counts: Counts::default(),
+            counts: RegistryCounts::default(),
         }
     }
 
     /// What has been counted.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> RegistryCounts {
         self.counts
     }
 
@@ -415,29 +416,29 @@
     }
 
     /// All endpoints, in the order of their names.
-    pub fn status(&self) -> Vec<Status> {
-        let status = |(id, m): (&Arc<str>, &Endpoint)| Status {
+    pub fn status(&self) -> Vec<EndpointStatus> {
+        let status = |(id, m): (&Arc<str>, &EndpointRecord)| EndpointStatus {
             endpoint: id.clone(),
             listed: m.listed.clone(),
-            rule: m.rule.unwrap_or(Rule::Unnamed),
+            rule: m.rule.unwrap_or(ListingRule::Unnamed),
             claims: m.claims.clone(),
             drain: m.drain,
-            own_drain: m.own_drain,
+            draining_since: m.draining_since,
             gone: m.gone,
             answered: m.answered,
         };
-        let mut all: Vec<Status> = self.endpoints.iter().map(status).collect();
+        let mut all: Vec<EndpointStatus> = self.endpoints.iter().map(status).collect();
         all.sort_by(|a, b| a.endpoint.cmp(&b.endpoint));
         all
     }
 
     /// The rule that decided of an endpoint.
-    pub fn rule(&self, endpoint: &str) -> Option<Rule> {
+    pub fn rule(&self, endpoint: &str) -> Option<ListingRule> {
         self.endpoints.get(endpoint)?.rule
     }
 
     /// Since when a source has not been heard; none: it has, or is not known.
-    pub fn silent_since(&self, source: Source) -> Option<Timestamp> {
+    pub fn silent_since(&self, source: SourceId) -> Option<Timestamp> {
         self.sources.get(&source)?.silent
     }
 
@@ -455,9 +456,9 @@
                 continue;
             };
             m.timer = None;
-            m.own_drain = m
-                .own_drain
-                .filter(|at| now < at.saturating_add(self.settings.vouch));
+            m.draining_since = m
+                .draining_since
+                .filter(|at| now < at.saturating_add(self.settings.heartbeat_ttl));
             for held in &mut m.claims {
                 held.is_stale |= held.claim.until.is_some_and(|until| until <= now);
             }
@@ -468,48 +469,50 @@
     /// Takes one input, and appends what it changes in the list.
     pub fn handle(&mut self, now: Timestamp, input: Input, changes: &mut Vec<Change>) {
         match input {
-            Input::Source { source, kind } => {
-                self.sources.insert(source, Heard { kind, silent: None });
+            Input::SourceAdded { source, kind } => {
+                self.sources
+                    .insert(source, SourceState { kind, silent: None });
             }
-            Input::NoSource { source } => self.on_no_source(now, source, changes),
-            Input::Told {
+            Input::SourceRemoved { source } => self.on_no_source(now, source, changes),
+            Input::Claimed {
                 source,
                 name,
                 claim,
             } => self.on_told(now, source, name, claim, changes),
-            Input::Removed { source, name, how } => {
+            Input::Withdrawn { source, name, how } => {
                 let changed = self.hear(now, source, true);
                 self.remove_all(now, source, vec![name], how, changes);
                 self.settle_disputed(now, changed, changes);
             }
-            Input::Whole { source, names } => {
+            Input::Snapshot { source, names } => {
                 let changed = self.hear(now, source, true);
                 let is_absent =
-                    |(s, name): &&(Source, Arc<str>)| *s == source && !names.contains(name);
+                    |(s, name): &&(SourceId, Arc<str>)| *s == source && !names.contains(name);
                 let absent: Vec<Arc<str>> = self
                     .names
                     .keys()
                     .filter(is_absent)
                     .map(|k| k.1.clone())
                     .collect();
-                self.remove_all(now, source, absent, Removal::Absent, changes);
+                self.remove_all(now, source, absent, Withdrawal::Absent, changes);
                 self.settle_disputed(now, changed, changes);
             }
-            Input::Failed { source } => {
+            Input::SourceFailed { source } => {
                 let changed = self.hear(now, source, false);
-                if !self.settings.silence_keeps {
+                if !self.settings.keeps_claims_of_failed_sources {
                     self.drop_claims(now, source, changes);
                 }
                 self.settle_disputed(now, changed, changes);
             }
-            Input::Answered { endpoint, leaving } => {
-                self.on_answered(now, &endpoint, leaving, changes)
-            }
+            Input::EndpointResponded {
+                endpoint,
+                is_draining,
+            } => self.on_answered(now, &endpoint, is_draining, changes),
         }
     }
 
     /// A source is heard again, or no longer. Says whether that is new.
-    fn hear(&mut self, now: Timestamp, source: Source, is_heard: bool) -> bool {
+    fn hear(&mut self, now: Timestamp, source: SourceId, is_heard: bool) -> bool {
         let Some(heard) = self.sources.get_mut(&source) else {
             return false;
         };
@@ -536,7 +539,7 @@
         &mut self,
         now: Timestamp,
         id: &Arc<str>,
-        leaving: bool,
+        is_draining: bool,
         changes: &mut Vec<Change>,
     ) {
         // The usual case, many times a second: one look-up, and nothing else to do.
@@ -545,13 +548,17 @@
         };
         m.answered = Some(now);
         // What it still finishes it answers as ever: that does not mean that it stays.
-        if leaving || m.rule == Some(Rule::Unnamed) {
-            m.own_drain = if leaving { Some(now) } else { m.own_drain };
+        if is_draining || m.rule == Some(ListingRule::Unnamed) {
+            m.draining_since = if is_draining {
+                Some(now)
+            } else {
+                m.draining_since
+            };
             self.settle(now, id, changes);
         }
     }
 
-    fn on_no_source(&mut self, now: Timestamp, source: Source, changes: &mut Vec<Change>) {
+    fn on_no_source(&mut self, now: Timestamp, source: SourceId, changes: &mut Vec<Change>) {
         self.drop_claims(now, source, changes);
         self.sources.remove(&source);
         let bound: Vec<Arc<str>> = self
@@ -569,14 +576,14 @@
         }
     }
 
-    fn drop_claims(&mut self, now: Timestamp, source: Source, changes: &mut Vec<Change>) {
+    fn drop_claims(&mut self, now: Timestamp, source: SourceId, changes: &mut Vec<Change>) {
         let names: Vec<Arc<str>> = self
             .names
             .keys()
             .filter(|k| k.0 == source)
             .map(|k| k.1.clone())
             .collect();
-        self.remove_all(now, source, names, Removal::Absent, changes);
+        self.remove_all(now, source, names, Withdrawal::Absent, changes);
     }
 
     /// Those that a source names at an endpoint now.
@@ -597,7 +604,7 @@
 
     /// Which endpoint a claim is about. Its own name says so; else the one endpoint that has its endpoint; else it is
     /// kept apart, under the source's name for it.
-    fn identify(&mut self, source: Source, name: &Arc<str>, claim: &Claim) -> Arc<str> {
+    fn identify(&mut self, source: SourceId, name: &Arc<str>, claim: &Claim) -> Arc<str> {
         if let Some(uid) = &claim.uid {
             return uid.clone();
         }
@@ -606,7 +613,7 @@
         match (named.next(), named.next()) {
             (Some(only), None) => return only.clone(),
             (Some(_), Some(_)) if !self.names.contains_key(&(source, name.clone())) => {
-                self.counts.ambiguous += 1
+                self.counts.ambiguous_names += 1
             }
             _ => {}
         }
@@ -616,7 +623,7 @@
     fn on_told(
         &mut self,
         now: Timestamp,
-        source: Source,
+        source: SourceId,
         name: Arc<str>,
         claim: Claim,
         changes: &mut Vec<Change>,
@@ -626,8 +633,9 @@
         };
         let changed = self.hear(now, source, true);
         let id = self.identify(source, &name, &claim);
-        if !self.endpoints.contains_key(&id) && self.endpoints.len() >= self.settings.most {
-            self.counts.refused += 1;
+        if !self.endpoints.contains_key(&id) && self.endpoints.len() >= self.settings.max_endpoints
+        {
+            self.counts.rejected_claims += 1;
             return;
         }
         let key = (source, name.clone());
@@ -639,30 +647,30 @@
         let serial = &mut self.serial;
         let m = self.endpoints.entry(id.clone()).or_insert_with(|| {
             *serial += 1;
-            Endpoint {
+            EndpointRecord {
                 serial: *serial,
-                ..Endpoint::default()
+                ..EndpointRecord::default()
             }
         });
         let contradicts =
-            |h: &Held| h.source != source && !h.is_stale && h.claim.word != claim.word;
+            |h: &HeldClaim| h.source != source && !h.is_stale && h.claim.state != claim.state;
         let is_news = !m
             .claims
             .iter()
-            .any(|h| h.source == source && h.name == name && h.claim.word == claim.word);
+            .any(|h| h.source == source && h.name == name && h.claim.state == claim.state);
         if is_news && m.claims.iter().any(contradicts) {
-            self.counts.contradicted += 1;
+            self.counts.contradictions += 1;
             self.contradicted = Some(id.clone());
         }
         let last = m.last.as_ref().map_or(0, |v| v.started);
         if claim.started > last && m.claims.iter().all(|h| h.claim.started < claim.started) {
             // Another process is there now.
-            m.own_drain = None;
+            m.draining_since = None;
         }
-        m.bind(now, source, kind, &claim, self.settings.drains_hold);
+        m.bind(now, source, kind, &claim, self.settings.has_sticky_drains);
         let address = claim.address;
         let is_stale = claim.until.is_some_and(|until| until <= now);
-        let mut held = Held {
+        let mut held = HeldClaim {
             source,
             name: name.clone(),
             claim,
@@ -730,7 +738,7 @@
             let Some(m) = self.endpoints.get_mut(&other) else {
                 continue;
             };
-            let claims: Vec<Held> = m
+            let claims: Vec<HeldClaim> = m
                 .claims
                 .extract_if(.., |h| h.claim.address == address)
                 .collect();
@@ -802,7 +810,7 @@
     }
 
     /// Takes a claim out.
-    fn unclaim(&mut self, source: Source, name: &Arc<str>, id: &Arc<str>) -> Option<Held> {
+    fn unclaim(&mut self, source: SourceId, name: &Arc<str>, id: &Arc<str>) -> Option<HeldClaim> {
         let m = self.endpoints.get_mut(id)?;
         let at = m
             .claims
@@ -815,9 +823,9 @@
     fn remove_all(
         &mut self,
         now: Timestamp,
-        source: Source,
+        source: SourceId,
         mut names: Vec<Arc<str>>,
-        how: Removal,
+        how: Withdrawal,
         changes: &mut Vec<Change>,
     ) {
         let Some(kind) = self.sources.get(&source).map(|h| h.kind) else {
@@ -833,10 +841,10 @@
                 continue;
             };
             if let Some(m) = self.endpoints.get_mut(&id)
-                && (how == Removal::Gone || !self.settings.absence_needs_all)
+                && (how == Withdrawal::Removed || !self.settings.requires_all_sources_for_removal)
             {
                 let (started, version) = (held.claim.started, held.claim.version);
-                m.gone = Some(Binding {
+                m.gone = Some(StateMarker {
                     by: source,
                     kind,
                     started,
@@ -865,7 +873,7 @@
         // In service and not held back by anything but its tier.
         let ranked = view
             .as_ref()
-            .filter(|v| v.word == Word::Ready)
+            .filter(|v| v.state == ClaimedState::Ready)
             .map(|v| (v.replica_set, tier));
         let before = std::mem::replace(&mut m.ranked, ranked);
         let last = view.as_ref().and_then(|view| {
@@ -888,7 +896,7 @@
         if let Some(m) = self.endpoints.get_mut(id) {
             m.best = has;
             // Which of its claims counts may turn on whether their sources are heard.
-            let differ = |h: &Held| !h.claim.counts_as(&m.claims[0].claim);
+            let differ = |h: &HeldClaim| !h.claim.counts_as(&m.claims[0].claim);
             if m.claims.iter().any(differ) {
                 self.disputed.insert(id.clone());
             } else if !self.disputed.is_empty() {
@@ -1006,9 +1014,15 @@
     }
 
     /// Tells what the list says of an endpoint, if that is new.
-    fn publish(&mut self, id: &Arc<str>, view: Option<View>, tier: u16, changes: &mut Vec<Change>) {
+    fn publish(
+        &mut self,
+        id: &Arc<str>,
+        view: Option<EndpointView>,
+        tier: u16,
+        changes: &mut Vec<Change>,
+    ) {
         let is_standby = view.as_ref().is_some_and(|v| {
-            v.word == Word::Ready
+            v.state == ClaimedState::Ready
                 && self
                     .lowest(v.replica_set)
                     .is_some_and(|lowest| lowest < tier)
@@ -1017,15 +1031,15 @@
             return;
         };
         if is_standby {
-            m.rule = Some(Rule::Standby);
+            m.rule = Some(ListingRule::Standby);
         }
         let view = view.filter(|_| !is_standby);
         if m.listed == view {
             return;
         }
         match (&m.listed, &view) {
-            (None, Some(_)) => self.counts.came += 1,
-            (Some(_), None) => self.counts.went += 1,
+            (None, Some(_)) => self.counts.added += 1,
+            (Some(_), None) => self.counts.removed += 1,
             _ => {}
         }
         let is_new = m.listed.is_none();
@@ -1042,14 +1056,18 @@
     }
 
     /// What the rules say of an endpoint, but for its tier.
-    fn judge(&self, now: Timestamp, id: &Arc<str>) -> Option<(Rule, Option<View>, u16)> {
+    fn judge(
+        &self,
+        now: Timestamp,
+        id: &Arc<str>,
+    ) -> Option<(ListingRule, Option<EndpointView>, u16)> {
         let m = self.endpoints.get(id)?;
         if m.gone.is_some() {
-            return Some((Rule::Gone, None, 0));
+            return Some((ListingRule::Gone, None, 0));
         }
         let answered = m
             .answered
-            .is_some_and(|at| now < at.saturating_add(self.settings.vouch));
+            .is_some_and(|at| now < at.saturating_add(self.settings.heartbeat_ttl));
         let best = m.claims.iter().max_by(|a, b| self.compare(a, b));
         let (mut rule, mut view, tier) = match (best, &m.last) {
             (Some(h), _) => {
@@ -1058,20 +1076,20 @@
                 let (address, replica_set, zone, weight) =
                     (c.address, c.replica_set, c.zone, c.weight);
                 (
-                    Rule::Named,
-                    View {
+                    ListingRule::Named,
+                    EndpointView {
                         address,
                         replica_set,
                         zone,
-                        word: Word::Ready,
+                        state: ClaimedState::Ready,
                         started,
                         weight,
                     },
                     c.tier,
                 )
             }
-            (None, Some(last)) if answered => (Rule::Vouched, last.clone(), m.last_tier),
-            _ => return Some((Rule::Unnamed, None, 0)),
+            (None, Some(last)) if answered => (ListingRule::Vouched, last.clone(), m.last_tier),
+            _ => return Some((ListingRule::Unnamed, None, 0)),
         };
         let (mine, address) = (self.hold(m, id), view.address);
         let others = self.addresses.get(&address).map_or(&[][..], |at| at);
@@ -1082,21 +1100,21 @@
             })
         });
         if is_shadowed {
-            return Some((Rule::Shadowed, None, tier));
+            return Some((ListingRule::Shadowed, None, tier));
         }
-        view.word = Word::Ready;
-        if m.drain.is_some() || m.own_drain.is_some() {
+        view.state = ClaimedState::Ready;
+        if m.drain.is_some() || m.draining_since.is_some() {
             rule = if m.drain.is_some() {
-                Rule::Drain
+                ListingRule::Drain
             } else {
-                Rule::OwnDrain
+                ListingRule::OwnDrain
             };
-            view.word = Word::Draining;
+            view.state = ClaimedState::Draining;
         }
         Some((rule, Some(view), tier))
     }
 
-    fn endpoint_of(&self, m: &Endpoint) -> Option<SocketAddr> {
+    fn endpoint_of(&self, m: &EndpointRecord) -> Option<SocketAddr> {
         m.claims
             .iter()
             .max_by(|a, b| self.compare(a, b))
@@ -1105,7 +1123,11 @@
 
     /// How strong an endpoint's hold of its endpoint is: a name of its own, the newest start, the newest word; the
     /// name itself, so that no two are alike.
-    fn hold<'a>(&self, m: &Endpoint, id: &'a Arc<str>) -> (bool, Timestamp, Timestamp, &'a str) {
+    fn hold<'a>(
+        &self,
+        m: &EndpointRecord,
+        id: &'a Arc<str>,
+    ) -> (bool, Timestamp, Timestamp, &'a str) {
         let started = m.claims.iter().map(|h| h.claim.started).max().unwrap_or(0);
         let since = m.claims.iter().map(|h| h.since).max().unwrap_or(0);
         (!id.starts_with(NAMELESS), started, since, id)
@@ -1113,14 +1135,14 @@
 
     /// Which of two claims about one endpoint counts: the newer start; a fresh one of a source that is heard; the
     /// better source; the newer word, which is not the one that was repeated last.
-    fn compare(&self, a: &Held, b: &Held) -> std::cmp::Ordering {
-        let heard = |h: &Held| {
+    fn compare(&self, a: &HeldClaim, b: &HeldClaim) -> std::cmp::Ordering {
+        let heard = |h: &HeldClaim| {
             self.sources
                 .get(&h.source)
                 .is_some_and(|s| s.silent.is_none())
         };
-        let kind = |h: &Held| self.sources.get(&h.source).map(|s| s.kind);
-        let order = |h: &Held| {
+        let kind = |h: &HeldClaim| self.sources.get(&h.source).map(|s| s.kind);
+        let order = |h: &HeldClaim| {
             (
                 h.claim.started,
                 !h.is_stale,
@@ -1144,11 +1166,11 @@
             .filter(|h| !h.is_stale)
             .filter_map(|h| h.claim.until)
             .min();
-        let (vouch, remember) = (self.settings.vouch, self.settings.remember);
+        let (heartbeat_ttl, retention) = (self.settings.heartbeat_ttl, self.settings.retention);
         let unnamed = m.claims.is_empty();
         let vouched = m
             .answered
-            .map(|at| at.saturating_add(vouch))
+            .map(|at| at.saturating_add(heartbeat_ttl))
             .filter(|at| unnamed && *at > now);
         if unnamed && m.listed.is_none() && vouched.is_none() {
             let last = m
@@ -1156,7 +1178,7 @@
                 .max(m.gone.map(|b| b.at))
                 .max(m.drain.map(|b| b.at))
                 .unwrap_or(0);
-            let until = last.saturating_add(remember);
+            let until = last.saturating_add(retention);
             if until <= now {
                 let Some(m) = self.endpoints.remove(id) else {
                     return;
@@ -1173,7 +1195,7 @@
             m.arm(&mut self.wheel, Some(until), id);
             return;
         }
-        let own = m.own_drain.map(|at| at.saturating_add(vouch));
+        let own = m.draining_since.map(|at| at.saturating_add(heartbeat_ttl));
         m.arm(
             &mut self.wheel,
             stale.into_iter().chain(vouched).chain(own).min(),
@@ -1182,8 +1204,8 @@
     }
 }
 
-impl Endpoint {
-    fn is_bound_by(&self, source: Source) -> bool {
+impl EndpointRecord {
+    fn is_bound_by(&self, source: SourceId) -> bool {
         [self.drain, self.gone]
             .into_iter()
             .flatten()
@@ -1196,23 +1218,26 @@
     fn bind(
         &mut self,
         now: Timestamp,
-        source: Source,
-        kind: Kind,
+        source: SourceId,
+        kind: SourceKind,
         claim: &Claim,
-        drains_hold: bool,
+        has_sticky_drains: bool,
     ) {
-        let is_newer_version =
-            |b: &Binding| source == b.by && kind == Kind::Roster && claim.version > b.version;
+        let is_newer_version = |b: &StateMarker| {
+            source == b.by && kind == SourceKind::EndpointList && claim.version > b.version
+        };
         let lifts =
-            |b: &Binding| (claim.started > b.started && kind >= b.kind) || is_newer_version(b);
+            |b: &StateMarker| (claim.started > b.started && kind >= b.kind) || is_newer_version(b);
         self.gone = self
             .gone
             .filter(|b| claim.started <= b.started && !is_newer_version(b));
-        match claim.word {
-            Word::Ready => self.drain = self.drain.filter(|b| drains_hold && !lifts(b)),
-            Word::Draining => {
+        match claim.state {
+            ClaimedState::Ready => {
+                self.drain = self.drain.filter(|b| has_sticky_drains && !lifts(b))
+            }
+            ClaimedState::Draining => {
                 let (by, started, version) = (source, claim.started, claim.version);
-                let new = Binding {
+                let new = StateMarker {
                     by,
                     kind,
                     started,
@@ -1220,13 +1245,13 @@
                     at: now,
                 };
                 // Of two that say so, the better source's word is the one that must be lifted.
-                let is_kept = |b: &Binding| b.kind > kind && b.started >= started;
+                let is_kept = |b: &StateMarker| b.kind > kind && b.started >= started;
                 self.drain = self.drain.filter(is_kept).or(Some(new));
             }
         }
     }
 
-    fn arm(&mut self, wheel: &mut Wheel<Arc<str>>, at: Option<Timestamp>, id: &Arc<str>) {
+    fn arm(&mut self, wheel: &mut TimerWheel<Arc<str>>, at: Option<Timestamp>, id: &Arc<str>) {
         match (self.timer, at) {
             (Some((_, before)), Some(at)) if before == at => {}
             (Some((timer, _)), Some(at)) if wheel.reset(timer, at) => {
--- a/crates/service-discovery/src/wheel.rs
+++ b/crates/service-discovery/src/wheel.rs
@@ -17,7 +17,7 @@
 
 /// Names a timer. Using one after its timer has gone finds nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Handle {
+pub struct TimerHandle {
     index: u32,
     generation: u32,
 }
@@ -35,7 +35,7 @@
 
 /// Timers, each with a value that is given back when it is due.
 #[derive(Debug, Clone)]
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     nodes: Vec<Node<T>>,
     free: Vec<u32>,
     /// The first node of each slot, level by level.
@@ -46,10 +46,10 @@
     now: u64,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// A wheel that stands at `now`.
-    pub fn new(now: Timestamp) -> Wheel<T> {
-        Wheel {
+    pub fn new(now: Timestamp) -> TimerWheel<T> {
+        TimerWheel {
             nodes: Vec::new(),
             free: Vec::new(),
             heads: vec![NONE; LEVELS * SLOTS],
@@ -72,7 +72,7 @@
     ///
     /// # Panics
     /// Beyond 2^32 - 1 timers.
-    pub fn insert(&mut self, at: Timestamp, value: T) -> Handle {
+    pub fn insert(&mut self, at: Timestamp, value: T) -> TimerHandle {
         let at = ticks(at);
         let index = match self.free.pop() {
             Some(index) => {
@@ -95,14 +95,14 @@
             }
         };
         self.link(index);
-        Handle {
+        TimerHandle {
             index,
             generation: self.nodes[index as usize].generation,
         }
     }
 
     /// Moves a timer; says whether it was still there.
-    pub fn reset(&mut self, handle: Handle, at: Timestamp) -> bool {
+    pub fn reset(&mut self, handle: TimerHandle, at: Timestamp) -> bool {
         if !self.holds(handle) {
             return false;
         }
@@ -113,7 +113,7 @@
     }
 
     /// Takes a timer out, if it is still there.
-    pub fn cancel(&mut self, handle: Handle) -> Option<T> {
+    pub fn cancel(&mut self, handle: TimerHandle) -> Option<T> {
         if !self.holds(handle) {
             return None;
         }
@@ -146,7 +146,7 @@
         self.now = self.now.max(target);
     }
 
-    fn holds(&self, handle: Handle) -> bool {
+    fn holds(&self, handle: TimerHandle) -> bool {
         let node = self.nodes.get(handle.index as usize);
         node.is_some_and(|n| n.generation == handle.generation && n.value.is_some())
     }
--- a/crates/service-discovery/src/wheel/tests.rs
+++ b/crates/service-discovery/src/wheel/tests.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn a_handle_of_a_timer_that_has_gone_finds_nothing() {
-    let mut wheel = Wheel::new(0);
+    let mut wheel = TimerWheel::new(0);
     let (a, b) = (wheel.insert(5 * MS, 'a'), wheel.insert(9 * MS, 'b'));
     let mut due = Vec::new();
     wheel.expire(5 * MS, &mut due);
@@ -56,8 +56,8 @@
     /// The same as a map that is searched through: what is due, when, and when to look again.
     #[test]
     fn it_gives_what_a_plain_map_gives(ops in proptest::collection::vec(op(), 1..80)) {
-        let (mut now, mut wheel) = (1u64 << 40, Wheel::new(1 << 40));
-        let mut plain: BTreeMap<u64, (u64, Handle)> = BTreeMap::new();
+        let (mut now, mut wheel) = (1u64 << 40, TimerWheel::new(1 << 40));
+        let mut plain: BTreeMap<u64, (u64, TimerHandle)> = BTreeMap::new();
         for (id, op) in ops.into_iter().enumerate() {
             let nth = |i: usize| plain.keys().nth(i % plain.len().max(1)).copied();
             match op {
@@ -80,7 +80,7 @@
                     let mut due = Vec::new();
                     wheel.expire(now, &mut due);
                     due.sort_unstable();
-                    let is_due = |(at, _): &(u64, Handle)| ticks(*at) <= now >> TICK;
+                    let is_due = |(at, _): &(u64, TimerHandle)| ticks(*at) <= now >> TICK;
                     let wanted: Vec<u64> = plain.iter().filter(|(_, p)| is_due(p)).map(|(k, _)| *k).collect();
                     plain.retain(|_, p| !is_due(p));
                     prop_assert_eq!(due, wanted);
--- a/crates/service-discovery/tests/browse.rs
+++ b/crates/service-discovery/tests/browse.rs
@@ -3,7 +3,9 @@
 use hickory_proto::rr::Name;
 use proptest::prelude::*;
 use reelrill_service_discovery::browse::{Browser, Config, Output};
-use reelrill_service_discovery::{Change, Input, Kind, Members, Settings, View, Word};
+use reelrill_service_discovery::{
+    Change, ClaimedState, EndpointRegistry, EndpointView, Input, RegistrySettings, SourceKind,
+};
 use reelrill_test_support::dns::{DOMAIN, Instance, Manner, SERVICE, SUBTYPE, Zone};
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -17,8 +19,8 @@
 struct World {
     zones: Vec<Zone>,
     browser: Browser,
-    endpoints: Members,
-    list: BTreeMap<String, View>,
+    endpoints: EndpointRegistry,
+    list: BTreeMap<String, EndpointView>,
     now: u64,
     /// Answers on their way: when, for which query, and the bytes.
     on_way: Vec<(u64, u64, Vec<u8>)>,
@@ -69,12 +71,12 @@
             budget,
             zones: vec!["a".into()],
         };
-        let mut endpoints = Members::new(Settings::default(), now);
+        let mut endpoints = EndpointRegistry::new(RegistrySettings::default(), now);
         endpoints.handle(
             now,
-            Input::Source {
+            Input::SourceAdded {
                 source: 1,
-                kind: Kind::Records,
+                kind: SourceKind::DnsRecords,
             },
             &mut Vec::new(),
         );
@@ -134,7 +136,7 @@
     }
 
     /// Lets time pass; `watch` looks at the list after each event.
-    fn run(&mut self, span: u64, mut watch: impl FnMut(u64, &BTreeMap<String, View>)) {
+    fn run(&mut self, span: u64, mut watch: impl FnMut(u64, &BTreeMap<String, EndpointView>)) {
         let end = self.now + span;
         loop {
             let answer = self.on_way.iter().map(|w| w.0).min();
@@ -203,7 +205,7 @@
     let (began, mut came, mut drained) = (world.now, None, None);
     world.run(3 * SECOND, |now, list| {
         came = came.or(list.contains_key("s-9").then_some(now));
-        drained = drained.or((list["s-1"].word == Word::Draining).then_some(now));
+        drained = drained.or((list["s-1"].state == ClaimedState::Draining).then_some(now));
     });
     assert!(came.unwrap() - began <= SECOND && drained.unwrap() - began <= SECOND);
     // Nobody names it and it never answered for itself.
@@ -214,14 +216,14 @@
         .instances
         .insert("db-1".into(), db1.clone().with("state", Some("ready")));
     world.run(3 * SECOND, |_, list| {
-        assert_eq!(list["s-1"].word, Word::Draining)
+        assert_eq!(list["s-1"].state, ClaimedState::Draining)
     });
     world.zones[0].instances.insert(
         "db-1".into(),
         db1.with("state", Some("ready")).with("boot_ms", Some("9")),
     );
     world.run(3 * SECOND, |_, _| {});
-    assert_eq!(world.list["s-1"].word, Word::Ready);
+    assert_eq!(world.list["s-1"].state, ClaimedState::Ready);
 }
 
 /// Hard case 2: the servers are out for an hour, then one answer is empty, then all is right; and each other way in
@@ -242,7 +244,7 @@
     let mut world = World::new(vec![zone(5), zone(5)]);
     world.run(10 * SECOND, |_, _| {});
     let mut least = usize::MAX;
-    let mut watch = |_, list: &BTreeMap<String, View>| least = least.min(list.len());
+    let mut watch = |_, list: &BTreeMap<String, EndpointView>| least = least.min(list.len());
     world.zones.iter_mut().for_each(|z| z.manner = manner);
     world.run(3600 * SECOND, &mut watch);
     assert!(world.endpoints.silent_since(1).is_some());
@@ -367,7 +369,7 @@
         world.zones[0].instances.insert(label.into(), drains);
     }
     world.run(2 * SECOND, |_, _| {});
-    assert_eq!(world.list["s-3"].word, Word::Ready);
+    assert_eq!(world.list["s-3"].state, ClaimedState::Ready);
 }
 
 /// Guards subtypes, whose endpoints are named under the service itself, and hosts that only have an IPv6 address.
--- a/crates/service-discovery/tests/model.rs
+++ b/crates/service-discovery/tests/model.rs
@@ -2,7 +2,8 @@
 //! vanished records, failures and a restart of the router, to a depth.
 
 use reelrill_service_discovery::{
-    Change, Claim, Input, Kind, Members, Removal, Rule, Settings, Word,
+    Change, Claim, ClaimedState, EndpointRegistry, Input, ListingRule, RegistrySettings,
+    SourceKind, Withdrawal,
 };
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
@@ -40,7 +41,7 @@
 struct World {
     truth: [Truth; MEMBERS],
     ghost: Ghost,
-    endpoints: Members,
+    endpoints: EndpointRegistry,
     version: u64,
     now: u64,
 }
@@ -54,17 +55,17 @@
             .flat_map(|s| s.claims.iter().map(|h| h.since))
             .collect();
         let order = |at: u64| times.iter().position(|t| *t == at);
-        let bound = |b: Option<reelrill_service_discovery::Binding>| {
+        let bound = |b: Option<reelrill_service_discovery::StateMarker>| {
             b.map(|b| (b.by, b.started, b.version))
         };
-        let endpoint = |s: &reelrill_service_discovery::Status| {
+        let endpoint = |s: &reelrill_service_discovery::EndpointStatus| {
             let mut claims: Vec<_> = s
                 .claims
                 .iter()
                 .map(|h| {
                     (
                         h.source,
-                        h.claim.word,
+                        h.claim.state,
                         h.claim.started,
                         h.claim.version,
                         order(h.since),
@@ -72,8 +73,8 @@
                 })
                 .collect();
             claims.sort_unstable_by_key(|c| (c.0, c.4));
-            let listed = s.listed.as_ref().map(|v| (v.word, v.started));
-            let own = (s.own_drain.is_some(), s.answered.is_some());
+            let listed = s.listed.as_ref().map(|v| (v.state, v.started));
+            let own = (s.draining_since.is_some(), s.answered.is_some());
             (
                 s.endpoint.clone(),
                 s.rule,
@@ -89,13 +90,13 @@
         (self.truth, self.ghost.clone(), self.version, silent, all)
     }
 
-    fn word_of(&self, m: usize) -> Option<Word> {
+    fn word_of(&self, m: usize) -> Option<ClaimedState> {
         let id = name(m);
         let all = self.endpoints.status();
         all.iter()
             .find(|s| s.endpoint == id)
             .and_then(|s| s.listed.as_ref())
-            .map(|v| v.word)
+            .map(|v| v.state)
     }
 }
 
@@ -129,26 +130,29 @@
     RouterRestarts,
 }
 
-struct Rules(Settings);
+struct Rules(RegistrySettings);
 
 fn name(m: usize) -> std::sync::Arc<str> {
     format!("s-{m}").into()
 }
 
-fn claim(m: usize, word: Word, started: u64, version: u64) -> Claim {
+fn claim(m: usize, state: ClaimedState, started: u64, version: u64) -> Claim {
     let address = SocketAddr::from(([127, 0, 0, 1], 7000 + m as u16));
     Claim {
-        word,
+        state,
         started,
         version,
         ..Claim::new(&name(m), address, 1)
     }
 }
 
-fn fresh(settings: Settings, now: u64) -> Members {
-    let mut endpoints = Members::new(settings, now);
-    for (source, kind) in [(ROSTER, Kind::Roster), (RECORDS, Kind::Records)] {
-        endpoints.handle(now, Input::Source { source, kind }, &mut Vec::new());
+fn fresh(settings: RegistrySettings, now: u64) -> EndpointRegistry {
+    let mut endpoints = EndpointRegistry::new(settings, now);
+    for (source, kind) in [
+        (ROSTER, SourceKind::EndpointList),
+        (RECORDS, SourceKind::DnsRecords),
+    ] {
+        endpoints.handle(now, Input::SourceAdded { source, kind }, &mut Vec::new());
     }
     endpoints
 }
@@ -158,24 +162,24 @@
         let truth = w.truth[m];
         w.version += u64::from(source == ROSTER);
         let version = if source == ROSTER { w.version } else { 0 };
-        let word = if truth.leaving {
-            Word::Draining
+        let state = if truth.leaving {
+            ClaimedState::Draining
         } else {
-            Word::Ready
+            ClaimedState::Ready
         };
         let input = if truth.alive {
-            Input::Told {
+            Input::Claimed {
                 source,
                 name: name(m),
-                claim: claim(m, word, truth.start, version),
+                claim: claim(m, state, truth.start, version),
             }
         } else {
             let how = if source == ROSTER {
-                Removal::Gone
+                Withdrawal::Removed
             } else {
-                Removal::Absent
+                Withdrawal::Absent
             };
-            Input::Removed {
+            Input::Withdrawn {
                 source,
                 name: name(m),
                 how,
@@ -269,12 +273,12 @@
                 let started = w.truth[m]
                     .start
                     .saturating_sub(u64::from(w.truth[m].start > 1));
-                let claim = claim(m, Word::Ready, started, 0);
+                let claim = claim(m, ClaimedState::Ready, started, 0);
                 w.ghost.named[RECORDS as usize][m] = true;
                 w.ghost.synced[RECORDS as usize][m] = false;
                 self.feed(
                     &mut w,
-                    Input::Told {
+                    Input::Claimed {
                         source: RECORDS,
                         name: name(m),
                         claim,
@@ -286,10 +290,10 @@
                 w.ghost.synced[RECORDS as usize][m] = false;
                 self.feed(
                     &mut w,
-                    Input::Removed {
+                    Input::Withdrawn {
                         source: RECORDS,
                         name: name(m),
-                        how: Removal::Absent,
+                        how: Withdrawal::Absent,
                     },
                 );
             }
@@ -303,14 +307,14 @@
                 }
                 self.feed(
                     &mut w,
-                    Input::Answered {
+                    Input::EndpointResponded {
                         endpoint: name(m),
-                        leaving,
+                        is_draining: leaving,
                     },
                 );
             }
-            Act::RosterFails => self.feed(&mut w, Input::Failed { source: ROSTER }),
-            Act::RecordsFail => self.feed(&mut w, Input::Failed { source: RECORDS }),
+            Act::RosterFails => self.feed(&mut w, Input::SourceFailed { source: ROSTER }),
+            Act::RecordsFail => self.feed(&mut w, Input::SourceFailed { source: RECORDS }),
             Act::RouterRestarts => {
                 w.endpoints = fresh(self.0, w.now);
                 w.ghost = Ghost::default();
@@ -332,7 +336,7 @@
                     let truth = w.truth[m];
                     let told =
                         truth.alive && truth.leaving && w.ghost.told_leaving[m] == truth.start;
-                    !told || w.word_of(m) != Some(Word::Ready)
+                    !told || w.word_of(m) != Some(ClaimedState::Ready)
                 })
             }),
             Property::always("no healthy member is forgotten", |_, w: &World| {
@@ -345,7 +349,7 @@
                         .endpoints
                         .status()
                         .iter()
-                        .any(|s| s.endpoint == name(m) && s.rule == Rule::Gone);
+                        .any(|s| s.endpoint == name(m) && s.rule == ListingRule::Gone);
                     let told = w.ghost.synced.iter().any(|s| s[m]);
                     let healthy = truth.alive && !truth.leaving && (told || !gone);
                     !(healthy && known) || w.word_of(m).is_some()
@@ -356,9 +360,11 @@
                 |_, w: &World| {
                     let agree = (0..MEMBERS).all(|m| w.ghost.synced.iter().all(|s| s[m]));
                     let is_true = |m: usize| match (w.truth[m], w.word_of(m)) {
-                        (Truth { alive: false, .. }, word) => word.is_none(),
-                        (Truth { leaving: true, .. }, word) => word == Some(Word::Draining),
-                        (_, word) => word == Some(Word::Ready),
+                        (Truth { alive: false, .. }, state) => state.is_none(),
+                        (Truth { leaving: true, .. }, state) => {
+                            state == Some(ClaimedState::Draining)
+                        }
+                        (_, state) => state == Some(ClaimedState::Ready),
                     };
                     !agree || (0..MEMBERS).all(is_true)
                 },
@@ -377,7 +383,7 @@
 
 #[test]
 fn the_rules_hold_in_all_interleavings() {
-    let checker = Rules(Settings::default())
+    let checker = Rules(RegistrySettings::default())
         .checker()
         .target_max_depth(depth() + 1)
         .threads(4);
@@ -394,10 +400,13 @@
 
 /// The model is worth something only if it sees what goes wrong without a rule.
 #[rstest]
-#[case(Settings { drains_hold: false, ..Settings::default() }, "a drain that was told binds")]
-#[case(Settings { silence_keeps: false, ..Settings::default() }, "no healthy member is forgotten")]
-#[case(Settings { absence_needs_all: false, ..Settings::default() }, "no healthy member is forgotten")]
-fn a_rule_that_is_taken_out_is_missed(#[case] settings: Settings, #[case] property: &'static str) {
+#[case(RegistrySettings { has_sticky_drains: false, ..RegistrySettings::default() }, "a drain that was told binds")]
+#[case(RegistrySettings { keeps_claims_of_failed_sources: false, ..RegistrySettings::default() }, "no healthy member is forgotten")]
+#[case(RegistrySettings { requires_all_sources_for_removal: false, ..RegistrySettings::default() }, "no healthy member is forgotten")]
+fn a_rule_that_is_taken_out_is_missed(
+    #[case] settings: RegistrySettings,
+    #[case] property: &'static str,
+) {
     let checker = Rules(settings)
         .checker()
         .target_max_depth(5)
--- a/crates/service-discovery/tests/reference.rs
+++ b/crates/service-discovery/tests/reference.rs
@@ -2,7 +2,8 @@
 
 use proptest::prelude::*;
 use reelrill_service_discovery::{
-    Change, Claim, Held, Input, Kind, Members, Removal, Settings, View, Word,
+    Change, Claim, ClaimedState, EndpointRegistry, EndpointView, HeldClaim, Input,
+    RegistrySettings, SourceKind, Withdrawal,
 };
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::net::SocketAddr;
@@ -16,18 +17,18 @@
 type Uid = Arc<str>;
 
 /// Bound by whom, of what kind, at which start and version.
-type Bound = Option<(u16, Kind, u64, u64)>;
+type Bound = Option<(u16, SourceKind, u64, u64)>;
 
 #[derive(Default)]
 struct Plain {
-    sources: BTreeMap<u16, (Kind, bool)>,
-    claims: Vec<(Uid, Held)>,
+    sources: BTreeMap<u16, (SourceKind, bool)>,
+    claims: Vec<(Uid, HeldClaim)>,
     drains: BTreeMap<Uid, Bound>,
     gone: BTreeMap<Uid, Bound>,
     own: BTreeMap<Uid, u64>,
     known: BTreeSet<Uid>,
     answered: BTreeMap<Uid, u64>,
-    last: BTreeMap<Uid, (View, u16)>,
+    last: BTreeMap<Uid, (EndpointView, u16)>,
 }
 
 fn is_nameless(uid: &str) -> bool {
@@ -35,15 +36,15 @@
 }
 
 impl Plain {
-    fn of<'a>(&'a self, uid: &'a str) -> impl Iterator<Item = &'a Held> {
+    fn of<'a>(&'a self, uid: &'a str) -> impl Iterator<Item = &'a HeldClaim> {
         self.claims
             .iter()
             .filter(move |(u, _)| **u == *uid)
             .map(|(_, h)| h)
     }
 
-    fn best<'a>(&'a self, uid: &'a str) -> Option<&'a Held> {
-        let order = |h: &Held| {
+    fn best<'a>(&'a self, uid: &'a str) -> Option<&'a HeldClaim> {
+        let order = |h: &HeldClaim| {
             let source = self.sources.get(&h.source);
             let (heard, kind) = (source.is_some_and(|s| !s.1), source.map(|s| s.0));
             (
@@ -67,7 +68,7 @@
             .collect()
     }
 
-    fn remove(&mut self, source: u16, name: &str) -> Option<(Uid, Held)> {
+    fn remove(&mut self, source: u16, name: &str) -> Option<(Uid, HeldClaim)> {
         let at = self
             .claims
             .iter()
@@ -108,22 +109,23 @@
             }
         });
         let since = same.map_or(now, |(_, h)| h.since);
-        let lifts = |b: &(u16, Kind, u64, u64)| {
+        let lifts = |b: &(u16, SourceKind, u64, u64)| {
             (claim.started > b.2 && kind >= b.1)
-                || (source == b.0 && kind == Kind::Roster && claim.version > b.3)
+                || (source == b.0 && kind == SourceKind::EndpointList && claim.version > b.3)
         };
         let gone = self.gone.entry(uid.clone()).or_default();
         *gone = gone.filter(|b| {
-            claim.started <= b.2 && !(source == b.0 && kind == Kind::Roster && claim.version > b.3)
+            claim.started <= b.2
+                && !(source == b.0 && kind == SourceKind::EndpointList && claim.version > b.3)
         });
         let drain = self.drains.entry(uid.clone()).or_default();
-        *drain = match claim.word {
-            Word::Ready => drain.filter(|b| !lifts(b)),
-            Word::Draining => drain
+        *drain = match claim.state {
+            ClaimedState::Ready => drain.filter(|b| !lifts(b)),
+            ClaimedState::Draining => drain
                 .filter(|b| b.1 > kind && b.2 >= claim.started)
                 .or(Some((source, kind, claim.started, claim.version))),
         };
-        let held = Held {
+        let held = HeldClaim {
             source,
             name: name.clone(),
             claim: claim.clone(),
@@ -158,9 +160,9 @@
         }
     }
 
-    fn removed(&mut self, source: u16, name: &str, how: Removal) {
+    fn removed(&mut self, source: u16, name: &str, how: Withdrawal) {
         if let Some((uid, held)) = self.remove(source, name)
-            && how == Removal::Gone
+            && how == Withdrawal::Removed
         {
             let kind = self.sources[&source].0;
             self.gone.insert(
@@ -172,41 +174,46 @@
 
     fn handle(&mut self, now: u64, input: &Input) {
         match input {
-            Input::Source { source, kind } => drop(self.sources.insert(*source, (*kind, false))),
-            Input::NoSource { source } => {
+            Input::SourceAdded { source, kind } => {
+                self.sources.insert(*source, (*kind, false));
+            }
+            Input::SourceRemoved { source } => {
                 self.claims.retain(|(_, h)| h.source != *source);
                 self.sources.remove(source);
                 for bound in self.drains.values_mut().chain(self.gone.values_mut()) {
                     *bound = bound.filter(|b| b.0 != *source);
                 }
             }
-            Input::Told {
+            Input::Claimed {
                 source,
                 name,
                 claim,
             } => self.told(now, *source, name, claim),
-            Input::Removed { source, name, how } => {
+            Input::Withdrawn { source, name, how } => {
                 if let Some(s) = self.sources.get_mut(source) {
                     s.1 = false;
                     self.removed(*source, name, *how);
                 }
             }
-            Input::Whole { source, names } => {
+            Input::Snapshot { source, names } => {
                 if let Some(s) = self.sources.get_mut(source) {
                     s.1 = false;
                 }
                 self.claims
                     .retain(|(_, h)| h.source != *source || names.contains(&h.name));
             }
-            Input::Failed { source } => {
+            Input::SourceFailed { source } => {
                 if let Some(s) = self.sources.get_mut(source) {
                     s.1 = true;
                 }
             }
-            Input::Answered { endpoint, leaving } => {
+            Input::EndpointResponded {
+                endpoint,
+                is_draining,
+            } => {
                 if self.known.contains(endpoint) {
                     self.answered.insert(endpoint.clone(), now);
-                    if *leaving {
+                    if *is_draining {
                         self.own.insert(endpoint.clone(), now);
                     }
                 }
@@ -215,7 +222,7 @@
     }
 
     /// The whole list, judged anew.
-    fn list(&mut self, now: u64) -> BTreeMap<Uid, View> {
+    fn list(&mut self, now: u64) -> BTreeMap<Uid, EndpointView> {
         self.own.retain(|_, at| now < *at + VOUCH);
         for (_, h) in &mut self.claims {
             h.is_stale |= h.claim.until.is_some_and(|u| u <= now);
@@ -229,7 +236,7 @@
         };
         let bound =
             |map: &BTreeMap<Uid, Bound>, uid: &Uid| map.get(uid).copied().flatten().is_some();
-        let mut list: BTreeMap<Uid, (View, u16)> = BTreeMap::new();
+        let mut list: BTreeMap<Uid, (EndpointView, u16)> = BTreeMap::new();
         for uid in &uids {
             if bound(&self.gone, uid) {
                 continue;
@@ -242,11 +249,11 @@
                     let (address, replica_set, zone, weight) =
                         (c.address, c.replica_set, c.zone, c.weight);
                     (
-                        View {
+                        EndpointView {
                             address,
                             replica_set,
                             zone,
-                            word: Word::Ready,
+                            state: ClaimedState::Ready,
                             started,
                             weight,
                         },
@@ -269,19 +276,26 @@
                 continue;
             }
             let leaves = bound(&self.drains, uid) || self.own.contains_key(uid);
-            view.word = if leaves { Word::Draining } else { Word::Ready };
+            view.state = if leaves {
+                ClaimedState::Draining
+            } else {
+                ClaimedState::Ready
+            };
             list.insert(uid.clone(), (view, tier));
         }
         for (uid, (view, tier)) in &list {
             self.last.insert(uid.clone(), (view.clone(), *tier));
         }
         let mut lowest: BTreeMap<u32, u16> = BTreeMap::new();
-        for (view, tier) in list.values().filter(|(v, _)| v.word == Word::Ready) {
+        for (view, tier) in list
+            .values()
+            .filter(|(v, _)| v.state == ClaimedState::Ready)
+        {
             let lowest = lowest.entry(view.replica_set).or_insert(*tier);
             *lowest = *tier.min(lowest);
         }
-        let in_use = |(_, (view, tier)): &(Uid, (View, u16))| {
-            view.word == Word::Draining || lowest[&view.replica_set] == *tier
+        let in_use = |(_, (view, tier)): &(Uid, (EndpointView, u16))| {
+            view.state == ClaimedState::Draining || lowest[&view.replica_set] == *tier
         };
         list.into_iter()
             .filter(in_use)
@@ -312,7 +326,11 @@
     (uid, place, proptest::bool::weighted(0.7), 0..3u64, until).prop_map(
         |(uid, place, ready, started, until)| Claim {
             uid,
-            word: if ready { Word::Ready } else { Word::Draining },
+            state: if ready {
+                ClaimedState::Ready
+            } else {
+                ClaimedState::Draining
+            },
             started,
             until,
             tier: place.2,
@@ -323,14 +341,14 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let name = || (0..4u8).prop_map(|n| Uid::from(format!("n{n}")));
-    let how = prop_oneof![Just(Removal::Gone), Just(Removal::Absent)];
+    let how = prop_oneof![Just(Withdrawal::Removed), Just(Withdrawal::Absent)];
     let whole = proptest::collection::hash_set(name(), 0..4);
     let input = prop_oneof![
-        8 => (0..3u16, name(), claim()).prop_map(|(source, name, claim)| Input::Told { source, name, claim }),
-        3 => (0..3u16, name(), how).prop_map(|(source, name, how)| Input::Removed { source, name, how }),
-        1 => (0..3u16, whole).prop_map(|(source, names)| Input::Whole { source, names }),
-        1 => (0..3u16).prop_map(|source| Input::Failed { source }),
-        3 => (uid(), any::<bool>()).prop_map(|(endpoint, leaving)| Input::Answered { endpoint, leaving }),
+        8 => (0..3u16, name(), claim()).prop_map(|(source, name, claim)| Input::Claimed { source, name, claim }),
+        3 => (0..3u16, name(), how).prop_map(|(source, name, how)| Input::Withdrawn { source, name, how }),
+        1 => (0..3u16, whole).prop_map(|(source, names)| Input::Snapshot { source, names }),
+        1 => (0..3u16).prop_map(|source| Input::SourceFailed { source }),
+        3 => (uid(), any::<bool>()).prop_map(|(endpoint, is_draining)| Input::EndpointResponded { endpoint, is_draining }),
     ];
     prop_oneof![8 => input.prop_map(Step::Input), 1 => (0..40_000u64).prop_map(|n| Step::Wait(n * TICK))]
 }
@@ -347,12 +365,12 @@
     fn the_list_is_the_one_that_is_rebuilt(steps in proptest::collection::vec(step(), 1..40)) {
         let start = 1_000_000 * SECOND;
         // Nothing is forgotten within the test: the reference never forgets.
-        let settings = Settings { vouch: VOUCH, remember: u64::MAX / 4, ..Settings::default() };
-        let (mut endpoints, mut plain) = (Members::new(settings, start), Plain::default());
+        let settings = RegistrySettings { heartbeat_ttl: VOUCH, retention: u64::MAX / 4, ..RegistrySettings::default() };
+        let (mut endpoints, mut plain) = (EndpointRegistry::new(settings, start), Plain::default());
         let (mut now, mut changes, mut version) = (start, Vec::new(), 0);
-        let mut list: BTreeMap<Uid, View> = BTreeMap::new();
-        for (source, kind) in [(0, Kind::Roster), (1, Kind::Records), (2, Kind::Records)] {
-            let input = Input::Source { source, kind };
+        let mut list: BTreeMap<Uid, EndpointView> = BTreeMap::new();
+        for (source, kind) in [(0, SourceKind::EndpointList), (1, SourceKind::DnsRecords), (2, SourceKind::DnsRecords)] {
+            let input = Input::SourceAdded { source, kind };
             plain.handle(now, &input);
             endpoints.handle(now, input, &mut changes);
         }
@@ -361,7 +379,7 @@
                 Step::Wait(span) => now += span,
                 Step::Input(mut input) => {
                     now += 2 * TICK;
-                    if let Input::Told { source, claim, .. } = &mut input {
+                    if let Input::Claimed { source, claim, .. } = &mut input {
                         version += 1;
                         claim.version = if *source == 0 { version } else { 0 };
                         claim.until = claim.until.map(|ttl| now + ttl);
@@ -387,17 +405,17 @@
 /// Guards the tables that are kept beside the claims: a removed source leaves nothing behind.
 #[test]
 fn a_source_that_is_removed_takes_only_its_own() {
-    let mut endpoints = Members::new(
-        Settings {
-            vouch: 0,
-            remember: 0,
-            ..Settings::default()
+    let mut endpoints = EndpointRegistry::new(
+        RegistrySettings {
+            heartbeat_ttl: 0,
+            retention: 0,
+            ..RegistrySettings::default()
         },
         SECOND,
     );
     let mut changes = Vec::new();
-    for (source, kind) in [(0, Kind::Roster), (1, Kind::Records)] {
-        endpoints.handle(SECOND, Input::Source { source, kind }, &mut changes);
+    for (source, kind) in [(0, SourceKind::EndpointList), (1, SourceKind::DnsRecords)] {
+        endpoints.handle(SECOND, Input::SourceAdded { source, kind }, &mut changes);
     }
     for n in 0..10u16 {
         let at = SocketAddr::from(([127, 0, 0, 1], 7000 + n));
@@ -405,7 +423,7 @@
         let name: Uid = format!("n{n}").into();
         endpoints.handle(
             SECOND,
-            Input::Told {
+            Input::Claimed {
                 source: n % 2,
                 name: name.clone(),
                 claim: claim.clone(),
@@ -415,7 +433,7 @@
         if n < 4 {
             endpoints.handle(
                 SECOND,
-                Input::Told {
+                Input::Claimed {
                     source: (n + 1) % 2,
                     name,
                     claim,
@@ -425,30 +443,30 @@
         }
     }
     changes.clear();
-    endpoints.handle(2 * SECOND, Input::NoSource { source: 1 }, &mut changes);
+    endpoints.handle(2 * SECOND, Input::SourceRemoved { source: 1 }, &mut changes);
     let gone: HashSet<&str> = changes.iter().map(Change::endpoint).collect();
     assert_eq!(gone, HashSet::from(["s-5", "s-7", "s-9"]));
     assert_eq!(endpoints.len(), 7);
-    endpoints.handle(2 * SECOND, Input::NoSource { source: 0 }, &mut changes);
+    endpoints.handle(2 * SECOND, Input::SourceRemoved { source: 0 }, &mut changes);
     assert!(endpoints.is_empty() && endpoints.next_due().is_none());
 }
 
 /// Guards the drain that an endpoint tells itself: what it still finishes does not lift it; a newer start does, and time.
 #[test]
 fn a_endpoint_that_leaves_may_still_answer() {
-    let mut endpoints = Members::new(
-        Settings {
-            vouch: VOUCH,
-            ..Settings::default()
+    let mut endpoints = EndpointRegistry::new(
+        RegistrySettings {
+            heartbeat_ttl: VOUCH,
+            ..RegistrySettings::default()
         },
         SECOND,
     );
     let mut changes = Vec::new();
     endpoints.handle(
         SECOND,
-        Input::Source {
+        Input::SourceAdded {
             source: 1,
-            kind: Kind::Records,
+            kind: SourceKind::DnsRecords,
         },
         &mut changes,
     );
@@ -457,33 +475,33 @@
             started,
             ..Claim::new("s-1", SocketAddr::from(([127, 0, 0, 1], 1)), 1)
         };
-        Input::Told {
+        Input::Claimed {
             source: 1,
             name: "n1".into(),
             claim,
         }
     };
-    let answered = |leaving| Input::Answered {
+    let answered = |is_draining| Input::EndpointResponded {
         endpoint: "s-1".into(),
-        leaving,
+        is_draining,
     };
-    let word = |m: &Members| m.status()[0].listed.as_ref().map(|v| v.word);
+    let state = |m: &EndpointRegistry| m.status()[0].listed.as_ref().map(|v| v.state);
     let steps = [
-        (told(1), Word::Ready),
-        (answered(true), Word::Draining),
-        (answered(false), Word::Draining),
-        (told(1), Word::Draining),
-        (told(2), Word::Ready),
-        (answered(true), Word::Draining),
+        (told(1), ClaimedState::Ready),
+        (answered(true), ClaimedState::Draining),
+        (answered(false), ClaimedState::Draining),
+        (told(1), ClaimedState::Draining),
+        (told(2), ClaimedState::Ready),
+        (answered(true), ClaimedState::Draining),
     ];
     let mut now = SECOND;
     for (input, wanted) in steps {
         now += SECOND;
         endpoints.handle(now, input, &mut changes);
-        assert_eq!(word(&endpoints), Some(wanted));
+        assert_eq!(state(&endpoints), Some(wanted));
     }
     endpoints.on_due(now + VOUCH - TICK, &mut changes);
-    assert_eq!(word(&endpoints), Some(Word::Draining));
+    assert_eq!(state(&endpoints), Some(ClaimedState::Draining));
     endpoints.on_due(now + VOUCH, &mut changes);
-    assert_eq!(word(&endpoints), Some(Word::Ready));
+    assert_eq!(state(&endpoints), Some(ClaimedState::Ready));
 }
