--- /dev/null
+++ b/crates/service-discovery/src/registry/claims.rs
@@ -0,0 +1,212 @@
+//! Taking claims in and out, and the reachability of their sources.
+
+use super::EndpointRegistry;
+use super::claim::{Claim, HeldClaim, SourceId, Withdrawal};
+use super::record::EndpointRecord;
+use super::view::Change;
+use reelrill_routing::Timestamp;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+impl EndpointRegistry {
+    /// Notes whether a source can be reached. Says whether that is new.
+    pub(super) fn set_reachable(
+        &mut self,
+        now: Timestamp,
+        source: SourceId,
+        is_reachable: bool,
+    ) -> bool {
+        let Some(state) = self.sources.get_mut(&source) else {
+            return false;
+        };
+        if state.silent_since.is_none() == is_reachable {
+            return false;
+        }
+        state.silent_since = (!is_reachable).then_some(now);
+        true
+    }
+
+    /// A source was taken out of the configuration: neither its claims nor its markers count any more.
+    pub(super) fn on_source_removed(
+        &mut self,
+        now: Timestamp,
+        source: SourceId,
+        changes: &mut Vec<Change>,
+    ) {
+        self.withdraw_all(now, source, changes);
+        self.sources.remove(&source);
+        let bound: Vec<Arc<str>> = self
+            .endpoints
+            .iter()
+            .filter(|(_, record)| record.is_bound_by(source))
+            .map(|(id, _)| id.clone())
+            .collect();
+        for id in bound {
+            if let Some(record) = self.endpoints.get_mut(&id) {
+                record.remove_markers_of(source);
+            }
+            self.reevaluate(now, &id, changes);
+        }
+    }
+
+    /// Takes in a claim, and evaluates anew whatever may depend on it.
+    pub(super) fn on_claim(
+        &mut self,
+        now: Timestamp,
+        source: SourceId,
+        name: Arc<str>,
+        claim: Claim,
+        changes: &mut Vec<Change>,
+    ) {
+        if !self.sources.contains_key(&source) {
+            return;
+        }
+        let is_reachability_new = self.set_reachable(now, source, true);
+        let id = self.resolve_endpoint(source, &name, &claim);
+        let is_full = self.endpoints.len() >= self.settings.max_endpoints;
+        if is_full && !self.endpoints.contains_key(&id) {
+            self.counts.rejected_claims += 1;
+            return;
+        }
+        // The source may give the name to another endpoint; the earlier one is evaluated once the new one has it.
+        let renamed = self.reassign_name(source, &name, &id);
+        let address = claim.address;
+        let earlier_address = self.store_claim(now, source, name, claim, &id);
+        self.claim_address(address, &id, now, changes);
+        if let Some(earlier_address) = earlier_address {
+            self.release_address(earlier_address, &id, now, changes);
+        }
+        self.reevaluate(now, &id, changes);
+        if let Some((address, earlier_id)) = renamed {
+            self.release_address(address, &earlier_id, now, changes);
+            self.reevaluate(now, &earlier_id, changes);
+        }
+        self.reevaluate_others_at(now, address, &id, changes);
+        self.reevaluate_disputed(now, is_reachability_new, changes);
+    }
+
+    /// Lets a source's name stand for `id`. If it stood for another endpoint, that one loses the claim; returns the
+    /// claim's address and that endpoint.
+    fn reassign_name(
+        &mut self,
+        source: SourceId,
+        name: &Arc<str>,
+        id: &Arc<str>,
+    ) -> Option<(SocketAddr, Arc<str>)> {
+        let earlier_id = self.names.insert((source, name.clone()), id.clone())?;
+        if earlier_id == *id {
+            return None;
+        }
+        let removed = self
+            .endpoints
+            .get_mut(&earlier_id)?
+            .remove_claim(source, name)?;
+        Some((removed.claim.address, earlier_id))
+    }
+
+    /// Keeps a claim at its endpoint, and returns the address that the source named before, if it is another.
+    fn store_claim(
+        &mut self,
+        now: Timestamp,
+        source: SourceId,
+        name: Arc<str>,
+        claim: Claim,
+        id: &Arc<str>,
+    ) -> Option<SocketAddr> {
+        let kind = self.sources.get(&source)?.kind;
+        let last_serial = &mut self.serial;
+        let record = self.endpoints.entry(id.clone()).or_insert_with(|| {
+            *last_serial += 1;
+            EndpointRecord {
+                serial: *last_serial,
+                ..EndpointRecord::default()
+            }
+        });
+        if record.is_contradicted_by(source, &name, &claim) {
+            self.counts.contradictions += 1;
+            self.contradicted = Some(id.clone());
+        }
+        if record.is_restarted_by(&claim) {
+            record.draining_since = None;
+        }
+        let held = HeldClaim {
+            source,
+            name,
+            is_stale: claim.until.is_some_and(|until| until <= now),
+            claim,
+            told: now,
+            since: now,
+        };
+        record.apply_markers(&held, kind, self.settings.has_sticky_drains);
+        record.store_claim(held)
+    }
+
+    /// Takes out all claims of a source, as names that it does not list any more.
+    pub(super) fn withdraw_all(
+        &mut self,
+        now: Timestamp,
+        source: SourceId,
+        changes: &mut Vec<Change>,
+    ) {
+        self.withdraw_unless(now, source, |_| false, changes);
+    }
+
+    /// Takes out the claims of a source whose names it does not list any more.
+    pub(super) fn withdraw_unless(
+        &mut self,
+        now: Timestamp,
+        source: SourceId,
+        is_listed: impl Fn(&Arc<str>) -> bool,
+        changes: &mut Vec<Change>,
+    ) {
+        let is_absent = |key: &&(SourceId, Arc<str>)| key.0 == source && !is_listed(&key.1);
+        let absent: Vec<Arc<str>> = self
+            .names
+            .keys()
+            .filter(is_absent)
+            .map(|key| key.1.clone())
+            .collect();
+        self.withdraw(now, source, absent, Withdrawal::Absent, changes);
+    }
+
+    /// Takes claims out, all before anything is evaluated by what is left.
+    pub(super) fn withdraw(
+        &mut self,
+        now: Timestamp,
+        source: SourceId,
+        mut names: Vec<Arc<str>>,
+        how: Withdrawal,
+        changes: &mut Vec<Change>,
+    ) {
+        names.sort_unstable();
+        let mut touched = Vec::with_capacity(names.len());
+        for name in names {
+            touched.extend(self.withdraw_one(now, source, name, how));
+        }
+        for (id, address) in &touched {
+            self.release_address(*address, id, now, changes);
+        }
+        for (id, _) in &touched {
+            self.reevaluate(now, id, changes);
+        }
+    }
+
+    /// Takes one claim out; returns its endpoint and address.
+    fn withdraw_one(
+        &mut self,
+        now: Timestamp,
+        source: SourceId,
+        name: Arc<str>,
+        how: Withdrawal,
+    ) -> Option<(Arc<str>, SocketAddr)> {
+        let kind = self.sources.get(&source)?.kind;
+        let key = (source, name);
+        let id = self.names.remove(&key)?;
+        let record = self.endpoints.get_mut(&id)?;
+        let removed = record.remove_claim(source, &key.1)?;
+        if how == Withdrawal::Removed || !self.settings.requires_all_sources_for_removal {
+            record.tombstone = Some(removed.marker(kind, now));
+        }
+        Some((id, removed.claim.address))
+    }
+}
--- /dev/null
+++ b/crates/service-discovery/src/registry/expiry.rs
@@ -0,0 +1,91 @@
+//! What time alone changes: claims that get stale, heartbeats that expire, endpoints that are forgotten.
+
+use super::EndpointRegistry;
+use super::record::EndpointRecord;
+use super::settings::RegistrySettings;
+use super::view::Change;
+use reelrill_routing::Timestamp;
+use std::sync::Arc;
+
+/// What follows for an endpoint without another input.
+enum Expiry {
+    /// It is evaluated anew then; none: never.
+    Reevaluate(Option<Timestamp>),
+    /// Nobody names it, and it is not listed: it is forgotten then.
+    Forget(Timestamp),
+}
+
+impl EndpointRegistry {
+    /// Applies what has expired by `now`, and appends what that changes in the list.
+    pub fn on_due(&mut self, now: Timestamp, changes: &mut Vec<Change>) {
+        let mut due = Vec::new();
+        self.wheel.expire(now, &mut due);
+        let heartbeat_ttl = self.settings.heartbeat_ttl;
+        for id in due {
+            let Some(record) = self.endpoints.get_mut(&id) else {
+                continue;
+            };
+            record.timer = None;
+            record.draining_since = record
+                .draining_since
+                .filter(|at| now < at.saturating_add(heartbeat_ttl));
+            for held in &mut record.claims {
+                held.is_stale |= held.claim.until.is_some_and(|until| until <= now);
+            }
+            self.reevaluate(now, &id, changes);
+        }
+    }
+
+    /// Sets the endpoint's timer to what expires first, or forgets the endpoint.
+    pub(super) fn schedule_expiry(&mut self, now: Timestamp, id: &Arc<str>) {
+        let Some(record) = self.endpoints.get_mut(id) else {
+            return;
+        };
+        match record.next_expiry(now, &self.settings) {
+            Expiry::Forget(at) if at <= now => self.forget(id),
+            Expiry::Forget(at) => record.set_timer(&mut self.wheel, Some(at), id),
+            Expiry::Reevaluate(at) => record.set_timer(&mut self.wheel, at, id),
+        }
+    }
+
+    fn forget(&mut self, id: &Arc<str>) {
+        let Some(record) = self.endpoints.remove(id) else {
+            return;
+        };
+        self.disputed.remove(id);
+        if let Some((timer, _)) = record.timer {
+            self.wheel.cancel(timer);
+        }
+        if let Some(view) = record.last_view {
+            self.unindex_address(view.address, id);
+        }
+    }
+}
+
+impl EndpointRecord {
+    fn next_expiry(&self, now: Timestamp, settings: &RegistrySettings) -> Expiry {
+        let is_unnamed = self.claims.is_empty();
+        let heartbeat_end = self
+            .responded_at
+            .map(|at| at.saturating_add(settings.heartbeat_ttl))
+            .filter(|end| is_unnamed && *end > now);
+        if is_unnamed && self.listed.is_none() && heartbeat_end.is_none() {
+            return Expiry::Forget(self.last_news_at().saturating_add(settings.retention));
+        }
+        let fresh_claims = self.claims.iter().filter(|held| !held.is_stale);
+        let stale_at = fresh_claims.filter_map(|held| held.claim.until).min();
+        let drain_end = self
+            .draining_since
+            .map(|at| at.saturating_add(settings.heartbeat_ttl));
+        let ends = [stale_at, heartbeat_end, drain_end];
+        Expiry::Reevaluate(ends.into_iter().flatten().min())
+    }
+
+    /// When something was last heard of an endpoint that nobody names.
+    fn last_news_at(&self) -> Timestamp {
+        let removed_at = self.tombstone.map(|marker| marker.at);
+        let drained_at = self.drain_marker.map(|marker| marker.at);
+        let latest = self.responded_at.max(removed_at).max(drained_at);
+        latest.unwrap_or(0)
+    }
+}
--- /dev/null
+++ b/crates/service-discovery/src/registry/identity.rs
@@ -0,0 +1,162 @@
+//! Which endpoint a claim is about, and which endpoints share an address.
+//!
+//! A source may name an endpoint without its own name (uid). Such a claim belongs to the one endpoint that has its
+//! address, else it is kept apart under a name made of the source's. This module owns the address index: it has every
+//! endpoint under each address that a claim of it names, and under the address where it was last listed.
+
+use super::EndpointRegistry;
+use super::claim::{Claim, SourceId};
+use super::view::Change;
+use reelrill_routing::Timestamp;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// What stands before the id of an endpoint whose own name no source states.
+const NAMELESS_PREFIX: &str = "name:";
+
+/// Whether the id is the endpoint's own name.
+pub(super) fn is_named(id: &str) -> bool {
+    !id.starts_with(NAMELESS_PREFIX)
+}
+
+impl EndpointRegistry {
+    /// Which endpoint a claim is about.
+    pub(super) fn resolve_endpoint(
+        &mut self,
+        source: SourceId,
+        name: &Arc<str>,
+        claim: &Claim,
+    ) -> Arc<str> {
+        if let Some(uid) = &claim.uid {
+            return uid.clone();
+        }
+        let claimants = self.claimants_at(claim.address);
+        let mut named = claimants.iter().filter(|id| is_named(id));
+        match (named.next(), named.next()) {
+            (Some(only), None) => return only.clone(),
+            (Some(_), Some(_)) if !self.names.contains_key(&(source, name.clone())) => {
+                self.counts.ambiguous_names += 1;
+            }
+            _ => {}
+        }
+        format!("{NAMELESS_PREFIX}{source}:{name}").into()
+    }
+
+    /// The endpoints with a claim of an address.
+    fn claimants_at(&self, address: SocketAddr) -> Vec<Arc<str>> {
+        let has_claim = |id: &&Arc<str>| {
+            let record = self.endpoints.get(*id);
+            record.is_some_and(|record| record.has_claim_at(address))
+        };
+        let indexed = self.addresses.get(&address).into_iter().flatten();
+        indexed.filter(has_claim).cloned().collect()
+    }
+
+    /// The endpoints indexed at an address, but for one. Nearly always an endpoint is alone at its address.
+    pub(super) fn others_at(&self, address: SocketAddr, id: &Arc<str>) -> Vec<Arc<str>> {
+        let indexed = self.addresses.get(&address).into_iter().flatten();
+        indexed.filter(|other| *other != id).cloned().collect()
+    }
+
+    /// An endpoint has a claim of an address. Nameless ones that stood for it are the same endpoint.
+    pub(super) fn claim_address(
+        &mut self,
+        address: SocketAddr,
+        id: &Arc<str>,
+        now: Timestamp,
+        changes: &mut Vec<Change>,
+    ) {
+        let indexed = self
+            .addresses
+            .entry(address)
+            .or_insert_with(|| Vec::with_capacity(1));
+        if !indexed.contains(id) {
+            indexed.push(id.clone());
+        }
+        if indexed.len() == 1 || !is_named(id) {
+            return;
+        }
+        let claimants = self.claimants_at(address);
+        let (named, nameless): (Vec<_>, Vec<_>) =
+            claimants.into_iter().partition(|id| is_named(id));
+        if named.len() != 1 {
+            return;
+        }
+        for other in nameless {
+            if !self.merge_nameless(&other, id, address) {
+                continue;
+            }
+            self.release_address(address, &other, now, changes);
+            self.reevaluate(now, &other, changes);
+        }
+    }
+
+    /// Gives a nameless endpoint's claims of an address, its drain and its heartbeat to the endpoint that it is. Says whether
+    /// the nameless one was still known.
+    fn merge_nameless(&mut self, nameless: &Arc<str>, id: &Arc<str>, address: SocketAddr) -> bool {
+        let Some(record) = self.endpoints.get_mut(nameless) else {
+            return false;
+        };
+        let drain_marker = record.drain_marker;
+        let responded_at = record.responded_at;
+        let claims: Vec<_> = record
+            .claims
+            .extract_if(.., |held| held.claim.address == address)
+            .collect();
+        for held in &claims {
+            let key = (held.source, held.name.clone());
+            self.names.insert(key, id.clone());
+        }
+        if let Some(record) = self.endpoints.get_mut(id) {
+            record.claims.extend(claims);
+            record.drain_marker = record.drain_marker.or(drain_marker);
+            record.responded_at = record.responded_at.max(responded_at);
+        }
+        true
+    }
+
+    /// An endpoint may have no claim of an address any more; then others may have it.
+    pub(super) fn release_address(
+        &mut self,
+        address: SocketAddr,
+        id: &Arc<str>,
+        now: Timestamp,
+        changes: &mut Vec<Change>,
+    ) {
+        let record = self.endpoints.get(id);
+        if record.is_some_and(|record| record.has_claim_at(address)) {
+            return;
+        }
+        self.unindex_address(address, id);
+        self.reevaluate_others_at(now, address, id, changes);
+    }
+
+    /// Takes an endpoint out of the index at an address, unless it has a claim of it or was last listed there.
+    pub(super) fn unindex_address(&mut self, address: SocketAddr, id: &Arc<str>) {
+        if let Some(record) = self.endpoints.get(id) {
+            let last_address = record.last_view.as_ref().map(|view| view.address);
+            if last_address == Some(address) || record.has_claim_at(address) {
+                return;
+            }
+        }
+        if let Some(indexed) = self.addresses.get_mut(&address) {
+            indexed.retain(|other| other != id);
+            if indexed.is_empty() {
+                self.addresses.remove(&address);
+            }
+        }
+    }
+
+    /// Evaluates those anew that share an address with an endpoint that has changed.
+    pub(super) fn reevaluate_others_at(
+        &mut self,
+        now: Timestamp,
+        address: SocketAddr,
+        id: &Arc<str>,
+        changes: &mut Vec<Change>,
+    ) {
+        for other in self.others_at(address, id) {
+            self.reevaluate(now, &other, changes);
+        }
+    }
+}
--- /dev/null
+++ b/crates/service-discovery/src/registry/listing.rs
@@ -0,0 +1,164 @@
+//! Evaluating endpoints anew, and publishing what that changes in the list.
+
+use super::EndpointRegistry;
+use super::claim::{ClaimedState, HeldClaim};
+use super::record::TierKey;
+use super::rules::Evaluation;
+use super::view::{Change, EndpointView, ListingRule};
+use reelrill_routing::Timestamp;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+impl EndpointRegistry {
+    /// Evaluates an endpoint anew and publishes what that changes, for it and for those that depend on it.
+    pub(super) fn reevaluate(&mut self, now: Timestamp, id: &Arc<str>, changes: &mut Vec<Change>) {
+        let Some(evaluation) = self.evaluate(now, id) else {
+            return;
+        };
+        let Some(record) = self.endpoints.get_mut(id) else {
+            return;
+        };
+        let earlier_view = evaluation.view.as_ref().and_then(|view| {
+            record.last_tier = evaluation.tier;
+            record.last_view.replace(view.clone())
+        });
+        record.rule = Some(evaluation.rule);
+        record.untiered_rule = Some(evaluation.rule);
+        let earlier_address = record.claimed_address;
+        self.update_tier(&evaluation, id, now, changes);
+        self.publish(id, evaluation, changes);
+        let address = self.update_claimed_address(id);
+        if let Some(view) = earlier_view {
+            self.unindex_address(view.address, id);
+        }
+        if let Some(earlier_address) = earlier_address {
+            self.reevaluate_shadowed(now, earlier_address, id, changes);
+        }
+        if let Some(address) = address
+            && Some(address) != earlier_address
+        {
+            self.reevaluate_shadowed(now, address, id, changes);
+        }
+        self.schedule_expiry(now, id);
+    }
+
+    fn update_tier(
+        &mut self,
+        evaluation: &Evaluation,
+        id: &Arc<str>,
+        now: Timestamp,
+        changes: &mut Vec<Change>,
+    ) {
+        let in_service = evaluation
+            .view
+            .as_ref()
+            .filter(|view| view.state == ClaimedState::Ready);
+        let key = in_service.map(|view| TierKey {
+            replica_set: view.replica_set,
+            tier: evaluation.tier,
+        });
+        let Some(record) = self.endpoints.get_mut(id) else {
+            return;
+        };
+        let earlier_key = std::mem::replace(&mut record.tier_key, key);
+        if earlier_key == key {
+            return;
+        }
+        if let Some(earlier_key) = earlier_key {
+            self.leave_tier(earlier_key, id, now, changes);
+        }
+        if let Some(key) = key {
+            self.enter_tier(key, id, now, changes);
+        }
+    }
+
+    /// Notes the address in the claim that counts, and whether the endpoint's claims differ in what the list would
+    /// show: which of them counts may then turn on whether their sources can be reached.
+    fn update_claimed_address(&mut self, id: &Arc<str>) -> Option<SocketAddr> {
+        let address = self.claimed_address_of(self.endpoints.get(id)?);
+        let record = self.endpoints.get_mut(id)?;
+        record.claimed_address = address;
+        let differs = |held: &HeldClaim| !held.claim.is_listed_like(&record.claims[0].claim);
+        if record.claims.iter().any(differs) {
+            self.disputed.insert(id.clone());
+        } else if !self.disputed.is_empty() {
+            self.disputed.remove(id);
+        }
+        address
+    }
+
+    /// Evaluates those anew that would have an address, but for the endpoint that has it or had it. Each is evaluated
+    /// by the same order, so this ends.
+    fn reevaluate_shadowed(
+        &mut self,
+        now: Timestamp,
+        address: SocketAddr,
+        id: &Arc<str>,
+        changes: &mut Vec<Change>,
+    ) {
+        for other in self.others_at(address, id) {
+            let rule = self.evaluate(now, &other).map(|evaluation| evaluation.rule);
+            let earlier_rule = self
+                .endpoints
+                .get(&other)
+                .and_then(|record| record.untiered_rule);
+            if rule != earlier_rule {
+                self.reevaluate(now, &other, changes);
+            }
+        }
+    }
+
+    /// A source's claims count for more, or for less, where others differ from them.
+    pub(super) fn reevaluate_disputed(
+        &mut self,
+        now: Timestamp,
+        is_reachability_new: bool,
+        changes: &mut Vec<Change>,
+    ) {
+        if !is_reachability_new {
+            return;
+        }
+        let mut disputed: Vec<Arc<str>> = self.disputed.iter().cloned().collect();
+        disputed.sort_unstable();
+        for id in disputed {
+            self.reevaluate(now, &id, changes);
+        }
+    }
+
+    /// Appends what the list shows of an endpoint to `changes`, if that is new.
+    pub(super) fn publish(
+        &mut self,
+        id: &Arc<str>,
+        evaluation: Evaluation,
+        changes: &mut Vec<Change>,
+    ) {
+        let is_standby = self.is_standby(&evaluation);
+        let Some(record) = self.endpoints.get_mut(id) else {
+            return;
+        };
+        if is_standby {
+            record.rule = Some(ListingRule::Standby);
+        }
+        let view: Option<EndpointView> = evaluation.view.filter(|_| !is_standby);
+        if record.listed == view {
+            return;
+        }
+        let is_new = record.listed.is_none();
+        record.listed.clone_from(&view);
+        let endpoint = id.clone();
+        changes.push(match view {
+            Some(view) => {
+                self.counts.added += u64::from(is_new);
+                Change::Listed {
+                    endpoint,
+                    view,
+                    is_new,
+                }
+            }
+            None => {
+                self.counts.removed += 1;
+                Change::Gone { endpoint }
+            }
+        });
+    }
+}
--- /dev/null
+++ b/crates/service-discovery/src/registry/rules.rs
@@ -0,0 +1,149 @@
+//! The merge rules: which claim counts, and what the list shows of an endpoint for which reason.
+//!
+//! The rules read the registry's state and never change it. `docs/design/membership.md` has them as a table.
+
+use super::EndpointRegistry;
+use super::claim::{Claim, ClaimedState, HeldClaim};
+use super::identity::is_named;
+use super::record::EndpointRecord;
+use super::view::{EndpointView, ListingRule};
+use reelrill_routing::Timestamp;
+use std::cmp::Ordering;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// What the rules say of an endpoint, but for its tier.
+#[derive(Debug, Clone)]
+pub(super) struct Evaluation {
+    pub(super) rule: ListingRule,
+    /// None: the endpoint is not listed.
+    pub(super) view: Option<EndpointView>,
+    pub(super) tier: u16,
+}
+
+/// How strong an endpoint's claim to its address is; fields in the order in which they count. No two are equal, since
+/// no two endpoints have the same id.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct AddressPrecedence<'a> {
+    is_named: bool,
+    newest_start: Timestamp,
+    newest_statement: Timestamp,
+    id: &'a str,
+}
+
+fn address_precedence<'a>(record: &EndpointRecord, id: &'a Arc<str>) -> AddressPrecedence<'a> {
+    let statements = record.claims.iter().map(|held| held.since);
+    AddressPrecedence {
+        is_named: is_named(id),
+        newest_start: record.newest_start(),
+        newest_statement: statements.max().unwrap_or(0),
+        id,
+    }
+}
+
+/// How the list shows an endpoint in service with this claim.
+fn view_of(claim: &Claim, started: Timestamp) -> EndpointView {
+    EndpointView {
+        address: claim.address,
+        replica_set: claim.replica_set,
+        zone: claim.zone,
+        state: ClaimedState::Ready,
+        started,
+        weight: claim.weight,
+    }
+}
+
+impl EndpointRegistry {
+    /// Applies the rules to an endpoint; none: it is not known.
+    pub(super) fn evaluate(&self, now: Timestamp, id: &Arc<str>) -> Option<Evaluation> {
+        let record = self.endpoints.get(id)?;
+        let unlisted = |rule, tier| Evaluation {
+            rule,
+            view: None,
+            tier,
+        };
+        if record.tombstone.is_some() {
+            return Some(unlisted(ListingRule::Gone, 0));
+        }
+        let Some((mut rule, mut view, tier)) = self.claimed_view(now, record) else {
+            return Some(unlisted(ListingRule::Unnamed, 0));
+        };
+        if self.is_shadowed(record, id, view.address) {
+            return Some(unlisted(ListingRule::Shadowed, tier));
+        }
+        view.state = ClaimedState::Draining;
+        if record.drain_marker.is_some() {
+            rule = ListingRule::Drain;
+        } else if record.draining_since.is_some() {
+            rule = ListingRule::OwnDrain;
+        } else {
+            view.state = ClaimedState::Ready;
+        }
+        Some(Evaluation {
+            rule,
+            view: Some(view),
+            tier,
+        })
+    }
+
+    /// The view and tier by the claim that counts, else by the endpoint's heartbeat.
+    fn claimed_view(
+        &self,
+        now: Timestamp,
+        record: &EndpointRecord,
+    ) -> Option<(ListingRule, EndpointView, u16)> {
+        if let Some(held) = self.best_claim(record) {
+            let view = view_of(&held.claim, record.newest_start());
+            return Some((ListingRule::Named, view, held.claim.tier));
+        }
+        if !record.has_heartbeat(now, self.settings.heartbeat_ttl) {
+            return None;
+        }
+        let view = record.last_view.clone()?;
+        Some((ListingRule::Vouched, view, record.last_tier))
+    }
+
+    /// Whether another endpoint has the address, with a stronger claim to it.
+    fn is_shadowed(&self, record: &EndpointRecord, id: &Arc<str>, address: SocketAddr) -> bool {
+        let Some(sharing) = self.addresses.get(&address) else {
+            return false;
+        };
+        let precedence = address_precedence(record, id);
+        sharing.iter().filter(|other| *other != id).any(|other| {
+            self.endpoints.get(other).is_some_and(|other_record| {
+                other_record.tombstone.is_none()
+                    && self.claimed_address_of(other_record) == Some(address)
+                    && address_precedence(other_record, other) > precedence
+            })
+        })
+    }
+
+    /// The address in the claim that counts.
+    pub(super) fn claimed_address_of(&self, record: &EndpointRecord) -> Option<SocketAddr> {
+        self.best_claim(record).map(|held| held.claim.address)
+    }
+
+    fn best_claim<'a>(&self, record: &'a EndpointRecord) -> Option<&'a HeldClaim> {
+        let claims = record.claims.iter();
+        claims.max_by(|a, b| self.compare_claims(a, b))
+    }
+
+    /// Which of two claims about one endpoint counts: the newer start; a fresh one; one of a source that can be
+    /// reached; the better source; the newer statement, which is not the one that was repeated last.
+    fn compare_claims(&self, a: &HeldClaim, b: &HeldClaim) -> Ordering {
+        let precedence = |held: &HeldClaim| {
+            let source = self.sources.get(&held.source);
+            let is_reachable = source.is_some_and(|source| source.silent_since.is_none());
+            (
+                held.claim.started,
+                !held.is_stale,
+                is_reachable,
+                source.map(|source| source.kind),
+                held.since,
+                held.source,
+            )
+        };
+        let by_precedence = precedence(a).cmp(&precedence(b));
+        by_precedence.then_with(|| a.name.cmp(&b.name))
+    }
+}
