--- a/crates/router/src/discovery/admin_socket.rs
+++ b/crates/router/src/discovery/admin_socket.rs
@@ -18,8 +18,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Where the table goes.
-pub type Question = Sender<String>;
+/// A query for the endpoints' status: where the table goes.
+pub type StatusQuery = Sender<String>;
 
 /// How long one that asks may take to read.
 const READING: Duration = Duration::from_secs(5);
@@ -29,7 +29,7 @@
 pub fn listen(
     shared: &Rc<Shared>,
     executor: &Rc<LocalExecutor<'static>>,
-) -> std::io::Result<Receiver<Question>> {
+) -> std::io::Result<Receiver<StatusQuery>> {
     let (ask, questions) = async_channel::bounded(4);
     let Some(path) = &shared.config.edge.members_socket else {
         return Ok(questions);
@@ -59,7 +59,7 @@
 }
 
 /// Writes the table to one that asks, if it reads in time.
-async fn tell(mut stream: Async<UnixStream>, ask: &Sender<Question>) {
+async fn tell(mut stream: Async<UnixStream>, ask: &Sender<StatusQuery>) {
     let (question, answer) = async_channel::bounded(1);
     let tell = async {
         if ask.send(question).await.is_ok()
--- a/crates/router/src/discovery/list_watch.rs
+++ b/crates/router/src/discovery/list_watch.rs
@@ -5,7 +5,8 @@
 //! where there are several sources, else straight to the dispatcher.
 
 use crate::discovery::client::{self, DiscoveryClient, PollResult};
-use crate::messages::{Call, Message, News};
+use crate::discovery::messages::{EndpointListRequest, RegistryEvent};
+use crate::messages::Message;
 use crate::runtime::shared::Shared;
 use async_channel::Receiver;
 use async_io::Timer;
@@ -22,7 +23,7 @@
 /// What wakes the task.
 enum Wakeup {
     PollEnded(PollResult),
-    Requested(Call),
+    Requested(EndpointListRequest),
     /// The configuration has been read again and names this address of the service.
     AddressRead(SocketAddr),
     /// The dispatcher has ended.
@@ -40,14 +41,18 @@
     shared: Rc<Shared>,
     client: DiscoveryClient,
     watch: ListWatch,
-    requests: Receiver<Call>,
+    requests: Receiver<EndpointListRequest>,
     addresses: Receiver<SocketAddr>,
     scheduled: Option<ScheduledPoll>,
 }
 
 /// Runs until the dispatcher's end of `requests` is dropped. `addresses` brings the service's address whenever the
 /// configuration has been read again.
-pub async fn run(shared: Rc<Shared>, requests: Receiver<Call>, addresses: Receiver<SocketAddr>) {
+pub async fn run(
+    shared: Rc<Shared>,
+    requests: Receiver<EndpointListRequest>,
+    addresses: Receiver<SocketAddr>,
+) {
     let service = if shared.config.site.settings.must_subscribe {
         ListService::Shared
     } else {
@@ -116,7 +121,7 @@
         loop {
             match self.requests.recv().await {
                 // The open watch is what is requested: to break it off would cost another poll.
-                Ok(Call::Subscribe) if self.watch.is_open() => {}
+                Ok(EndpointListRequest::Subscribe) if self.watch.is_open() => {}
                 Ok(request) => return Wakeup::Requested(request),
                 Err(_) => return Wakeup::DispatcherEnded,
             }
@@ -150,7 +155,7 @@
         }
         // This poll answers what was requested meanwhile, but for a request for the complete list.
         while let Ok(request) = self.requests.try_recv() {
-            if matches!(request, Call::Fetch) {
+            if matches!(request, EndpointListRequest::Fetch) {
                 self.schedule_request(now, ListRequest::Snapshot);
             }
         }
@@ -179,7 +184,7 @@
         };
         // The dispatcher ends last; without a receiver there is nobody to report to.
         if let Some(registry) = &self.shared.directory {
-            let event = News::DiscoveryClient {
+            let event = RegistryEvent::EndpointList {
                 kind,
                 listed,
                 version,
@@ -192,9 +197,9 @@
     }
 }
 
-fn list_request(request: Call) -> ListRequest {
+fn list_request(request: EndpointListRequest) -> ListRequest {
     match request {
-        Call::Subscribe => ListRequest::Changes,
-        Call::Fetch => ListRequest::Snapshot,
+        EndpointListRequest::Subscribe => ListRequest::Changes,
+        EndpointListRequest::Fetch => ListRequest::Snapshot,
     }
 }
--- a/crates/router/src/discovery/mod.rs
+++ b/crates/router/src/discovery/mod.rs
@@ -5,4 +5,5 @@
 pub mod http;
 pub mod list;
 pub mod list_watch;
+pub mod messages;
 pub mod registry;
--- /dev/null
+++ b/crates/router/src/discovery/registry/mod.rs
@@ -0,0 +1,390 @@
+//! The task around the endpoint registry, where there are several sources of endpoints: it passes the sources' claims
+//! to the registry, runs the DNS browsers, and reports each change of the merged list to the dispatcher.
+//!
+//! It owns the registry and the browsers. It never changes what a source states; how claims are merged is decided in
+//! `reelrill_service_discovery`.
+
+mod dns_query;
+mod services;
+
+use crate::discovery::admin_socket::{self, StatusQuery};
+use crate::discovery::messages::{EndpointListRequest, RegistryEvent};
+use crate::messages::{ListedEndpoint, Message};
+use crate::observability::counters::count;
+use crate::runtime::shared::Shared;
+use async_channel::{Receiver, Sender};
+use async_executor::LocalExecutor;
+use async_io::Timer;
+use futures_lite::future::or;
+use reelrill_routing::{EndpointEntry, EndpointState, ListKind, Nanos, Timestamp};
+use reelrill_service_discovery::{
+    Change, Claim, ClaimedState, EndpointRegistry, EndpointView, Input, ListingRule,
+    RegistrySettings, SourceId, SourceKind, Withdrawal,
+};
+use services::Service;
+use slog::{info, warn};
+use std::collections::BTreeMap;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::rc::Rc;
+use std::sync::Arc;
+
+/// The endpoint list's number among the sources; services count from 1.
+const ENDPOINT_LIST: SourceId = 0;
+/// How operators know the endpoint list.
+const ENDPOINT_LIST_NAME: &str = "roster";
+/// The pause after the first failure of the endpoint list, in nanoseconds; it doubles with each further one.
+const INITIAL_BACKOFF: Nanos = 250_000_000;
+/// How often the pause doubles at most.
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
+const NANOS_PER_SECOND: Nanos = 1_000_000_000;
+
+/// Why the task can't start.
+#[derive(Debug, thiserror::Error)]
+pub enum RegistryError {
+    #[error("discovery.dns_sd: '{0}' is no name: {1}")]
+    Name(String, String),
+    #[error("members_socket: {0}")]
+    Socket(#[from] std::io::Error),
+}
+
+/// What wakes the task.
+enum Wakeup {
+    Event(RegistryEvent),
+    StatusQuery(StatusQuery),
+    TimerDue,
+    /// Nobody is left who could send an event.
+    EventsEnded,
+}
+
+/// The task; see the module.
+pub struct EndpointRegistryTask {
+    shared: Rc<Shared>,
+    executor: Rc<LocalExecutor<'static>>,
+    list_requests: Sender<EndpointListRequest>,
+    events: Receiver<RegistryEvent>,
+    status_queries: Receiver<StatusQuery>,
+    endpoints: EndpointRegistry,
+    services: BTreeMap<SourceId, Service>,
+    /// The number of the next new service.
+    next_source: SourceId,
+    /// When the endpoint list is requested again.
+    list_retry_at: Option<Timestamp>,
+    /// How often in a row the endpoint list has failed.
+    list_failures: u32,
+}
+
+impl EndpointRegistryTask {
+    /// None: there is one source alone, and the list watch reports to the dispatcher itself.
+    ///
+    /// # Errors
+    /// If the settings hold a wrong name, or the admin socket can't be made.
+    pub fn new(
+        shared: &Rc<Shared>,
+        executor: &Rc<LocalExecutor<'static>>,
+        list_requests: Sender<EndpointListRequest>,
+        events: Receiver<RegistryEvent>,
+    ) -> Result<Option<EndpointRegistryTask>, RegistryError> {
+        if shared.directory.is_none() {
+            return Ok(None);
+        }
+        let discovery = &shared.config.edge.discovery;
+        let settings = RegistrySettings {
+            heartbeat_ttl: discovery.vouch_s.saturating_mul(NANOS_PER_SECOND),
+            ..RegistrySettings::default()
+        };
+        let mut task = EndpointRegistryTask {
+            shared: shared.clone(),
+            executor: executor.clone(),
+            list_requests,
+            events,
+            status_queries: admin_socket::listen(shared, executor)?,
+            endpoints: EndpointRegistry::new(settings, shared.clock.now()),
+            services: BTreeMap::new(),
+            next_source: ENDPOINT_LIST + 1,
+            list_retry_at: None,
+            list_failures: 0,
+        };
+        task.configure_services(discovery)?;
+        Ok(Some(task))
+    }
+
+    /// Runs until nobody is left who could send an event.
+    pub async fn run(mut self) {
+        self.start().await;
+        loop {
+            let wakeup = self.next_wakeup().await;
+            let now = self.shared.clock.now();
+            let mut changes = Vec::new();
+            match wakeup {
+                Wakeup::Event(event) => self.on_event(now, event, &mut changes).await,
+                Wakeup::StatusQuery(query) => self.answer_status(now, &query),
+                Wakeup::TimerDue => {}
+                Wakeup::EventsEnded => return,
+            }
+            self.on_due(now, &mut changes);
+            self.report(changes).await;
+        }
+    }
+
+    /// Adds the configured sources, with the endpoint list as the configuration has it.
+    async fn start(&mut self) {
+        let now = self.shared.clock.now();
+        let mut changes = Vec::new();
+        if self.shared.config.edge.discovery.roster {
+            let input = Input::SourceAdded {
+                source: ENDPOINT_LIST,
+                kind: SourceKind::EndpointList,
+            };
+            self.endpoints.handle(now, input, &mut changes);
+            // The balancer takes the records' changes for a list that is watched, and would not request it.
+            self.list_retry_at = Some(now);
+            let (version, known) = self.shared.config.known.clone();
+            self.on_entries(now, known, version.unwrap_or(0), &mut changes);
+        }
+        for source in self.service_ids() {
+            self.start_service(now, source, &mut changes);
+        }
+        self.report(changes).await;
+    }
+
+    async fn next_wakeup(&self) -> Wakeup {
+        let event = async {
+            match self.events.recv().await {
+                Ok(event) => Wakeup::Event(event),
+                Err(_) => Wakeup::EventsEnded,
+            }
+        };
+        let status_query = async {
+            match self.status_queries.recv().await {
+                Ok(query) => Wakeup::StatusQuery(query),
+                Err(_) => std::future::pending().await,
+            }
+        };
+        let timer = async {
+            match self.next_due() {
+                Some(at) => Timer::at(self.shared.clock.instant(at)).await,
+                None => std::future::pending().await,
+            };
+            Wakeup::TimerDue
+        };
+        or(event, or(status_query, timer)).await
+    }
+
+    fn next_due(&self) -> Option<Timestamp> {
+        let browsers = self.services.values().map(|s| s.browser.next_due());
+        let others = [self.endpoints.next_due(), self.list_retry_at];
+        browsers.chain(others).flatten().min()
+    }
+
+    fn on_due(&mut self, now: Timestamp, changes: &mut Vec<Change>) {
+        self.endpoints.on_due(now, changes);
+        for source in self.service_ids() {
+            self.drive_browser(now, source, changes, |browser, out| {
+                browser.on_due(now, out);
+            });
+        }
+        if self.list_retry_at.is_some_and(|at| at <= now) {
+            self.list_retry_at = None;
+            // A request that still waits in the mailbox does for this one, too.
+            let _ = self.list_requests.try_send(EndpointListRequest::Subscribe);
+        }
+    }
+
+    fn answer_status(&self, now: Timestamp, query: &StatusQuery) {
+        let name = |source| match source {
+            ENDPOINT_LIST => ENDPOINT_LIST_NAME.to_owned(),
+            other => self
+                .services
+                .get(&other)
+                .map_or_else(String::new, |service| service.name.clone()),
+        };
+        let _ = query.try_send(admin_socket::table(&self.endpoints, now, name));
+    }
+
+    async fn on_event(&mut self, now: Timestamp, event: RegistryEvent, changes: &mut Vec<Change>) {
+        let before = self.endpoints.counts().contradictions;
+        match event {
+            RegistryEvent::EndpointList {
+                kind,
+                listed,
+                version,
+            } => self.on_list(now, kind, listed, version, changes).await,
+            RegistryEvent::EndpointResponded {
+                endpoint,
+                is_draining,
+            } => {
+                let input = Input::EndpointResponded {
+                    endpoint,
+                    is_draining,
+                };
+                self.endpoints.handle(now, input, changes);
+            }
+            RegistryEvent::DnsResponse {
+                source,
+                query,
+                bytes,
+            } => self.on_dns_response(now, source, query, bytes.as_deref(), changes),
+            RegistryEvent::SettingsReloaded(discovery) => {
+                self.on_settings(now, &discovery, changes);
+            }
+        }
+        let contradictions = self.endpoints.counts().contradictions - before;
+        if contradictions > 0 {
+            let endpoint = self.endpoints.contradicted().map_or("", |id| id);
+            warn!(self.shared.log, "sources contradict"; "times" => contradictions, "last" => endpoint);
+        }
+    }
+
+    /// A poll of the endpoint list has ended. The dispatcher is told so also without a change: its request is done.
+    async fn on_list(
+        &mut self,
+        now: Timestamp,
+        kind: ListKind,
+        listed: Vec<ListedEndpoint>,
+        version: u64,
+        changes: &mut Vec<Change>,
+    ) {
+        if kind == ListKind::Failed {
+            let source = ENDPOINT_LIST;
+            let input = Input::SourceFailed { source };
+            self.endpoints.handle(now, input, changes);
+            // The balancer thinks that the list is watched as long as changes come, also those of records.
+            self.list_retry_at = Some(now + self.next_backoff());
+            self.send_list(ListKind::Failed, Vec::new()).await;
+            return;
+        }
+        self.list_retry_at = None;
+        self.list_failures = 0;
+        if kind == ListKind::Full {
+            let names = listed.iter().map(|l| l.entry.endpoint.clone()).collect();
+            let source = ENDPOINT_LIST;
+            let input = Input::Snapshot { source, names };
+            self.endpoints.handle(now, input, changes);
+        }
+        self.on_entries(now, listed, version, changes);
+        self.send_list(ListKind::Changes, Vec::new()).await;
+    }
+
+    /// The pause after a further failure, in nanoseconds: it doubles, and half of it is drawn.
+    fn next_backoff(&mut self) -> Nanos {
+        let doublings = self.list_failures.min(MAX_BACKOFF_DOUBLINGS);
+        self.list_failures += 1;
+        let half = (INITIAL_BACKOFF << doublings) / 2;
+        half + rand::random_range(0..half)
+    }
+
+    fn on_entries(
+        &mut self,
+        now: Timestamp,
+        listed: Vec<ListedEndpoint>,
+        version: u64,
+        changes: &mut Vec<Change>,
+    ) {
+        for endpoint in listed {
+            let input = input_of(endpoint, version);
+            self.endpoints.handle(now, input, changes);
+        }
+    }
+
+    async fn send_list(&self, kind: ListKind, listed: Vec<ListedEndpoint>) {
+        let message = Message::List { kind, listed };
+        let _ = self.shared.dispatcher.send(message).await;
+    }
+
+    /// Reports changes to the dispatcher, with a line in the log for each.
+    async fn report(&self, changes: Vec<Change>) {
+        if changes.is_empty() {
+            return;
+        }
+        let mut listed = Vec::with_capacity(changes.len());
+        for change in changes {
+            let rule = self.endpoints.rule(change.endpoint());
+            listed.push(match change {
+                Change::Gone { endpoint } => self.report_removed(endpoint, rule),
+                Change::Listed {
+                    endpoint,
+                    view,
+                    is_new,
+                } => self.report_listed(endpoint, &view, is_new, rule),
+            });
+        }
+        self.send_list(ListKind::Changes, listed).await;
+    }
+
+    fn report_removed(&self, endpoint: Arc<str>, rule: Option<ListingRule>) -> ListedEndpoint {
+        count(&self.shared.counters.members_went);
+        info!(self.shared.log, "member gone"; "member" => &*endpoint, "rule" => ?rule);
+        let entry = EndpointEntry {
+            endpoint,
+            started: 0,
+            primary: false,
+            state: EndpointState::Removed,
+            weight: 1.0,
+            replica_set: 0,
+            zone: 0,
+        };
+        ListedEndpoint {
+            entry,
+            address: SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
+        }
+    }
+
+    fn report_listed(
+        &self,
+        endpoint: Arc<str>,
+        view: &EndpointView,
+        is_new: bool,
+        rule: Option<ListingRule>,
+    ) -> ListedEndpoint {
+        if is_new {
+            count(&self.shared.counters.members_came);
+        }
+        info!(self.shared.log, "member listed"; "member" => &*endpoint, "state" => ?view.state,
+              "endpoint" => %view.address, "rule" => ?rule, "new" => is_new);
+        let state = match view.state {
+            ClaimedState::Draining => EndpointState::Draining,
+            ClaimedState::Ready => EndpointState::Serving,
+        };
+        let entry = EndpointEntry {
+            endpoint,
+            started: view.started,
+            primary: false,
+            state,
+            weight: view.weight,
+            replica_set: view.replica_set,
+            zone: view.zone,
+        };
+        ListedEndpoint {
+            entry,
+            address: view.address,
+        }
+    }
+}
+
+/// What an entry of the endpoint list states, as the registry takes it.
+fn input_of(listed: ListedEndpoint, version: u64) -> Input {
+    let ListedEndpoint { entry, address } = listed;
+    let source = ENDPOINT_LIST;
+    let name = entry.endpoint.clone();
+    let state = match entry.state {
+        EndpointState::Removed => {
+            let how = Withdrawal::Removed;
+            return Input::Withdrawn { source, name, how };
+        }
+        EndpointState::Draining => ClaimedState::Draining,
+        EndpointState::Serving => ClaimedState::Ready,
+    };
+    let claim = Claim {
+        zone: entry.zone,
+        state,
+        started: entry.started,
+        version,
+        weight: entry.weight,
+        ..Claim::new(&entry.endpoint, address, entry.replica_set)
+    };
+    Input::Claimed {
+        source,
+        name,
+        claim,
+    }
+}
--- /dev/null
+++ b/crates/router/src/discovery/registry/services.rs
@@ -0,0 +1,205 @@
+//! The services that are browsed over DNS: which there are, by the settings, and what their browsers want done.
+
+use super::{EndpointRegistryTask, RegistryError, dns_query};
+use crate::extensions::{Discovery, DnsSd};
+use crate::observability::counters::count;
+use async_channel::Sender;
+use futures_lite::future::or;
+use hickory_proto::rr::Name;
+use reelrill_routing::Timestamp;
+use reelrill_service_discovery::browse::{Ask, Browser, Config, Output};
+use reelrill_service_discovery::{Change, Input, SourceId, SourceKind};
+use slog::{info, warn};
+use std::collections::HashMap;
+
+const NANOS_PER_MILLISECOND: u64 = 1_000_000;
+
+/// A service that is browsed.
+pub(super) struct Service {
+    pub(super) name: String,
+    settings: DnsSd,
+    pub(super) browser: Browser,
+    /// The queries in flight, by number. Dropping one ends it.
+    queries: HashMap<u64, Sender<()>>,
+}
+
+impl Service {
+    /// Whether this is the service of that name, with settings that are the same but for the other services.
+    fn is_configured_as(&self, name: &str, settings: &DnsSd) -> bool {
+        let comparable = DnsSd {
+            services: self.settings.services.clone(),
+            ..settings.clone()
+        };
+        self.name == name && self.settings == comparable
+    }
+}
+
+fn parse_name(text: &str) -> Result<Name, RegistryError> {
+    let mut name =
+        Name::from_ascii(text).map_err(|e| RegistryError::Name(text.to_owned(), e.to_string()))?;
+    name.set_fqdn(true);
+    Ok(name)
+}
+
+impl EndpointRegistryTask {
+    /// Makes the services those of the settings; one whose settings are the same goes on. Returns those that are gone.
+    ///
+    /// # Errors
+    /// If a name in the settings is no DNS name; nothing has changed then.
+    pub(super) fn configure_services(
+        &mut self,
+        discovery: &Discovery,
+    ) -> Result<Vec<SourceId>, RegistryError> {
+        let mut kept = Vec::new();
+        if let Some(settings) = &discovery.dns_sd {
+            // All names are read before anything changes: a wrong one must not leave half of the services behind.
+            for text in settings.services.iter().chain([&settings.domain]) {
+                parse_name(text)?;
+            }
+            for name in &settings.services {
+                kept.push(self.ensure_service(name, settings)?);
+            }
+        }
+        let mut gone = self.service_ids();
+        gone.retain(|source| !kept.contains(source));
+        for source in &gone {
+            self.services.remove(source);
+        }
+        Ok(gone)
+    }
+
+    /// The service of this name with these settings: the present one, or a new one that is not started yet.
+    fn ensure_service(&mut self, name: &str, settings: &DnsSd) -> Result<SourceId, RegistryError> {
+        let mut present = self.services.iter();
+        if let Some((source, _)) = present.find(|(_, s)| s.is_configured_as(name, settings)) {
+            return Ok(*source);
+        }
+        let config = Config {
+            servers: settings.servers.clone(),
+            service: parse_name(name)?,
+            domain: parse_name(&settings.domain)?,
+            ttl: (
+                settings.ttl_floor_ms * NANOS_PER_MILLISECOND,
+                settings.ttl_ceiling_ms * NANOS_PER_MILLISECOND,
+            ),
+            timeout: settings.timeout_ms * NANOS_PER_MILLISECOND,
+            budget: settings.budget.into(),
+            zones: self.shared.config.site.zones.clone(),
+        };
+        let source = self.next_source;
+        self.next_source += 1;
+        let now = self.shared.clock.now();
+        let service = Service {
+            name: name.to_owned(),
+            settings: settings.clone(),
+            browser: Browser::new(config, source, rand::random(), now),
+            queries: HashMap::new(),
+        };
+        self.services.insert(source, service);
+        Ok(source)
+    }
+
+    pub(super) fn service_ids(&self) -> Vec<SourceId> {
+        self.services.keys().copied().collect()
+    }
+
+    /// The settings have been read again.
+    pub(super) fn on_settings(
+        &mut self,
+        now: Timestamp,
+        discovery: &Discovery,
+        changes: &mut Vec<Change>,
+    ) {
+        let before = self.service_ids();
+        let gone = match self.configure_services(discovery) {
+            Ok(gone) => gone,
+            Err(e) => {
+                warn!(self.shared.log, "the new sources are not used"; "error" => %e);
+                return;
+            }
+        };
+        let mut new = self.service_ids();
+        new.retain(|source| !before.contains(source));
+        info!(self.shared.log, "sources read again"; "new" => new.len(), "gone" => gone.len());
+        // New ones first: what both name is never without a source.
+        for source in new {
+            self.start_service(now, source, changes);
+        }
+        for source in gone {
+            let input = Input::SourceRemoved { source };
+            self.endpoints.handle(now, input, changes);
+        }
+    }
+
+    pub(super) fn start_service(
+        &mut self,
+        now: Timestamp,
+        source: SourceId,
+        changes: &mut Vec<Change>,
+    ) {
+        let kind = SourceKind::DnsRecords;
+        let input = Input::SourceAdded { source, kind };
+        self.endpoints.handle(now, input, changes);
+        self.drive_browser(now, source, changes, |browser, out| browser.start(now, out));
+    }
+
+    /// Passes on what came for a query.
+    pub(super) fn on_dns_response(
+        &mut self,
+        now: Timestamp,
+        source: SourceId,
+        query: u64,
+        bytes: Option<&[u8]>,
+        changes: &mut Vec<Change>,
+    ) {
+        self.drive_browser(now, source, changes, |browser, out| match bytes {
+            Some(bytes) => browser.answer(now, query, bytes, out),
+            None => browser.broken(now, query, out),
+        });
+    }
+
+    /// Gives a service's browser an input and carries out what it wants done.
+    pub(super) fn drive_browser(
+        &mut self,
+        now: Timestamp,
+        source: SourceId,
+        changes: &mut Vec<Change>,
+        input: impl FnOnce(&mut Browser, &mut Vec<Output>),
+    ) {
+        let Some(service) = self.services.get_mut(&source) else {
+            return;
+        };
+        let mut outputs = Vec::new();
+        input(&mut service.browser, &mut outputs);
+        for output in outputs {
+            match output {
+                Output::Tell(input) => self.endpoints.handle(now, input, changes),
+                Output::Drop(query) => self.cancel_query(source, query),
+                Output::Ask(ask) => self.start_query(source, ask),
+            }
+        }
+    }
+
+    fn cancel_query(&mut self, source: SourceId, query: u64) {
+        if let Some(service) = self.services.get_mut(&source) {
+            service.queries.remove(&query);
+        }
+    }
+
+    fn start_query(&mut self, source: SourceId, ask: Ask) {
+        let Some(service) = self.services.get_mut(&source) else {
+            return;
+        };
+        count(&self.shared.counters.dns_queries);
+        let (held_open, dropped) = async_channel::bounded::<()>(1);
+        service.queries.insert(ask.query, held_open);
+        let Some(events) = self.shared.directory.clone() else {
+            return;
+        };
+        let cancelled = async move {
+            let _ = dropped.recv().await;
+        };
+        let query = or(dns_query::run(source, ask, events), cancelled);
+        self.executor.spawn(query).detach();
+    }
+}
--- a/crates/router/src/dispatcher/actions.rs
+++ b/crates/router/src/dispatcher/actions.rs
@@ -2,7 +2,8 @@
 
 use super::Dispatcher;
 use super::deadlines::DeadlineEntry;
-use crate::messages::{AttemptResult, Call, FinalResponse};
+use crate::discovery::messages::EndpointListRequest;
+use crate::messages::{AttemptResult, FinalResponse};
 use crate::observability::counters::count;
 use crate::upstream::PoolCommand;
 use reelrill_routing::{
@@ -46,8 +47,8 @@
             }
             Action::Probe { endpoint } => self.start_health_check(endpoint),
             // A call that still waits in the mailbox will do for this one, too.
-            Action::Subscribe => drop(self.discovery.try_send(Call::Subscribe)),
-            Action::FetchList => drop(self.discovery.try_send(Call::Fetch)),
+            Action::Subscribe => drop(self.discovery.try_send(EndpointListRequest::Subscribe)),
+            Action::FetchList => drop(self.discovery.try_send(EndpointListRequest::Fetch)),
         }
     }
 
--- a/crates/router/src/dispatcher/mod.rs
+++ b/crates/router/src/dispatcher/mod.rs
@@ -20,7 +20,8 @@
 mod request_table;
 mod requests;
 
-use crate::messages::{AttemptResult, Call, Message};
+use crate::discovery::messages::EndpointListRequest;
+use crate::messages::{AttemptResult, Message};
 use crate::runtime::platform_clock::PlatformClock;
 use crate::runtime::shared::Shared;
 use crate::upstream::PoolHandle;
@@ -47,7 +48,7 @@
     balancer: Balancer,
     /// The balancer works in the platform's time, everything else in the router's own.
     platform: PlatformClock,
-    discovery: Sender<Call>,
+    discovery: Sender<EndpointListRequest>,
     pools: HashMap<EndpointId, PoolHandle>,
     requests: RequestTable,
     deadlines: DeadlineQueue,
@@ -60,7 +61,7 @@
     pub fn new(
         shared: Rc<Shared>,
         executor: Rc<LocalExecutor<'static>>,
-        discovery: Sender<Call>,
+        discovery: Sender<EndpointListRequest>,
     ) -> Result<Dispatcher, SettingsError> {
         let settings = shared.config.site.settings.clone();
         Ok(Dispatcher {
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -3,14 +3,12 @@
 //! Plain data that names no client protocol, so that another one can be put before the same dispatcher. Nothing here
 //! owns a task or a socket.
 
-use crate::extensions::Discovery;
 use reelrill_pg_protocol::Format;
 use reelrill_pg_session::bound::Ask;
 use reelrill_routing::{
     AttemptOutcome, EndpointEntry, EndpointId, ListKind, Nanos, ReplicationStatus, RequestId,
     Timestamp,
 };
-use reelrill_service_discovery::SourceId;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -197,30 +195,3 @@
     pub client_left: CancellationFlag,
     pub progress: AttemptProgress,
 }
-
-/// What the dispatcher asks of the discovery client.
-#[derive(Debug, Clone, Copy)]
-pub enum Call {
-    Subscribe,
-    Fetch,
-}
-
-/// What goes into the endpoint registry's mailbox.
-pub enum News {
-    /// What the discovery service answered, and the list's version.
-    DiscoveryClient {
-        kind: ListKind,
-        listed: Vec<ListedEndpoint>,
-        version: u64,
-    },
-    /// An endpoint answered for itself.
-    Answered { endpoint: EndpointId, leaving: bool },
-    /// What came for a query of a service; none: it could not be sent, or its connection broke.
-    Records {
-        source: SourceId,
-        query: u64,
-        bytes: Option<Vec<u8>>,
-    },
-    /// The settings have been read again.
-    Settings(Discovery),
-}
--- a/crates/router/src/reload.rs
+++ b/crates/router/src/reload.rs
@@ -2,7 +2,7 @@
 //!
 //! Must never replace a valid configuration by one that is not, and names in the log whatever needs a restart.
 
-use crate::messages::News;
+use crate::discovery::messages::RegistryEvent;
 use crate::runtime::shared::Shared;
 use async_channel::Sender;
 use slog::{error, info, warn};
@@ -28,7 +28,11 @@
         warn!(shared.log, "a change takes effect at the next start"; "of" => "extended");
     }
     match &shared.directory {
-        Some(directory) => drop(directory.send(News::Settings(new.edge.discovery)).await),
+        Some(directory) => drop(
+            directory
+                .send(RegistryEvent::SettingsReloaded(new.edge.discovery))
+                .await,
+        ),
         None if new.edge.discovery != shared.config.edge.discovery => {
             warn!(shared.log, "a change takes effect at the next start"; "of" => "discovery");
         }
--- a/crates/router/src/runtime/shared.rs
+++ b/crates/router/src/runtime/shared.rs
@@ -1,9 +1,9 @@
 //! What all tasks of the one thread share: clock, log, counters, the descriptor budget and the phase.
 
 use crate::config::Config;
+use crate::discovery::messages::RegistryEvent;
 use crate::dispatcher::mailbox::MailboxSender;
 use crate::extensions::Mode;
-use crate::messages::News;
 use crate::observability::counters::Counters;
 use crate::runtime::buffer::Memory;
 pub use crate::runtime::cancellation::{Cancel, Cancels};
@@ -43,7 +43,7 @@
     pub last_arrival: Cell<Timestamp>,
     pub dispatcher: MailboxSender,
     /// Where the roster's word goes, and what endpoints say of themselves, if there are other sources.
-    pub directory: Option<async_channel::Sender<News>>,
+    pub directory: Option<async_channel::Sender<RegistryEvent>>,
     /// What the buffers of all connections may grow to.
     pub memory: Rc<Memory>,
     /// Where bytes go that nobody wants; one for all connections.
@@ -70,7 +70,7 @@
         config: Config,
         log: Logger,
         dispatcher: MailboxSender,
-        directory: Option<async_channel::Sender<News>>,
+        directory: Option<async_channel::Sender<RegistryEvent>>,
     ) -> Rc<Shared> {
         let most = config.sockets - SPARE;
         let for_clients = most * CLIENTS.0 / CLIENTS.1;
@@ -113,9 +113,9 @@
     /// An endpoint answered for itself. A full mailbox loses nothing: it will answer again.
     pub fn vouch(&self, endpoint: &EndpointId, leaving: bool) {
         if let Some(directory) = &self.directory {
-            let _ = directory.try_send(News::Answered {
+            let _ = directory.try_send(RegistryEvent::EndpointResponded {
                 endpoint: endpoint.clone(),
-                leaving,
+                is_draining: leaving,
             });
         }
     }
