--- a/crates/router/src/discovery/registry/services.rs
+++ b/crates/router/src/discovery/registry/services.rs
@@ -7,7 +7,7 @@
 use futures_lite::future::or;
 use hickory_proto::rr::Name;
 use reelrill_routing::Timestamp;
-use reelrill_service_discovery::browse::{Ask, Browser, Config, Output};
+use reelrill_service_discovery::browse::{Browser, BrowserConfig, DnsQuery, Output};
 use reelrill_service_discovery::{Change, Input, SourceId, SourceKind};
 use slog::{info, warn};
 use std::collections::HashMap;
@@ -74,7 +74,7 @@
         if let Some((source, _)) = present.find(|(_, s)| s.is_configured_as(name, settings)) {
             return Ok(*source);
         }
-        let config = Config {
+        let config = BrowserConfig {
             servers: settings.servers.clone(),
             service: parse_name(name)?,
             domain: parse_name(&settings.domain)?,
@@ -153,8 +153,8 @@
         changes: &mut Vec<Change>,
     ) {
         self.drive_browser(now, source, changes, |browser, out| match bytes {
-            Some(bytes) => browser.answer(now, query, bytes, out),
-            None => browser.broken(now, query, out),
+            Some(bytes) => browser.on_response(now, query, bytes, out),
+            None => browser.on_query_failed(now, query, out),
         });
     }
 
@@ -173,9 +173,9 @@
         input(&mut service.browser, &mut outputs);
         for output in outputs {
             match output {
-                Output::Tell(input) => self.endpoints.handle(now, input, changes),
-                Output::Drop(query) => self.cancel_query(source, query),
-                Output::Ask(ask) => self.start_query(source, ask),
+                Output::UpdateRegistry(input) => self.endpoints.handle(now, input, changes),
+                Output::CancelQuery(query) => self.cancel_query(source, query),
+                Output::SendQuery(query) => self.start_query(source, query),
             }
         }
     }
@@ -186,20 +186,20 @@
         }
     }
 
-    fn start_query(&mut self, source: SourceId, ask: Ask) {
+    fn start_query(&mut self, source: SourceId, query: DnsQuery) {
         let Some(service) = self.services.get_mut(&source) else {
             return;
         };
         count(&self.shared.counters.dns_queries);
         let (held_open, dropped) = async_channel::bounded::<()>(1);
-        service.queries.insert(ask.query, held_open);
+        service.queries.insert(query.id, held_open);
         let Some(events) = self.shared.directory.clone() else {
             return;
         };
         let cancelled = async move {
             let _ = dropped.recv().await;
         };
-        let query = or(dns_query::run(source, ask, events), cancelled);
-        self.executor.spawn(query).detach();
+        let task = or(dns_query::run(source, query, events), cancelled);
+        self.executor.spawn(task).detach();
     }
 }
--- a/crates/service-discovery/tests/browse.rs
+++ b/crates/service-discovery/tests/browse.rs
@@ -2,7 +2,7 @@
 
 use hickory_proto::rr::Name;
 use proptest::prelude::*;
-use reelrill_service_discovery::browse::{Browser, Config, Output};
+use reelrill_service_discovery::browse::{Browser, BrowserConfig, Output};
 use reelrill_service_discovery::{
     Change, ClaimedState, EndpointRegistry, EndpointView, Input, RegistrySettings, SourceKind,
 };
@@ -62,7 +62,7 @@
 
     fn of(service: &str, zones: Vec<Zone>, budget: f64) -> World {
         let now = 1 << 60;
-        let config = Config {
+        let config = BrowserConfig {
             servers: servers(zones.len()),
             service: Name::from_ascii(service).unwrap(),
             domain: Name::from_ascii(DOMAIN).unwrap(),
@@ -101,18 +101,18 @@
     fn carry(&mut self, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Ask(ask) => {
+                Output::SendQuery(ask) => {
                     self.asked += 1;
                     let server = servers(self.zones.len())
                         .iter()
                         .position(|s| *s == ask.server)
                         .unwrap();
                     if let Some(answer) = self.zones[server].answer(&ask.message, ask.over_tcp) {
-                        self.on_way.push((self.now + TRIP, ask.query, answer));
+                        self.on_way.push((self.now + TRIP, ask.id, answer));
                     }
                 }
-                Output::Drop(query) => self.on_way.retain(|w| w.1 != query),
-                Output::Tell(input) => {
+                Output::CancelQuery(query) => self.on_way.retain(|w| w.1 != query),
+                Output::UpdateRegistry(input) => {
                     let mut changes = Vec::new();
                     self.endpoints.handle(self.now, input, &mut changes);
                     self.apply(changes);
@@ -149,7 +149,7 @@
             let (mut out, mut changes) = (Vec::new(), Vec::new());
             if let Some(at) = self.on_way.iter().position(|w| w.0 <= self.now) {
                 let (_, query, bytes) = self.on_way.swap_remove(at);
-                self.browser.answer(self.now, query, &bytes, &mut out);
+                self.browser.on_response(self.now, query, &bytes, &mut out);
             }
             self.browser.on_due(self.now, &mut out);
             self.endpoints.on_due(self.now, &mut changes);
