--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -123,7 +123,7 @@
         let counters = &self.shared.counters;
         count(match error {
             PollError::Http(HttpError::Status(_)) => &counters.list_turned_away,
-            PollError::Http(HttpError::Io(_)) => &counters.list_broken,
+            PollError::Http(HttpError::Io(_) | HttpError::Closed) => &counters.list_broken,
             PollError::TimedOut => &counters.list_silent,
             PollError::Http(_) | PollError::List(_) | PollError::Json(_) => {
                 &counters.list_unreadable
--- a/crates/router/src/discovery/http.rs
+++ b/crates/router/src/discovery/http.rs
@@ -1,4 +1,6 @@
-//! A kept-alive HTTP/1.1 connection to discovery: one GET at a time.
+//! A kept-alive HTTP/1.1 connection to the discovery service: one GET at a time.
+//!
+//! It owns the socket and its buffer, and logs one line when it ends. Timeouts are its caller's.
 
 use crate::observability::log::CloseReason;
 use crate::runtime::buffer::{Buffer, Memory};
@@ -8,10 +10,16 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-const LARGEST: usize = 8 * 1024 * 1024;
-/// The status of an answer that holds a list.
-const OK: u16 = 200;
+/// The largest head, and the largest body, in bytes.
+const MAX_SIZE: usize = 8 * 1024 * 1024;
+/// The most header fields of a response.
+const MAX_HEADERS: usize = 48;
+/// The line break after a chunk's data.
+const CHUNK_END: usize = 2;
+/// The status of a response that holds a list.
+const STATUS_OK: u16 = 200;
 
+/// Why a request brought no body.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
     #[error("{0}")]
@@ -20,15 +28,19 @@
     Parse(#[from] httparse::Error),
     #[error("the answer's length is wrong")]
     Length,
+    #[error("the connection was closed before the answer was whole")]
+    Closed,
     #[error("status {0}")]
     Status(u16),
 }
 
+/// The connection; see the module.
 pub struct Connection {
     stream: Async<TcpStream>,
     buffer: Buffer,
     host: SocketAddr,
-    keep: bool,
+    is_reusable: bool,
+    /// Why it ends if it is dropped now.
     reason: CloseReason,
     log: Logger,
 }
@@ -40,6 +52,7 @@
     }
 }
 
+/// How the end of a body is found.
 enum Length {
     Fixed(usize),
     Chunked,
@@ -47,6 +60,10 @@
 }
 
 impl Connection {
+    /// Connects to `host`.
+    ///
+    /// # Errors
+    /// If the connection can't be established.
     pub async fn open(
         host: SocketAddr,
         memory: &Rc<Memory>,
@@ -60,41 +77,40 @@
             stream,
             buffer: Buffer::new(memory),
             host,
-            keep: true,
+            is_reusable: true,
             reason,
             log,
         })
     }
 
-    /// Whether another call may follow on this connection.
+    /// Whether another request may follow on this connection.
     pub fn is_reusable(&self) -> bool {
-        self.keep
+        self.is_reusable
     }
 
+    /// Closes the connection, for this reason.
     pub fn end(mut self, reason: CloseReason) {
         self.reason = reason;
     }
 
-    /// Asks for what is at `path`; returns once an answer has begun.
+    /// Requests what is at `path`; returns once a response has begun.
     pub async fn request(&mut self, path: &str) -> Result<(), HttpError> {
         let result = self.send(path).await;
-        self.note_end(result.as_ref().err());
+        self.record_result(result.as_ref().err());
         result
     }
 
-    /// The body of the answer that has begun.
+    /// Reads the body of the response that has begun.
     pub async fn response(&mut self) -> Result<Vec<u8>, HttpError> {
         let result = self.read_response().await;
-        self.note_end(result.as_ref().err());
+        self.record_result(result.as_ref().err());
         result
     }
 
     /// Why the connection will have ended if it is dropped after this.
-    fn note_end(&mut self, error: Option<&HttpError>) {
+    fn record_result(&mut self, error: Option<&HttpError>) {
         self.reason = match error {
-            Some(HttpError::Io(e)) if e.kind() == std::io::ErrorKind::UnexpectedEof => {
-                CloseReason::Eof
-            }
+            Some(HttpError::Closed) => CloseReason::Eof,
             Some(HttpError::Io(_)) => CloseReason::Reset,
             Some(HttpError::Parse(_) | HttpError::Length) => CloseReason::Malformed,
             Some(HttpError::Status(_)) => CloseReason::TurnedAway,
@@ -109,7 +125,7 @@
         );
         write_all(&self.stream, head.as_bytes()).await?;
         if self.buffer.bytes().is_empty() {
-            self.more().await
+            self.fill_more().await
         } else {
             Ok(())
         }
@@ -121,70 +137,75 @@
                 self.buffer.consume(len);
                 break head;
             }
-            self.more().await?;
+            self.fill_more().await?;
         };
-        self.keep = head.keep;
+        self.is_reusable = head.keeps_connection;
         let body = match head.length {
-            Length::Fixed(n) => self.take(n).await?,
-            Length::Chunked => self.chunks().await?,
-            Length::ToEnd => {
-                self.keep = false;
-                while self.fill().await? > 0 {
-                    if self.buffer.bytes().len() > LARGEST {
-                        return Err(HttpError::Length);
-                    }
-                }
-                self.buffer.bytes().to_vec()
-            }
+            Length::Fixed(len) => self.read_exact(len).await?,
+            Length::Chunked => self.read_chunks().await?,
+            Length::ToEnd => self.read_to_end().await?,
         };
-        if head.status == OK {
+        if head.status == STATUS_OK {
             Ok(body)
         } else {
             Err(HttpError::Status(head.status))
         }
     }
 
+    async fn read_to_end(&mut self) -> Result<Vec<u8>, HttpError> {
+        self.is_reusable = false;
+        while self.fill().await? > 0 {
+            if self.buffer.bytes().len() > MAX_SIZE {
+                return Err(HttpError::Length);
+            }
+        }
+        Ok(self.buffer.bytes().to_vec())
+    }
+
     async fn fill(&mut self) -> std::io::Result<usize> {
         retry_interrupted(async || self.buffer.fill(&self.stream).await).await
     }
 
-    async fn more(&mut self) -> Result<(), HttpError> {
-        if self.buffer.bytes().len() > LARGEST {
+    /// Reads more bytes, of which there must be some.
+    async fn fill_more(&mut self) -> Result<(), HttpError> {
+        if self.buffer.bytes().len() > MAX_SIZE {
             return Err(HttpError::Length);
         }
         match self.fill().await? {
-            0 => Err(std::io::Error::from(std::io::ErrorKind::UnexpectedEof).into()),
+            0 => Err(HttpError::Closed),
             _ => Ok(()),
         }
     }
 
-    async fn take(&mut self, n: usize) -> Result<Vec<u8>, HttpError> {
-        if n > LARGEST {
+    /// Takes the next `len` bytes.
+    async fn read_exact(&mut self, len: usize) -> Result<Vec<u8>, HttpError> {
+        if len > MAX_SIZE {
             return Err(HttpError::Length);
         }
-        while self.buffer.bytes().len() < n {
-            self.more().await?;
+        while self.buffer.bytes().len() < len {
+            self.fill_more().await?;
         }
-        let body = self.buffer.bytes()[..n].to_vec();
-        self.buffer.consume(n);
+        let body = self.buffer.bytes()[..len].to_vec();
+        self.buffer.consume(len);
         Ok(body)
     }
 
-    async fn chunks(&mut self) -> Result<Vec<u8>, HttpError> {
+    /// Reads a body in chunks, up to the empty one.
+    async fn read_chunks(&mut self) -> Result<Vec<u8>, HttpError> {
         let mut body = Vec::new();
         loop {
             let size =
                 httparse::parse_chunk_size(self.buffer.bytes()).map_err(|_| HttpError::Length)?;
             let httparse::Status::Complete((line, size)) = size else {
-                self.more().await?;
+                self.fill_more().await?;
                 continue;
             };
             self.buffer.consume(line);
             let size = usize::try_from(size).map_err(|_| HttpError::Length)?;
-            if size > LARGEST || body.len() + size > LARGEST {
+            if size > MAX_SIZE || body.len() + size > MAX_SIZE {
                 return Err(HttpError::Length);
             }
-            let chunk = self.take(size + 2).await?;
+            let chunk = self.read_exact(size + CHUNK_END).await?;
             if size == 0 {
                 return Ok(body);
             }
@@ -193,32 +214,32 @@
     }
 }
 
-/// The head of an answer.
+/// The head of a response.
 struct Head {
     status: u16,
     length: Length,
-    keep: bool,
+    keeps_connection: bool,
 }
 
 /// Reads a head, if it is there whole, and says how many bytes it takes.
 fn read_head(bytes: &[u8]) -> Result<Option<(usize, Head)>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; 48];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let httparse::Status::Complete(len) = response.parse(bytes)? else {
         return Ok(None);
     };
-    let mut keep = response.version == Some(1);
+    let mut keeps_connection = response.version == Some(1);
     let mut length = Length::ToEnd;
-    for h in response.headers.iter() {
-        let value = std::str::from_utf8(h.value).unwrap_or("").trim();
-        if h.name.eq_ignore_ascii_case("content-length") {
+    for header in response.headers.iter() {
+        let value = std::str::from_utf8(header.value).unwrap_or("").trim();
+        if header.name.eq_ignore_ascii_case("content-length") {
             length = Length::Fixed(value.parse().map_err(|_| HttpError::Length)?);
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding")
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding")
             && value.eq_ignore_ascii_case("chunked")
         {
             length = Length::Chunked;
-        } else if h.name.eq_ignore_ascii_case("connection") {
-            keep = !value.eq_ignore_ascii_case("close");
+        } else if header.name.eq_ignore_ascii_case("connection") {
+            keeps_connection = !value.eq_ignore_ascii_case("close");
         }
     }
     Ok(Some((
@@ -226,7 +247,7 @@
         Head {
             status: response.code.unwrap_or(0),
             length,
-            keep,
+            keeps_connection,
         },
     )))
 }
