--- a/crates/test-support/src/group.rs
+++ b/crates/test-support/src/group.rs
@@ -54,8 +54,32 @@
     }
 }
 
+/// What a member does with a read for which it is too far behind.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub enum StaleReads {
+    /// It answers from what it has.
+    Serve,
+    /// It rejects the read at once.
+    #[default]
+    Reject,
+    /// It waits for so long to catch up, and rejects the read then.
+    Wait(Duration),
+}
+
+/// How recent the data has to be that answers a class's reads, beyond the position that the read itself names.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Freshness {
+    /// It holds the last write to the row.
+    LastWrite,
+    /// It is no older than this.
+    MaxAge(Duration),
+}
+
 #[derive(Debug)]
 struct World {
+    stale_reads: StaleReads,
+    /// By class.
+    freshness: HashMap<String, Freshness>,
     primary: String,
     lag: Duration,
     window: Duration,
@@ -85,6 +109,8 @@
     pub fn new(primary: &str, lag: Duration, window: Duration) -> Group {
         let (rows, keys, ledger) = (HashMap::new(), HashMap::new(), Ledger::default());
         Group(Watched::new(World {
+            stale_reads: StaleReads::default(),
+            freshness: HashMap::new(),
             primary: primary.to_owned(),
             lag,
             window,
@@ -99,6 +125,42 @@
         self.0.change(|w| member.clone_into(&mut w.primary));
     }
 
+    /// What members do with reads for which they are too far behind.
+    pub fn set_stale_reads(&self, policy: StaleReads) {
+        self.0.change(|w| w.stale_reads = policy);
+    }
+
+    /// Reads of this class need data so recent.
+    pub fn require(&self, class: &str, freshness: Freshness) {
+        self.0
+            .change(|w| w.freshness.insert(class.to_owned(), freshness));
+    }
+
+    /// How far a member has to have applied the log to answer a read of `row`, in Unix milliseconds.
+    fn required_position(&self, row: &str, class: &str, named: u64) -> u64 {
+        self.0.change(|w| match w.freshness.get(class) {
+            Some(Freshness::LastWrite) => w.rows.get(row).map_or(named, |r| r.1.max(named)),
+            Some(Freshness::MaxAge(age)) => {
+                named.max(now_ms().saturating_sub(age.as_millis() as u64))
+            }
+            None => named,
+        })
+    }
+
+    /// Whether a member may answer a read that needs this position; waits for it where members do so.
+    fn may_answer(&self, member: &str, required: u64) -> bool {
+        let behind = required.saturating_sub(self.position(member));
+        match self.0.change(|w| w.stale_reads) {
+            StaleReads::Serve => true,
+            StaleReads::Reject => behind == 0,
+            StaleReads::Wait(limit) => {
+                let behind = Duration::from_millis(behind);
+                std::thread::sleep(behind.min(limit));
+                behind <= limit
+            }
+        }
+    }
+
     /// Whether this member leads.
     pub fn leads(&self, member: &str) -> bool {
         self.0.change(|w| w.primary == member)
@@ -154,13 +216,17 @@
         {
             return Err(("08P01", "a statement that no client sends"));
         }
+        let is_read = !text.starts_with("INSERT");
+        if is_read {
+            let named = comment("after").and_then(|a| a.parse().ok()).unwrap_or(0);
+            let class = comment("c").unwrap_or_default();
+            if !self.may_answer(member, self.required_position(&row, class, named)) {
+                return Err(("72000", "too far behind"));
+            }
+        }
         let position = self.position(member);
         self.0.change(|w| {
-            if !text.starts_with("INSERT") {
-                let after: u64 = comment("after").and_then(|a| a.parse().ok()).unwrap_or(0);
-                if after > position {
-                    return Err(("72000", "too far behind"));
-                }
+            if is_read {
                 let seen = w.rows.get(&row).filter(|(_, at)| *at <= position);
                 return Ok((
                     seen.map_or_else(|| "(nothing)".to_owned(), |(v, _)| v.clone()),
--- a/crates/test-support/src/instance.rs
+++ b/crates/test-support/src/instance.rs
@@ -75,6 +75,15 @@
     pub ended: usize,
 }
 
+/// What an instance tells of itself with its answers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Telling {
+    /// Its position, or a write's commit.
+    pub position: bool,
+    /// Its load report.
+    pub report: bool,
+}
+
 enum World {
     /// Answers each request with the name that it goes by, in a role of its own.
     Echo(&'static str),
@@ -93,6 +102,8 @@
     faults: Watched<VecDeque<(Stage, Fault)>>,
     /// Open connections; none while it is dead.
     open: Watched<Option<Vec<TcpStream>>>,
+    /// What it tells with its answers.
+    telling: Watched<Telling>,
     /// Statements prepared before this changed are forgotten.
     memory: Watched<usize>,
     /// New connections are taken, and not welcomed while this is so.
@@ -185,6 +196,10 @@
             act: act.clone(),
             faults: Watched::clone(&faults),
             open: Watched::new(Some(Vec::new())),
+            telling: Watched::new(Telling {
+                position: true,
+                report: true,
+            }),
             memory: Watched::new(0),
             aloof: Watched::new(false),
         });
@@ -252,6 +267,11 @@
             .is_some()
     }
 
+    /// What it tells of itself with its answers from now on.
+    pub fn tell(&self, telling: Telling) {
+        self.inner.telling.change(|t| *t = telling);
+    }
+
     /// Whether it leaves new connections without a welcome, until it is told otherwise.
     pub fn keep_aloof(&self, aloof: bool) {
         self.inner.aloof.change(|a| *a = aloof);
@@ -411,13 +431,18 @@
             }
         };
         backend::put_parameter(&mut self.out, "part", role);
-        backend::put_parameter(&mut self.out, "caught_up_to", &position.to_string());
+        let telling = self.inner.telling.change(|t| *t);
+        if telling.position {
+            backend::put_parameter(&mut self.out, "caught_up_to", &position.to_string());
+        }
         let gauges = format!(
             "x0={},x1={},inflight=0,util=0.1",
             position as f64 / 1e3,
             u8::from(role == "master")
         );
-        backend::put_parameter(&mut self.out, "gauges", &gauges);
+        if telling.report {
+            backend::put_parameter(&mut self.out, "gauges", &gauges);
+        }
         backend::put_ready(&mut self.out);
     }
 
