--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -4,7 +4,7 @@
 use crate::discovery::list::{self, ListError};
 use crate::extensions::{EdgeError, Extensions};
 use crate::messages::ListedEndpoint;
-use reelrill_routing_config::Site;
+use reelrill_routing_config::{SettingsReadError, Site};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -26,8 +26,11 @@
         path: String,
         source: serde_json::Error,
     },
-    #[error("{path}: settings: {what}")]
-    Settings { path: String, what: String },
+    #[error("{path}: settings: {source}")]
+    Settings {
+        path: String,
+        source: SettingsReadError,
+    },
     #[error("{path}: {key} is missing or is no address")]
     Address { path: String, key: &'static str },
     #[error("{path}: limits.{key} is no whole number of {least} or more")]
@@ -145,9 +148,9 @@
         };
         let settings = value.get("settings").cloned().unwrap_or_default();
         let site =
-            reelrill_routing_config::read(&settings).map_err(|what| ConfigError::Settings {
+            reelrill_routing_config::read(&settings).map_err(|source| ConfigError::Settings {
                 path: path.clone(),
-                what,
+                source,
             })?;
         let known = match value.get("known").filter(|k| !k.is_null()) {
             Some(known) => {
