--- a/crates/router/src/discovery/http.rs
+++ b/crates/router/src/discovery/http.rs
@@ -28,7 +28,7 @@
     Parse(#[from] httparse::Error),
     #[error("the answer's length is wrong")]
     Length,
-    #[error("the connection was closed before the answer was whole")]
+    #[error("the connection was closed before the response was complete")]
     Closed,
     #[error("status {0}")]
     Status(u16),
@@ -221,7 +221,7 @@
     keeps_connection: bool,
 }
 
-/// Reads a head, if it is there whole, and says how many bytes it takes.
+/// Reads a head, if it is complete, and says how many bytes it takes.
 fn read_head(bytes: &[u8]) -> Result<Option<(usize, Head)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
--- a/crates/service-discovery/src/lib.rs
+++ b/crates/service-discovery/src/lib.rs
@@ -1,5 +1,6 @@
-//! What several sources say of the endpoints, and the one list that comes of it. No I/O: words of the sources, the
-//! endpoints' own answers and the time come in as arguments, changes of the list come out.
+//! Service discovery without I/O: the endpoint list's watch, the DNS-SD browser, and the merge of several sources into
+//! one list. Claims of the sources, the endpoints' heartbeats and the time come in as arguments, changes of the list
+//! come out.
 //!
 //! ```
 //! use reelrill_service_discovery::{Claim, EndpointRegistry, Input, RegistrySettings, SourceKind};
@@ -11,7 +12,7 @@
 //! assert_eq!(changes[0].endpoint(), "s-1");
 //! ```
 //!
-//! The rules, by number ([`Rule`] names the one that decided), are written out in `docs/design/membership.md`.
+//! The rules ([`ListingRule`] names the one that decided) are written out in `docs/design/membership.md`.
 #![forbid(unsafe_code)]
 
 pub mod browse;
--- a/crates/service-discovery/src/wheel.rs
+++ b/crates/service-discovery/src/wheel.rs
@@ -77,18 +77,18 @@
         let index = match self.free.pop() {
             Some(index) => {
                 let node = &mut self.nodes[index as usize];
-                (node.at, node.value) = (at, Some(value));
+                node.at = at;
+                node.value = Some(value);
                 index
             }
             None => {
                 assert!(self.nodes.len() < NONE as usize, "too many timers");
-                let (previous, next, slot, generation) = (NONE, NONE, 0, 0);
                 self.nodes.push(Node {
                     at,
-                    previous,
-                    next,
-                    slot,
-                    generation,
+                    previous: NONE,
+                    next: NONE,
+                    slot: 0,
+                    generation: 0,
                     value: Some(value),
                 });
                 self.nodes.len() as u32 - 1
@@ -186,7 +186,9 @@
             self.nodes[head as usize].previous = index;
         }
         let node = &mut self.nodes[index as usize];
-        (node.previous, node.next, node.slot) = (NONE, head, place as u32);
+        node.previous = NONE;
+        node.next = head;
+        node.slot = place as u32;
         self.occupied[level] |= 1 << slot;
     }
 
