--- a/crates/router/src/dispatcher/request_table.rs
+++ b/crates/router/src/dispatcher/request_table.rs
@@ -192,11 +192,13 @@
         self.requests.iter_mut().map(|(id, request)| (*id, request))
     }
 
-    /// Nothing is owed for the request from now on. Returns where its answer goes, if it was still owed.
+    /// Nothing is owed for the request from now on. Returns where its answer goes, if it was still owed. A request for
+    /// which no attempt is out leaves the table.
     pub fn complete(&mut self, id: RequestId) -> Option<ResponseTarget> {
         let request = self.requests.get_mut(&id)?;
         let reply = request.take_reply()?;
         self.client_ids.remove(&request.client_id);
+        self.remove_if_finished(id);
         Some(reply)
     }
 
--- a/crates/router/src/dispatcher/request_table/tests.rs
+++ b/crates/router/src/dispatcher/request_table/tests.rs
@@ -74,3 +74,11 @@
     table.remove_if_finished(ID);
     assert!(table.complete(ID).is_some());
 }
+
+/// Guards the memory of a router whose clients leave while their requests are queued.
+#[test]
+fn a_queued_request_that_is_completed_leaves_the_table() {
+    let mut table = table();
+    assert!(table.complete(ID).is_some());
+    assert!(table.get(ID).is_none());
+}
--- a/crates/router/src/dispatcher/requests.rs
+++ b/crates/router/src/dispatcher/requests.rs
@@ -143,7 +143,6 @@
             FinalResponse::Failed(_) | FinalResponse::Cancelled => &counters.failed,
         });
         respond(reply, response);
-        self.requests.remove_if_finished(request);
     }
 }
 
