--- a/crates/router/src/discovery/list.rs
+++ b/crates/router/src/discovery/list.rs
@@ -134,7 +134,8 @@
         let zone = self
             .zone
             .and_then(|name| zones.iter().position(|zone| *zone == name))
-            .unwrap_or(0);
+            // A zone of its own: an unknown zone does not share the first zone's idempotency keys.
+            .unwrap_or(zones.len());
         let started_ms = self.started_ms.unwrap_or(0.0).max(0.0) as u64;
         let entry = EndpointEntry {
             endpoint: self.uid.as_str().into(),
--- a/crates/router/tests/settings_matrix.rs
+++ b/crates/router/tests/settings_matrix.rs
@@ -454,6 +454,7 @@
 #[case::key_of_replica_set_in_another_zone("dedup", "cell", "b", Then::IsSentAgain)]
 #[case::key_of_zone_in_the_same_zone("dedup", "zone", "a", Then::IsSentAgain)]
 #[case::key_of_zone_in_another_zone("dedup", "zone", "b", Then::Fails)]
+#[case::key_of_zone_in_an_unknown_zone("dedup", "zone", "c", Then::Fails)]
 fn a_possibly_executed_write_is_sent_again_as_its_class_allows(
     #[case] repeat: &str,
     #[case] group: &str,
--- a/crates/service-discovery/src/browse/claims.rs
+++ b/crates/service-discovery/src/browse/claims.rs
@@ -206,7 +206,7 @@
             uid: pairs.get("uid").map(|uid| Arc::from(&**uid)),
             address: SocketAddr::new(ip, target.port),
             replica_set,
-            zone: zone.unwrap_or(0) as u32,
+            zone: zone.unwrap_or(self.config.zones.len()) as u32,
             state: if is_ready {
                 ClaimedState::Ready
             } else {
