--- /dev/null
+++ b/crates/router/src/client/accept_loop.rs
@@ -0,0 +1,59 @@
+//! Accepts the clients' connections, and starts a task for each.
+//!
+//! Must never accept a connection without a descriptor for it: until there is one it waits in the kernel's backlog.
+
+use super::connection::serve;
+use crate::observability::counters::count;
+use crate::runtime::accept;
+use crate::runtime::shared::Shared;
+use async_executor::LocalExecutor;
+use async_io::{Async, Timer};
+use futures_lite::future::or;
+use slog::warn;
+use std::net::TcpListener;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Accepts until the process ends. Without a free slot, connections wait in the kernel's backlog.
+pub async fn listen(
+    shared: Rc<Shared>,
+    executor: Rc<LocalExecutor<'static>>,
+    listener: Async<TcpListener>,
+) {
+    loop {
+        let slot = loop {
+            if let Some(slot) = shared.clients.take() {
+                break slot;
+            }
+            // Make room: a connection of no use goes, or the one idle longest; else one has to end by itself.
+            shared.clients.need();
+            let pause = async {
+                Timer::after(Duration::from_millis(20)).await;
+            };
+            or(shared.clients.freed(), pause).await;
+        };
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                count(&shared.counters.clients);
+                shared.last_arrival.set(shared.clock.now());
+                // Counted from here on, not from when its task first runs: in a burst that is many connections
+                // later, and a connection in use would be asked to make room for those that say nothing.
+                let fresh = shared.clients.fresh();
+                executor
+                    .spawn(serve(shared.clone(), stream, slot, fresh))
+                    .detach();
+                if shared.clients.is_short() {
+                    // Ahead of the need: the next one must not wait in the backlog for room to be made.
+                    shared.clients.want();
+                }
+            }
+            Err(e) => {
+                count(&shared.counters.accept_errors);
+                warn!(shared.log, "accept failed"; "error" => %e);
+                if let Some(pause) = accept::pause_after(&e) {
+                    Timer::after(pause).await;
+                }
+            }
+        }
+    }
+}
--- a/crates/router/src/client/pipeline.rs
+++ b/crates/router/src/client/pipeline.rs
@@ -1,7 +1,9 @@
 //! A client that speaks extended queries: carries out what its plan decides. The order of things, what is skipped
 //! and what is owed is the plan's; here are the bytes, the decider's replies, and an eye on the client.
 
-use super::{Client, put_failure, read_ahead};
+use super::connection::Client;
+use super::reading::read_ahead;
+use super::responses::put_failure;
 use crate::messages::{CancellationFlag, FinalResponse, Message, ResponseTarget};
 use crate::observability::counters::count;
 use crate::observability::log::CloseReason;
--- /dev/null
+++ b/crates/router/src/client/responses.rs
@@ -0,0 +1,42 @@
+//! Final responses as messages of the protocol.
+
+use crate::messages::{Answer, FinalResponse};
+use reelrill_pg_protocol::{backend, code};
+
+/// A served answer to a simple query.
+pub fn put_answer(out: &mut Vec<u8>, answer: &Answer) {
+    if let Some(c) = &answer.column {
+        backend::put_column(
+            out,
+            &backend::Column {
+                name: &c.name,
+                kind: c.kind,
+                format: c.format,
+            },
+        );
+    }
+    backend::put_value(out, &answer.value);
+    backend::put_complete(out, &answer.tag);
+}
+
+/// Any other answer.
+pub fn put_failure(out: &mut Vec<u8>, reply: &FinalResponse) {
+    match reply {
+        FinalResponse::Refused { retry_after } => {
+            let after = retry_after.map(|span| span.div_ceil(1_000_000).to_string());
+            let text = "refused: trying again is harmless";
+            backend::put_error(out, false, code::TOO_MANY, text, after.as_deref());
+        }
+        FinalResponse::Failed(why) => backend::put_error(out, false, code::FAILED, why, None),
+        FinalResponse::Cancelled => {
+            backend::put_error(
+                out,
+                false,
+                code::CANCELED,
+                "called off by its client; it may have run",
+                None,
+            );
+        }
+        FinalResponse::Served(_) => {}
+    }
+}
--- a/crates/router/src/client/simple.rs
+++ b/crates/router/src/client/simple.rs
@@ -1,7 +1,9 @@
 //! A client's simple queries: carries out what its queue decides. The order of things is the queue's; here are the bytes,
 //! the decider's replies, and an eye on the client.
 
-use super::{Client, put_answer, put_failure, read_ahead};
+use super::connection::Client;
+use super::reading::read_ahead;
+use super::responses::{put_answer, put_failure};
 use crate::messages::{CancellationFlag, FinalResponse, Message, ResponseTarget};
 use crate::observability::counters::count;
 use crate::observability::log::CloseReason;
