--- a/crates/router/tests/settings_matrix.rs
+++ b/crates/router/tests/settings_matrix.rs
@@ -474,7 +474,7 @@
 /// A key that is remembered for no time is no key: a write that may have run is not sent again.
 #[rstest]
 fn a_key_without_a_window_is_never_sent_again(
-    #[values("zone", "cell")] group: &str,
+    #[values("all", "zone", "cell")] group: &str,
     #[values(false, true)] is_absent: bool,
 ) {
     let mut settings = with(&[
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -285,11 +285,12 @@
     /// failure.
     pub(crate) fn reject_or_fail(
         &mut self,
+        now: Timestamp,
         pending: PendingRequest,
         reason: RejectReason,
         out: &mut Vec<Action>,
     ) {
-        if !self.is_safe_to_reject(&pending) {
+        if !self.is_safe_to_reject(now, &pending) {
             return self.fail(pending, reason, out);
         }
         let limits = &self.settings.limits;
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -27,7 +27,7 @@
         out: &mut Vec<Action>,
     ) {
         if let Some(reason) = self.dispatch_obstacle(now, &pending) {
-            return self.reject_or_fail(pending, reason, out);
+            return self.reject_or_fail(now, pending, reason, out);
         }
         if let Some(index) = self.select_position_refresh(now, &pending) {
             return self.send(now, index, pending, out);
@@ -41,9 +41,9 @@
             return self.queue_or_reject(now, pending, out);
         };
         if self.is_shed(now, index, &pending) {
-            self.reject_or_fail(pending, RejectReason::LoadShed, out);
+            self.reject_or_fail(now, pending, RejectReason::LoadShed, out);
         } else if !self.is_safe_to_send(now, index, &pending) {
-            self.reject_or_fail(pending, RejectReason::NotRetryable, out);
+            self.reject_or_fail(now, pending, RejectReason::NotRetryable, out);
         } else {
             self.send(now, index, pending, out);
         }
@@ -82,7 +82,7 @@
         out: &mut Vec<Action>,
     ) {
         if pending.attempts_sent == 0 && !self.may_become_available(now, &pending) {
-            return self.reject_or_fail(pending, RejectReason::NoEligibleEndpoint, out);
+            return self.reject_or_fail(now, pending, RejectReason::NoEligibleEndpoint, out);
         }
         let id = pending.request.id;
         let replica_set = pending.request.replica_set;
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -78,7 +78,7 @@
             pending.tried.clear();
         }
         if let Some(reason) = self.retry_obstacle(now, &pending, outcome) {
-            return self.reject_or_fail(pending, reason, out);
+            return self.reject_or_fail(now, pending, reason, out);
         }
         self.retry_budget.withdraw(retry_cost(outcome));
         if outcome == AttemptOutcome::Overloaded {
@@ -161,12 +161,18 @@
         Some(first.saturating_add(class.deduplication_window))
     }
 
-    /// Whether a client that repeats the request after a rejection does no harm.
-    pub(crate) fn is_safe_to_reject(&self, pending: &PendingRequest) -> bool {
-        pending.possibly_executed.is_empty()
-            || matches!(
-                self.class(pending).idempotency,
-                Idempotency::Idempotent | Idempotency::IdempotencyKey(KeyScope::All)
-            )
+    /// Whether a client that repeats the request after a rejection does no harm. A key that all
+    /// endpoints share protects the repetition only while its deduplication window is open.
+    pub(crate) fn is_safe_to_reject(&self, now: Timestamp, pending: &PendingRequest) -> bool {
+        let class = self.class(pending);
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::IdempotencyKey(KeyScope::All) => pending
+                .possibly_executed
+                .iter()
+                .all(|sent| now.saturating_sub(sent.sent_at) < class.deduplication_window),
+            Idempotency::IdempotencyKey(KeyScope::Zone | KeyScope::ReplicaSet)
+            | Idempotency::NonIdempotent => pending.possibly_executed.is_empty(),
+        }
     }
 }
--- a/crates/routing/tests/failures/retry.rs
+++ b/crates/routing/tests/failures/retry.rs
@@ -94,3 +94,23 @@
         }
     }
 }
+
+/// A key that all endpoints share makes a client's repetition harmless only while its window is
+/// open: a rejection after it would invite a second execution.
+#[test]
+fn possibly_executed_write_fails_after_the_window_of_a_key_that_all_endpoints_share() {
+    for (window, is_rejected) in [(100 * MS, false), (10_000 * MS, true)] {
+        let mut set = settings();
+        let class = &mut set.classes[KEYED as usize];
+        class.idempotency = Idempotency::IdempotencyKey(KeyScope::All);
+        class.deduplication_window = window;
+        let mut h = Host::new(set);
+        h.warm_up();
+        let (id, out) = h.request(KEYED);
+        assert_eq!(sent(&out), Some("a"));
+        h.wait(150 * MS);
+        let status = ReplicationStatus::default();
+        let out = h.outcome(id, "a", 0, AttemptOutcome::TimedOut, status);
+        assert_eq!(failed(&out), !is_rejected, "window of {window} ns: {out:?}");
+    }
+}
