--- /dev/null
+++ b/crates/pg-protocol/src/frame/tests.rs
@@ -0,0 +1,17 @@
+//! Tests of `frame`.
+
+use super::*;
+use rstest::rstest;
+
+#[rstest]
+#[case(&[], Ok(None))]
+#[case(b"Q\0\0\0", Ok(None))]
+#[case(b"Q\0\0\0\x06a", Ok(None))]
+#[case(b"Q\0\0\0\x06a\0rest", Ok(Some((b'Q', &b"a\0"[..], 7))))]
+#[case(b"Q\0\0\0\x03", Err(FrameError::Malformed))]
+#[case(b"Q\x7f\0\0\0", Err(FrameError::Oversized(0x7f00_0000)))]
+#[case(b"B\0\x01\0\0", Err(FrameError::Oversized(0x1_0000)))]
+#[case(b"E\0\x01\0\0", Err(FrameError::Oversized(0x1_0000)))]
+fn commands(#[case] bytes: &[u8], #[case] wanted: Result<Option<Frame>, FrameError>) {
+    assert_eq!(command(bytes, false), wanted);
+}
