--- a/crates/router/src/client/closing.rs
+++ b/crates/router/src/client/closing.rs
@@ -52,7 +52,7 @@
     }
 
     async fn final_error(&mut self, code: &str, why: &str) {
-        count(&self.shared.counters.rejected);
+        count(&self.shared.counters.invalid_statements);
         let mut out = Vec::new();
         backend::put_error(&mut out, true, code, why, None);
         if self.write(&out).await.is_ok() {
--- a/crates/router/src/client/connection.rs
+++ b/crates/router/src/client/connection.rs
@@ -191,7 +191,7 @@
                 Startup::Cancel { process, secret } => {
                     count(&self.shared.counters.cancel_requests);
                     if self.shared.cancels.cancel(process, secret) {
-                        count(&self.shared.counters.cancels);
+                        count(&self.shared.counters.cancel_requests_matched);
                     }
                     return Err(CloseReason::CancelRequest);
                 }
@@ -358,11 +358,11 @@
                 self.look()?;
                 let is_begun = is_between && self.buffer.bytes().len() > before;
                 if is_begun || self.has_whole_message() {
-                    count(&shared.counters.reprieved);
+                    count(&shared.counters.late_request_served);
                     return Ok(());
                 }
                 if reason == CloseReason::Evicted {
-                    count(&shared.counters.evicted);
+                    count(&shared.counters.connections_evicted);
                 }
                 Err(reason)
             }
@@ -394,7 +394,7 @@
 
     /// Extended queries are not spoken: one error for the sequence, which ends with its Sync.
     async fn on_unsupported(&mut self, tag: u8) -> Result<(), CloseReason> {
-        count(&self.shared.counters.rejected);
+        count(&self.shared.counters.invalid_statements);
         let mut out = Vec::new();
         let why = format!(
             "message '{}' is not supported: use simple queries",
--- a/crates/router/src/client/pipeline.rs
+++ b/crates/router/src/client/pipeline.rs
@@ -340,7 +340,7 @@
                     is_due = true;
                 }
                 Output::Wrong(wrong) => {
-                    count(&self.shared.counters.rejected);
+                    count(&self.shared.counters.invalid_statements);
                     backend::put_error(out, false, wrong.code(), &wrong.to_string(), None);
                     is_due = true;
                 }
--- a/crates/router/src/client/simple.rs
+++ b/crates/router/src/client/simple.rs
@@ -280,7 +280,7 @@
                 Output::Said(Said::Ready) => reelrill_pg_protocol::put(out, b'I', &[]),
                 Output::Said(Said::Complete(tag)) => backend::put_complete(out, tag),
                 Output::Said(Said::Wrong { code, why }) => {
-                    count(&self.shared.counters.rejected);
+                    count(&self.shared.counters.invalid_statements);
                     backend::put_error(out, false, code, &why, None);
                 }
             }
--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -87,7 +87,7 @@
     /// # Errors
     /// If no list came in time, or none at all.
     pub async fn poll(&self, request: &PollRequest) -> PollResult {
-        count(&self.shared.counters.list_calls);
+        count(&self.shared.counters.list_polls);
         self.poll_started_at.set(self.shared.clock.now());
         let mut connection = match self.connection.take() {
             Some(kept) => kept,
@@ -122,11 +122,13 @@
     pub fn record_failure(&self, error: &PollError) {
         let counters = &self.shared.counters;
         count(match error {
-            PollError::Http(HttpError::Status(_)) => &counters.list_turned_away,
-            PollError::Http(HttpError::Io(_) | HttpError::Closed) => &counters.list_broken,
-            PollError::TimedOut => &counters.list_silent,
+            PollError::Http(HttpError::Status(_)) => &counters.list_rejected,
+            PollError::Http(HttpError::Io(_) | HttpError::Closed) => {
+                &counters.list_connection_failed
+            }
+            PollError::TimedOut => &counters.list_timed_out,
             PollError::Http(_) | PollError::List(_) | PollError::Json(_) => {
-                &counters.list_unreadable
+                &counters.list_malformed
             }
         });
         warn!(self.shared.log, "discovery call failed"; "error" => %error, "ms" => self.elapsed_ms());
--- a/crates/router/src/discovery/registry/mod.rs
+++ b/crates/router/src/discovery/registry/mod.rs
@@ -312,7 +312,7 @@
     }
 
     fn report_removed(&self, endpoint: Arc<str>, rule: Option<ListingRule>) -> ListedEndpoint {
-        count(&self.shared.counters.members_went);
+        count(&self.shared.counters.endpoints_removed);
         info!(self.shared.log, "member gone"; "member" => &*endpoint, "rule" => ?rule);
         let entry = EndpointEntry {
             endpoint,
@@ -337,7 +337,7 @@
         rule: Option<ListingRule>,
     ) -> ListedEndpoint {
         if is_new {
-            count(&self.shared.counters.members_came);
+            count(&self.shared.counters.endpoints_added);
         }
         info!(self.shared.log, "member listed"; "member" => &*endpoint, "state" => ?view.state,
               "endpoint" => %view.address, "rule" => ?rule, "new" => is_new);
--- a/crates/router/src/dispatcher/actions.rs
+++ b/crates/router/src/dispatcher/actions.rs
@@ -72,16 +72,16 @@
     fn count_rejected(&self, id: RequestId, reason: RejectReason) {
         let counters = &self.shared.counters;
         count(match reason {
-            RejectReason::UnknownClass => &counters.gave_class,
-            RejectReason::UnknownReplicaSet => &counters.gave_group,
-            RejectReason::DeadlineTooClose => &counters.gave_late,
-            RejectReason::AttemptLimitReached => &counters.gave_attempts,
-            RejectReason::NoEligibleEndpoint => &counters.gave_nobody,
-            RejectReason::LoadShed => &counters.gave_crowded,
-            RejectReason::NotRetryable => &counters.gave_unsafe,
-            RejectReason::AttemptTimedOut => &counters.gave_silent,
-            RejectReason::RetryBudgetExhausted => &counters.gave_reserve,
-            RejectReason::InvalidRequest => &counters.gave_unfit,
+            RejectReason::UnknownClass => &counters.rejected_unknown_class,
+            RejectReason::UnknownReplicaSet => &counters.rejected_unknown_replica_set,
+            RejectReason::DeadlineTooClose => &counters.rejected_deadline_too_close,
+            RejectReason::AttemptLimitReached => &counters.rejected_attempt_limit_reached,
+            RejectReason::NoEligibleEndpoint => &counters.rejected_no_eligible_endpoint,
+            RejectReason::LoadShed => &counters.rejected_load_shed,
+            RejectReason::NotRetryable => &counters.rejected_not_retryable,
+            RejectReason::AttemptTimedOut => &counters.rejected_attempt_timed_out,
+            RejectReason::RetryBudgetExhausted => &counters.rejected_retry_budget_exhausted,
+            RejectReason::InvalidRequest => &counters.rejected_invalid_request,
         });
         if let Some(request) = self.requests.get(id) {
             debug!(self.shared.log, "request rejected";
--- a/crates/router/src/dispatcher/attempts.rs
+++ b/crates/router/src/dispatcher/attempts.rs
@@ -112,9 +112,9 @@
         if attempt.progress.is_written() || !is_ended_by_router {
             return outcome;
         }
-        count(&self.shared.counters.unwritten);
+        count(&self.shared.counters.attempts_unwritten);
         if is_client_left {
-            count(&self.shared.counters.withdrawn);
+            count(&self.shared.counters.attempts_unwritten_client_left);
         }
         if is_client_left || outcome == AttemptOutcome::Abandoned {
             AttemptOutcome::Abandoned
@@ -176,17 +176,17 @@
 
 fn outcome_counter(counters: &Counters, outcome: AttemptOutcome) -> &Cell<u64> {
     match outcome {
-        AttemptOutcome::Served => &counters.ok,
-        AttemptOutcome::Error => &counters.errors,
-        AttemptOutcome::Overloaded => &counters.full,
-        AttemptOutcome::TimedOut => &counters.timed_out,
-        AttemptOutcome::ConnectFailed => &counters.connect_failed,
-        AttemptOutcome::ConnectionReset => &counters.reset,
-        AttemptOutcome::Cancelled => &counters.cancelled,
-        AttemptOutcome::Abandoned => &counters.moot,
-        AttemptOutcome::Misrouted => &counters.missed,
-        AttemptOutcome::MalformedResponse => &counters.spoilt,
-        AttemptOutcome::NotSent => &counters.unsent,
-        AttemptOutcome::InvalidRequest => &counters.unfit,
+        AttemptOutcome::Served => &counters.attempts_served,
+        AttemptOutcome::Error => &counters.attempts_error,
+        AttemptOutcome::Overloaded => &counters.attempts_overloaded,
+        AttemptOutcome::TimedOut => &counters.attempts_timed_out,
+        AttemptOutcome::ConnectFailed => &counters.attempts_connect_failed,
+        AttemptOutcome::ConnectionReset => &counters.attempts_connection_reset,
+        AttemptOutcome::Cancelled => &counters.attempts_cancelled,
+        AttemptOutcome::Abandoned => &counters.attempts_abandoned,
+        AttemptOutcome::Misrouted => &counters.attempts_misrouted,
+        AttemptOutcome::MalformedResponse => &counters.attempts_malformed_response,
+        AttemptOutcome::NotSent => &counters.attempts_not_sent,
+        AttemptOutcome::InvalidRequest => &counters.attempts_invalid_request,
     }
 }
--- a/crates/router/src/dispatcher/requests.rs
+++ b/crates/router/src/dispatcher/requests.rs
@@ -18,17 +18,17 @@
         if incoming.left.is_raised() {
             // Its client has gone while it waited in the mailbox: nothing is owed, and nothing begins.
             count(&self.shared.counters.client_left);
-            return count(&self.shared.counters.left_unread);
+            return count(&self.shared.counters.client_left_before_admission);
         }
         if self.shared.rejects_new() {
             // Its client kept a connection open that is about to close: whatever is forwarded now may find the
             // process killed.
-            count(&self.shared.counters.refused);
+            count(&self.shared.counters.rejected);
             return respond(reply, FinalResponse::Refused { retry_after: None });
         }
         if self.requests.is_client_id_in_use(incoming.id) {
             // An id names one request: endpoints would take a second one under it for its copy.
-            count(&self.shared.counters.rejected);
+            count(&self.shared.counters.invalid_statements);
             return respond(reply, FinalResponse::Failed("this id is already in use"));
         }
         self.admit(incoming, reply);
@@ -120,7 +120,7 @@
         let Some(request) = self.requests.get(id).filter(|r| !r.is_answered()) else {
             return;
         };
-        count(&self.shared.counters.overdue);
+        count(&self.shared.counters.deadline_exceeded);
         warn!(self.shared.log, "overdue"; "request" => format_args!("{:016x}", request.client_id));
         let response = if request.attempts_made > 0 {
             FinalResponse::Failed("no answer in time")
@@ -139,7 +139,7 @@
         let counters = &self.shared.counters;
         count(match &response {
             FinalResponse::Served(_) => &counters.served,
-            FinalResponse::Refused { .. } => &counters.refused,
+            FinalResponse::Refused { .. } => &counters.rejected,
             FinalResponse::Failed(_) | FinalResponse::Cancelled => &counters.failed,
         });
         respond(reply, response);
--- a/crates/router/src/observability/counters.rs
+++ b/crates/router/src/observability/counters.rs
@@ -1,11 +1,14 @@
-//! What the router has taken in, sent and answered; printed on SIGUSR1 and at exit.
+//! The router's counters: totals since the start, printed on SIGUSR1 and at exit.
+//!
+//! The single thread that runs all tasks owns them; they need no synchronization. A counter only ever rises.
+//! `docs/operate/counters.md` explains each to the operator.
 
 use std::cell::Cell;
 use std::fmt;
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),+ $(,)?) => {
-        /// Plain counts since the start; one thread owns them.
+        /// Totals since the start of the process. [`fmt::Display`] writes them as `name=value`, separated by spaces.
         #[derive(Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: Cell<u64>,)+
@@ -14,8 +17,9 @@
         impl fmt::Display for Counters {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 let all = [$((stringify!($name), self.$name.get())),+];
-                for (i, (name, n)) in all.iter().enumerate() {
-                    write!(f, "{}{name}={n}", if i > 0 { " " } else { "" })?;
+                for (i, (name, value)) in all.iter().enumerate() {
+                    let separator = if i > 0 { " " } else { "" };
+                    write!(f, "{separator}{name}={value}")?;
                 }
                 Ok(())
             }
@@ -24,38 +28,122 @@
 }
 
 counters! {
-    /// Client connections accepted, and the times that there was no descriptor for one.
-    clients, accept_errors,
-    /// Idle client connections closed to make room; connections on which something came just as they were to be closed.
-    evicted, reprieved,
-    /// Requests taken in, and statements that were none.
-    requests, rejected,
-    /// Final answers, by kind; clients that left first; answers that the brain left overdue.
-    served, refused, failed, client_left, overdue,
-    /// Final answers that are refusals or failures of the brain's, by cause (`Cause` says what each means).
-    gave_class, gave_group, gave_late, gave_attempts, gave_nobody, gave_crowded, gave_unsafe, gave_silent, gave_reserve,
-    gave_unfit,
-    /// Attempts, by how they ended.
-    attempts, ok, errors, full, timed_out, connect_failed, reset, cancelled, moot, missed, spoilt, unsent, unfit,
-    /// Attempts that were given up before they were written, so that nothing has run, and those of them whose client
-    /// had gone; requests whose client had gone before they were looked at.
-    unwritten, withdrawn, left_unread,
-    /// Statements prepared on connections to instances, and those of them that an instance had forgotten.
-    prepared, reprepared,
-    /// Clients' requests to call something off, and those that named an open request.
-    cancel_requests, cancels,
-    /// Members that came into the list and left it, where it has several sources; queries for service records.
-    members_came, members_went, dns_queries,
-    /// Connections to instances, and those that did not come up: the instance had no room, it refused or broke off,
-    /// it said nothing in time; probes.
-    dials, dials_turned_away, dials_broken, dials_silent, probes,
-    /// Connection pools of endpoints that were started at a first use, and those that were retired after a quiet time.
-    pools_started, pools_retired,
-    /// Calls to discovery, and those that ended with another status than 200, in silence, broke, or brought no list.
-    list_calls, list_turned_away, list_silent, list_broken, list_unreadable,
+    /// Client connections accepted.
+    clients,
+    /// Failed accepts, mostly for lack of a file descriptor.
+    accept_errors,
+    /// Idle connections, to clients or endpoints, closed to free their file descriptors.
+    connections_evicted,
+    /// Idle client connections that were about to be closed when a request arrived, and stayed open for it.
+    late_request_served,
+    /// Requests received.
+    requests,
+    /// Statements and messages answered with an error by the router itself, because they are invalid or unsupported,
+    /// and requests under an id that is already in use.
+    invalid_statements,
+    /// Requests answered with an endpoint's response.
+    served,
+    /// Requests rejected without a result; the client may retry.
+    rejected,
+    /// Requests answered with a failure; they may have been executed.
+    failed,
+    /// Requests whose client disconnected or cancelled before the answer.
+    client_left,
+    /// Requests that the balancer left unanswered beyond their deadline, so that the router answered them.
+    deadline_exceeded,
+    /// Requests rejected or failed with [`RejectReason::UnknownClass`](reelrill_routing::RejectReason).
+    rejected_unknown_class,
+    /// The same with `UnknownReplicaSet`.
+    rejected_unknown_replica_set,
+    /// The same with `DeadlineTooClose`.
+    rejected_deadline_too_close,
+    /// The same with `AttemptLimitReached`.
+    rejected_attempt_limit_reached,
+    /// The same with `NoEligibleEndpoint`.
+    rejected_no_eligible_endpoint,
+    /// The same with `LoadShed`.
+    rejected_load_shed,
+    /// The same with `NotRetryable`.
+    rejected_not_retryable,
+    /// The same with `AttemptTimedOut`.
+    rejected_attempt_timed_out,
+    /// The same with `RetryBudgetExhausted`.
+    rejected_retry_budget_exhausted,
+    /// The same with `InvalidRequest`.
+    rejected_invalid_request,
+    /// Attempts started. Each ends with exactly one of the outcomes below.
+    attempts,
+    /// Attempts with [`AttemptOutcome::Served`](reelrill_routing::AttemptOutcome).
+    attempts_served,
+    /// The same with `Error`.
+    attempts_error,
+    /// The same with `Overloaded`.
+    attempts_overloaded,
+    /// The same with `TimedOut`.
+    attempts_timed_out,
+    /// The same with `ConnectFailed`.
+    attempts_connect_failed,
+    /// The same with `ConnectionReset`.
+    attempts_connection_reset,
+    /// The same with `Cancelled`.
+    attempts_cancelled,
+    /// The same with `Abandoned`.
+    attempts_abandoned,
+    /// The same with `Misrouted`.
+    attempts_misrouted,
+    /// The same with `MalformedResponse`.
+    attempts_malformed_response,
+    /// The same with `NotSent`.
+    attempts_not_sent,
+    /// The same with `InvalidRequest`.
+    attempts_invalid_request,
+    /// Attempts that the router ended before they were written, so that they were never executed.
+    attempts_unwritten,
+    /// Those of `attempts_unwritten` whose client had disconnected or cancelled.
+    attempts_unwritten_client_left,
+    /// Requests whose client had disconnected before the dispatcher admitted them.
+    client_left_before_admission,
+    /// Parse messages for prepared statements sent to endpoints.
+    statements_prepared,
+    /// Prepared statements that an endpoint no longer had, and that were prepared again.
+    statements_reprepared,
+    /// Cancel requests received from clients.
+    cancel_requests,
+    /// Cancel requests whose key named an open client connection.
+    cancel_requests_matched,
+    /// Endpoints that the merge of several sources added to the endpoint list.
+    endpoints_added,
+    /// Endpoints that this merge removed from the endpoint list.
+    endpoints_removed,
+    /// DNS queries sent for service records.
+    dns_queries,
+    /// Connections to endpoints begun.
+    connects,
+    /// Connections to endpoints that failed because the endpoint had no capacity for another.
+    connects_rejected,
+    /// Connections to endpoints that were refused, or broke before the session was ready.
+    connects_failed,
+    /// Connections to endpoints that were not ready within the connect timeout.
+    connects_timed_out,
+    /// Health checks sent to endpoints.
+    health_checks,
+    /// Connection pools started, each at the first use of its endpoint.
+    pools_started,
+    /// Connection pools stopped after a time without use.
+    pools_retired,
+    /// Polls of the discovery service.
+    list_polls,
+    /// Polls answered with another HTTP status than 200.
+    list_rejected,
+    /// Polls without a complete response in time.
+    list_timed_out,
+    /// Polls whose connection could not be made or broke.
+    list_connection_failed,
+    /// Polls whose response was not a valid endpoint list.
+    list_malformed,
 }
 
-/// Counts one more.
+/// Adds one to a counter.
 pub fn count(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -142,7 +142,7 @@
         let Some(wait) = time_left() else {
             return Ok(response);
         };
-        count(&self.shared.counters.reprepared);
+        count(&self.shared.counters.statements_reprepared);
         self.prepared.forgotten(bound.template().id);
         self.execute_prepared(bound, wait, progress).await
     }
@@ -180,7 +180,7 @@
             }
         };
         if let (Need::Prepare { .. }, Kind::Request(request)) = (need, &template.kind) {
-            count(&self.shared.counters.prepared);
+            count(&self.shared.counters.statements_prepared);
             frontend::put_parse(&mut messages, &name, &request.text, &request.types);
         }
         bound.put_bind(&mut messages, wait);
--- a/crates/router/src/upstream/dial.rs
+++ b/crates/router/src/upstream/dial.rs
@@ -39,7 +39,7 @@
     address: SocketAddr,
     permit: DescriptorPermit,
 ) -> Result<UpstreamConnection, AttemptOutcome> {
-    count(&shared.counters.dials);
+    count(&shared.counters.connects);
     let timeout = Duration::from_nanos(connect_timeout(&shared));
     let timed_out = async {
         Timer::after(timeout).await;
@@ -49,9 +49,9 @@
     let dialed = or(async { Some(session.await) }, timed_out).await;
     match &dialed {
         Some(Ok(_)) => {}
-        Some(Err(AttemptOutcome::Overloaded)) => count(&shared.counters.dials_turned_away),
-        Some(Err(_)) => count(&shared.counters.dials_broken),
-        None => count(&shared.counters.dials_silent),
+        Some(Err(AttemptOutcome::Overloaded)) => count(&shared.counters.connects_rejected),
+        Some(Err(_)) => count(&shared.counters.connects_failed),
+        None => count(&shared.counters.connects_timed_out),
     }
     dialed.unwrap_or(Err(AttemptOutcome::ConnectFailed))
 }
--- a/crates/router/src/upstream/exchange.rs
+++ b/crates/router/src/upstream/exchange.rs
@@ -91,7 +91,7 @@
     mut connection: UpstreamConnection,
     endpoint: EndpointId,
 ) {
-    count(&shared.counters.probes);
+    count(&shared.counters.health_checks);
     let connect_timeout = shared.config.site.settings.limits.connect_timeout;
     let limit = Duration::from_nanos(connect_timeout.max(MIN_HEALTH_CHECK_TIME));
     let timed_out = async {
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -280,7 +280,7 @@
 
     fn evict_oldest(&mut self) {
         if !self.idle.is_empty() {
-            count(&self.shared.counters.evicted);
+            count(&self.shared.counters.connections_evicted);
             self.idle.remove(0).close(CloseReason::Evicted);
         }
     }
@@ -291,7 +291,7 @@
         }
         // An idle connection must not keep a descriptor that another pool waits for.
         if self.waiting.is_empty() && self.shared.upstream.is_wanted() {
-            count(&self.shared.counters.evicted);
+            count(&self.shared.counters.connections_evicted);
             return connection.close(CloseReason::Evicted);
         }
         connection.idle_since = self.shared.clock.now();
--- a/crates/router/tests/acceptance.rs
+++ b/crates/router/tests/acceptance.rs
@@ -322,5 +322,5 @@
             format!("{id:016x}").repeat(4096)
         );
     }
-    assert!(router.counted("reset=0"));
+    assert!(router.counted("attempts_connection_reset=0"));
 }
--- a/crates/router/tests/edges.rs
+++ b/crates/router/tests/edges.rs
@@ -107,7 +107,7 @@
     }));
     until_dialled(&instance);
     let _left = how.go(client);
-    assert!(router.counted("client_left=1") && router.counted("withdrawn=1"));
+    assert!(router.counted("client_left=1") && router.counted("attempts_unwritten_client_left=1"));
     instance.keep_aloof(false);
     assert_eq!(
         router.client().ask(&read(2, 20_000)).value,
@@ -134,7 +134,7 @@
     }
     assert!(router.counted("requests=100"));
     drop(clients);
-    assert!(router.counted("client_left=100") && router.counted("refused=0"));
+    assert!(router.counted("client_left=100") && router.counted("rejected=0"));
     instance.keep_aloof(false);
     assert_eq!(
         router.client().ask(&read(2, 3_000_000)).value,
@@ -183,7 +183,7 @@
     let _left = how.go(client);
     assert!(router.counted("client_left=1"));
     instance.act.change(|a| *a = Act::Serve);
-    assert!(router.counted("ok=1"));
+    assert!(router.counted("attempts_served=1"));
     assert_eq!((asked(&instance), router.counted("attempts=1")), (1, true));
 }
 
@@ -231,7 +231,7 @@
     frontend::put_cancel(&mut cancel, client.key.0, client.key.1);
     Client::connect(router.address).send(&cancel);
     assert_eq!(client.answer().unwrap().code, "57014");
-    assert!(router.counted("withdrawn=1"));
+    assert!(router.counted("attempts_unwritten_client_left=1"));
     instance.keep_aloof(false);
     assert_eq!(client.ask(&read(2, 20_000)).value, "0000000000000002");
     assert_eq!(asked(&instance), 1);
@@ -595,11 +595,10 @@
     assert!(sum("requests") > 20, "{line}");
     assert_eq!(
         sum("requests"),
-        sum("served refused failed client_left"),
+        sum("served rejected failed client_left"),
         "{line}"
     );
-    let endings =
-        "ok errors full timed_out connect_failed reset cancelled moot missed spoilt unsent unfit";
+    let endings = "attempts_served attempts_error attempts_overloaded attempts_timed_out attempts_connect_failed attempts_connection_reset attempts_cancelled attempts_abandoned attempts_misrouted attempts_malformed_response attempts_not_sent attempts_invalid_request";
     // Those that were written and may not be cancelled may still be out when the process ends.
     let out = sum("attempts") - sum(endings);
     assert!(
--- a/crates/router/tests/extended.rs
+++ b/crates/router/tests/extended.rs
@@ -317,7 +317,7 @@
     assert_eq!((&*last.tags, &*last.value), ("2DCZ", "v"));
     let taker = if loss == Loss::Forgets { "a" } else { "b" };
     assert_eq!(replica_set.ledger(|l| l.bookings["k1"].clone()), [taker]);
-    assert!(loss != Loss::Forgets || router.counted("reprepared=1"));
+    assert!(loss != Loss::Forgets || router.counted("statements_reprepared=1"));
 }
 
 /// Hard case 2, further: with room for one statement on each connection, each run may have to prepare again; what
@@ -450,7 +450,7 @@
         client.send(&[b'X', 0, 0, 0, 4]);
     }
     client.shut();
-    assert!(router.counted("client_left=3") && router.counted("cancelled=3"));
+    assert!(router.counted("client_left=3") && router.counted("attempts_cancelled=3"));
     assert!(router.logged("reason: left_waiting"));
     instance.act.change(|a| *a = Act::Serve);
     assert_eq!(
@@ -492,7 +492,7 @@
     cancel(process, secret);
     let answer = client.answer().unwrap();
     assert_eq!((&*answer.tags, &*answer.code), ("12EZ", "57014"));
-    assert!(router.counted("client_left=2") && router.counted("cancels=2"));
+    assert!(router.counted("client_left=2") && router.counted("cancel_requests_matched=2"));
     client.send(&query(&common::read(9, 20_000)));
     assert!(wait_asked(&instance, 3));
     cancel(process, secret);
--- a/crates/router/tests/membership.rs
+++ b/crates/router/tests/membership.rs
@@ -201,7 +201,7 @@
     server.zone.change(|z| z.manner = Manner::Helpful);
     assert!(server.asked(2));
     assert_eq!(client.ask(&read(3, 5000)).value, "0000000000000003");
-    assert!(router.counted("members_went=0") && router.counted("members_came=1"));
+    assert!(router.counted("endpoints_removed=0") && router.counted("endpoints_added=1"));
 }
 
 /// Guards a roster that comes back: it is asked again although records keep bringing changes.
@@ -252,7 +252,7 @@
     assert_eq!(client.ask(&read(1, 5000)).value, "0000000000000001");
     router.reload_edge(&edge(&second, false, ""));
     ask_until(&mut client, &two);
-    assert!(router.counted("members_went=0") && router.counted("members_came=2"));
+    assert!(router.counted("endpoints_removed=0") && router.counted("endpoints_added=2"));
     assert!(router.logged("sources read again"));
     let asked = first.zone.change(|z| z.queries);
     assert!(second.asked(2));
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -79,20 +79,29 @@
 
 /// Guards the protocol's table of outcomes: a wrong kind misleads the decisions.
 #[rstest]
-#[case(Act::Code("XX000"), "errors")]
-#[case(Act::Code("53300"), "full")]
-#[case(Act::Code("25006"), "missed")]
-#[case(Act::Code("72000"), "missed")]
-#[case(Act::Break, "reset")]
-#[case(Act::Code("08P01"), "unfit")]
-#[case(Act::Code("nonsense"), "spoilt")]
-#[case(Act::Stall, "spoilt")]
-#[case(Act::Raw(b"noise without end"), "spoilt")]
-#[case(Act::Raw(b"D\xc0\0\0\0\0\x01\xbf\xff\xff\xf6aaaa"), "spoilt")]
-#[case(Act::Raw(b"D\0\x01\x01\0"), "spoilt")]
-#[case(Act::Raw(b"D\0\0\0\x0b\0\x01\0\0\0\x01a"), "spoilt")]
-#[case(Act::Raw(b"C\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I"), "spoilt")]
-#[case(Act::Silence, "timed_out")]
+#[case(Act::Code("XX000"), "attempts_error")]
+#[case(Act::Code("53300"), "attempts_overloaded")]
+#[case(Act::Code("25006"), "attempts_misrouted")]
+#[case(Act::Code("72000"), "attempts_misrouted")]
+#[case(Act::Break, "attempts_connection_reset")]
+#[case(Act::Code("08P01"), "attempts_invalid_request")]
+#[case(Act::Code("nonsense"), "attempts_malformed_response")]
+#[case(Act::Stall, "attempts_malformed_response")]
+#[case(Act::Raw(b"noise without end"), "attempts_malformed_response")]
+#[case(
+    Act::Raw(b"D\xc0\0\0\0\0\x01\xbf\xff\xff\xf6aaaa"),
+    "attempts_malformed_response"
+)]
+#[case(Act::Raw(b"D\0\x01\x01\0"), "attempts_malformed_response")]
+#[case(
+    Act::Raw(b"D\0\0\0\x0b\0\x01\0\0\0\x01a"),
+    "attempts_malformed_response"
+)]
+#[case(
+    Act::Raw(b"C\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I"),
+    "attempts_malformed_response"
+)]
+#[case(Act::Silence, "attempts_timed_out")]
 fn what_comes_back_becomes_its_outcome(#[case] act: Act, #[case] kind: &str) {
     let (_instance, _discovery, router) = one(act);
     let began = Instant::now();
@@ -100,18 +109,18 @@
     let answer = router.client().ask(&read(1, 2000));
     assert!(["53300", "58000"].contains(&&*answer.code), "{answer:?}");
     // An answer that can't be read is known for one long before the client gives up.
-    assert!(kind != "spoilt" || began.elapsed() < Duration::from_millis(1500));
+    assert!(kind != "attempts_malformed_response" || began.elapsed() < Duration::from_millis(1500));
     let line = router.counters();
     assert!(!line.contains(&format!(" {kind}=0 ")), "{line}");
     for other in [
-        "errors",
-        "full",
-        "missed",
-        "reset",
-        "timed_out",
-        "connect_failed",
-        "spoilt",
-        "unfit",
+        "attempts_error",
+        "attempts_overloaded",
+        "attempts_misrouted",
+        "attempts_connection_reset",
+        "attempts_timed_out",
+        "attempts_connect_failed",
+        "attempts_malformed_response",
+        "attempts_invalid_request",
     ] {
         // Further tries may have been made, but none may have ended in another way.
         assert!(
@@ -155,7 +164,7 @@
     let advice: u64 = answer.detail.unwrap().parse().unwrap();
     assert!((1..=1000).contains(&advice), "{advice}");
     // The timer fired 8 ms early: the counters name no overdue answer.
-    assert!(router.counted("overdue=0"));
+    assert!(router.counted("deadline_exceeded=0"));
 }
 
 /// Guards against a late answer on a given-up attempt reaching the next request on the same path.
@@ -180,7 +189,7 @@
         let ended = |s: &mut Seen| (s.ended == id as usize).then_some(());
         assert!(instance.seen.wait_for(LIMIT, ended).is_some());
     }
-    assert!(router.counted("reset=0") && router.counted("served=5"));
+    assert!(router.counted("attempts_connection_reset=0") && router.counted("served=5"));
 }
 
 /// Guards against a handshake for each request.
@@ -218,7 +227,7 @@
         Leave::Terminate => client.stream.write_all(&[b'X', 0, 0, 0, 4]).unwrap(),
         Leave::Eof => client.stream.shutdown(std::net::Shutdown::Write).unwrap(),
     }
-    assert!(router.counted("client_left=1") && router.counted("cancelled=1"));
+    assert!(router.counted("client_left=1") && router.counted("attempts_cancelled=1"));
     assert!(router.logged("reason: left_waiting"));
     assert!(client.answer().is_none());
 }
@@ -272,8 +281,8 @@
     drop(client);
     assert!(
         router.counted("client_left=1")
-            && router.counted("timed_out=1")
-            && router.counted("cancelled=0")
+            && router.counted("attempts_timed_out=1")
+            && router.counted("attempts_cancelled=0")
     );
     instance.act.change(|a| *a = Act::Serve);
     assert!(
@@ -485,20 +494,20 @@
         field.unwrap_or_else(|| panic!("{name}: {line}"))
     };
     assert!(
-        count("dials_broken") > 0 && count("dials_broken") == count("dials"),
+        count("connects_failed") > 0 && count("connects_failed") == count("connects"),
         "{line}"
     );
     assert!(
-        count("list_turned_away") > 0 && count("list_silent") == 0,
+        count("list_rejected") > 0 && count("list_timed_out") == 0,
         "{line}"
     );
     let given = [
-        "gave_late",
-        "gave_nobody",
-        "gave_crowded",
-        "gave_attempts",
-        "gave_silent",
-        "gave_reserve",
+        "rejected_deadline_too_close",
+        "rejected_no_eligible_endpoint",
+        "rejected_load_shed",
+        "rejected_attempt_limit_reached",
+        "rejected_attempt_timed_out",
+        "rejected_retry_budget_exhausted",
     ];
     assert_eq!(given.iter().map(|g| count(g)).sum::<u64>(), 1, "{line}");
 }
@@ -580,9 +589,9 @@
     );
     assert!(discovery.calls.change(|c| c[1].contains("timeout_ms=3000")));
     assert!(
-        router
-            .counters()
-            .contains(" list_turned_away=0 list_silent=0 list_broken=0 list_unreadable=0")
+        router.counters().contains(
+            " list_rejected=0 list_timed_out=0 list_connection_failed=0 list_malformed=0"
+        )
     );
 }
 
@@ -614,7 +623,11 @@
         "{:?}",
         silent.elapsed()
     );
-    assert!(router.counters().contains(" list_silent=1 list_broken=0 "));
+    assert!(
+        router
+            .counters()
+            .contains(" list_timed_out=1 list_connection_failed=0 ")
+    );
 }
 
 /// Guards against a busy loop: a watch that is answered at once, again and again, is slowed down, though not
@@ -695,7 +708,7 @@
     );
     let line = router.counters();
     assert!(
-        line.contains("list_turned_away=0 list_silent=0 list_broken=0"),
+        line.contains("list_rejected=0 list_timed_out=0 list_connection_failed=0"),
         "{line}"
     );
 }
@@ -909,7 +922,7 @@
         let text = read(id, 5000).replace("cluster=2", &format!("cluster={}", id / 3));
         assert_eq!(client.ask(&text).value, format!("{id:016x}"));
     }
-    assert!(router.counted("connect_failed=0") && router.logged("reason: evicted"));
+    assert!(router.counted("attempts_connect_failed=0") && router.logged("reason: evicted"));
     for instance in &instances {
         assert_eq!(instance.seen.change(|s| s.connections), 1);
     }
@@ -968,5 +981,5 @@
     let answer = router.client().ask(&read(1, 2000));
     assert_eq!(answer.code, "53300");
     assert!(router.logged("reason: dial_failed"));
-    assert!(router.counted("timed_out=0"));
+    assert!(router.counted("attempts_timed_out=0"));
 }
--- a/crates/router/tests/settings_matrix.rs
+++ b/crates/router/tests/settings_matrix.rs
@@ -316,7 +316,7 @@
     });
     let written = site.router.client().ask(&write(1, "s", 8000));
     assert_eq!(written.value, format!("\\x{:016x}", 1), "{written:?}");
-    assert!(site.router.counted("missed=0"));
+    assert!(site.router.counted("attempts_misrouted=0"));
 }
 
 /// Endpoints are probed where the settings allow it at most, and never where they don't.
@@ -332,7 +332,7 @@
     for id in 1..=5 {
         client.ask(&read(id, 300));
     }
-    assert!(site.router.counted("probes=0"));
+    assert!(site.router.counted("health_checks=0"));
     let is_probe = |text: &String| !text.contains("/*");
     assert_eq!(site.all_asked().iter().filter(|t| is_probe(t)).count(), 0);
 }
@@ -363,11 +363,13 @@
     drop(client);
     assert!(site.router.counted("client_left=1"));
     if may_cancel {
-        assert!(site.router.counted("cancelled=1"));
+        assert!(site.router.counted("attempts_cancelled=1"));
     } else {
         // Its answer still comes, on a connection that is kept for the next request.
         site.endpoints[0].act.change(|a| *a = Act::Serve);
-        assert!(site.router.counted("ok=1") && site.router.counted("cancelled=0"));
+        assert!(
+            site.router.counted("attempts_served=1") && site.router.counted("attempts_cancelled=0")
+        );
         assert_eq!(
             site.router.client().ask(&read(2, 5000)).value,
             format!("{:016x}", 2)
--- a/crates/router/tests/upstream.rs
+++ b/crates/router/tests/upstream.rs
@@ -249,7 +249,8 @@
     }
     let counters = router.counters();
     assert!(
-        counters.contains(" connect_failed=0 ") && !counters.contains(" unsent=0 "),
+        counters.contains(" attempts_connect_failed=0 ")
+            && !counters.contains(" attempts_not_sent=0 "),
         "{counters}"
     );
     limit_descriptors(router.id(), 1024);
