--- a/crates/router/src/client/closing.rs
+++ b/crates/router/src/client/closing.rs
@@ -3,8 +3,8 @@
 //! Must never close with bytes unread while an error is on its way: the reset would overtake it.
 
 use super::connection::{Client, EVICTABLE_AFTER};
+use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
-use crate::observability::log::CloseReason;
 use crate::runtime::shared::Holder;
 use async_io::Timer;
 use futures_lite::future::or;
--- a/crates/router/src/client/connection.rs
+++ b/crates/router/src/client/connection.rs
@@ -9,8 +9,8 @@
 use super::{closing, socket};
 use crate::extensions::Mode;
 use crate::messages::{CancellationFlag, ClientRequest};
+use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
-use crate::observability::log::CloseReason;
 use crate::runtime::buffer::{Buffer, MemoryLimitReached};
 use crate::runtime::shared::{Cancel, DescriptorPermit, Holder, HolderCount, Shared};
 use async_io::{Async, Timer};
@@ -75,7 +75,7 @@
         .await
         .err()
         .unwrap_or(CloseReason::Terminate);
-    if reason.is_ours() {
+    if reason.is_initiated_by_router() {
         // One that has never asked anything is not likely to do so just now, and its place is wanted.
         let is_useless = client.fresh.is_some() && reason == CloseReason::Evicted;
         client
--- a/crates/router/src/client/socket.rs
+++ b/crates/router/src/client/socket.rs
@@ -1,6 +1,6 @@
 //! Writes to a client's socket, and its hang-up seen without reading.
 
-use crate::observability::log::CloseReason;
+use crate::observability::close_reason::CloseReason;
 use async_io::{Async, Timer};
 use futures_lite::future::or;
 use futures_lite::{AsyncWrite, AsyncWriteExt as _};
--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -5,8 +5,8 @@
 
 use crate::discovery::http::{Connection, HttpError};
 use crate::discovery::list::{List, ListError, read_list};
+use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
-use crate::observability::log::CloseReason;
 use crate::runtime::shared::Shared;
 use async_io::Timer;
 use futures_lite::future::or;
@@ -95,7 +95,7 @@
         };
         let body = match fetch(&mut connection, request).await {
             Err(PollError::TimedOut) => {
-                connection.end(CloseReason::Silent);
+                connection.end(CloseReason::TimedOut);
                 return Err(PollError::TimedOut);
             }
             result => result?,
--- a/crates/router/src/discovery/http.rs
+++ b/crates/router/src/discovery/http.rs
@@ -2,7 +2,7 @@
 //!
 //! It owns the socket and its buffer, and logs one line when it ends. Timeouts are its caller's.
 
-use crate::observability::log::CloseReason;
+use crate::observability::close_reason::CloseReason;
 use crate::runtime::buffer::{Buffer, Memory};
 use crate::runtime::interrupted::{retry_interrupted, write_all};
 use async_io::Async;
@@ -113,7 +113,7 @@
             Some(HttpError::Closed) => CloseReason::Eof,
             Some(HttpError::Io(_)) => CloseReason::Reset,
             Some(HttpError::Parse(_) | HttpError::Length) => CloseReason::Malformed,
-            Some(HttpError::Status(_)) => CloseReason::TurnedAway,
+            Some(HttpError::Status(_)) => CloseReason::Rejected,
             None => CloseReason::Replaced,
         };
     }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -77,7 +77,7 @@
 /// Serves until the router is told to end. An error comes before anything has been served.
 fn serve(cli: &cli::Cli) -> Result<ExitCode, cli::CheckError> {
     let config = config::Config::load(cli.settings()?, cli.edge.clone())?;
-    let (log, _flush) = observability::log::start(&config.name);
+    let (log, _flush) = observability::logging::start(&config.name);
     Ok(match start(config, &log) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -7,8 +7,8 @@
 use super::fault::{ExchangeError, Stage};
 use super::response::{Response, ResponseProgress};
 use crate::messages::AttemptProgress;
+use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
-use crate::observability::log::CloseReason;
 use crate::runtime::buffer::{Buffer, MemoryLimitReached};
 use crate::runtime::shared::{DescriptorPermit, Shared};
 use async_io::{Async, Timer};
@@ -209,7 +209,7 @@
     ) -> Result<Response, ExchangeError> {
         // Looked at again right before the write: what came unasked would be taken for this request's response.
         if !self.is_open() {
-            self.close_reason = CloseReason::Spoilt;
+            self.close_reason = CloseReason::MalformedResponse;
             return Err(ExchangeError::StaleConnection);
         }
         progress.start_writing();
@@ -261,8 +261,10 @@
         &mut self,
         response: &mut Response,
     ) -> Result<(), (CloseReason, ExchangeError)> {
-        const MALFORMED: (CloseReason, ExchangeError) =
-            (CloseReason::Spoilt, ExchangeError::MalformedResponse);
+        const MALFORMED: (CloseReason, ExchangeError) = (
+            CloseReason::MalformedResponse,
+            ExchangeError::MalformedResponse,
+        );
         loop {
             let progress = match frame::answer(self.buffer.bytes()) {
                 Ok(Some((kind, body, length))) => {
@@ -288,7 +290,10 @@
         match self.wait_for_bytes(so_far).await {
             ReadResult::Bytes => Ok(()),
             ReadResult::Closed => Err((CloseReason::Eof, ExchangeError::ConnectionBroken)),
-            ReadResult::Stalled => Err((CloseReason::Spoilt, ExchangeError::MalformedResponse)),
+            ReadResult::Stalled => Err((
+                CloseReason::MalformedResponse,
+                ExchangeError::MalformedResponse,
+            )),
             // The lack is the router's own: the endpoint is not to blame.
             ReadResult::MemoryLimit => {
                 Err((CloseReason::NoMemory, ExchangeError::MalformedResponse))
--- a/crates/router/src/upstream/dial.rs
+++ b/crates/router/src/upstream/dial.rs
@@ -5,8 +5,8 @@
 
 use super::connection::{UpstreamConnection, write_some};
 use super::fault::{Blame, Stage, classify, outcome_of_dial, outcome_of_error};
+use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
-use crate::observability::log::CloseReason;
 use crate::runtime::shared::{DescriptorPermit, Shared};
 use async_io::{Async, Timer};
 use futures_lite::future::or;
@@ -69,7 +69,7 @@
         .map_err(|e| outcome_of_dial(&e))?;
     await_welcome(&mut connection).await?;
     // From here on, dropped while in use means that an attempt was abandoned.
-    connection.close_reason = CloseReason::GivenUp;
+    connection.close_reason = CloseReason::AttemptAbandoned;
     Ok(connection)
 }
 
@@ -133,7 +133,7 @@
     if code == Some(code::LEAVING) {
         connection.report_alive(true);
     }
-    connection.close_reason = CloseReason::TurnedAway;
+    connection.close_reason = CloseReason::Rejected;
     match code.map(outcome_of_error) {
         Some(AttemptOutcome::Overloaded) => AttemptOutcome::Overloaded,
         _ => AttemptOutcome::ConnectFailed,
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -176,7 +176,7 @@
     instance.act.change(|a| *a = Act::Serve);
     assert_eq!(client.ask(&read(2, 5000)).value, "0000000000000002");
     assert_eq!(instance.seen.change(|s| s.connections), 2);
-    assert!(router.logged("reason: given_up"));
+    assert!(router.logged("reason: attempt_abandoned"));
 }
 
 /// Guards against a request being written to a pooled connection that the endpoint has already closed.
