--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line.
 
 use crate::config::{Config, ConfigError};
-use crate::extensions::{EdgeError, Extensions};
+use crate::extensions::{Extensions, ExtensionsError};
 use clap::{Parser, Subcommand};
 use std::path::{Path, PathBuf};
 
@@ -41,7 +41,7 @@
     }
 
     /// The project's own settings; the defaults, if there is no file.
-    pub fn settings(&self) -> Result<Extensions, EdgeError> {
+    pub fn settings(&self) -> Result<Extensions, ExtensionsError> {
         self.edge
             .as_deref()
             .map_or_else(|| Ok(Extensions::default()), Extensions::load)
@@ -53,7 +53,7 @@
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error(transparent)]
-    Extensions(#[from] EdgeError),
+    Extensions(#[from] ExtensionsError),
     #[error("{0}: settings: {1}")]
     Settings(String, reelrill_routing::SettingsError),
 }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -2,7 +2,7 @@
 //! `discovery` counts before the variable, which tells where discovery was when the process started.
 
 use crate::discovery::list::{self, ListError};
-use crate::extensions::{EdgeError, Extensions};
+use crate::extensions::{Extensions, ExtensionsError};
 use crate::messages::ListedEndpoint;
 use reelrill_routing_config::{SettingsReadError, Site};
 use serde_json::Value;
@@ -40,7 +40,7 @@
         least: u64,
     },
     #[error(transparent)]
-    Extensions(#[from] EdgeError),
+    Extensions(#[from] ExtensionsError),
     #[error("{path}: known: {source}")]
     Known { path: String, source: ListError },
 }
--- a/crates/router/src/extensions.rs
+++ b/crates/router/src/extensions.rs
@@ -1,36 +1,68 @@
-//! The project's own settings, in YAML: what the platform's configuration does not know. All of it is off or has
-//! a default; `deploy/edge.example.yaml` shows it whole.
+//! The project's own settings, in YAML: what the platform's configuration does not cover.
+//!
+//! Every setting is off or has a default; `deploy/edge.example.yaml` shows them all. A file is checked as it is read,
+//! so that values of these types that come from a file are within their ranges.
 
 use reelrill_pg_protocol::oid;
 use reelrill_pg_session::account::Limits;
 use serde::Deserialize;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
-/// Why a file of settings can't be used: always the file, and where it can be told, line, column and field.
+/// The highest value of a limit that is a count.
+const MAX_COUNT: usize = 1 << 16;
+/// The lowest limit on the bytes of values: it has to hold the largest value.
+const MIN_VALUE_BYTES: usize = 64 * 1024;
+/// The most services that can be browsed.
+const MAX_SERVICES: usize = 64;
+/// The lowest floor for the time to live of DNS records, in milliseconds.
+const MIN_TTL_FLOOR_MS: u64 = 100;
+/// The timeouts of a DNS query that can be set, in milliseconds.
+const TIMEOUT_RANGE_MS: RangeInclusive<u64> = 10..=10_000;
+/// The query budgets that can be set, in queries a second.
+const BUDGET_RANGE: RangeInclusive<u32> = 1..=10_000;
+
+/// Why a settings file can't be used. The text names the file and, where they are known, line, column and field.
 #[derive(Debug, thiserror::Error)]
-pub enum EdgeError {
+pub enum ExtensionsError {
+    /// It can't be read.
     #[error("{path}: {source}")]
     Read {
+        /// The file.
         path: PathBuf,
+        /// What the operating system says.
         source: std::io::Error,
     },
+    /// It is not valid YAML, or a field is unknown or of the wrong type.
     #[error("{path}: {what}")]
-    Yaml { path: PathBuf, what: String },
+    Yaml {
+        /// The file.
+        path: PathBuf,
+        /// The field, and what is wrong with it.
+        what: String,
+    },
+    /// A value is out of its range.
     #[error("{path}: {field}: {what}")]
     Field {
+        /// The file.
         path: PathBuf,
+        /// The field's path.
         field: &'static str,
+        /// What is wrong with its value.
         what: &'static str,
     },
 }
 
+/// The project's own settings.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Extensions {
+    /// Extended queries.
     pub extended: Extended,
+    /// The sources of endpoints.
     pub discovery: Discovery,
-    /// Where `reelrill endpoints` asks; none: nowhere.
+    /// The path of the admin socket, which `reelrill members` connects to; without one there is no socket.
     pub members_socket: Option<PathBuf>,
 }
 
@@ -38,11 +70,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// The platform's list.
+    /// Whether the platform's discovery service is a source.
     pub roster: bool,
-    /// How long an endpoint's own answer vouches for it, in seconds.
+    /// How long a response of an endpoint keeps it in the list although its sources no longer name it, in seconds.
     pub vouch_s: u64,
-    /// Service records; none: they are not used.
+    /// Browsing of DNS service records; without it they are not used.
     pub dns_sd: Option<DnsSd>,
 }
 
@@ -56,17 +88,23 @@
     }
 }
 
-/// Service records. Each service is a source of its own.
+/// Browsing of DNS service records (DNS-SD). Each service is a source of its own.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DnsSd {
+    /// The addresses of the DNS servers.
     pub servers: Vec<SocketAddr>,
+    /// The names of the services.
     pub services: Vec<String>,
+    /// The domain that the services are in.
     pub domain: String,
+    /// The shortest time to live that is used for a record, in milliseconds.
     #[serde(default = "DnsSd::ttl_floor_ms")]
     pub ttl_floor_ms: u64,
+    /// The longest time to live that is used for a record, in milliseconds.
     #[serde(default = "DnsSd::ttl_ceiling_ms")]
     pub ttl_ceiling_ms: u64,
+    /// The timeout of a query, in milliseconds.
     #[serde(default = "DnsSd::timeout_ms")]
     pub timeout_ms: u64,
     /// Queries a second, for each service.
@@ -89,16 +127,16 @@
     }
 }
 
-/// Whether clients may use extended queries, and how endpoints are asked then.
+/// Whether clients may use extended queries, and how requests are then sent to endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Mode {
-    /// They get an error.
+    /// Clients get an error.
     #[default]
     Off,
-    /// Instances are asked in extended queries, too.
+    /// Endpoints get extended queries, too.
     On,
-    /// Instances only take simple queries: values are written as literals.
+    /// Endpoints only get simple queries, with values written as literals.
     Translate,
 }
 
@@ -106,12 +144,15 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DataType {
+    /// `bytea`.
     #[default]
     Bytea,
+    /// `text`.
     Text,
 }
 
 impl DataType {
+    /// The type's object id in the protocol.
     pub fn oid(self) -> u32 {
         match self {
             DataType::Bytea => oid::BYTEA,
@@ -120,11 +161,15 @@
     }
 }
 
+/// Extended queries.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Extended {
+    /// Whether and how they are served.
     pub mode: Mode,
+    /// The type that is reported for the column `data`.
     pub data_type: DataType,
+    /// What sessions may hold.
     #[serde(with = "LimitsFields")]
     pub limits: Limits,
 }
@@ -146,206 +191,165 @@
 
 impl Default for LimitsFields {
     fn default() -> LimitsFields {
-        let l = Limits::default();
+        let limits = Limits::default();
         LimitsFields {
-            statements: l.statements,
-            all_statements: l.all_statements,
-            text_bytes: l.text_bytes,
-            portals: l.portals,
-            value_bytes: l.value_bytes,
-            commands: l.commands,
-            segment: l.segment,
-            reads: l.reads,
-            prepared: l.prepared,
+            statements: limits.statements,
+            all_statements: limits.all_statements,
+            text_bytes: limits.text_bytes,
+            portals: limits.portals,
+            value_bytes: limits.value_bytes,
+            commands: limits.commands,
+            segment: limits.segment,
+            reads: limits.reads,
+            prepared: limits.prepared,
         }
     }
 }
 
 impl From<LimitsFields> for Limits {
-    fn from(f: LimitsFields) -> Limits {
+    fn from(fields: LimitsFields) -> Limits {
         Limits {
-            statements: f.statements,
-            all_statements: f.all_statements,
-            text_bytes: f.text_bytes,
-            portals: f.portals,
-            value_bytes: f.value_bytes,
-            commands: f.commands,
-            segment: f.segment,
-            reads: f.reads,
-            prepared: f.prepared,
+            statements: fields.statements,
+            all_statements: fields.all_statements,
+            text_bytes: fields.text_bytes,
+            portals: fields.portals,
+            value_bytes: fields.value_bytes,
+            commands: fields.commands,
+            segment: fields.segment,
+            reads: fields.reads,
+            prepared: fields.prepared,
         }
     }
 }
 
 impl Extensions {
-    /// Reads a file; names that it does not know are errors.
-    pub fn load(path: &Path) -> Result<Extensions, EdgeError> {
-        let path = || path.to_owned();
-        let text = std::fs::read_to_string(path()).map_err(|source| EdgeError::Read {
-            path: path(),
+    /// Reads and checks a file.
+    ///
+    /// # Errors
+    /// If the file can't be read, is not valid YAML, has an unknown field, or a value is out of its range.
+    pub fn load(path: &Path) -> Result<Extensions, ExtensionsError> {
+        let text = std::fs::read_to_string(path).map_err(|source| ExtensionsError::Read {
+            path: path.to_owned(),
             source,
         })?;
+        let extensions = Extensions::parse(&text).map_err(|what| ExtensionsError::Yaml {
+            path: path.to_owned(),
+            what,
+        })?;
+        extensions
+            .check()
+            .map_err(|FieldError { field, what }| ExtensionsError::Field {
+                path: path.to_owned(),
+                field,
+                what,
+            })?;
+        Ok(extensions)
+    }
+
+    /// The error is the field's path and what is wrong with it.
+    fn parse(text: &str) -> Result<Extensions, String> {
         let mut field = String::new();
-        let read = serde_saphyr::with_deserializer_from_str(&text, |yaml| {
+        let parsed = serde_saphyr::with_deserializer_from_str(text, |yaml| {
             serde_path_to_error::deserialize(yaml).map_err(|e| {
                 field = e.path().to_string();
                 e.into_inner()
             })
         });
-        let edge: Extensions = read.map_err(|e| {
+        parsed.map_err(|e| {
             // The message's first line says what and where; the rest quotes the file.
-            let whole = e.to_string();
-            let what = format!("{field}: {}", whole.lines().next().unwrap_or_default());
-            EdgeError::Yaml { path: path(), what }
-        })?;
-        let l = &edge.extended.limits;
-        let wrong = |field, what| {
-            Err(EdgeError::Field {
-                path: path(),
-                field,
-                what,
-            })
-        };
-        for (field, value) in [
-            ("extended.limits.statements", l.statements),
-            ("extended.limits.portals", l.portals),
-            ("extended.limits.commands", l.commands),
-            ("extended.limits.segment", l.segment),
-            ("extended.limits.reads", l.reads),
-            ("extended.limits.prepared", l.prepared),
-        ] {
-            if value == 0 {
-                return wrong(field, "must be at least 1");
-            }
-            if value > 1 << 16 {
-                return wrong(field, "must be at most 65536");
-            }
-        }
-        if l.value_bytes < 64 * 1024 {
-            return wrong(
-                "extended.limits.value_bytes",
-                "must hold one value, 65536 bytes",
-            );
-        }
-        let d = &edge.discovery;
-        if !d.roster && d.dns_sd.is_none() {
-            return wrong("discovery", "needs a source: roster or dns_sd");
-        }
-        if edge.members_socket.is_some() && d.dns_sd.is_none() {
-            return wrong(
-                "members_socket",
-                "needs discovery.dns_sd: the roster alone has nothing more to tell",
-            );
-        }
-        if let Some(dns) = &d.dns_sd {
-            let checks = [
-                (
-                    "discovery.dns_sd.servers",
-                    !dns.servers.is_empty(),
-                    "must name a server",
-                ),
-                (
-                    "discovery.dns_sd.services",
-                    !dns.services.is_empty(),
-                    "must name a service",
-                ),
-                (
-                    "discovery.dns_sd.services",
-                    dns.services.len() <= 64,
-                    "must be at most 64",
-                ),
-                (
-                    "discovery.dns_sd.ttl_floor_ms",
-                    dns.ttl_floor_ms >= 100,
-                    "must be at least 100",
-                ),
-                (
-                    "discovery.dns_sd.ttl_ceiling_ms",
-                    dns.ttl_ceiling_ms >= dns.ttl_floor_ms,
-                    "is below the floor",
-                ),
-                (
-                    "discovery.dns_sd.timeout_ms",
-                    (10..=10_000).contains(&dns.timeout_ms),
-                    "must be 10 to 10000",
-                ),
-                (
-                    "discovery.dns_sd.budget",
-                    (1..=10_000).contains(&dns.budget),
-                    "must be 1 to 10000",
-                ),
-            ];
-            if let Some((field, _, what)) = checks.into_iter().find(|c| !c.1) {
-                return wrong(field, what);
-            }
-        }
-        Ok(edge)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use rstest::rstest;
-
-    fn load(text: &str) -> Result<Extensions, String> {
-        let file = tempfile::NamedTempFile::new().unwrap();
-        std::fs::write(file.path(), text).unwrap();
-        Extensions::load(file.path()).map_err(|e| {
-            let said = e.to_string();
-            let path = file.path().display().to_string();
-            assert!(said.starts_with(&path), "{said}");
-            said[path.len() + 2..].to_owned()
+            let message = e.to_string();
+            format!("{field}: {}", message.lines().next().unwrap_or_default())
         })
     }
 
-    #[test]
-    fn what_is_left_out_has_its_default() {
-        let edge = load("extended: {mode: translate, limits: {reads: 4}}").unwrap();
-        assert_eq!(
-            (edge.extended.mode, edge.extended.limits.reads),
-            (Mode::Translate, 4)
-        );
-        assert_eq!(
-            edge.extended.limits,
-            Limits {
-                reads: 4,
-                ..Limits::default()
-            }
-        );
-        assert_eq!(load("extended:\n  mode: off\n"), Ok(Extensions::default()));
-        assert_eq!(load("{}"), Ok(Extensions::default()));
+    fn check(&self) -> Result<(), FieldError> {
+        check_limits(&self.extended.limits)?;
+        let dns_sd = self.discovery.dns_sd.as_ref();
+        require(
+            self.discovery.roster || dns_sd.is_some(),
+            "discovery",
+            "needs a source: roster or dns_sd",
+        )?;
+        require(
+            self.members_socket.is_none() || dns_sd.is_some(),
+            "members_socket",
+            "needs discovery.dns_sd: the roster alone has nothing more to tell",
+        )?;
+        dns_sd.map_or(Ok(()), check_dns_sd)
     }
+}
 
-    /// Guards the person who edits the file: an error names the line and the field.
-    #[rstest]
-    #[case("extended:\n  mode: on\n  modes: off\n", &["extended.modes", "line 3"])]
-    #[case("extended:\n  mode: maybe\n", &["extended.mode", "maybe", "line 2"])]
-    #[case("extended:\n  limits:\n    reads: -1\n", &["extended.limits.reads", "line 3"])]
-    #[case("extended:\n  limits:\n    reads: 0\n", &["extended.limits.reads", "at least 1"])]
-    #[case("extended: [\n", &["line"])]
-    #[case("discovery: {dns_sd: {servers: [], services: [x], domain: x}}", &["discovery.dns_sd.servers"])]
-    #[case("discovery:\n  dns_sd:\n    servers: [x]\n", &["discovery.dns_sd.servers[0]", "line 3"])]
-    #[case("discovery: {roster: false}", &["needs a source"])]
-    #[case("members_socket: /x", &["members_socket", "needs discovery.dns_sd"])]
-    fn what_is_wrong_is_named(#[case] text: &str, #[case] wanted: &[&str]) {
-        let said = load(text).unwrap_err();
-        assert!(wanted.iter().all(|w| said.contains(w)), "{said}");
+/// A field whose value is out of its range.
+struct FieldError {
+    field: &'static str,
+    what: &'static str,
+}
+
+fn require(is_satisfied: bool, field: &'static str, what: &'static str) -> Result<(), FieldError> {
+    if is_satisfied {
+        Ok(())
+    } else {
+        Err(FieldError { field, what })
     }
+}
 
-    #[test]
-    fn the_example_shows_every_setting_with_its_default() {
-        let path = Path::new(concat!(
-            env!("CARGO_MANIFEST_DIR"),
-            "/../../deploy/edge.example.yaml"
-        ));
-        assert_eq!(Extensions::load(path).unwrap(), Extensions::default());
-        let text = std::fs::read_to_string(path).unwrap();
-        for name in format!("{:?}", Extensions::default())
-            .split([' ', '{'])
-            .filter_map(|w| w.strip_suffix(':'))
-        {
-            assert!(text.contains(&format!("{name}:")), "{name}");
-        }
+fn check_limits(limits: &Limits) -> Result<(), FieldError> {
+    let counts = [
+        ("extended.limits.statements", limits.statements),
+        ("extended.limits.portals", limits.portals),
+        ("extended.limits.commands", limits.commands),
+        ("extended.limits.segment", limits.segment),
+        ("extended.limits.reads", limits.reads),
+        ("extended.limits.prepared", limits.prepared),
+    ];
+    for (field, value) in counts {
+        require(value > 0, field, "must be at least 1")?;
+        require(value <= MAX_COUNT, field, "must be at most 65536")?;
     }
+    require(
+        limits.value_bytes >= MIN_VALUE_BYTES,
+        "extended.limits.value_bytes",
+        "must hold one value, 65536 bytes",
+    )
 }
+
+fn check_dns_sd(dns_sd: &DnsSd) -> Result<(), FieldError> {
+    require(
+        !dns_sd.servers.is_empty(),
+        "discovery.dns_sd.servers",
+        "must name a server",
+    )?;
+    require(
+        !dns_sd.services.is_empty(),
+        "discovery.dns_sd.services",
+        "must name a service",
+    )?;
+    require(
+        dns_sd.services.len() <= MAX_SERVICES,
+        "discovery.dns_sd.services",
+        "must be at most 64",
+    )?;
+    require(
+        dns_sd.ttl_floor_ms >= MIN_TTL_FLOOR_MS,
+        "discovery.dns_sd.ttl_floor_ms",
+        "must be at least 100",
+    )?;
+    require(
+        dns_sd.ttl_ceiling_ms >= dns_sd.ttl_floor_ms,
+        "discovery.dns_sd.ttl_ceiling_ms",
+        "is below the floor",
+    )?;
+    require(
+        TIMEOUT_RANGE_MS.contains(&dns_sd.timeout_ms),
+        "discovery.dns_sd.timeout_ms",
+        "must be 10 to 10000",
+    )?;
+    require(
+        BUDGET_RANGE.contains(&dns_sd.budget),
+        "discovery.dns_sd.budget",
+        "must be 1 to 10000",
+    )
+}
+
+#[cfg(test)]
+mod tests;
