--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: which command to run, and where the project's own settings are.
 
 use crate::config::{Config, ConfigError};
 use crate::extensions::{Extensions, ExtensionsError};
@@ -36,11 +36,15 @@
 }
 
 impl Cli {
+    /// The command, which is [`Command::Serve`] if none is named.
     pub fn command(&self) -> Command {
         self.command.clone().unwrap_or(Command::Serve)
     }
 
-    /// The project's own settings; the defaults, if there is no file.
+    /// Reads the project's own settings, or returns their defaults if no file is named.
+    ///
+    /// # Errors
+    /// If the file can't be used.
     pub fn settings(&self) -> Result<Extensions, ExtensionsError> {
         self.edge
             .as_deref()
@@ -48,24 +52,38 @@
     }
 }
 
+/// Why a checked file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
+    /// As the platform's configuration.
     #[error(transparent)]
     Config(#[from] ConfigError),
+    /// As the project's own settings.
     #[error(transparent)]
     Extensions(#[from] ExtensionsError),
-    #[error("{0}: settings: {1}")]
-    Settings(String, reelrill_routing::SettingsError),
+    /// A value of the platform's settings is out of its range.
+    #[error("{path}: settings: {source}")]
+    Settings {
+        /// The file.
+        path: String,
+        /// What is wrong.
+        source: reelrill_routing::SettingsError,
+    },
 }
 
-/// Reads a file as `serve` would. Returns what it is.
+/// Reads a file as `serve` would: one that ends in `.json` as the platform's configuration, any other as the project's
+/// settings. Returns which of the two it is.
+///
+/// # Errors
+/// If `serve` could not use the file.
 pub fn check(file: &Path) -> Result<&'static str, CheckError> {
     if file.extension().is_some_and(|e| e == "json") {
         let config = Config::check(&file.display().to_string())?;
         let settings = &config.site.settings;
-        settings
-            .check()
-            .map_err(|e| CheckError::Settings(file.display().to_string(), e))?;
+        settings.check().map_err(|source| CheckError::Settings {
+            path: file.display().to_string(),
+            source,
+        })?;
         return Ok("a configuration of the platform");
     }
     Extensions::load(file)?;
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,5 +1,8 @@
-//! The configuration: `RELAY_CONFIG`, overridden by the other variables. Read again on SIGHUP, the file's
-//! `discovery` counts before the variable, which tells where discovery was when the process started.
+//! The platform's configuration: the JSON file named by `RELAY_CONFIG`, whose values other environment variables
+//! override.
+//!
+//! It is read at the start, and again on SIGHUP. On SIGHUP the file's `discovery` takes precedence over
+//! `RELAY_DISCOVERY`, which only says where the discovery service was when the process started.
 
 use crate::discovery::list::{self, ListError};
 use crate::extensions::{Extensions, ExtensionsError};
@@ -7,67 +10,113 @@
 use reelrill_routing_config::{SettingsReadError, Site};
 use serde_json::Value;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// With fewer descriptors there is room for neither side.
-const FEWEST_SOCKETS: u64 = 64;
+/// The lowest limit on file descriptors; with fewer, neither clients nor endpoints get enough of them.
+const MIN_SOCKETS: u64 = 64;
+const DEFAULT_SOCKETS: u32 = 1024;
+/// The lowest limit on memory that the file may name, in MiB.
+const MIN_MEMORY_MB: u64 = 1;
+const DEFAULT_MEMORY_MB: u32 = 192;
+/// The limits on memory that are used, in MiB; others are raised or lowered to these.
+const EFFECTIVE_MEMORY_MB: RangeInclusive<u64> = 16..=1 << 20;
+const BYTES_PER_MB_SHIFT: u32 = 20;
+const DEFAULT_NAME: &str = "reelrill";
 
+/// Why the configuration can't be used. The text names the file and, where it is known, the field.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
+    /// No file is named.
     #[error("RELAY_CONFIG is not set")]
     NoPath,
+    /// The file can't be read.
     #[error("{path}: {source}")]
     Read {
+        /// The file.
         path: String,
+        /// What the operating system says.
         source: std::io::Error,
     },
+    /// The file is not valid JSON.
     #[error("{path}: {source}")]
     Json {
+        /// The file.
         path: String,
+        /// What is wrong, with line and column.
         source: serde_json::Error,
     },
+    /// The platform's settings in it are wrong.
     #[error("{path}: settings: {source}")]
     Settings {
+        /// The file.
         path: String,
+        /// What is wrong.
         source: SettingsReadError,
     },
+    /// A required address is missing or can't be parsed.
     #[error("{path}: {key} is missing or is no address")]
-    Address { path: String, key: &'static str },
+    Address {
+        /// The file.
+        path: String,
+        /// The address's key.
+        key: &'static str,
+    },
+    /// A limit is not a whole number, or too low.
     #[error("{path}: limits.{key} is no whole number of {least} or more")]
     Limit {
+        /// The file.
         path: String,
+        /// The limit's key.
         key: &'static str,
+        /// Its lowest value.
         least: u64,
     },
+    /// The project's own settings are wrong.
     #[error(transparent)]
     Extensions(#[from] ExtensionsError),
+    /// The endpoint list in it is wrong.
     #[error("{path}: known: {source}")]
-    Known { path: String, source: ListError },
+    Known {
+        /// The file.
+        path: String,
+        /// What is wrong.
+        source: ListError,
+    },
 }
 
+/// What the router is started with.
 #[derive(Debug)]
 pub struct Config {
+    /// The router's name in its log.
     pub name: String,
+    /// The address that clients connect to.
     pub listen: SocketAddr,
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
+    /// The seed of the balancer's random numbers.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// The limit on open file descriptors of the process.
     pub sockets: usize,
-    /// Bytes of memory that the process may hold.
+    /// The limit on memory of the process, in bytes.
     pub memory: usize,
-    /// The list as this router last had it: its version and entries.
+    /// The last known endpoint list, to start with: its version and entries.
     pub known: (Option<u64>, Vec<ListedEndpoint>),
+    /// The platform's settings, converted.
     pub site: Site,
     /// The project's own settings.
     pub edge: Extensions,
-    /// The file that they are read from.
+    /// The file that `edge` is read from.
     edge_path: Option<PathBuf>,
-    /// The settings as they stand in the file.
+    /// The platform's settings as they are in the file, to find changes.
     settings: Value,
 }
 
 impl Config {
-    /// `edge` was read from `edge_path`, if there is such a file.
+    /// Reads the configuration at the start. `edge` was read from `edge_path`, if there is such a file.
+    ///
+    /// # Errors
+    /// If `RELAY_CONFIG` is not set, or its file can't be used.
     pub fn load(edge: Extensions, edge_path: Option<PathBuf>) -> Result<Config, ConfigError> {
         let path = Config::path()?;
         let config = Config::read(&path, &Config::file(&path)?, edge, |name| {
@@ -79,12 +128,19 @@
         })
     }
 
-    /// A file by itself, whatever the environment says.
+    /// Reads a file by itself, without regard to the environment.
+    ///
+    /// # Errors
+    /// If the file can't be used.
     pub fn check(path: &str) -> Result<Config, ConfigError> {
         Config::read(path, &Config::file(path)?, Extensions::default(), |_| None)
     }
 
-    /// The file as it is now, on top of this configuration.
+    /// Reads the configuration again, and the project's own settings. Where the file names no discovery service, the
+    /// present one stays.
+    ///
+    /// # Errors
+    /// If one of the files can't be used.
     pub fn reload(&self) -> Result<Config, ConfigError> {
         let path = Config::path()?;
         let value = Config::file(&path)?;
@@ -102,7 +158,7 @@
         })
     }
 
-    /// What differs in `new` and is read at the start only.
+    /// The keys whose values differ in `new` and only take effect at a start.
     pub fn needs_restart(&self, new: &Config) -> Vec<&'static str> {
         let differs = [
             ("name", self.name != new.name),
@@ -111,7 +167,11 @@
             ("limits.memory_mb", self.memory != new.memory),
             ("settings", self.settings != new.settings),
         ];
-        differs.into_iter().filter(|d| d.1).map(|d| d.0).collect()
+        differs
+            .into_iter()
+            .filter(|(_, is_changed)| *is_changed)
+            .map(|(key, _)| key)
+            .collect()
     }
 
     fn path() -> Result<String, ConfigError> {
@@ -133,65 +193,94 @@
         edge: Extensions,
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, ConfigError> {
-        let path = path.to_owned();
-        let text = |variable: &str, key: &str| {
-            env(variable).or_else(|| value.get(key).and_then(Value::as_str).map(str::to_owned))
-        };
-        let address = |variable: &'static str, key: &'static str| {
-            let wrong = || ConfigError::Address {
-                path: path.clone(),
-                key,
-            };
-            text(variable, key)
-                .and_then(|t| t.parse().ok())
-                .ok_or_else(wrong)
-        };
+        let file = ConfigFile { path, value, env };
         let settings = value.get("settings").cloned().unwrap_or_default();
         let site =
             reelrill_routing_config::read(&settings).map_err(|source| ConfigError::Settings {
-                path: path.clone(),
+                path: path.to_owned(),
                 source,
             })?;
-        let known = match value.get("known").filter(|k| !k.is_null()) {
-            Some(known) => {
-                let wrong = |source| ConfigError::Known {
-                    path: path.clone(),
-                    source,
-                };
-                let list = list::read_list(known, &site.zones).map_err(wrong)?;
-                (Some(list.version), list.entries)
-            }
-            None => (None, Vec::new()),
-        };
-        let seed = value.get("seed").and_then(Value::as_str);
-        // One that is absent has a default; one that makes no sense would be exceeded without a word.
-        let limit = |key: &'static str, least: u64, default: u64| {
-            let Some(given) = value.get("limits").and_then(|l| l.get(key)) else {
-                return Ok(default);
-            };
-            let wrong = || ConfigError::Limit {
-                path: path.clone(),
-                key,
-                least,
-            };
-            given.as_u64().filter(|n| *n >= least).ok_or_else(wrong)
-        };
-        let sockets = limit("sockets", FEWEST_SOCKETS, 1024)?;
-        let memory_mb = limit("memory_mb", 1, 192)?;
+        let known = file.known_list(&site.zones)?;
+        let sockets = file.limit("sockets", MIN_SOCKETS, DEFAULT_SOCKETS)?;
+        let memory_mb = file.limit("memory_mb", MIN_MEMORY_MB, DEFAULT_MEMORY_MB)?;
+        let memory_mb = memory_mb.clamp(*EFFECTIVE_MEMORY_MB.start(), *EFFECTIVE_MEMORY_MB.end());
         Ok(Config {
-            memory: usize::try_from(memory_mb.clamp(16, 1 << 20)).unwrap_or(192) << 20,
-            name: text("RELAY_NAME", "name").unwrap_or_else(|| "reelrill".to_owned()),
-            listen: address("RELAY_LISTEN", "listen")?,
-            discovery: address("RELAY_DISCOVERY", "discovery")?,
-            seed: seed
-                .and_then(|s| u64::from_str_radix(s, 16).ok())
-                .unwrap_or_default(),
-            sockets: usize::try_from(sockets).unwrap_or(1024),
+            name: file
+                .text("RELAY_NAME", "name")
+                .unwrap_or_else(|| DEFAULT_NAME.to_owned()),
+            listen: file.address("RELAY_LISTEN", "listen")?,
+            discovery: file.address("RELAY_DISCOVERY", "discovery")?,
+            seed: file.seed(),
+            sockets: usize::try_from(sockets).unwrap_or(DEFAULT_SOCKETS as usize),
+            memory: usize::try_from(memory_mb).unwrap_or(DEFAULT_MEMORY_MB as usize)
+                << BYTES_PER_MB_SHIFT,
             known,
+            site,
             edge,
             edge_path: None,
-            site,
             settings,
         })
     }
 }
+
+/// The file's values, and the environment that overrides some of them.
+struct ConfigFile<'a, E> {
+    path: &'a str,
+    value: &'a Value,
+    env: E,
+}
+
+impl<E: Fn(&str) -> Option<String>> ConfigFile<'_, E> {
+    fn text(&self, variable: &str, key: &str) -> Option<String> {
+        (self.env)(variable).or_else(|| {
+            let text = self.value.get(key).and_then(Value::as_str);
+            text.map(str::to_owned)
+        })
+    }
+
+    fn address(&self, variable: &str, key: &'static str) -> Result<SocketAddr, ConfigError> {
+        self.text(variable, key)
+            .and_then(|text| text.parse().ok())
+            .ok_or_else(|| ConfigError::Address {
+                path: self.path.to_owned(),
+                key,
+            })
+    }
+
+    /// 0 if there is none, or it is not a hexadecimal number.
+    fn seed(&self) -> u64 {
+        let text = self.value.get("seed").and_then(Value::as_str);
+        text.and_then(|text| u64::from_str_radix(text, 16).ok())
+            .unwrap_or_default()
+    }
+
+    /// An absent limit has its default. A wrong one is an error: the default might be above what was meant.
+    fn limit(&self, key: &'static str, least: u64, default: u32) -> Result<u64, ConfigError> {
+        let Some(limit) = self.value.get("limits").and_then(|l| l.get(key)) else {
+            return Ok(default.into());
+        };
+        limit
+            .as_u64()
+            .filter(|limit| *limit >= least)
+            .ok_or_else(|| ConfigError::Limit {
+                path: self.path.to_owned(),
+                key,
+                least,
+            })
+    }
+
+    /// The last known endpoint list's version and entries; none if there is no list.
+    fn known_list(
+        &self,
+        zones: &[String],
+    ) -> Result<(Option<u64>, Vec<ListedEndpoint>), ConfigError> {
+        let Some(known) = self.value.get("known").filter(|known| !known.is_null()) else {
+            return Ok((None, Vec::new()));
+        };
+        let list = list::read_list(known, zones).map_err(|source| ConfigError::Known {
+            path: self.path.to_owned(),
+            source,
+        })?;
+        Ok((Some(list.version), list.entries))
+    }
+}
