--- a/crates/router/src/client/socket.rs
+++ b/crates/router/src/client/socket.rs
@@ -1,11 +1,10 @@
 //! Writes to a client's socket, and its hang-up seen without reading.
 
 use crate::observability::close_reason::CloseReason;
+use crate::runtime::interrupted::write_all;
 use async_io::{Async, Timer};
 use futures_lite::future::or;
-use futures_lite::{AsyncWrite, AsyncWriteExt as _};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
-use std::io::{self, ErrorKind};
 use std::net::TcpStream;
 use std::time::Duration;
 
@@ -49,19 +48,5 @@
     or(write, or(hung_up, late)).await
 }
 
-/// Writes all of `bytes`; a write that was interrupted is repeated.
-async fn write_all(mut writer: impl AsyncWrite + Unpin, bytes: &[u8]) -> io::Result<()> {
-    let mut rest = bytes;
-    while !rest.is_empty() {
-        match writer.write(rest).await {
-            Ok(0) => return Err(ErrorKind::WriteZero.into()),
-            Ok(written) => rest = &rest[written..],
-            Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) => return Err(e),
-        }
-    }
-    Ok(())
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/router/src/client/socket/tests.rs
+++ b/crates/router/src/client/socket/tests.rs
@@ -1,7 +1,9 @@
 //! Writes that the host cuts short or interrupts.
 
 use super::*;
+use futures_lite::AsyncWrite;
 use std::collections::VecDeque;
+use std::io::{self, ErrorKind};
 use std::net::{Shutdown, TcpListener};
 use std::pin::Pin;
 use std::task::{Context, Poll};
