--- a/crates/router/src/client/accept_loop.rs
+++ b/crates/router/src/client/accept_loop.rs
@@ -14,23 +14,26 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Accepts until the process ends. Without a free slot, connections wait in the kernel's backlog.
+/// How often a permit is asked for again, and somebody asked to make room, while there is none.
+const PERMIT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Accepts until the process ends. Without a free descriptor, connections wait in the kernel's backlog.
 pub async fn listen(
     shared: Rc<Shared>,
     executor: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
 ) {
     loop {
-        let slot = loop {
-            if let Some(slot) = shared.clients.take() {
-                break slot;
+        let permit = loop {
+            if let Some(permit) = shared.clients.try_acquire() {
+                break permit;
             }
-            // Make room: a connection of no use goes, or the one idle longest; else one has to end by itself.
-            shared.clients.need();
+            // Make room: an expendable connection goes, or the one idle longest; else one has to end by itself.
+            shared.clients.request_any_eviction();
             let pause = async {
-                Timer::after(Duration::from_millis(20)).await;
+                Timer::after(PERMIT_RETRY_INTERVAL).await;
             };
-            or(shared.clients.freed(), pause).await;
+            or(shared.clients.permit_released(), pause).await;
         };
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -38,13 +41,13 @@
                 shared.last_arrival.set(shared.clock.now());
                 // Counted from here on, not from when its task first runs: in a burst that is many connections
                 // later, and a connection in use would be asked to make room for those that say nothing.
-                let fresh = shared.clients.fresh();
+                let unproven = shared.clients.count_unproven();
                 executor
-                    .spawn(serve(shared.clone(), stream, slot, fresh))
+                    .spawn(serve(shared.clone(), stream, permit, unproven))
                     .detach();
-                if shared.clients.is_short() {
+                if shared.clients.is_running_low() {
                     // Ahead of the need: the next one must not wait in the backlog for room to be made.
-                    shared.clients.want();
+                    shared.clients.request_eviction();
                 }
             }
             Err(e) => {
--- a/crates/router/src/client/closing.rs
+++ b/crates/router/src/client/closing.rs
@@ -4,8 +4,9 @@
 
 use super::connection::{Client, EVICTABLE_AFTER};
 use crate::observability::close_reason::CloseReason;
+use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
-use crate::runtime::shared::Holder;
+use crate::runtime::shared::HolderKind;
 use async_io::Timer;
 use futures_lite::future::or;
 use reelrill_pg_protocol::frame::FrameError;
@@ -84,7 +85,10 @@
         };
         let evicted = async {
             Timer::after(EVICTABLE_AFTER).await;
-            shared.clients.wanted(Holder::Useless).await;
+            shared
+                .clients
+                .eviction_requested(HolderKind::Expendable)
+                .await;
         };
         or(discard, or(late, evicted)).await;
     }
--- a/crates/router/src/client/connection.rs
+++ b/crates/router/src/client/connection.rs
@@ -12,7 +12,9 @@
 use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
 use crate::runtime::buffer::{Buffer, MemoryLimitReached};
-use crate::runtime::shared::{Cancel, DescriptorPermit, Holder, HolderCount, Shared};
+use crate::runtime::shared::{
+    CancellationKey, CancellationSignal, DescriptorPermit, HolderGuard, HolderKind, Shared,
+};
 use async_io::{Async, Timer};
 use futures_lite::future::or;
 use reelrill_pg_protocol::frame;
@@ -44,13 +46,13 @@
 pub async fn serve(
     shared: Rc<Shared>,
     stream: Async<TcpStream>,
-    _slot: DescriptorPermit,
-    fresh: HolderCount,
+    _permit: DescriptorPermit,
+    unproven: HolderGuard,
 ) {
     let _ = stream.get_ref().set_nodelay(true);
     let accepted = shared.clock.now();
-    let (buffer, fresh) = (Buffer::new(&shared.memory), Some(fresh));
-    let cancel = Rc::new(Cancel::default());
+    let (buffer, unproven) = (Buffer::new(&shared.memory), Some(unproven));
+    let cancellation = Rc::new(CancellationSignal::default());
     let pipeline = (shared.config.edge.extended.mode != Mode::Off).then(|| Pipeline::new(&shared));
     let (begun, is_skipping, process, has_ended) = (None, false, None, false);
     let simple = Simples::new();
@@ -59,14 +61,14 @@
         stream,
         buffer,
         accepted,
-        fresh,
+        unproven,
         begun,
         has_started: false,
         has_ended,
         is_skipping,
         simple,
         pipeline,
-        cancel,
+        cancellation,
         process,
         late_reading: LateReading::default(),
     };
@@ -77,9 +79,9 @@
         .unwrap_or(CloseReason::Terminate);
     if reason.is_initiated_by_router() {
         // One that has never asked anything is not likely to do so just now, and its place is wanted.
-        let is_useless = client.fresh.is_some() && reason == CloseReason::Evicted;
+        let is_expendable = client.unproven.is_some() && reason == CloseReason::Evicted;
         client
-            .lingering_close(if is_useless {
+            .lingering_close(if is_expendable {
                 closing::BETWEEN_REQUESTS_UNUSED
             } else {
                 closing::BETWEEN_REQUESTS
@@ -87,7 +89,7 @@
             .await;
     }
     if let Some(process) = client.process {
-        client.shared.cancels.remove(process);
+        client.shared.cancellations.remove(process);
     }
     info!(client.shared.log, "connection ended"; "with" => "client", "reason" => reason.code());
 }
@@ -98,7 +100,7 @@
     pub(super) buffer: Buffer,
     pub(super) accepted: Timestamp,
     /// No command has come yet.
-    pub(super) fresh: Option<HolderCount>,
+    pub(super) unproven: Option<HolderGuard>,
     /// When a part of a message came whose rest has not.
     pub(super) begun: Option<Timestamp>,
     /// Its startup has been answered.
@@ -112,7 +114,7 @@
     /// Its prepared statements and what it has pipelined, where extended queries are spoken.
     pub(super) pipeline: Option<Pipeline>,
     /// Its wish, on another connection, to call off what it waits for.
-    pub(super) cancel: Rc<Cancel>,
+    pub(super) cancellation: Rc<CancellationSignal>,
     /// The number that such a wish names.
     pub(super) process: Option<u32>,
     /// While the router is ending: how much is read of it.
@@ -190,7 +192,11 @@
                 Startup::Encryption => self.write(b"N").await?,
                 Startup::Cancel { process, secret } => {
                     count(&self.shared.counters.cancel_requests);
-                    if self.shared.cancels.cancel(process, secret) {
+                    if self
+                        .shared
+                        .cancellations
+                        .cancel(CancellationKey { process, secret })
+                    {
                         count(&self.shared.counters.cancel_requests_matched);
                     }
                     return Err(CloseReason::CancelRequest);
@@ -200,12 +206,12 @@
                 }
                 Startup::Session { minor } => {
                     let mut out = Vec::new();
-                    let (mut process, mut secret) = (0, 0);
+                    let mut key = CancellationKey::default();
                     if self.pipeline.is_some() {
-                        (process, secret) = self.shared.cancels.register(&self.cancel);
-                        self.process = Some(process);
+                        key = self.shared.cancellations.register(&self.cancellation);
+                        self.process = Some(key.process);
                     }
-                    backend::put_welcome(&mut out, minor, process, secret);
+                    backend::put_welcome(&mut out, minor, key.process, key.secret);
                     return self.write(&out).await;
                 }
             }
@@ -288,26 +294,26 @@
             return Err(CloseReason::Shutdown);
         }
         let resting = if self.pipeline.as_ref().is_some_and(Pipeline::has_state) {
-            Holder::Stateful
+            HolderKind::Stateful
         } else {
-            Holder::Idle
+            HolderKind::Idle
         };
         // A message that has stalled or drips in, or a connection that says nothing, must not hold a slot.
         let now = shared.clock.now();
-        let (holder, since, limit) = match (self.fresh.is_some(), is_between) {
+        let (holder, since, limit) = match (self.unproven.is_some(), is_between) {
             (true, _) => (
-                Holder::Useless,
+                HolderKind::Expendable,
                 self.accepted,
                 Some(CloseReason::StartupTimeout),
             ),
             (false, true) => (resting, now, None),
             (false, false) => (
-                Holder::Useless,
+                HolderKind::Expendable,
                 *self.begun.get_or_insert(now),
                 Some(CloseReason::Stalled),
             ),
         };
-        let _resting = (holder == Holder::Idle).then(|| shared.clients.resting());
+        let _resting = (holder == HolderKind::Idle).then(|| shared.clients.count_idle());
         let since = shared.clock.instant(since);
         let late = async {
             match limit {
@@ -321,14 +327,14 @@
         let evicted = async {
             Timer::at(
                 since
-                    + if holder == Holder::Useless {
+                    + if holder == HolderKind::Expendable {
                         EVICTABLE_AFTER
                     } else {
                         IDLE
                     },
             )
             .await;
-            shared.clients.wanted(holder).await;
+            shared.clients.eviction_requested(holder).await;
             Waited::Done(CloseReason::Evicted)
         };
         let outcome = async {
@@ -336,7 +342,7 @@
             let now = shared.clock.now();
             let told = shared.ended_at.get().unwrap_or(now);
             let last = shared.last_read().unwrap_or(now).saturating_sub(LAST_LOOK);
-            let until = match (is_between, self.fresh.is_some()) {
+            let until = match (is_between, self.unproven.is_some()) {
                 // What has begun to come is waited for: once its last byte is here, it is owed an answer.
                 (false, _) => last,
                 // Its client would meet the same on any further connection, and lose its first request.
--- a/crates/router/src/client/pipeline.rs
+++ b/crates/router/src/client/pipeline.rs
@@ -112,8 +112,8 @@
     /// Runs a pipeline until nothing waits; the buffer begins with one of its commands. What stands behind it that
     /// is none of its commands is left there.
     pub(super) async fn run_pipeline(&mut self) -> Result<(), CloseReason> {
-        self.fresh = None;
-        self.cancel.reset();
+        self.unproven = None;
+        self.cancellation.reset();
         let ended = self.flow().await;
         let Some(pipeline) = &mut self.pipeline else {
             return ended;
@@ -169,7 +169,7 @@
                 }
             };
             let cancelled = async {
-                self.cancel.wait().await;
+                self.cancellation.wait().await;
                 Woken::Cancelled
             };
             // What is pipelined stays in the buffer, which must not grow without an end.
@@ -187,7 +187,7 @@
             match or(reply, or(cancelled, read)).await {
                 Woken::FinalResponse(part, reply) => self.finish(part, reply).await,
                 Woken::Cancelled => {
-                    self.cancel.reset();
+                    self.cancellation.reset();
                     let open = self.pipeline.as_ref().and_then(|p| p.plan.first_open());
                     if let Some((part, _)) = open {
                         self.call_off(part).await;
--- a/crates/router/src/client/simple.rs
+++ b/crates/router/src/client/simple.rs
@@ -71,8 +71,8 @@
     /// Serves simple queries until nothing waits; the buffer begins with one. What stands behind them that is none is
     /// left there.
     pub(super) async fn run_simple(&mut self) -> Result<(), CloseReason> {
-        self.fresh = None;
-        self.cancel.reset();
+        self.unproven = None;
+        self.cancellation.reset();
         let ended = self.serve_simple().await;
         // Only a client that has gone, or does not read its answers, leaves requests behind.
         let parts = std::mem::take(&mut self.simple.parts);
@@ -121,7 +121,7 @@
                 }
             };
             let cancelled = async {
-                self.cancel.wait().await;
+                self.cancellation.wait().await;
                 Woken::Cancelled
             };
             let shared = self.shared.clone();
@@ -146,7 +146,7 @@
             match or(reply, or(cancelled, or(ready, read))).await {
                 Woken::FinalResponse(part, reply) => self.finish_simple(part, reply),
                 Woken::Cancelled => {
-                    self.cancel.reset();
+                    self.cancellation.reset();
                     if let Some(part) = self.simple.queue.first_open() {
                         self.call_off_simple(part).await;
                     }
--- a/crates/router/src/discovery/http.rs
+++ b/crates/router/src/discovery/http.rs
@@ -3,7 +3,7 @@
 //! It owns the socket and its buffer, and logs one line when it ends. Timeouts are its caller's.
 
 use crate::observability::close_reason::CloseReason;
-use crate::runtime::buffer::{Buffer, Memory};
+use crate::runtime::buffer::{Buffer, MemoryBudget};
 use crate::runtime::interrupted::{retry_interrupted, write_all};
 use async_io::Async;
 use slog::{Logger, info};
@@ -66,7 +66,7 @@
     /// If the connection can't be established.
     pub async fn open(
         host: SocketAddr,
-        memory: &Rc<Memory>,
+        memory: &Rc<MemoryBudget>,
         log: Logger,
     ) -> Result<Connection, HttpError> {
         let stream = retry_interrupted(async || Async::<TcpStream>::connect(host).await).await?;
--- a/crates/router/src/runtime/accept.rs
+++ b/crates/router/src/runtime/accept.rs
@@ -6,7 +6,7 @@
 
 /// The pause while the host lacks what a connection needs: the connection stays in the backlog, and to try again at
 /// once would be a busy loop.
-const SHORTAGE: Duration = Duration::from_millis(10);
+const RESOURCE_SHORTAGE_PAUSE: Duration = Duration::from_millis(10);
 
 /// How long to wait before the next `accept`; none: the failure was that of one connection, which has gone.
 pub fn pause_after(error: &io::Error) -> Option<Duration> {
@@ -24,7 +24,7 @@
             | Errno::NETUNREACH,
         ) => None,
         // EMFILE, ENFILE, ENOBUFS, ENOMEM, and whatever else may last.
-        _ => Some(SHORTAGE),
+        _ => Some(RESOURCE_SHORTAGE_PAUSE),
     }
 }
 
--- a/crates/router/src/runtime/buffer.rs
+++ b/crates/router/src/runtime/buffer.rs
@@ -7,21 +7,24 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-const FIRST: usize = 2048;
-const KEEP: usize = 16 * 1024;
+/// The size of a buffer at its first read.
+const INITIAL_SIZE: usize = 2048;
+/// A buffer up to this size keeps its memory when it is empty, and does not count as large.
+const RETAINED_SIZE: usize = 16 * 1024;
 
 /// What all buffers together may hold beyond what each keeps: many large messages at once, sent whole or in part,
 /// must not take the process over its memory limit.
-pub struct Memory {
+pub struct MemoryBudget {
     large: Cell<usize>,
-    most: usize,
+    limit: usize,
 }
 
-impl Memory {
-    pub fn new(most: usize) -> Rc<Memory> {
-        Rc::new(Memory {
+impl MemoryBudget {
+    /// A budget of `limit` bytes.
+    pub fn new(limit: usize) -> Rc<MemoryBudget> {
+        Rc::new(MemoryBudget {
             large: Cell::new(0),
-            most,
+            limit,
         })
     }
 }
@@ -40,8 +43,9 @@
     }
 }
 
+/// What has been read from one connection and not been consumed.
 pub struct Buffer {
-    memory: Rc<Memory>,
+    memory: Rc<MemoryBudget>,
     data: Vec<u8>,
     start: usize,
     end: usize,
@@ -55,12 +59,14 @@
     }
 }
 
-fn large(len: usize) -> usize {
-    len.saturating_sub(KEEP)
+/// The part of a buffer of this size that counts against the budget.
+fn large_part(len: usize) -> usize {
+    len.saturating_sub(RETAINED_SIZE)
 }
 
 impl Buffer {
-    pub fn new(memory: &Rc<Memory>) -> Buffer {
+    /// An empty buffer, which takes its memory from `memory`.
+    pub fn new(memory: &Rc<MemoryBudget>) -> Buffer {
         Buffer {
             memory: memory.clone(),
             data: Vec::new(),
@@ -80,11 +86,12 @@
         self.read
     }
 
+    /// Drops the first `n` bytes.
     pub fn consume(&mut self, n: usize) {
         self.start = (self.start + n).min(self.end);
         if self.start == self.end {
             (self.start, self.end) = (0, 0);
-            if self.data.len() > KEEP {
+            if self.data.len() > RETAINED_SIZE {
                 // One large value must not hold its memory for as long as the connection lives.
                 self.release();
             }
@@ -95,7 +102,7 @@
     pub fn release(&mut self) {
         self.memory
             .large
-            .set(self.memory.large.get() - large(self.data.len()));
+            .set(self.memory.large.get() - large_part(self.data.len()));
         (self.data, self.start, self.end) = (Vec::new(), 0, 0);
     }
 
@@ -105,9 +112,9 @@
             (self.start, self.end) = (0, self.end - self.start);
         }
         if self.end == self.data.len() {
-            let len = (self.data.len() * 2).max(FIRST);
-            let all = self.memory.large.get() + large(len) - large(self.data.len());
-            if all > self.memory.most {
+            let len = (self.data.len() * 2).max(INITIAL_SIZE);
+            let all = self.memory.large.get() + large_part(len) - large_part(self.data.len());
+            if all > self.memory.limit {
                 return Err(io::Error::new(
                     io::ErrorKind::OutOfMemory,
                     MemoryLimitReached,
--- a/crates/router/src/runtime/buffer/tests.rs
+++ b/crates/router/src/runtime/buffer/tests.rs
@@ -4,13 +4,13 @@
 
 #[test]
 fn it_compacts_before_it_grows_and_gives_large_memory_back() {
-    let mut b = Buffer::new(&Memory::new(1 << 20));
+    let mut b = Buffer::new(&MemoryBudget::new(1 << 20));
     let n = b.room().unwrap().len();
     b.end = n;
     b.consume(n / 2);
     b.room().unwrap();
     assert_eq!((b.start, b.end, b.data.len()), (0, n - n / 2, n));
-    while b.data.len() <= KEEP {
+    while b.data.len() <= RETAINED_SIZE {
         b.end = b.data.len();
         b.room().unwrap();
     }
@@ -21,7 +21,7 @@
 
 #[test]
 fn all_together_stay_within_their_memory() {
-    let memory = Memory::new(64 * 1024);
+    let memory = MemoryBudget::new(64 * 1024);
     let fill = |b: &mut Buffer| {
         while b.room().is_ok() {
             b.end = b.data.len();
--- a/crates/router/src/runtime/clock.rs
+++ b/crates/router/src/runtime/clock.rs
@@ -13,6 +13,7 @@
 }
 
 impl Clock {
+    /// A clock that starts at the wall clock's present time.
     pub fn new() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -24,6 +25,7 @@
         }
     }
 
+    /// The present Unix time in nanoseconds.
     pub fn now(&self) -> Timestamp {
         self.unix + self.start.elapsed().as_nanos() as u64
     }
--- a/crates/router/src/runtime/descriptor_budget.rs
+++ b/crates/router/src/runtime/descriptor_budget.rs
@@ -7,54 +7,59 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The descriptors of one side. A [`Slot`] holds one and gives it back when dropped.
+/// Unproven holders are many from this part of the permits in use on: one in so many.
+const MANY_UNPROVEN: usize = 4;
+
+/// The descriptors of one side. A [`DescriptorPermit`] stands for one and gives it back when dropped.
 pub struct DescriptorBudget {
     used: Cell<usize>,
-    most: usize,
-    freed: Event,
-    /// Holders that could go, by what they are.
-    useless: Event,
+    capacity: usize,
+    released: Event,
+    /// Holders that can be evicted, by kind.
+    expendable: Event,
     idle: Event,
     stateful: Event,
-    /// Holders of which nothing is known yet.
-    fresh: Cell<usize>,
-    /// Holders between requests that would lose nothing, also those too young to go.
-    resting: Cell<usize>,
+    /// Holders that have not asked anything yet.
+    unproven: Cell<usize>,
+    /// Holders between requests that would lose nothing, also those too young to be evicted.
+    idle_holders: Cell<usize>,
 }
 
+/// The right to hold one descriptor; given back when dropped.
 pub struct DescriptorPermit(Rc<DescriptorBudget>);
 
 /// Counts a holder as one of a kind until dropped.
-pub struct HolderCount {
-    slots: Rc<DescriptorBudget>,
-    kind: fn(&DescriptorBudget) -> &Cell<usize>,
+pub struct HolderGuard {
+    budget: Rc<DescriptorBudget>,
+    counter: fn(&DescriptorBudget) -> &Cell<usize>,
 }
 
-impl HolderCount {
+impl HolderGuard {
     fn new(
-        slots: &Rc<DescriptorBudget>,
-        kind: fn(&DescriptorBudget) -> &Cell<usize>,
-    ) -> HolderCount {
-        kind(slots).set(kind(slots).get() + 1);
-        HolderCount {
-            slots: slots.clone(),
-            kind,
+        budget: &Rc<DescriptorBudget>,
+        counter: fn(&DescriptorBudget) -> &Cell<usize>,
+    ) -> HolderGuard {
+        let count = counter(budget);
+        count.set(count.get() + 1);
+        HolderGuard {
+            budget: budget.clone(),
+            counter,
         }
     }
 }
 
-impl Drop for HolderCount {
+impl Drop for HolderGuard {
     fn drop(&mut self) {
-        let count = (self.kind)(&self.slots);
+        let count = (self.counter)(&self.budget);
         count.set(count.get().saturating_sub(1));
     }
 }
 
-/// What somebody holds a slot for that others want.
+/// Kinds of holders that can be evicted, in the order in which they are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Holder {
+pub enum HolderKind {
     /// A connection that has never asked anything, has stalled, or is being closed: it goes first.
-    Useless,
+    Expendable,
     /// A connection between requests.
     Idle,
     /// The same, with prepared statements that its client would have to prepare again: it goes last.
@@ -62,79 +67,83 @@
 }
 
 impl DescriptorBudget {
-    /// A budget of `most` descriptors.
-    pub fn new(most: usize) -> Rc<DescriptorBudget> {
-        let event = Event::new;
-        let (freed, useless, idle, stateful) = (event(), event(), event(), event());
+    /// A budget of `capacity` descriptors.
+    pub fn new(capacity: usize) -> Rc<DescriptorBudget> {
         Rc::new(DescriptorBudget {
             used: Cell::new(0),
-            most,
-            freed,
-            useless,
-            idle,
-            stateful,
-            fresh: Cell::new(0),
-            resting: Cell::new(0),
+            capacity,
+            released: Event::new(),
+            expendable: Event::new(),
+            idle: Event::new(),
+            stateful: Event::new(),
+            unproven: Cell::new(0),
+            idle_holders: Cell::new(0),
         })
     }
 
-    pub fn take(self: &Rc<Self>) -> Option<DescriptorPermit> {
-        if self.used.get() >= self.most {
+    /// A permit, if one is left.
+    pub fn try_acquire(self: &Rc<Self>) -> Option<DescriptorPermit> {
+        if self.used.get() >= self.capacity {
             return None;
         }
         self.used.set(self.used.get() + 1);
         Some(DescriptorPermit(self.clone()))
     }
 
+    /// How many permits are out.
     pub fn used(&self) -> usize {
         self.used.get()
     }
 
-    /// Half are in use: a burst needs the rest.
-    pub fn is_short(&self) -> bool {
-        self.used.get() > self.most / 2
+    /// More than half are in use: a burst needs the rest.
+    pub fn is_running_low(&self) -> bool {
+        self.used.get() > self.capacity / 2
     }
 
-    /// Somebody waits for a slot.
-    pub fn is_wanted(&self) -> bool {
-        self.freed.total_listeners() > 0
+    /// Somebody waits for a permit.
+    pub fn has_waiters(&self) -> bool {
+        self.released.total_listeners() > 0
     }
 
-    pub fn fresh(self: &Rc<Self>) -> HolderCount {
-        HolderCount::new(self, |s| &s.fresh)
+    /// Counts a holder that has not asked anything yet.
+    pub fn count_unproven(self: &Rc<Self>) -> HolderGuard {
+        HolderGuard::new(self, |budget| &budget.unproven)
     }
 
-    pub fn resting(self: &Rc<Self>) -> HolderCount {
-        HolderCount::new(self, |s| &s.resting)
+    /// Counts a holder between requests that would lose nothing.
+    pub fn count_idle(self: &Rc<Self>) -> HolderGuard {
+        HolderGuard::new(self, |budget| &budget.idle_holders)
     }
 
-    /// Asks the holder that has listened longest to give its slot up, the useless ones first. Where many are
-    /// fresh, those that will turn out useless are waited for: the idle ones are in use. Says whether somebody was
-    /// asked, or will be soon.
-    pub fn want(&self) -> bool {
-        self.useless.notify(1.additional()) > 0
-            || self.fresh.get() * 4 > self.used.get()
+    /// Asks the holder that has listened longest to give its descriptor up, the expendable ones first. Where many are
+    /// unproven, those that will turn out expendable are waited for: the idle ones are in use. Returns whether
+    /// somebody was asked, or will be soon.
+    pub fn request_eviction(&self) -> bool {
+        self.expendable.notify(1.additional()) > 0
+            || self.unproven.get() * MANY_UNPROVEN > self.used.get()
             || self.idle.notify(1.additional()) > 0
-            || self.resting.get() > 0
+            || self.idle_holders.get() > 0
     }
 
-    /// The same where there is no slot left: the holders that lose something go, if there is no other.
-    pub fn need(&self) {
-        if !self.want() {
+    /// The same where no permit is left: the holders that lose something go, if there is no other.
+    pub fn request_any_eviction(&self) {
+        if !self.request_eviction() {
             self.stateful.notify(1.additional());
         }
     }
 
-    pub async fn wanted(&self, from: Holder) {
-        match from {
-            Holder::Useless => self.useless.listen().await,
-            Holder::Idle => self.idle.listen().await,
-            Holder::Stateful => self.stateful.listen().await,
+    /// Waits until a holder of this kind is asked to give its descriptor up.
+    pub async fn eviction_requested(&self, kind: HolderKind) {
+        match kind {
+            HolderKind::Expendable => self.expendable.listen().await,
+            HolderKind::Idle => self.idle.listen().await,
+            HolderKind::Stateful => self.stateful.listen().await,
         }
     }
 
-    pub async fn freed(&self) {
-        self.freed.listen().await;
+    /// Waits until a permit is given back.
+    pub async fn permit_released(&self) {
+        self.released.listen().await;
     }
 }
 
@@ -142,6 +151,6 @@
     fn drop(&mut self) {
         self.0.used.set(self.0.used.get().saturating_sub(1));
         // Those who wait differ in what they wait for: all look.
-        self.0.freed.notify(usize::MAX);
+        self.0.released.notify(usize::MAX);
     }
 }
--- a/crates/router/src/runtime/flag.rs
+++ b/crates/router/src/runtime/flag.rs
@@ -6,22 +6,25 @@
 /// A condition that comes true once.
 #[derive(Default)]
 pub struct Flag {
-    set: Cell<bool>,
+    is_set: Cell<bool>,
     event: Event,
 }
 
 impl Flag {
+    /// Makes the condition true, and wakes all that wait for it.
     pub fn raise(&self) {
-        self.set.set(true);
+        self.is_set.set(true);
         self.event.notify(usize::MAX);
     }
 
+    /// Whether the condition is true.
     pub fn is_raised(&self) -> bool {
-        self.set.get()
+        self.is_set.get()
     }
 
+    /// Waits until the condition is true; at once if it is.
     pub async fn wait(&self) {
-        while !self.set.get() {
+        while !self.is_set.get() {
             self.event.listen().await;
         }
     }
--- a/crates/router/src/runtime/shared.rs
+++ b/crates/router/src/runtime/shared.rs
@@ -5,11 +5,11 @@
 use crate::dispatcher::mailbox::MailboxSender;
 use crate::extensions::Mode;
 use crate::observability::counters::Counters;
-use crate::runtime::buffer::Memory;
-pub use crate::runtime::cancellation::{Cancel, Cancels};
+use crate::runtime::buffer::MemoryBudget;
+pub use crate::runtime::cancellation::{CancellationKey, CancellationRegistry, CancellationSignal};
 pub use crate::runtime::clock::Clock;
 pub use crate::runtime::descriptor_budget::{
-    DescriptorBudget, DescriptorPermit, Holder, HolderCount,
+    DescriptorBudget, DescriptorPermit, HolderGuard, HolderKind,
 };
 pub use crate::runtime::flag::Flag;
 use crate::runtime::shutdown::ShutdownSchedule;
@@ -22,10 +22,15 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
+/// What all tasks share; one for the process.
 pub struct Shared {
+    /// The configuration as read at the start.
     pub config: Config,
+    /// The router's time.
     pub clock: Clock,
+    /// Where log lines go.
     pub log: Logger,
+    /// What the router counts.
     pub counters: Counters,
     /// Descriptors for clients and for endpoints, apart: a flood of clients must not keep the requests of others
     /// from the endpoints.
@@ -35,45 +40,48 @@
     pub ready: Flag,
     /// SIGTERM has come.
     pub draining: Flag,
-    /// When.
+    /// When SIGTERM came.
     pub ended_at: Cell<Option<Timestamp>>,
     /// What happens how long after that.
     pub shutdown: ShutdownSchedule,
     /// When a connection or a request last came in.
     pub last_arrival: Cell<Timestamp>,
+    /// Takes what clients ask for.
     pub dispatcher: MailboxSender,
-    /// Where the roster's word goes, and what endpoints say of themselves, if there are other sources.
+    /// Where the endpoint list and what endpoints say of themselves go, if there are other sources.
     pub directory: Option<async_channel::Sender<RegistryEvent>>,
     /// What the buffers of all connections may grow to.
-    pub memory: Rc<Memory>,
+    pub memory: Rc<MemoryBudget>,
     /// Where bytes go that nobody wants; one for all connections.
     pub scratch: RefCell<Vec<u8>>,
     requests: Cell<u64>,
     /// What all clients' prepared statements and pipelines share.
     pub common: Rc<Common>,
-    pub cancels: Cancels,
+    /// The clients that may cancel what they wait for.
+    pub cancellations: CancellationRegistry,
 }
 
 /// Kept back for the listener, the reactor, the log, discovery and what a library may open.
-const SPARE: usize = 24;
+const RESERVED_DESCRIPTORS: usize = 24;
 /// The clients' part of the rest. Requests hold up to a third of all descriptors on the clients' side, and about
 /// as many on the other; the clients' part has room for those that come and hold nothing.
-const CLIENTS: (usize, usize) = (11, 20);
+const CLIENT_DESCRIPTORS_PERCENT: usize = 55;
 /// The part of the memory limit for large buffers. What a buffer holds may be copied twice on its way (statement,
 /// attempt), and the rest of the process needs some 5 MB.
-const LARGE: (usize, usize) = (1, 5);
+const LARGE_BUFFERS_PERCENT: usize = 20;
 /// What is thrown away is read in pieces of this size.
-const SCRATCH: usize = 64 * 1024;
+const SCRATCH_SIZE: usize = 64 * 1024;
 
 impl Shared {
+    /// Divides descriptors and memory as the configuration says.
     pub fn new(
         config: Config,
         log: Logger,
         dispatcher: MailboxSender,
         directory: Option<async_channel::Sender<RegistryEvent>>,
     ) -> Rc<Shared> {
-        let most = config.sockets - SPARE;
-        let for_clients = most * CLIENTS.0 / CLIENTS.1;
+        let available = config.sockets - RESERVED_DESCRIPTORS;
+        let for_clients = available * CLIENT_DESCRIPTORS_PERCENT / 100;
         let clock = Clock::new();
         let deadlines = config.site.settings.classes.iter().map(|c| c.deadline);
         let shutdown = ShutdownSchedule::new(deadlines.max().unwrap_or(0));
@@ -90,8 +98,8 @@
         });
         Rc::new(Shared {
             clients: DescriptorBudget::new(for_clients),
-            upstream: DescriptorBudget::new(most - for_clients),
-            memory: Memory::new(config.memory * LARGE.0 / LARGE.1),
+            upstream: DescriptorBudget::new(available - for_clients),
+            memory: MemoryBudget::new(config.memory * LARGE_BUFFERS_PERCENT / 100),
             config,
             log,
             counters: Counters::default(),
@@ -103,19 +111,19 @@
             clock,
             dispatcher,
             directory,
-            scratch: RefCell::new(vec![0; SCRATCH]),
+            scratch: RefCell::new(vec![0; SCRATCH_SIZE]),
             requests: Cell::new(0),
             common,
-            cancels: Cancels::default(),
+            cancellations: CancellationRegistry::default(),
         })
     }
 
     /// An endpoint answered for itself. A full mailbox loses nothing: it will answer again.
-    pub fn vouch(&self, endpoint: &EndpointId, leaving: bool) {
+    pub fn report_alive(&self, endpoint: &EndpointId, is_draining: bool) {
         if let Some(directory) = &self.directory {
             let _ = directory.try_send(RegistryEvent::EndpointResponded {
                 endpoint: endpoint.clone(),
-                is_draining: leaving,
+                is_draining,
             });
         }
     }
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -339,6 +339,6 @@
     }
 
     pub(super) fn report_alive(&self, is_draining: bool) {
-        self.shared.vouch(&self.endpoint, is_draining);
+        self.shared.report_alive(&self.endpoint, is_draining);
     }
 }
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -10,8 +10,9 @@
 use super::pool_handle::{CommandSender, PoolCommand};
 use crate::messages::{Attempt, AttemptResult, Message};
 use crate::observability::close_reason::CloseReason;
+use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
-use crate::runtime::shared::{Holder, Shared};
+use crate::runtime::shared::{HolderKind, Shared};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -158,12 +159,15 @@
             command.map_or(Wakeup::HandleDropped, Wakeup::Command)
         };
         let descriptor_freed = when(lacks_descriptor, async {
-            self.shared.upstream.freed().await;
+            self.shared.upstream.permit_released().await;
             Wakeup::DescriptorFreed
         });
         let descriptor_timeout = self.descriptor_timeout();
         let descriptor_wanted = when(has_idle, async {
-            self.shared.upstream.wanted(Holder::Idle).await;
+            self.shared
+                .upstream
+                .eviction_requested(HolderKind::Idle)
+                .await;
             Wakeup::DescriptorWanted
         });
         let idle_check = when(has_idle, async {
@@ -290,8 +294,8 @@
             return connection.close(CloseReason::Moved);
         }
         // An idle connection must not keep a descriptor that another pool waits for.
-        if self.waiting.is_empty() && self.shared.upstream.is_wanted() {
-            count(&self.shared.counters.connections_evicted);
+        if self.waiting.is_empty() && self.shared.upstream.has_waiters() {
+            count(&self.shared.counters.evicted);
             return connection.close(CloseReason::Evicted);
         }
         connection.idle_since = self.shared.clock.now();
@@ -326,8 +330,8 @@
 
     fn dial_for_waiting(&mut self) {
         while self.dialing < self.waiting.len() {
-            let Some(permit) = self.shared.upstream.take() else {
-                return self.shared.upstream.need();
+            let Some(permit) = self.shared.upstream.try_acquire() else {
+                return self.shared.upstream.request_any_eviction();
             };
             self.dialing += 1;
             let endpoint = self.endpoint.clone();
