--- a/crates/router/src/client/connection.rs
+++ b/crates/router/src/client/connection.rs
@@ -3,9 +3,9 @@
 //! Owns the socket, the buffer and what the connection has asked for. Must never close a connection on which a whole
 //! request has come that has no answer yet.
 
-use super::pipeline::Pipeline;
+use super::extended_queries::ExtendedQueries;
 use super::reading::{LateReading, READ_AHEAD_LIMIT, is_whole};
-use super::simple::Simples;
+use super::simple_queries::SimpleQueries;
 use super::{closing, socket};
 use crate::extensions::Mode;
 use crate::messages::{CancellationFlag, ClientRequest};
@@ -53,9 +53,10 @@
     let accepted = shared.clock.now();
     let (buffer, unproven) = (Buffer::new(&shared.memory), Some(unproven));
     let cancellation = Rc::new(CancellationSignal::default());
-    let pipeline = (shared.config.edge.extended.mode != Mode::Off).then(|| Pipeline::new(&shared));
+    let extended_queries =
+        (shared.config.edge.extended.mode != Mode::Off).then(|| ExtendedQueries::new(&shared));
     let (begun, is_skipping, process, has_ended) = (None, false, None, false);
-    let simple = Simples::new();
+    let simple_queries = SimpleQueries::new();
     let mut client = Client {
         shared,
         stream,
@@ -66,8 +67,8 @@
         has_started: false,
         has_ended,
         is_skipping,
-        simple,
-        pipeline,
+        simple_queries,
+        extended_queries,
         cancellation,
         process,
         late_reading: LateReading::default(),
@@ -108,11 +109,11 @@
     /// The client has ended its sending: nothing more will come.
     pub(super) has_ended: bool,
     /// Its simple queries that have no answer yet.
-    pub(super) simple: Simples,
+    pub(super) simple_queries: SimpleQueries,
     /// Extended commands are passed over up to the Sync that ends them.
     pub(super) is_skipping: bool,
     /// Its prepared statements and what it has pipelined, where extended queries are spoken.
-    pub(super) pipeline: Option<Pipeline>,
+    pub(super) extended_queries: Option<ExtendedQueries>,
     /// Its wish, on another connection, to call off what it waits for.
     pub(super) cancellation: Rc<CancellationSignal>,
     /// The number that such a wish names.
@@ -134,7 +135,7 @@
         self.has_started = true;
         loop {
             let (tag, body, len) =
-                match frame::command(self.buffer.bytes(), self.pipeline.is_some()) {
+                match frame::command(self.buffer.bytes(), self.extended_queries.is_some()) {
                     Ok(Some(message)) => {
                         self.begun = None;
                         message
@@ -146,7 +147,9 @@
                     Err(e) => return Err(self.broken_frame(&e).await),
                 };
             match tag {
-                b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'S' if self.pipeline.is_some() => {
+                b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'S'
+                    if self.extended_queries.is_some() =>
+                {
                     if let Err(e) = frontend::read(tag, body) {
                         return Err(self.broken_command(&e).await);
                     }
@@ -154,7 +157,7 @@
                 }
                 b'Q' if backend::only_text(body).is_some() => {
                     self.is_skipping = false;
-                    self.run_simple().await?;
+                    self.run_simple_queries().await?;
                 }
                 b'Q' => return Err(self.fatal("a query that is no text").await),
                 b'X' => return Ok(()),
@@ -207,7 +210,7 @@
                 Startup::Session { minor } => {
                     let mut out = Vec::new();
                     let mut key = CancellationKey::default();
-                    if self.pipeline.is_some() {
+                    if self.extended_queries.is_some() {
                         key = self.shared.cancellations.register(&self.cancellation);
                         self.process = Some(key.process);
                     }
@@ -261,14 +264,14 @@
         is_whole(
             self.buffer.bytes(),
             self.has_started,
-            self.pipeline.is_some(),
+            self.extended_queries.is_some(),
         )
     }
 
     /// Whether its client has gone: it has closed the connection, or said goodbye behind what it has sent.
     pub(super) fn has_left(&self) -> bool {
         let mut rest = self.buffer.bytes();
-        while let Ok(Some((tag, _, len))) = frame::command(rest, self.pipeline.is_some()) {
+        while let Ok(Some((tag, _, len))) = frame::command(rest, self.extended_queries.is_some()) {
             if tag == b'X' {
                 return true;
             }
@@ -293,7 +296,11 @@
         if self.has_reading_ended() {
             return Err(CloseReason::Shutdown);
         }
-        let resting = if self.pipeline.as_ref().is_some_and(Pipeline::has_state) {
+        let resting = if self
+            .extended_queries
+            .as_ref()
+            .is_some_and(ExtendedQueries::has_state)
+        {
             HolderKind::Stateful
         } else {
             HolderKind::Idle
@@ -381,7 +388,6 @@
         admitted: &Admitted,
         ask: Rc<Ask>,
         arrived: Timestamp,
-        left: CancellationFlag,
     ) -> ClientRequest {
         ClientRequest {
             request: self.shared.next_request(),
@@ -394,7 +400,7 @@
             wait: admitted.wait,
             arrived,
             ask,
-            left,
+            left: CancellationFlag::default(),
         }
     }
 
--- a/crates/router/src/client/mod.rs
+++ b/crates/router/src/client/mod.rs
@@ -1,15 +1,18 @@
 //! The clients' side: the accept loop, and one task for each connection.
 //!
-//! `connection` reads the messages of one client in order and hands simple queries to `simple`, extended ones to
-//! `pipeline`; `reading` bounds what is read, `closing` ends connections, `responses` writes final answers.
+//! `connection` reads the messages of one client in order and hands simple queries to
+//! `simple_queries`, extended ones to `extended_queries`; `outstanding` holds what the dispatcher has of either;
+//! `wakeup` is what their tasks wait for; `reading` bounds what is read, `closing` ends connections, `responses` writes final answers.
 
 mod accept_loop;
 mod closing;
 mod connection;
-mod pipeline;
+mod extended_queries;
+mod outstanding;
 mod reading;
 mod responses;
-mod simple;
+mod simple_queries;
 mod socket;
+mod wakeup;
 
 pub use accept_loop::listen;
--- a/crates/router/src/client/responses.rs
+++ b/crates/router/src/client/responses.rs
@@ -3,6 +3,9 @@
 use crate::messages::{Answer, FinalResponse};
 use reelrill_pg_protocol::{backend, code};
 
+/// How much is written at once, so that many answers do not pile up.
+pub const WRITE_SIZE: usize = 64 * 1024;
+
 /// A served answer to a simple query.
 pub fn put_answer(out: &mut Vec<u8>, answer: &Answer) {
     if let Some(c) = &answer.column {
