--- a/crates/router/src/client/closing.rs
+++ b/crates/router/src/client/closing.rs
@@ -2,9 +2,8 @@
 //!
 //! Must never close with bytes unread while an error is on its way: the reset would overtake it.
 
-use super::connection::{Client, EVICTABLE_AFTER};
-use crate::observability::close_reason::CloseReason;
-use crate::observability::close_reason::CloseReason;
+use super::connection::Client;
+use super::wait_limits::EXPENDABLE_EVICTION_DELAY;
 use crate::observability::counters::count;
 use crate::runtime::shared::HolderKind;
 use async_io::Timer;
@@ -84,7 +83,7 @@
             Timer::after(longest).await;
         };
         let evicted = async {
-            Timer::after(EVICTABLE_AFTER).await;
+            Timer::after(EXPENDABLE_EVICTION_DELAY).await;
             shared
                 .clients
                 .eviction_requested(HolderKind::Expendable)
--- a/crates/router/src/client/connection.rs
+++ b/crates/router/src/client/connection.rs
@@ -3,9 +3,11 @@
 //! Owns the socket, the buffer and what the connection has asked for. Must never close a connection on which a whole
 //! request has come that has no answer yet.
 
+use super::connection_state::ConnectionState;
 use super::extended_queries::ExtendedQueries;
 use super::reading::{LateReading, READ_AHEAD_LIMIT, is_whole};
 use super::simple_queries::SimpleQueries;
+use super::wait_limits::{ShutdownWait, WaitLimits};
 use super::{closing, socket};
 use crate::extensions::Mode;
 use crate::messages::{CancellationFlag, ClientRequest};
@@ -15,34 +17,55 @@
 use crate::runtime::shared::{
     CancellationKey, CancellationSignal, DescriptorPermit, HolderGuard, HolderKind, Shared,
 };
-use async_io::{Async, Timer};
+use async_io::Async;
 use futures_lite::future::or;
 use reelrill_pg_protocol::frame;
-use reelrill_pg_protocol::frontend::{self, Startup};
+use reelrill_pg_protocol::frontend::{self, CommandError, Startup};
 use reelrill_pg_protocol::{backend, code};
 use reelrill_pg_session::admit::Admitted;
 use reelrill_pg_session::bound::Ask;
-use reelrill_routing::{Nanos, Timestamp};
+use reelrill_routing::Timestamp;
 use slog::info;
 use std::io::ErrorKind;
 use std::net::TcpStream;
 use std::rc::Rc;
-use std::time::Duration;
 
-/// How long a client may take from connecting to the end of its first command, and from the first byte of any
-/// other command to its last.
-const FIRST: Duration = Duration::from_secs(2);
-/// A connection that has asked nothing yet gives way to another only after this time: a request of the usual kind
-/// comes right behind the startup.
-pub(super) const EVICTABLE_AFTER: Duration = Duration::from_millis(100);
-/// An idle connection gives way after this time: its next request may be on its way.
-const IDLE: Duration = Duration::from_millis(20);
-/// While the router is ending, how long a new connection may take to send its first request.
-const FIRST_REQUEST: Nanos = 400_000_000;
-/// How much earlier than the end of all reading a connection is closed on which nothing whole has come: what comes in
-/// between is still read.
-const LAST_LOOK: Nanos = 50_000_000;
+/// What a whole message asks of the connection.
+enum MessageKind {
+    /// The first command of a pipeline.
+    ExtendedCommand,
+    SimpleQuery,
+    /// The Sync that ends commands which are not supported.
+    Sync,
+    /// A command of a kind that is not supported.
+    Unsupported,
+    Terminate,
+    /// A command that can't be read.
+    Malformed(CommandError),
+    /// What the protocol does not allow, with what is wrong.
+    Violation(&'static str),
+}
 
+impl MessageKind {
+    fn of(tag: u8, body: &[u8], is_extended: bool) -> MessageKind {
+        match tag {
+            b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'S' if is_extended => {
+                match frontend::read(tag, body) {
+                    Ok(_) => MessageKind::ExtendedCommand,
+                    Err(error) => MessageKind::Malformed(error),
+                }
+            }
+            b'Q' if backend::only_text(body).is_some() => MessageKind::SimpleQuery,
+            b'Q' => MessageKind::Violation("a query that is no text"),
+            b'X' => MessageKind::Terminate,
+            b'S' => MessageKind::Sync,
+            b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'F' => MessageKind::Unsupported,
+            _ => MessageKind::Violation("an unknown message"),
+        }
+    }
+}
+
+/// Serves one connection to its end and logs why it ended.
 pub async fn serve(
     shared: Rc<Shared>,
     stream: Async<TcpStream>,
@@ -50,132 +73,100 @@
     unproven: HolderGuard,
 ) {
     let _ = stream.get_ref().set_nodelay(true);
-    let accepted = shared.clock.now();
-    let (buffer, unproven) = (Buffer::new(&shared.memory), Some(unproven));
-    let cancellation = Rc::new(CancellationSignal::default());
-    let extended_queries =
-        (shared.config.edge.extended.mode != Mode::Off).then(|| ExtendedQueries::new(&shared));
-    let (begun, is_skipping, process, has_ended) = (None, false, None, false);
-    let simple_queries = SimpleQueries::new();
-    let mut client = Client {
-        shared,
-        stream,
-        buffer,
-        accepted,
-        unproven,
-        begun,
-        has_started: false,
-        has_ended,
-        is_skipping,
-        simple_queries,
-        extended_queries,
-        cancellation,
-        process,
-        late_reading: LateReading::default(),
-    };
-    let reason = client
-        .session()
-        .await
-        .err()
-        .unwrap_or(CloseReason::Terminate);
+    let mut client = Client::new(shared, stream, unproven);
+    let ended = client.session().await;
+    let reason = ended.err().unwrap_or(CloseReason::Terminate);
     if reason.is_initiated_by_router() {
         // One that has never asked anything is not likely to do so just now, and its place is wanted.
-        let is_expendable = client.unproven.is_some() && reason == CloseReason::Evicted;
-        client
-            .lingering_close(if is_expendable {
-                closing::BETWEEN_REQUESTS_UNUSED
-            } else {
-                closing::BETWEEN_REQUESTS
-            })
-            .await;
+        let is_expendable = client.state.is_unproven() && reason == CloseReason::Evicted;
+        let longest = if is_expendable {
+            closing::BETWEEN_REQUESTS_UNUSED
+        } else {
+            closing::BETWEEN_REQUESTS
+        };
+        client.lingering_close(longest).await;
     }
-    if let Some(process) = client.process {
+    if let Some(process) = client.cancellation_process {
         client.shared.cancellations.remove(process);
     }
     info!(client.shared.log, "connection ended"; "with" => "client", "reason" => reason.code());
 }
 
+/// One client's connection.
 pub struct Client {
     pub(super) shared: Rc<Shared>,
     pub(super) stream: Async<TcpStream>,
     pub(super) buffer: Buffer,
-    pub(super) accepted: Timestamp,
-    /// No command has come yet.
-    pub(super) unproven: Option<HolderGuard>,
-    /// When a part of a message came whose rest has not.
-    pub(super) begun: Option<Timestamp>,
-    /// Its startup has been answered.
-    pub(super) has_started: bool,
+    accepted: Timestamp,
+    pub(super) state: ConnectionState,
     /// The client has ended its sending: nothing more will come.
-    pub(super) has_ended: bool,
+    has_input_ended: bool,
     /// Its simple queries that have no answer yet.
     pub(super) simple_queries: SimpleQueries,
-    /// Extended commands are passed over up to the Sync that ends them.
-    pub(super) is_skipping: bool,
+    /// Commands that are not supported are passed over up to the Sync that ends them.
+    is_skipping_to_sync: bool,
     /// Its prepared statements and what it has pipelined, where extended queries are spoken.
     pub(super) extended_queries: Option<ExtendedQueries>,
-    /// Its wish, on another connection, to call off what it waits for.
+    /// Told when the client, on another connection, cancels what it waits for.
     pub(super) cancellation: Rc<CancellationSignal>,
-    /// The number that such a wish names.
-    pub(super) process: Option<u32>,
-    /// While the router is ending: how much is read of it.
+    /// The process number that such a cancellation names.
+    cancellation_process: Option<u32>,
+    /// During a shutdown: how much is read of it.
     pub(super) late_reading: LateReading,
 }
 
-/// What a connection between messages waits for, or what has come.
-enum Waited {
-    Done(CloseReason),
+/// What a connection between messages waits for.
+enum Wait {
+    CloseDue(CloseReason),
     Read(std::io::Result<usize>),
 }
 
 impl Client {
+    fn new(shared: Rc<Shared>, stream: Async<TcpStream>, unproven: HolderGuard) -> Client {
+        let is_extended = shared.config.edge.extended.mode != Mode::Off;
+        Client {
+            stream,
+            buffer: Buffer::new(&shared.memory),
+            accepted: shared.clock.now(),
+            state: ConnectionState::AwaitingStartup { unproven },
+            has_input_ended: false,
+            simple_queries: SimpleQueries::new(),
+            is_skipping_to_sync: false,
+            extended_queries: is_extended.then(|| ExtendedQueries::new(&shared)),
+            cancellation: Rc::default(),
+            cancellation_process: None,
+            late_reading: LateReading::default(),
+            shared,
+        }
+    }
+
     /// Serves the connection to its end. `Ok` is a client that said goodbye.
     async fn session(&mut self) -> Result<(), CloseReason> {
         self.startup().await?;
-        self.has_started = true;
+        self.state.on_startup_answered();
         loop {
-            let (tag, body, len) =
-                match frame::command(self.buffer.bytes(), self.extended_queries.is_some()) {
-                    Ok(Some(message)) => {
-                        self.begun = None;
-                        message
-                    }
-                    Ok(None) => {
-                        self.next().await?;
-                        continue;
-                    }
-                    Err(e) => return Err(self.broken_frame(&e).await),
-                };
-            match tag {
-                b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'S'
-                    if self.extended_queries.is_some() =>
-                {
-                    if let Err(e) = frontend::read(tag, body) {
-                        return Err(self.broken_command(&e).await);
-                    }
-                    self.run_pipeline().await?;
+            let is_extended = self.extended_queries.is_some();
+            let (tag, body, len) = match frame::command(self.buffer.bytes(), is_extended) {
+                Ok(Some(message)) => message,
+                Ok(None) => {
+                    self.wait_for_input().await?;
+                    continue;
                 }
-                b'Q' if backend::only_text(body).is_some() => {
-                    self.is_skipping = false;
+                Err(e) => return Err(self.broken_frame(&e).await),
+            };
+            let kind = MessageKind::of(tag, body, is_extended);
+            self.state.on_whole_message();
+            match kind {
+                MessageKind::ExtendedCommand => self.run_pipeline().await?,
+                MessageKind::SimpleQuery => {
+                    self.is_skipping_to_sync = false;
                     self.run_simple_queries().await?;
                 }
-                b'Q' => return Err(self.fatal("a query that is no text").await),
-                b'X' => return Ok(()),
-                // A client that has pipelined other commands gets its error at the Sync that ends them.
-                b'S' => {
-                    self.buffer.consume(len);
-                    self.is_skipping = false;
-                    let mut out = Vec::new();
-                    backend::put_ready(&mut out);
-                    self.write(&out).await?;
-                }
-                b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'F' => {
-                    self.buffer.consume(len);
-                    if !std::mem::replace(&mut self.is_skipping, true) {
-                        self.on_unsupported(tag).await?;
-                    }
-                }
-                _ => return Err(self.fatal("an unknown message").await),
+                MessageKind::Sync => self.on_unsupported_sync(len).await?,
+                MessageKind::Unsupported => self.on_unsupported(tag, len).await?,
+                MessageKind::Terminate => return Ok(()),
+                MessageKind::Malformed(error) => return Err(self.broken_command(&error).await),
+                MessageKind::Violation(why) => return Err(self.fatal(why).await),
             }
         }
     }
@@ -185,7 +176,7 @@
             let (kind, len) = match frontend::startup(self.buffer.bytes()) {
                 Ok(Some(message)) => message,
                 Ok(None) => {
-                    self.next().await?;
+                    self.wait_for_input().await?;
                     continue;
                 }
                 Err(e) => return Err(self.broken_frame(&e).await),
@@ -194,35 +185,37 @@
             match kind {
                 Startup::Encryption => self.write(b"N").await?,
                 Startup::Cancel { process, secret } => {
-                    count(&self.shared.counters.cancel_requests);
-                    if self
-                        .shared
-                        .cancellations
-                        .cancel(CancellationKey { process, secret })
-                    {
-                        count(&self.shared.counters.cancel_requests_matched);
-                    }
+                    self.on_cancel_request(CancellationKey { process, secret });
                     return Err(CloseReason::CancelRequest);
                 }
                 Startup::Version => {
                     return Err(self.fatal("this protocol version is not spoken").await);
                 }
-                Startup::Session { minor } => {
-                    let mut out = Vec::new();
-                    let mut key = CancellationKey::default();
-                    if self.extended_queries.is_some() {
-                        key = self.shared.cancellations.register(&self.cancellation);
-                        self.process = Some(key.process);
-                    }
-                    backend::put_welcome(&mut out, minor, key.process, key.secret);
-                    return self.write(&out).await;
-                }
+                Startup::Session { minor } => return self.welcome(minor).await,
             }
         }
     }
 
+    fn on_cancel_request(&self, key: CancellationKey) {
+        count(&self.shared.counters.cancel_requests);
+        if self.shared.cancellations.cancel(key) {
+            count(&self.shared.counters.cancel_requests_matched);
+        }
+    }
+
+    async fn welcome(&mut self, minor: u16) -> Result<(), CloseReason> {
+        let mut key = CancellationKey::default();
+        if self.extended_queries.is_some() {
+            key = self.shared.cancellations.register(&self.cancellation);
+            self.cancellation_process = Some(key.process);
+        }
+        let mut out = Vec::new();
+        backend::put_welcome(&mut out, minor, key.process, key.secret);
+        self.write(&out).await
+    }
+
     /// Why a read has ended the connection, if it has.
-    fn gone(&self, read: &std::io::Result<usize>) -> Option<CloseReason> {
+    fn end_of_input(&self, read: &std::io::Result<usize>) -> Option<CloseReason> {
         match read {
             Ok(0) if self.buffer.bytes().is_empty() => Some(CloseReason::Eof),
             Ok(0) => Some(CloseReason::Truncated),
@@ -232,15 +225,15 @@
     }
 
     /// Reads what has come, up to what may be read ahead, without waiting for more.
-    pub(super) fn look(&mut self) -> Result<(), CloseReason> {
-        while !self.has_ended {
+    pub(super) fn read_available(&mut self) -> Result<(), CloseReason> {
+        while !self.has_input_ended {
             if self.buffer.bytes().len() >= READ_AHEAD_LIMIT || self.has_reading_ended() {
                 // Nothing more is read: its end can stand behind what is left unread.
-                self.has_ended = socket::has_hung_up(self.stream.get_ref());
+                self.has_input_ended = socket::has_hung_up(self.stream.get_ref());
                 return Ok(());
             }
             match self.buffer.fill_now(self.stream.get_ref()) {
-                Ok(n) => self.has_ended = n == 0,
+                Ok(n) => self.has_input_ended = n == 0,
                 // Without memory it waits, as with a full buffer.
                 Err(e) if MemoryLimitReached::caused(&e) => return Ok(()),
                 Err(e) => match e.kind() {
@@ -263,7 +256,7 @@
     fn has_whole_message(&self) -> bool {
         is_whole(
             self.buffer.bytes(),
-            self.has_started,
+            self.state.has_started(),
             self.extended_queries.is_some(),
         )
     }
@@ -277,109 +270,86 @@
             }
             rest = &rest[len..];
         }
-        self.has_ended
+        self.has_input_ended
+    }
+
+    /// What ends the wait for the next message or its rest. A message that has stalled or drips in, or a connection
+    /// that says nothing, must not hold a descriptor.
+    fn wait_limits(&mut self, is_between: bool) -> WaitLimits {
+        let now = self.shared.clock.now();
+        let shutdown = match (is_between, self.state.is_unproven()) {
+            (false, _) => ShutdownWait::RestOfMessage,
+            (true, true) => ShutdownWait::FirstRequest {
+                accepted: self.accepted,
+            },
+            (true, false) => ShutdownWait::None,
+        };
+        let (holder, since, timeout) = if self.state.is_unproven() {
+            let timeout = Some(CloseReason::StartupTimeout);
+            (HolderKind::Expendable, self.accepted, timeout)
+        } else if is_between {
+            (self.idle_holder(), now, None)
+        } else {
+            let since = self.state.on_partial_message(now);
+            (HolderKind::Expendable, since, Some(CloseReason::Stalled))
+        };
+        WaitLimits {
+            holder,
+            since,
+            timeout,
+            shutdown,
+        }
+    }
+
+    fn idle_holder(&self) -> HolderKind {
+        let extended = self.extended_queries.as_ref();
+        if extended.is_some_and(ExtendedQueries::has_state) {
+            HolderKind::Stateful
+        } else {
+            HolderKind::Idle
+        }
     }
 
     /// Waits for more of the next message. Between messages the router may close the connection, but only
     /// after a look at what has come: a request that was read is answered.
-    async fn next(&mut self) -> Result<(), CloseReason> {
-        let shared = self.shared.clone();
-        let is_between = self.buffer.bytes().is_empty();
-        if self.has_ended {
-            return Err(if is_between {
-                CloseReason::Eof
-            } else {
-                CloseReason::Truncated
-            });
+    async fn wait_for_input(&mut self) -> Result<(), CloseReason> {
+        if self.has_input_ended {
+            return self.end_of_input(&Ok(0)).map_or(Ok(()), Err);
         }
         // A part of a message came too late to be owed an answer.
         if self.has_reading_ended() {
             return Err(CloseReason::Shutdown);
         }
-        let resting = if self
-            .extended_queries
-            .as_ref()
-            .is_some_and(ExtendedQueries::has_state)
-        {
-            HolderKind::Stateful
-        } else {
-            HolderKind::Idle
-        };
-        // A message that has stalled or drips in, or a connection that says nothing, must not hold a slot.
-        let now = shared.clock.now();
-        let (holder, since, limit) = match (self.unproven.is_some(), is_between) {
-            (true, _) => (
-                HolderKind::Expendable,
-                self.accepted,
-                Some(CloseReason::StartupTimeout),
-            ),
-            (false, true) => (resting, now, None),
-            (false, false) => (
-                HolderKind::Expendable,
-                *self.begun.get_or_insert(now),
-                Some(CloseReason::Stalled),
-            ),
-        };
-        let _resting = (holder == HolderKind::Idle).then(|| shared.clients.count_idle());
-        let since = shared.clock.instant(since);
-        let late = async {
-            match limit {
-                Some(reason) => {
-                    Timer::at(since + FIRST).await;
-                    Waited::Done(reason)
-                }
-                None => futures_lite::future::pending().await,
-            }
-        };
-        let evicted = async {
-            Timer::at(
-                since
-                    + if holder == HolderKind::Expendable {
-                        EVICTABLE_AFTER
-                    } else {
-                        IDLE
-                    },
-            )
-            .await;
-            shared.clients.eviction_requested(holder).await;
-            Waited::Done(CloseReason::Evicted)
-        };
-        let outcome = async {
-            shared.draining.wait().await;
-            let now = shared.clock.now();
-            let told = shared.ended_at.get().unwrap_or(now);
-            let last = shared.last_read().unwrap_or(now).saturating_sub(LAST_LOOK);
-            let until = match (is_between, self.unproven.is_some()) {
-                // What has begun to come is waited for: once its last byte is here, it is owed an answer.
-                (false, _) => last,
-                // Its client would meet the same on any further connection, and lose its first request.
-                (true, true) => last.min(self.accepted.max(told).saturating_add(FIRST_REQUEST)),
-                (true, false) => now,
-            };
-            if until > now {
-                Timer::at(shared.clock.instant(until)).await;
-            }
-            Waited::Done(CloseReason::Shutdown)
-        };
-        let read = async { Waited::Read(self.buffer.fill(&self.stream).await) };
-        match or(read, or(late, or(outcome, evicted))).await {
-            Waited::Read(Err(e)) if MemoryLimitReached::caused(&e) => Err(self.no_memory().await),
-            Waited::Read(read) => self.gone(&read).map_or(Ok(()), Err),
-            Waited::Done(reason) => {
-                // Decided and done in one step: what has come up to now is served first.
-                let before = self.buffer.bytes().len();
-                self.look()?;
-                let is_begun = is_between && self.buffer.bytes().len() > before;
-                if is_begun || self.has_whole_message() {
-                    count(&shared.counters.late_request_served);
-                    return Ok(());
-                }
-                if reason == CloseReason::Evicted {
-                    count(&shared.counters.connections_evicted);
-                }
-                Err(reason)
-            }
+        let is_between = self.buffer.bytes().is_empty();
+        let limits = self.wait_limits(is_between);
+        let is_idle = limits.holder == HolderKind::Idle;
+        let _idle = is_idle.then(|| self.shared.clients.count_idle());
+        let close_due = async { Wait::CloseDue(limits.close_due(&self.shared).await) };
+        let read = async { Wait::Read(self.buffer.fill(&self.stream).await) };
+        match or(read, close_due).await {
+            Wait::Read(Err(e)) if MemoryLimitReached::caused(&e) => Err(self.no_memory().await),
+            Wait::Read(read) => self.end_of_input(&read).map_or(Ok(()), Err),
+            Wait::CloseDue(reason) => self.close_unless_input_came(reason, is_between),
+        }
+    }
+
+    /// Decided and done in one step: what has come up to now is served first.
+    fn close_unless_input_came(
+        &mut self,
+        reason: CloseReason,
+        is_between: bool,
+    ) -> Result<(), CloseReason> {
+        let before = self.buffer.bytes().len();
+        self.read_available()?;
+        let has_begun = is_between && self.buffer.bytes().len() > before;
+        if has_begun || self.has_whole_message() {
+            count(&self.shared.counters.late_request_served);
+            return Ok(());
         }
+        if reason == CloseReason::Evicted {
+            count(&self.shared.counters.connections_evicted);
+        }
+        Err(reason)
     }
 
     /// A request that was read at `arrived`.
@@ -405,7 +375,11 @@
     }
 
     /// Extended queries are not spoken: one error for the sequence, which ends with its Sync.
-    async fn on_unsupported(&mut self, tag: u8) -> Result<(), CloseReason> {
+    async fn on_unsupported(&mut self, tag: u8, len: usize) -> Result<(), CloseReason> {
+        self.buffer.consume(len);
+        if std::mem::replace(&mut self.is_skipping_to_sync, true) {
+            return Ok(());
+        }
         count(&self.shared.counters.invalid_statements);
         let mut out = Vec::new();
         let why = format!(
@@ -416,6 +390,16 @@
         self.write(&out).await
     }
 
+    /// The end of a sequence of commands that are not supported.
+    async fn on_unsupported_sync(&mut self, len: usize) -> Result<(), CloseReason> {
+        self.buffer.consume(len);
+        self.is_skipping_to_sync = false;
+        let mut out = Vec::new();
+        backend::put_ready(&mut out);
+        self.write(&out).await
+    }
+
+    /// Writes all of `bytes` to the client.
     pub(super) async fn write(&mut self, bytes: &[u8]) -> Result<(), CloseReason> {
         socket::write_to_client(&self.stream, bytes).await
     }
--- a/crates/router/src/client/extended_queries.rs
+++ b/crates/router/src/client/extended_queries.rs
@@ -164,7 +164,7 @@
     /// Runs a pipeline until nothing waits; the buffer begins with one of its commands. What stands behind it that
     /// is none of its commands is left there.
     pub(super) async fn run_pipeline(&mut self) -> Result<(), CloseReason> {
-        self.unproven = None;
+        self.state.on_request();
         self.cancellation.reset();
         let ended = self.serve_pipeline().await;
         // Only a client that has gone leaves requests behind.
@@ -181,7 +181,7 @@
         loop {
             self.take_commands();
             // Its end may stand behind what it has sent: nothing is begun for one that has gone.
-            self.look()?;
+            self.read_available()?;
             if self.has_left() && !self.is_pipeline_idle() {
                 return Err(CloseReason::LeftWaiting);
             }
--- a/crates/router/src/client/simple_queries.rs
+++ b/crates/router/src/client/simple_queries.rs
@@ -57,7 +57,7 @@
     /// Serves simple queries until nothing waits; the buffer begins with one. What stands behind them that is none is
     /// left there.
     pub(super) async fn run_simple_queries(&mut self) -> Result<(), CloseReason> {
-        self.unproven = None;
+        self.state.on_request();
         self.cancellation.reset();
         let ended = self.serve_simple_queries().await;
         // Only a client that has gone, or does not read its answers, leaves requests behind.
@@ -71,7 +71,7 @@
         loop {
             self.take_simple_queries();
             // Its end may stand behind what it has sent: nothing is begun for one that has gone.
-            self.look()?;
+            self.read_available()?;
             if !self.simple_queries.queue.is_empty() && self.has_left() {
                 return Err(CloseReason::LeftWaiting);
             }
