--- a/crates/router/src/client/accept_loop.rs
+++ b/crates/router/src/client/accept_loop.rs
@@ -5,12 +5,12 @@
 use super::connection::serve;
 use crate::observability::counters::count;
 use crate::runtime::accept;
-use crate::runtime::shared::Shared;
+use crate::runtime::shared::{DescriptorPermit, Shared};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future::or;
 use slog::warn;
-use std::net::TcpListener;
+use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -24,32 +24,9 @@
     listener: Async<TcpListener>,
 ) {
     loop {
-        let permit = loop {
-            if let Some(permit) = shared.clients.try_acquire() {
-                break permit;
-            }
-            // Make room: an expendable connection goes, or the one idle longest; else one has to end by itself.
-            shared.clients.request_any_eviction();
-            let pause = async {
-                Timer::after(PERMIT_RETRY_INTERVAL).await;
-            };
-            or(shared.clients.permit_released(), pause).await;
-        };
+        let permit = acquire_permit(&shared).await;
         match listener.accept().await {
-            Ok((stream, _)) => {
-                count(&shared.counters.clients);
-                shared.last_arrival.set(shared.clock.now());
-                // Counted from here on, not from when its task first runs: in a burst that is many connections
-                // later, and a connection in use would be asked to make room for those that say nothing.
-                let unproven = shared.clients.count_unproven();
-                executor
-                    .spawn(serve(shared.clone(), stream, permit, unproven))
-                    .detach();
-                if shared.clients.is_running_low() {
-                    // Ahead of the need: the next one must not wait in the backlog for room to be made.
-                    shared.clients.request_eviction();
-                }
-            }
+            Ok((stream, _)) => start_connection(&shared, &executor, stream, permit),
             Err(e) => {
                 count(&shared.counters.accept_errors);
                 warn!(shared.log, "accept failed"; "error" => %e);
@@ -60,3 +37,38 @@
         }
     }
 }
+
+/// Waits for a descriptor. Where there is none, an expendable connection goes, or the one idle longest; else one has to
+/// end by itself.
+async fn acquire_permit(shared: &Rc<Shared>) -> DescriptorPermit {
+    loop {
+        if let Some(permit) = shared.clients.try_acquire() {
+            return permit;
+        }
+        shared.clients.request_any_eviction();
+        let pause = async {
+            Timer::after(PERMIT_RETRY_INTERVAL).await;
+        };
+        or(shared.clients.permit_released(), pause).await;
+    }
+}
+
+/// Starts the task of a connection that has been accepted.
+fn start_connection(
+    shared: &Rc<Shared>,
+    executor: &LocalExecutor<'static>,
+    stream: Async<TcpStream>,
+    permit: DescriptorPermit,
+) {
+    count(&shared.counters.clients);
+    shared.last_arrival.set(shared.clock.now());
+    // Counted from here on, not from when its task first runs: in a burst that is many connections later, and a
+    // connection in use would be asked to make room for those that say nothing.
+    let unproven = shared.clients.count_unproven();
+    let task = serve(shared.clone(), stream, permit, unproven);
+    executor.spawn(task).detach();
+    if shared.clients.is_running_low() {
+        // Ahead of the need: the next one must not wait in the backlog for room to be made.
+        shared.clients.request_eviction();
+    }
+}
--- a/crates/router/src/client/connection.rs
+++ b/crates/router/src/client/connection.rs
@@ -5,6 +5,7 @@
 
 use super::connection_state::ConnectionState;
 use super::extended_queries::ExtendedQueries;
+use super::message_kind::MessageKind;
 use super::reading::{LateReading, READ_AHEAD_LIMIT, is_whole};
 use super::simple_queries::SimpleQueries;
 use super::wait_limits::{ShutdownWait, WaitLimits};
@@ -20,7 +21,7 @@
 use async_io::Async;
 use futures_lite::future::or;
 use reelrill_pg_protocol::frame;
-use reelrill_pg_protocol::frontend::{self, CommandError, Startup};
+use reelrill_pg_protocol::frontend::{self, Startup};
 use reelrill_pg_protocol::{backend, code};
 use reelrill_pg_session::admit::Admitted;
 use reelrill_pg_session::bound::Ask;
@@ -30,41 +31,6 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// What a whole message asks of the connection.
-enum MessageKind {
-    /// The first command of a pipeline.
-    ExtendedCommand,
-    SimpleQuery,
-    /// The Sync that ends commands which are not supported.
-    Sync,
-    /// A command of a kind that is not supported.
-    Unsupported,
-    Terminate,
-    /// A command that can't be read.
-    Malformed(CommandError),
-    /// What the protocol does not allow, with what is wrong.
-    Violation(&'static str),
-}
-
-impl MessageKind {
-    fn of(tag: u8, body: &[u8], is_extended: bool) -> MessageKind {
-        match tag {
-            b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'S' if is_extended => {
-                match frontend::read(tag, body) {
-                    Ok(_) => MessageKind::ExtendedCommand,
-                    Err(error) => MessageKind::Malformed(error),
-                }
-            }
-            b'Q' if backend::only_text(body).is_some() => MessageKind::SimpleQuery,
-            b'Q' => MessageKind::Violation("a query that is no text"),
-            b'X' => MessageKind::Terminate,
-            b'S' => MessageKind::Sync,
-            b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'F' => MessageKind::Unsupported,
-            _ => MessageKind::Violation("an unknown message"),
-        }
-    }
-}
-
 /// Serves one connection to its end and logs why it ended.
 pub async fn serve(
     shared: Rc<Shared>,
--- a/crates/router/src/client/extended_queries.rs
+++ b/crates/router/src/client/extended_queries.rs
@@ -47,12 +47,12 @@
         self.plan.statements() > 0 || self.plan.is_open()
     }
 
-    /// A simple query has come: it ends what the protocol lets it end.
+    /// A simple query has come: it drops the unnamed statement and all portals.
     pub fn on_simple_query(&mut self) {
         self.plan.on_simple();
     }
 
-    /// Runs a simple query that concerns the session's prepared statements. None: it does not.
+    /// Runs a simple query that concerns the session's prepared statements alone. None: it is something else.
     pub fn run_session_statement(&mut self, text: &str) -> Option<Result<&'static str, Wrong>> {
         self.plan.simple(text)
     }
--- a/crates/router/src/runtime/shared.rs
+++ b/crates/router/src/runtime/shared.rs
@@ -72,6 +72,21 @@
 /// What is thrown away is read in pieces of this size.
 const SCRATCH_SIZE: usize = 64 * 1024;
 
+/// What all clients' prepared statements and pipelines share.
+fn session_common(config: &Config) -> Common {
+    let extended = &config.edge.extended;
+    Common {
+        templates: Templates::new(extended.limits.text_bytes, extended.data_type.oid()),
+        limits: extended.limits,
+        accounts: Accounts::new(&extended.limits),
+        catalog: Catalog::new(
+            config.site.class_names.clone(),
+            config.site.settings.classes.clone(),
+        ),
+        translate: extended.mode == Mode::Translate,
+    }
+}
+
 impl Shared {
     /// Divides descriptors and memory as the configuration says.
     pub fn new(
@@ -85,17 +100,7 @@
         let clock = Clock::new();
         let deadlines = config.site.settings.classes.iter().map(|c| c.deadline);
         let shutdown = ShutdownSchedule::new(deadlines.max().unwrap_or(0));
-        let extended = &config.edge.extended;
-        let common = Rc::new(Common {
-            templates: Templates::new(extended.limits.text_bytes, extended.data_type.oid()),
-            limits: extended.limits,
-            accounts: Accounts::new(&extended.limits),
-            catalog: Catalog::new(
-                config.site.class_names.clone(),
-                config.site.settings.classes.clone(),
-            ),
-            translate: extended.mode == Mode::Translate,
-        });
+        let common = session_common(&config);
         Rc::new(Shared {
             clients: DescriptorBudget::new(for_clients),
             upstream: DescriptorBudget::new(available - for_clients),
@@ -113,7 +118,7 @@
             directory,
             scratch: RefCell::new(vec![0; SCRATCH_SIZE]),
             requests: Cell::new(0),
-            common,
+            common: Rc::new(common),
             cancellations: CancellationRegistry::default(),
         })
     }
