--- a/crates/router/src/client/closing.rs
+++ b/crates/router/src/client/closing.rs
@@ -4,6 +4,7 @@
 
 use super::connection::Client;
 use super::wait_limits::EXPENDABLE_EVICTION_DELAY;
+use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
 use crate::runtime::shared::HolderKind;
 use async_io::Timer;
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -10,7 +10,6 @@
 use super::pool_handle::{CommandSender, PoolCommand};
 use crate::messages::{Attempt, AttemptResult, Message};
 use crate::observability::close_reason::CloseReason;
-use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
 use crate::runtime::shared::{HolderKind, Shared};
 use async_channel::{Receiver, Sender};
@@ -295,7 +294,7 @@
         }
         // An idle connection must not keep a descriptor that another pool waits for.
         if self.waiting.is_empty() && self.shared.upstream.has_waiters() {
-            count(&self.shared.counters.evicted);
+            count(&self.shared.counters.connections_evicted);
             return connection.close(CloseReason::Evicted);
         }
         connection.idle_since = self.shared.clock.now();
