--- a/crates/pg-session/src/template.rs
+++ b/crates/pg-session/src/template.rs
@@ -4,6 +4,10 @@
 //! parameter, and an `id` or a `d` that is missing is added as one: each Bind can then say how long the router
 //! waits, and under which name the request runs, while the text stays the same and is prepared once.
 
+mod utility;
+
+pub use utility::Utility;
+
 use crate::Wrong;
 use crate::form::{Form, FormError, Place, Word};
 use reelrill_pg_protocol::frontend::MOST_PARAMETERS;
@@ -17,67 +21,6 @@
 /// What a template takes beside its texts, in bytes, as the bound counts it.
 const OVERHEAD: usize = 512;
 
-/// A statement that has no effect on endpoints.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Utility {
-    /// SET or RESET: taken, without effect.
-    Setting(&'static str),
-    /// DISCARD ALL: all statements of the client go.
-    DiscardAll,
-    /// DEALLOCATE of one statement, or of all.
-    Deallocate(Option<Box<str>>),
-}
-
-impl Utility {
-    /// Reads such a statement; none if it is something else.
-    pub fn read(text: &str) -> Option<Result<Utility, Wrong>> {
-        let text = text.trim_matches(|c: char| c.is_whitespace() || c == ';');
-        let mut words = text.split_whitespace();
-        let first = words.next()?.to_ascii_uppercase();
-        let mut rest: Vec<&str> = words.collect();
-        Some(Ok(match &*first {
-            "SET" => Utility::Setting("SET"),
-            "RESET" => Utility::Setting("RESET"),
-            "DISCARD" if rest.len() == 1 && rest[0].eq_ignore_ascii_case("all") => {
-                Utility::DiscardAll
-            }
-            "DEALLOCATE" => {
-                if rest
-                    .first()
-                    .is_some_and(|w| w.eq_ignore_ascii_case("prepare"))
-                {
-                    rest.remove(0);
-                }
-                match &rest[..] {
-                    [all] if all.eq_ignore_ascii_case("all") => Utility::Deallocate(None),
-                    // A name without quotes is folded, as servers of this protocol do.
-                    [name] => Utility::Deallocate(Some(match name.strip_prefix('"') {
-                        Some(quoted) => quoted.strip_suffix('"')?.replace("\"\"", "\"").into(),
-                        None => name.to_ascii_lowercase().into(),
-                    })),
-                    _ => return None,
-                }
-            }
-            "BEGIN" | "START" | "COMMIT" | "END" | "ROLLBACK" | "ABORT" | "SAVEPOINT"
-            | "RELEASE" | "COPY" | "DECLARE" | "FETCH" | "MOVE" | "CLOSE" | "PREPARE"
-            | "EXECUTE" | "LISTEN" | "NOTIFY" | "LOCK" | "DISCARD" => {
-                return Some(Err(Wrong::Unsupported(first)));
-            }
-            _ => return None,
-        }))
-    }
-
-    /// What CommandComplete says.
-    pub fn tag(&self) -> &'static str {
-        match self {
-            Utility::Setting(tag) => tag,
-            Utility::DiscardAll => "DISCARD ALL",
-            Utility::Deallocate(None) => "DEALLOCATE ALL",
-            Utility::Deallocate(Some(_)) => "DEALLOCATE",
-        }
-    }
-}
-
 /// A word of a prepared statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Slot {
@@ -276,10 +219,7 @@
 }
 
 fn read(text: &str, declared: &[u32], data: u32) -> Result<Kind, Wrong> {
-    if text
-        .trim_matches(|c: char| c.is_whitespace() || c == ';')
-        .is_empty()
-    {
+    if utility::trim_statement(text).is_empty() {
         return Ok(Kind::Empty);
     }
     if let Some(utility) = Utility::read(text) {
--- /dev/null
+++ b/crates/pg-session/src/template/utility.rs
@@ -0,0 +1,103 @@
+//! Utility statements: session settings and the removal of prepared statements, which never reach an endpoint.
+//!
+//! Responsible for recognizing such a statement and naming its command tag. Owns no state: the client's session
+//! carries the statement out. Must never accept a statement that would have an effect on an endpoint.
+
+use crate::Wrong;
+
+/// Commands that are recognized and refused: each needs state that is kept between statements on one connection.
+const UNSUPPORTED: [&str; 18] = [
+    "BEGIN",
+    "START",
+    "COMMIT",
+    "END",
+    "ROLLBACK",
+    "ABORT",
+    "SAVEPOINT",
+    "RELEASE",
+    "COPY",
+    "DECLARE",
+    "FETCH",
+    "MOVE",
+    "CLOSE",
+    "PREPARE",
+    "EXECUTE",
+    "LISTEN",
+    "NOTIFY",
+    "LOCK",
+];
+
+/// A statement that has no effect on endpoints.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Utility {
+    /// `SET` or `RESET`: accepted, without effect.
+    Setting(&'static str),
+    /// `DISCARD ALL`: removes all prepared statements of the client.
+    DiscardAll,
+    /// `DEALLOCATE` of one prepared statement by name, or of all.
+    Deallocate(Option<Box<str>>),
+}
+
+impl Utility {
+    /// Parses a utility statement; `None` if the text is another statement.
+    ///
+    /// # Errors
+    ///
+    /// [`Wrong::Unsupported`] with the command's name for a command that is known and not supported.
+    pub fn read(text: &str) -> Option<Result<Utility, Wrong>> {
+        let mut words = trim_statement(text).split_whitespace();
+        let command = words.next()?.to_ascii_uppercase();
+        let arguments: Vec<&str> = words.collect();
+        match &*command {
+            "SET" => Some(Ok(Utility::Setting("SET"))),
+            "RESET" => Some(Ok(Utility::Setting("RESET"))),
+            "DISCARD" if is_all(&arguments) => Some(Ok(Utility::DiscardAll)),
+            "DISCARD" => Some(Err(Wrong::Unsupported(command))),
+            "DEALLOCATE" => parse_deallocate(&arguments).map(Ok),
+            other if UNSUPPORTED.contains(&other) => Some(Err(Wrong::Unsupported(command))),
+            _ => None,
+        }
+    }
+
+    /// The command tag of its CommandComplete message.
+    pub fn tag(&self) -> &'static str {
+        match self {
+            Utility::Setting(tag) => tag,
+            Utility::DiscardAll => "DISCARD ALL",
+            Utility::Deallocate(None) => "DEALLOCATE ALL",
+            Utility::Deallocate(Some(_)) => "DEALLOCATE",
+        }
+    }
+}
+
+/// Removes white space and semicolons around a statement.
+pub(super) fn trim_statement(text: &str) -> &str {
+    text.trim_matches(|c: char| c.is_whitespace() || c == ';')
+}
+
+fn is_all(arguments: &[&str]) -> bool {
+    matches!(arguments, [word] if word.eq_ignore_ascii_case("all"))
+}
+
+/// Parses what follows `DEALLOCATE`: an optional `PREPARE`, then `ALL` or one name.
+fn parse_deallocate(arguments: &[&str]) -> Option<Utility> {
+    let target = match arguments {
+        [first, rest @ ..] if first.eq_ignore_ascii_case("prepare") => rest,
+        _ => arguments,
+    };
+    match target {
+        _ if is_all(target) => Some(Utility::Deallocate(None)),
+        [name] => Some(Utility::Deallocate(Some(fold_identifier(name)?))),
+        _ => None,
+    }
+}
+
+/// An identifier as PostgreSQL compares it: folded to lower case unless quoted. `None` if the closing quote is
+/// missing.
+fn fold_identifier(identifier: &str) -> Option<Box<str>> {
+    let Some(quoted) = identifier.strip_prefix('"') else {
+        return Some(identifier.to_ascii_lowercase().into());
+    };
+    let inside = quoted.strip_suffix('"')?;
+    Some(inside.replace("\"\"", "\"").into())
+}
