--- a/crates/pg-session/src/template.rs
+++ b/crates/pg-session/src/template.rs
@@ -4,22 +4,18 @@
 //! parameter, and an `id` or a `d` that is missing is added as one: each Bind can then say how long the router
 //! waits, and under which name the request runs, while the text stays the same and is prepared once.
 
+mod store;
 mod utility;
 
+pub use store::Templates;
 pub use utility::Utility;
 
 use crate::Wrong;
 use crate::form::{Form, FormError, Place, Word};
 use reelrill_pg_protocol::frontend::MOST_PARAMETERS;
 use reelrill_pg_protocol::oid;
-use std::cell::RefCell;
-use std::collections::HashMap;
-use std::hash::{BuildHasher, RandomState};
 use std::ops::Range;
-use std::rc::{Rc, Weak};
-
-/// What a template takes beside its texts, in bytes, as the bound counts it.
-const OVERHEAD: usize = 512;
+use store::StoreEntry;
 
 /// A word of a prepared statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -69,9 +65,7 @@
     pub kind: Kind,
     source: Box<str>,
     declared: Box<[u32]>,
-    hash: u64,
-    cost: usize,
-    store: Weak<RefCell<Inner>>,
+    _entry: StoreEntry,
 }
 
 impl Template {
@@ -94,104 +88,6 @@
     format!("r{id:x}")
 }
 
-impl Drop for Template {
-    fn drop(&mut self) {
-        let Some(store) = self.store.upgrade() else {
-            return;
-        };
-        let mut store = store.borrow_mut();
-        store.bytes -= self.cost;
-        if let Some(bucket) = store.buckets.get_mut(&self.hash) {
-            bucket.retain(|t| t.strong_count() > 0);
-            if bucket.is_empty() {
-                store.buckets.remove(&self.hash);
-            }
-        }
-    }
-}
-
-#[derive(Debug)]
-struct Inner {
-    /// By the hash of text and types; a weak end, so that the last holder takes the template with it.
-    buckets: HashMap<u64, Vec<Weak<Template>>>,
-    hasher: RandomState,
-    bytes: usize,
-    most: usize,
-    next: u64,
-    data: u32,
-}
-
-/// All prepared statements of a router, each kept once.
-#[derive(Debug, Clone)]
-pub struct Templates(Rc<RefCell<Inner>>);
-
-impl Templates {
-    /// A store for `most` bytes; `data` is the type of the column that is read and written.
-    pub fn new(most: usize, data: u32) -> Templates {
-        let (buckets, hasher) = (HashMap::new(), RandomState::new());
-        Templates(Rc::new(RefCell::new(Inner {
-            buckets,
-            hasher,
-            bytes: 0,
-            most,
-            next: 1,
-            data,
-        })))
-    }
-
-    /// The one template for a text and the types that its Parse declares (0: left open).
-    pub fn get(&self, text: &str, declared: &[u32]) -> Result<Rc<Template>, Wrong> {
-        let hash = self.0.borrow().hasher.hash_one((text, declared));
-        let known = self.0.borrow().buckets.get(&hash).and_then(|bucket| {
-            let same = |t: &Rc<Template>| *t.source == *text && *t.declared == *declared;
-            bucket.iter().filter_map(Weak::upgrade).find(same)
-        });
-        if let Some(known) = known {
-            return Ok(known);
-        }
-        let kind = read(text, declared, self.0.borrow().data)?;
-        let sent = if let Kind::Request(r) = &kind {
-            r.text.len()
-        } else {
-            0
-        };
-        let cost = OVERHEAD + text.len() + sent;
-        let mut inner = self.0.borrow_mut();
-        if inner.bytes + cost > inner.most {
-            return Err(Wrong::Limit {
-                what: "bytes of statement texts",
-                most: inner.most,
-            });
-        }
-        inner.bytes += cost;
-        let id = inner.next;
-        inner.next += 1;
-        let store = Rc::downgrade(&self.0);
-        let (source, declared) = (text.into(), declared.into());
-        let template = Rc::new(Template {
-            id,
-            kind,
-            source,
-            declared,
-            hash,
-            cost,
-            store,
-        });
-        inner
-            .buckets
-            .entry(hash)
-            .or_default()
-            .push(Rc::downgrade(&template));
-        Ok(template)
-    }
-
-    /// How many there are, and the bytes that they count for.
-    pub fn used(&self) -> (usize, usize) {
-        let inner = self.0.borrow();
-        (inner.buckets.values().map(Vec::len).sum(), inner.bytes)
-    }
-}
-
 /// The type of a parameter that is left open.
 fn usual_type(place: Place, data: u32) -> Option<u32> {
     match place {
--- a/crates/pg-session/src/template/tests.rs
+++ b/crates/pg-session/src/template/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use rstest::rstest;
+use std::rc::Rc;
 
 const READ: &str = "SELECT data FROM facts WHERE code = $1 /* id=$2,c=board,d=$3,cluster=2 */";
 
@@ -61,7 +62,10 @@
 
 #[test]
 fn a_text_is_kept_once_and_as_long_as_somebody_has_it() {
-    let store = Templates::new(4 * (OVERHEAD + 2 * READ.len()), oid::BYTEA);
+    let store = Templates::new(
+        4 * (store::TEMPLATE_OVERHEAD_BYTES + 2 * READ.len()),
+        oid::BYTEA,
+    );
     let one = store.get(READ, &[]).unwrap();
     let same = store.get(READ, &[]).unwrap();
     let other = store.get(READ, &[oid::VARCHAR]).unwrap();
