--- a/crates/pg-session/src/template/store.rs
+++ b/crates/pg-session/src/template/store.rs
@@ -5,7 +5,7 @@
 //! prepared them, and leave the index when the last of them drops its reference. Must never give an id twice,
 //! nor keep a statement alive that nobody has prepared.
 
-use super::{Kind, Template, read};
+use super::{Kind, Template, parse};
 use crate::Wrong;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -62,7 +62,7 @@
         if let Some(known) = self.find(hash, text, declared) {
             return Ok(known);
         }
-        let kind = read(text, declared, self.0.borrow().value_type)?;
+        let kind = parse(text, declared, self.0.borrow().value_type)?;
         let cost_bytes = cost_bytes(text, &kind);
         let id = self.0.borrow_mut().reserve(cost_bytes)?;
         let template = Rc::new(Template {
--- a/crates/pg-session/src/template/tests.rs
+++ b/crates/pg-session/src/template/tests.rs
@@ -1,13 +1,15 @@
 //! Tests of `template`.
 
 use super::*;
+use reelrill_pg_protocol::frontend::MOST_PARAMETERS;
+use reelrill_pg_protocol::oid;
 use rstest::rstest;
 use std::rc::Rc;
 
 const READ: &str = "SELECT data FROM facts WHERE code = $1 /* id=$2,c=board,d=$3,cluster=2 */";
 
 fn request(text: &str, declared: &[u32]) -> Result<Request, Wrong> {
-    match read(text, declared, oid::BYTEA)? {
+    match parse(text, declared, oid::BYTEA)? {
         Kind::Request(r) => Ok(r),
         other => panic!("{other:?}"),
     }
@@ -57,7 +59,7 @@
     #[case] declared: &[u32],
     #[case] wanted: Wrong,
 ) {
-    assert_eq!(read(text, declared, oid::BYTEA).err(), Some(wanted));
+    assert_eq!(parse(text, declared, oid::BYTEA).err(), Some(wanted));
 }
 
 #[test]
