--- a/crates/pg-session/src/bound/literal.rs
+++ b/crates/pg-session/src/bound/literal.rs
@@ -4,6 +4,7 @@
 //! read in another way, as the end of the literal or of the comment: such a value is refused.
 
 use super::value_format::{decode_word, put_hex};
+use super::values::take_share;
 use super::{Bound, Simple};
 use crate::Wrong;
 use crate::account::Accounts;
@@ -45,10 +46,7 @@
         }
         out.push_str(&request.text[copied..]);
         let text = out.into_bytes();
-        let share = accounts.values.take(text.len()).ok_or(Wrong::Limit {
-            what: "bytes of values",
-            most: accounts.values.most(),
-        })?;
+        let share = take_share(&accounts.values, text.len())?;
         Ok(Simple::from_values(text, wait_digits, share))
     }
 
--- a/crates/pg-session/src/bound/tests.rs
+++ b/crates/pg-session/src/bound/tests.rs
@@ -2,12 +2,15 @@
 
 use super::*;
 use crate::account::Limits;
+use crate::admit::Named;
 use crate::admit::tests::catalog;
 use crate::template::Templates;
 use proptest::prelude::*;
 use reelrill_pg_protocol::frame;
 use reelrill_pg_protocol::frontend::Command;
+use reelrill_pg_protocol::oid;
 use rstest::rstest;
+use std::borrow::Cow;
 
 const WRITE: &str = "INSERT INTO facts (code, data) VALUES ($1, $2) RETURNING data \
                      /* id=$3,c=book,d=$4,cluster=$5,k=$6 */";
