--- a/crates/pg-session/src/form.rs
+++ b/crates/pg-session/src/form.rs
@@ -1,21 +1,17 @@
-//! The form of a statement: one read, one write, and a comment that closes it and names the request. A word may be
-//! a parameter (`$n`) where the statement is prepared.
+//! The form of a statement: one read, one write, and a comment that closes it and annotates the request. A word
+//! may be a parameter (`$n`) where the statement is prepared.
+//!
+//! Responsible for the words of a statement and for the text forms of numbers, ids and values. Owns no state: a
+//! form borrows from its text. Must never interpret what an annotation means.
 
+mod parser;
+
+use parser::Parser;
 use std::ops::Range;
 use std::str::FromStr;
 
-const READ: &str = "SELECT data FROM facts WHERE code = ";
-/// Around the two values of a write.
-const WRITE: [&str; 3] = [
-    "INSERT INTO facts (code, data) VALUES (",
-    ", ",
-    ") RETURNING data",
-];
 /// The largest value, in bytes.
 pub const LARGEST_VALUE: usize = 64 * 1024;
-/// The most names that a comment may hold.
-const MOST_NAMES: usize = 32;
-
 /// Why a text is no statement of ours.
 #[derive(Debug, Clone, thiserror::Error, PartialEq, Eq)]
 pub enum FormError {
@@ -113,26 +109,6 @@
     pub comment_end: usize,
 }
 
-/// Splits off a quoted literal; a quote inside it is doubled.
-fn literal(text: &str) -> Option<(&str, &str)> {
-    let inside = text.strip_prefix('\'')?;
-    let mut from = 0;
-    loop {
-        let end = from + inside[from..].find('\'')?;
-        if !inside[end + 1..].starts_with('\'') {
-            return Some((&inside[..end], &inside[end + 1..]));
-        }
-        from = end + 2;
-    }
-}
-
-/// The number of a parameter, if this is one and nothing else.
-fn param(text: &str) -> Option<u16> {
-    let digits = text.strip_prefix('$')?;
-    let is_plain = !digits.starts_with('0') && digits.bytes().all(|b| b.is_ascii_digit());
-    is_plain.then(|| digits.parse().ok())?
-}
-
 /// Digits and nothing else: the standard library's own reading also takes a sign.
 pub fn number<T: FromStr>(value: &str) -> Option<T> {
     value
@@ -159,79 +135,13 @@
 }
 
 impl<'a> Form<'a> {
-    /// Reads the whole statement; `prepared` says that words may be parameters. What is passed on must be what
-    /// endpoints take: one that they turn away, or take otherwise than it was meant, costs them work and others
-    /// their time.
+    /// Parses a whole statement; `prepared` says that words may be parameters.
+    ///
+    /// # Errors
+    ///
+    /// Why the text is no statement of this form.
     pub fn read(statement: &'a str, prepared: bool) -> Result<Form<'a>, FormError> {
-        let mut words = Vec::with_capacity(10);
-        let at = |part: &str| part.as_ptr() as usize - statement.as_ptr() as usize;
-        let mut word = |place, text: &'a str| {
-            let start = at(text);
-            if let Some((inside, rest)) = literal(text) {
-                words.push((place, Word::Text(inside), start..at(rest)));
-                return Some(rest);
-            }
-            let end = 1 + text
-                .get(1..)?
-                .find(|c: char| !c.is_ascii_digit())
-                .unwrap_or(text.len() - 1);
-            let number = param(text.get(..end)?).filter(|_| prepared)?;
-            words.push((place, Word::Param(number), start..start + end));
-            text.get(end..)
-        };
-        let is_write = !statement.starts_with(READ);
-        let rest = if let Some(rest) = statement.strip_prefix(READ) {
-            word(Place::Key, rest).ok_or(FormError::Form)?
-        } else {
-            let rest = statement
-                .strip_prefix(WRITE[0])
-                .and_then(|rest| word(Place::Key, rest));
-            let rest = rest
-                .and_then(|r| r.strip_prefix(WRITE[1]))
-                .and_then(|r| word(Place::Value, r));
-            rest.and_then(|r| r.strip_prefix(WRITE[2]))
-                .ok_or(FormError::Form)?
-        };
-        if words
-            .iter()
-            .any(|(p, w, _)| matches!((p, w), (Place::Value, Word::Text(v)) if !is_value(v)))
-        {
-            return Err(FormError::Value);
-        }
-        let outcome = |c: char| c.is_ascii_whitespace() || c == ';';
-        let inside = rest
-            .trim_start()
-            .strip_prefix("/*")
-            .ok_or(FormError::Missing)?;
-        let inside = inside
-            .trim_end_matches(outcome)
-            .strip_suffix("*/")
-            .ok_or(FormError::Missing)?;
-        if inside.contains("*/") || inside.contains("/*") {
-            return Err(FormError::Missing);
-        }
-        let mut names: Vec<&str> = Vec::with_capacity(8);
-        for part in inside.split(',') {
-            let (name, value) = part
-                .trim()
-                .split_once('=')
-                .filter(|p| !p.1.is_empty())
-                .ok_or(FormError::Pair)?;
-            if names.contains(&name) || names.len() >= MOST_NAMES {
-                return Err(FormError::Pair);
-            }
-            names.push(name);
-            let word = param(value)
-                .filter(|_| prepared)
-                .map_or(Word::Text(value), Word::Param);
-            words.push((Place::of(name), word, at(value)..at(value) + value.len()));
-        }
-        let comment_end = at(inside) + inside.trim_end().len();
-        Ok(Form {
-            words,
-            is_write,
-            comment_end,
-        })
+        Parser::new(statement, prepared).parse()
     }
 
     /// The word at a place, and where it stands.
