--- a/crates/pg-session/src/account.rs
+++ b/crates/pg-session/src/account.rs
@@ -1,4 +1,7 @@
-//! Bounds that all clients share: what one holds is counted as long as it is held.
+//! Bounds on what clients may hold.
+//!
+//! Responsible for counting what is in use of the bounds that all clients share. Owns the counts; each holder
+//! owns its share and gives it back on drop. Must never count above a bound.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -26,7 +29,7 @@
         })
     }
 
-    /// Sets `amount` aside; none if that much is not left.
+    /// Reserves `amount`; `None` if that much is not left.
     pub fn take(self: &Rc<Self>, amount: usize) -> Option<Share> {
         let used = self
             .used
--- a/crates/pg-session/src/admit.rs
+++ b/crates/pg-session/src/admit.rs
@@ -1,4 +1,7 @@
-//! Whether a request makes sense, and what the decider is told of it: the same for every front.
+//! Admission of a request against its class, the same for simple and extended queries.
+//!
+//! Responsible for checking what a request says of itself, and for the typed request that the dispatcher gets.
+//! Owns the catalog of classes. Must never look at load: whether there is capacity is decided elsewhere.
 
 use crate::Wrong;
 use crate::form::{self, Form, FormError, Place};
@@ -6,34 +9,41 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// The longest wait that a client may ask for, an hour: beyond it the figure is an error.
+/// Nanoseconds in a millisecond.
+const NANOS_PER_MILLISECOND: u64 = 1_000_000;
+
+/// The longest wait that a client may ask for, in milliseconds: an hour.
 const LONGEST_WAIT_MS: u64 = 3_600_000;
 
 /// What a request says of itself, borrowed from where it was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Named<'a> {
-    /// Its name; none: the router draws one.
+    /// Its id; `None`: the router draws one.
     pub id: Option<u64>,
     /// The class, as the settings name it.
     pub class: &'a str,
     /// The replica set of endpoints.
     pub replica_set: u32,
-    /// How long its client waits, in milliseconds; none: as long as its class allows.
+    /// How long its client waits, in milliseconds; `None`: as long as its class allows.
     pub wait_ms: Option<u64>,
     /// The position that must be seen, a Unix time in milliseconds.
     pub after_ms: Option<u64>,
-    /// A client's own further try.
+    /// Whether the client retries an earlier request.
     pub is_retry: bool,
-    /// There is an idempotency key.
+    /// Whether there is an idempotency key.
     pub has_key: bool,
-    /// It writes.
+    /// Whether it writes.
     pub is_write: bool,
     /// The quoted key of the statement.
     pub key: &'a str,
 }
 
 impl<'a> Named<'a> {
-    /// Reads a simple query, whose `id` and `d` must be there; also says where the digits of `d` stand.
+    /// Parses a simple query, whose `id` and `d` are required; also returns the bytes where the digits of `d` stand.
+    ///
+    /// # Errors
+    ///
+    /// Why the text is no statement, or [`FormError::Field`] with the annotation that is missing or wrong.
     pub fn simple(text: &'a str) -> Result<(Named<'a>, Range<usize>), FormError> {
         let form = Form::read(text, false)?;
         let field = |place: Place| form.text(place).ok_or(FormError::Field(place.name()));
@@ -57,24 +67,24 @@
     }
 }
 
-/// A request as the decider takes it, but for when it came and what goes to endpoints.
+/// A request as the dispatcher takes it, but for its arrival and what goes to endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Admitted {
-    /// The client's name for it; none: the router draws one.
+    /// The client's id for it; `None`: the router draws one.
     pub id: Option<u64>,
-    /// As the settings count classes.
+    /// The index of its class in the settings.
     pub class: u32,
     /// The replica set of endpoints.
     pub replica_set: u32,
     /// Its session, in classes that have sessions.
     pub session: Option<Arc<str>>,
-    /// The position that a session's read must see.
+    /// The position that a session's read must see, a Unix time in nanoseconds.
     pub after: Option<Timestamp>,
-    /// A client's own further try.
+    /// Whether the client retries an earlier request.
     pub is_retry: bool,
-    /// How long the client waits, from when its turn could begin.
+    /// How long the client waits, in nanoseconds from when its turn could begin.
     pub wait: Nanos,
-    /// It writes.
+    /// Whether it writes.
     pub is_write: bool,
 }
 
@@ -92,6 +102,11 @@
     }
 
     /// Checks a request against its class. No wait means the class's deadline, and none waits longer than that.
+    ///
+    /// # Errors
+    ///
+    /// [`Wrong::Class`] for an unknown class, [`Wrong::Kind`] for a read in a class of writes or the other way
+    /// round, [`Wrong::Value`] with the annotation that is missing or wrong.
     pub fn admit(&self, named: &Named) -> Result<Admitted, Wrong> {
         let index = self.names.iter().position(|name| name == named.class);
         let known = index.and_then(|i| Some((i, self.classes.get(i)?)));
@@ -120,147 +135,15 @@
             class: index as u32,
             replica_set: named.replica_set,
             session: has_session.then(|| named.key.into()),
-            after: after.map(|ms| ms.saturating_mul(1_000_000)),
+            after: after.map(|ms| ms.saturating_mul(NANOS_PER_MILLISECOND)),
             is_retry: named.is_retry,
-            wait: named
-                .wait_ms
-                .map_or(class.deadline, |ms| (ms * 1_000_000).min(class.deadline)),
+            wait: named.wait_ms.map_or(class.deadline, |ms| {
+                (ms * NANOS_PER_MILLISECOND).min(class.deadline)
+            }),
             is_write: named.is_write,
         })
     }
 }
 
 #[cfg(test)]
-pub(crate) mod tests {
-    use super::*;
-    use reelrill_routing::KeyScope;
-    use rstest::rstest;
-
-    const READ: &str = "SELECT data FROM facts WHERE code = '7f3a' \
-                        /* id=9b1f03aa5c7e2d41,c=own,d=480,cluster=2,after=1767225600123 */";
-
-    pub(crate) fn catalog() -> Catalog {
-        let class = |operation, idempotency| Class {
-            operation,
-            idempotency,
-            deduplication_window: 2_000_000_000,
-            latency_objective: 500_000_000,
-            objective_stretch: 0.0,
-            deadline: 1_000_000_000,
-            priority_weight: 1.0,
-            late_weight: 0.0,
-        };
-        Catalog::new(
-            ["board", "own", "book"].map(str::to_owned).into(),
-            vec![
-                class(
-                    Operation::Read(Consistency::Eventual),
-                    Idempotency::Idempotent,
-                ),
-                class(
-                    Operation::Read(Consistency::ReadYourWrites),
-                    Idempotency::Idempotent,
-                ),
-                class(
-                    Operation::Write,
-                    Idempotency::IdempotencyKey(KeyScope::ReplicaSet),
-                ),
-            ],
-        )
-    }
-
-    #[test]
-    fn a_simple_query_names_its_request() {
-        let (named, digits) = Named::simple(READ).unwrap();
-        assert_eq!(
-            (named.id, named.replica_set, &READ[digits]),
-            (Some(0x9b1f_03aa_5c7e_2d41), 2, "480")
-        );
-        let admitted = catalog().admit(&named).unwrap();
-        assert_eq!(
-            (admitted.class, admitted.session.as_deref()),
-            (1, Some("7f3a"))
-        );
-        assert_eq!(
-            (admitted.after, admitted.wait),
-            (Some(1_767_225_600_123_000_000), 480_000_000)
-        );
-    }
-
-    #[rstest]
-    #[case("9b1f03aa5c7e2d41", "zz", "id")]
-    #[case("9b1f03aa5c7e2d41", "+b1f03aa5c7e2d41", "id")]
-    #[case("id=9b1f03aa5c7e2d41,", "", "id")]
-    #[case("d=480,", "", "d")]
-    #[case("d=480", "d=-1", "d")]
-    #[case("d=480", "d=+1", "d")]
-    #[case("d=480", "d=$1", "d")]
-    #[case("cluster=2", "cluster=x", "cluster")]
-    #[case("c=own,", "", "c")]
-    #[case("after=1", "after=x", "after")]
-    fn what_is_wrong_is_named(
-        #[case] part: &str,
-        #[case] other: &str,
-        #[case] wanted: &'static str,
-    ) {
-        assert_eq!(
-            Named::simple(&READ.replacen(part, other, 1)).err(),
-            Some(FormError::Field(wanted))
-        );
-    }
-
-    #[test]
-    fn a_request_must_fit_its_class() {
-        let (named, _) = Named::simple(READ).unwrap();
-        let admit = |n: Named| catalog().admit(&n);
-        assert_eq!(
-            admit(Named {
-                class: "x",
-                ..named.clone()
-            }),
-            Err(Wrong::Class("x".into()))
-        );
-        assert_eq!(
-            admit(Named {
-                class: "book",
-                ..named.clone()
-            }),
-            Err(Wrong::Kind("book".into()))
-        );
-        assert_eq!(
-            admit(Named {
-                class: "book",
-                is_write: true,
-                ..named.clone()
-            }),
-            Err(Wrong::Value("k"))
-        );
-        for wrong in [0, LONGEST_WAIT_MS + 1] {
-            assert_eq!(
-                admit(Named {
-                    wait_ms: Some(wrong),
-                    ..named.clone()
-                }),
-                Err(Wrong::Value("d"))
-            );
-        }
-        assert_eq!(
-            admit(Named {
-                wait_ms: None,
-                ..named.clone()
-            })
-            .unwrap()
-            .wait,
-            1_000_000_000
-        );
-        assert_eq!(
-            admit(Named {
-                wait_ms: Some(9000),
-                ..named
-            })
-            .unwrap()
-            .wait,
-            1_000_000_000
-        );
-    }
-}
+pub(crate) mod tests;
--- a/crates/pg-session/src/lib.rs
+++ b/crates/pg-session/src/lib.rs
@@ -1,15 +1,16 @@
-//! What clients say, without I/O: the one form of statement that is spoken here, the names and values in its
-//! comment, prepared statements and portals, and the order in which a pipeline's parts may run.
+//! A client's session without I/O: statements and their annotations, prepared statements, portals, and the order
+//! in which pipelined requests may run.
 //!
-//! | module | what it decides |
+//! | module | responsible for |
 //! | --- | --- |
-//! | [`form`] | whether a text is a statement of ours, and where its words stand |
-//! | [`template`] | a prepared statement: its parameters' types and the text that endpoints get; one for all clients |
-//! | [`bound`] | a statement with its values: what goes into a Bind, or into a simple query as literals |
-//! | [`admit`] | whether a request makes sense, and what the decider is told of it |
-//! | [`plan`] | a client's names and its pipeline: what may start, what is answered, what is skipped |
-//! | [`prepared`] | what a connection to an endpoint has prepared, and what has to go first |
-//! | [`account`] | the bounds that all clients share |
+//! | [`form`] | parsing a statement and the annotations in its comment |
+//! | [`template`] | a prepared statement, its parameters' types and the text that endpoints get; one for all clients |
+//! | [`bound`] | a statement with its values, as a Bind or as a simple query with literals |
+//! | [`admit`] | checking a request against its class, and the typed request that the dispatcher gets |
+//! | [`plan`] | a client's extended queries: names, portals and the pipeline |
+//! | [`queue`] | a client's simple queries: which may start, and the order of answers |
+//! | [`prepared`] | the statements that a connection to an endpoint has prepared |
+//! | [`account`] | the bounds on what clients may hold |
 #![forbid(unsafe_code)]
 
 pub mod account;
--- a/crates/pg-session/src/prepared.rs
+++ b/crates/pg-session/src/prepared.rs
@@ -1,5 +1,8 @@
-//! What one connection to an endpoint has prepared. Names are never used again for another text, so a Close that
-//! is lost with its connection leaves nothing behind that could be mistaken.
+//! The statements that one connection to an endpoint has prepared.
+//!
+//! Responsible for what must be prepared or closed before a statement runs there. Owns the ids of the prepared
+//! statements, least recently used first out. Must never exceed its bound. Names are never used again for another
+//! text, so a Close that is lost with its connection leaves nothing behind that could be mistaken.
 
 use lru::LruCache;
 use std::num::NonZeroUsize;
--- a/crates/pg-session/src/queue.rs
+++ b/crates/pg-session/src/queue.rs
@@ -1,4 +1,7 @@
-//! The simple queries of one client that have been read and not answered: which may start, and what is said next.
+//! The simple queries of one client that have been read and not answered.
+//!
+//! Responsible for which may start, and for the order of answers. Owns the queries and their answers until they
+//! are taken. Must never release an answer ahead of an earlier one.
 //!
 //! A client may send further queries before the first is answered, and the time that it waits counts from the sending
 //! of each. So they are started as they come, and only their answers keep their order. Two requests of one session keep
@@ -51,7 +54,7 @@
 pub struct Start {
     /// Its number, for [`Queue::finish`].
     pub part: u64,
-    /// What the decider is told.
+    /// What the dispatcher is told.
     pub admitted: Admitted,
     /// What endpoints are asked.
     pub ask: Rc<Ask>,
