--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -80,7 +80,7 @@
     if file.extension().is_some_and(|e| e == "json") {
         let config = Config::check(&file.display().to_string())?;
         let settings = &config.site.settings;
-        settings.check().map_err(|source| CheckError::Settings {
+        settings.validate().map_err(|source| CheckError::Settings {
             path: file.display().to_string(),
             source,
         })?;
--- a/crates/router/src/discovery/list.rs
+++ b/crates/router/src/discovery/list.rs
@@ -140,7 +140,7 @@
         let entry = EndpointEntry {
             endpoint: self.uid.as_str().into(),
             started: started_ms.saturating_mul(NANOS_PER_MILLISECOND),
-            primary: self.role.as_deref() == Some(PRIMARY),
+            is_primary: self.role.as_deref() == Some(PRIMARY),
             state: self.state.into(),
             weight: self.weight.unwrap_or(DEFAULT_WEIGHT),
             replica_set: self.replica_set,
--- a/crates/router/src/discovery/list/tests.rs
+++ b/crates/router/src/discovery/list/tests.rs
@@ -29,7 +29,7 @@
     assert_eq!(&*entry.endpoint, "s-1");
     assert_eq!(entry.state, EndpointState::Serving);
     assert_eq!((entry.replica_set, entry.zone), (3, 1));
-    assert_eq!((entry.primary, entry.weight), (true, 2.0));
+    assert_eq!((entry.is_primary, entry.weight), (true, 2.0));
     assert_eq!(entry.started, 5_000_000);
 }
 
@@ -42,7 +42,7 @@
     let entry = read(changed).unwrap().entry;
     // The zone behind the last one that the settings name: it shares no idempotency keys with these.
     assert_eq!((entry.zone, entry.started), (2, 0));
-    assert_eq!((entry.primary, entry.weight), (false, 1.0));
+    assert_eq!((entry.is_primary, entry.weight), (false, 1.0));
 }
 
 #[test]
--- a/crates/router/src/discovery/registry/mod.rs
+++ b/crates/router/src/discovery/registry/mod.rs
@@ -317,7 +317,7 @@
         let entry = EndpointEntry {
             endpoint,
             started: 0,
-            primary: false,
+            is_primary: false,
             state: EndpointState::Removed,
             weight: 1.0,
             replica_set: 0,
@@ -348,7 +348,7 @@
         let entry = EndpointEntry {
             endpoint,
             started: view.started,
-            primary: false,
+            is_primary: false,
             state,
             weight: view.weight,
             replica_set: view.replica_set,
--- a/crates/router/src/dispatcher/actions.rs
+++ b/crates/router/src/dispatcher/actions.rs
@@ -20,7 +20,7 @@
                 request,
                 endpoint,
                 limit,
-                by,
+                write_by: by,
             } => {
                 let write_by = by.map(|by| self.platform.own(by));
                 self.start_attempt(now, request, endpoint, limit, write_by);
@@ -45,7 +45,7 @@
                 let at = now.saturating_add(after);
                 self.deadlines.add(at, DeadlineEntry::BalancerTimer(token));
             }
-            Action::Probe { endpoint } => self.start_health_check(endpoint),
+            Action::CheckHealth { endpoint } => self.start_health_check(endpoint),
             // A call that still waits in the mailbox will do for this one, too.
             Action::Subscribe => drop(self.discovery.try_send(EndpointListRequest::Subscribe)),
             Action::FetchList => drop(self.discovery.try_send(EndpointListRequest::Fetch)),
@@ -60,7 +60,7 @@
                 .is_ok()
         });
         if !started {
-            self.events.push_back(Event::ProbeEnded {
+            self.events.push_back(Event::HealthCheckEnded {
                 endpoint,
                 outcome: AttemptOutcome::ConnectFailed,
                 report: ReplicationStatus::default(),
--- a/crates/router/src/dispatcher/attempts.rs
+++ b/crates/router/src/dispatcher/attempts.rs
@@ -92,7 +92,7 @@
             replication,
             report,
             latency,
-            closed,
+            is_request_complete: closed,
         }));
         self.requests.remove_if_finished(id);
     }
--- a/crates/router/src/dispatcher/endpoint_list.rs
+++ b/crates/router/src/dispatcher/endpoint_list.rs
@@ -25,7 +25,13 @@
 
     /// Where only draining binds, an endpoint that has left the list may still be sent to.
     fn removal_binds(&self) -> bool {
-        !self.shared.config.site.settings.rules.only_draining_binds
+        !self
+            .shared
+            .config
+            .site
+            .settings
+            .rules
+            .allows_unlisted_endpoints
     }
 
     fn remove_unlisted_pools(&mut self, listed: &[ListedEndpoint]) {
--- a/crates/router/src/dispatcher/mod.rs
+++ b/crates/router/src/dispatcher/mod.rs
@@ -136,7 +136,7 @@
 
     fn on_health_check_ended(&mut self, endpoint: EndpointId, result: AttemptResult) {
         let report = self.plausible_status(&endpoint, result.outcome, result.report);
-        self.events.push_back(Event::ProbeEnded {
+        self.events.push_back(Event::HealthCheckEnded {
             endpoint,
             outcome: result.outcome,
             report,
--- a/crates/router/src/dispatcher/requests.rs
+++ b/crates/router/src/dispatcher/requests.rs
@@ -59,7 +59,7 @@
             session: incoming.session,
             since_write: incoming.after.map(|at| platform_now.saturating_sub(at)),
             tenant: None,
-            work: None,
+            expected_execution_time: None,
             is_retry: incoming.is_retry,
             time_left: deadline.saturating_sub(now),
         }));
@@ -81,7 +81,7 @@
             return;
         }
         count(&self.shared.counters.client_left);
-        self.events.push_back(Event::ClientLeft { request });
+        self.events.push_back(Event::ClientDisconnected { request });
         self.settle();
         self.abandon_unwritten_attempts(request);
     }
@@ -128,7 +128,8 @@
             FinalResponse::Refused { retry_after: None }
         };
         self.answer(id, response);
-        self.events.push_back(Event::ClientLeft { request: id });
+        self.events
+            .push_back(Event::ClientDisconnected { request: id });
     }
 
     /// Gives the final answer, if it is still owed.
--- a/crates/routing-config/src/convert.rs
+++ b/crates/routing-config/src/convert.rs
@@ -66,18 +66,18 @@
     let settings = routing::Settings {
         router_count: document.group_size.unwrap_or(DEFAULT_ROUTER_COUNT).0,
         zone: document.az.map_or(0, |zone| zone.0),
-        round: whole_or_zero(document.period),
+        min_batch_interval: whole_or_zero(document.period),
         classes: classes(documents, family)?,
         tenants: tenants(document.realms.unwrap_or_default())?,
         over_quota_weight: document
             .over_share_worth
             .unwrap_or(DEFAULT_OVER_QUOTA_WEIGHT),
         reports: required(report.source, "report.source")?.into(),
-        positions,
-        sessions_carry_position: session_marks == SessionMarks::Brought,
+        has_applied_positions: positions,
+        has_session_positions: session_marks == SessionMarks::Brought,
         stale_reads,
         list_role: list_role.into(),
-        must_subscribe: registry_mode == RegistryMode::Subscribe,
+        is_subscription_required: registry_mode == RegistryMode::Subscribe,
         rules: rules(&required(document.rules, "rules")?)?,
         limits: limits(&ceilings)?,
     };
@@ -179,7 +179,7 @@
 fn rules(rules: &Rules) -> Result<routing::Rules> {
     Ok(routing::Rules {
         drain_grace: whole(rules.drain_grace, "rules.drainGrace")?,
-        only_draining_binds: rules.dropped_stay_open.unwrap_or(false),
+        allows_unlisted_endpoints: rules.dropped_stay_open.unwrap_or(false),
         slow_start_initial_fraction: required(rules.cold_from, "rules.coldFrom")?,
         slow_start_duration: whole(rules.warm_after, "rules.warmAfter")?,
         overload_multiple: required(rules.fall_multiple, "rules.fallMultiple")?,
@@ -191,10 +191,10 @@
 fn limits(ceilings: &Ceilings) -> Result<routing::Limits> {
     Ok(routing::Limits {
         max_attempts: required(ceilings.max_attempts, "ceilings.maxAttempts")?.0,
-        probes: required(ceilings.probes, "ceilings.probes")?,
-        cancel: required(ceilings.may_cancel, "ceilings.mayCancel")?,
-        hedging: required(ceilings.second_copies, "ceilings.secondCopies")?,
-        retry_advice: required(ceilings.retry_after, "ceilings.retryAfter")?,
+        allows_health_checks: required(ceilings.probes, "ceilings.probes")?,
+        allows_cancellation: required(ceilings.may_cancel, "ceilings.mayCancel")?,
+        allows_hedging: required(ceilings.second_copies, "ceilings.secondCopies")?,
+        allows_retry_advice: required(ceilings.retry_after, "ceilings.retryAfter")?,
         max_retry_advice: whole_or_zero(ceilings.max_retry_after),
         connect_timeout: whole_or_zero(ceilings.connect_timeout),
     })
--- a/crates/routing-config/src/document.rs
+++ b/crates/routing-config/src/document.rs
@@ -132,9 +132,9 @@
 impl From<ListRole> for routing::ListRole {
     fn from(role: ListRole) -> Self {
         match role {
-            ListRole::Trailing => routing::ListRole::Late,
-            ListRole::Static => routing::ListRole::Start,
-            ListRole::Silent => routing::ListRole::Silent,
+            ListRole::Trailing => routing::ListRole::Delayed,
+            ListRole::Static => routing::ListRole::Initial,
+            ListRole::Silent => routing::ListRole::None,
         }
     }
 }
@@ -163,9 +163,9 @@
 impl From<ReportSource> for routing::ReportSource {
     fn from(source: ReportSource) -> Self {
         match source {
-            ReportSource::Piggyback => routing::ReportSource::Answers,
-            ReportSource::Pull => routing::ReportSource::Probes,
-            ReportSource::Silent => routing::ReportSource::Silent,
+            ReportSource::Piggyback => routing::ReportSource::Responses,
+            ReportSource::Pull => routing::ReportSource::HealthChecks,
+            ReportSource::Silent => routing::ReportSource::None,
         }
     }
 }
--- a/crates/routing-config/tests/read.rs
+++ b/crates/routing-config/tests/read.rs
@@ -56,7 +56,7 @@
 fn fields_that_are_told_arrive() {
     let site = site(&least());
     let (settings, class) = (&site.settings, &site.settings.classes[0]);
-    assert_eq!((site.origin, settings.must_subscribe), (7, false));
+    assert_eq!((site.origin, settings.is_subscription_required), (7, false));
     assert_eq!(
         (class.latency_objective, class.deadline),
         (300_000_000, 2_000_000_000)
@@ -70,8 +70,12 @@
     assert_eq!(settings.rules.slow_start_initial_fraction, 0.2);
     assert_eq!(settings.rules.overload_multiple, 2.0);
     assert_eq!(settings.limits.max_attempts, 3);
-    assert!(settings.limits.cancel && settings.limits.retry_advice && settings.positions);
-    assert!(!settings.limits.probes && !settings.limits.hedging);
+    assert!(
+        settings.limits.allows_cancellation
+            && settings.limits.allows_retry_advice
+            && settings.has_applied_positions
+    );
+    assert!(!settings.limits.allows_health_checks && !settings.limits.allows_hedging);
 }
 
 #[test]
@@ -79,7 +83,11 @@
     let site = site(&least());
     let (settings, class) = (&site.settings, &site.settings.classes[0]);
     assert_eq!(
-        (settings.router_count, settings.zone, settings.round),
+        (
+            settings.router_count,
+            settings.zone,
+            settings.min_batch_interval
+        ),
         (1, 0, 0)
     );
     assert_eq!(
@@ -88,7 +96,7 @@
     );
     assert_eq!(
         (
-            settings.rules.only_draining_binds,
+            settings.rules.allows_unlisted_endpoints,
             settings.rules.poll_interval
         ),
         (false, 0)
@@ -109,11 +117,11 @@
 #[rstest]
 #[case("/groupSize", json!(5), |s: &Site| s.settings.router_count == 5)]
 #[case("/az", json!(2), |s: &Site| s.settings.zone == 2)]
-#[case("/period", json!(9), |s: &Site| s.settings.round == 9)]
+#[case("/period", json!(9), |s: &Site| s.settings.min_batch_interval == 9)]
 #[case("/zones", json!(["a", "b"]), |s: &Site| s.zones == ["a", "b"])]
 #[case("/realms", json!([{"name": "acme", "quotaRps": 2}]), |s: &Site| s.settings.tenants[0].quota == 2.0)]
 #[case("/overShareWorth", json!(0.25), |s: &Site| s.settings.over_quota_weight == 0.25)]
-#[case("/rules/droppedStayOpen", json!(true), |s: &Site| s.settings.rules.only_draining_binds)]
+#[case("/rules/droppedStayOpen", json!(true), |s: &Site| s.settings.rules.allows_unlisted_endpoints)]
 #[case("/rules/askEvery", json!(9), |s: &Site| s.settings.rules.poll_interval == 9)]
 #[case("/ceilings/maxRetryAfter", json!(9), |s: &Site| s.settings.limits.max_retry_advice == 9)]
 #[case("/ceilings/connectTimeout", json!(9), |s: &Site| s.settings.limits.connect_timeout == 9)]
@@ -176,16 +184,16 @@
 }
 
 #[rstest]
-#[case("/report/source", "piggyback", |s: &Site| s.settings.reports == ReportSource::Answers)]
-#[case("/report/source", "pull", |s: &Site| s.settings.reports == ReportSource::Probes)]
-#[case("/report/source", "silent", |s: &Site| s.settings.reports == ReportSource::Silent)]
-#[case("/familyInfo/listRole", "trailing", |s: &Site| s.settings.list_role == ListRole::Late)]
-#[case("/familyInfo/listRole", "static", |s: &Site| s.settings.list_role == ListRole::Start)]
-#[case("/familyInfo/listRole", "silent", |s: &Site| s.settings.list_role == ListRole::Silent)]
-#[case("/familyInfo/sessionMarks", "brought", |s: &Site| s.settings.sessions_carry_position)]
-#[case("/familyInfo/sessionMarks", "kept", |s: &Site| !s.settings.sessions_carry_position)]
-#[case("/registryMode", "subscribe", |s: &Site| s.settings.must_subscribe)]
-#[case("/registryMode", "automatic", |s: &Site| !s.settings.must_subscribe)]
+#[case("/report/source", "piggyback", |s: &Site| s.settings.reports == ReportSource::Responses)]
+#[case("/report/source", "pull", |s: &Site| s.settings.reports == ReportSource::HealthChecks)]
+#[case("/report/source", "silent", |s: &Site| s.settings.reports == ReportSource::None)]
+#[case("/familyInfo/listRole", "trailing", |s: &Site| s.settings.list_role == ListRole::Delayed)]
+#[case("/familyInfo/listRole", "static", |s: &Site| s.settings.list_role == ListRole::Initial)]
+#[case("/familyInfo/listRole", "silent", |s: &Site| s.settings.list_role == ListRole::None)]
+#[case("/familyInfo/sessionMarks", "brought", |s: &Site| s.settings.has_session_positions)]
+#[case("/familyInfo/sessionMarks", "kept", |s: &Site| !s.settings.has_session_positions)]
+#[case("/registryMode", "subscribe", |s: &Site| s.settings.is_subscription_required)]
+#[case("/registryMode", "automatic", |s: &Site| !s.settings.is_subscription_required)]
 fn each_word_has_its_meaning(
     #[case] pointer: &str,
     #[case] word: &str,
--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -43,7 +43,7 @@
         /// It must not be written later than this: the deduplication window of an earlier, possibly
         /// executed attempt is then over. An attempt that can't be written by then ends as
         /// [`AttemptOutcome::NotSent`](crate::AttemptOutcome::NotSent).
-        by: Option<Timestamp>,
+        write_by: Option<Timestamp>,
     },
     /// Final response: not executed, or safe to retry.
     Reject {
@@ -76,7 +76,7 @@
         token: u64,
     },
     /// Send an endpoint a health check.
-    Probe {
+    CheckHealth {
         /// The endpoint.
         endpoint: EndpointId,
     },
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -60,13 +60,13 @@
     /// # Errors
     /// The settings contradict themselves, see [`Settings::check`].
     pub fn new(seed: u64, settings: Settings) -> Result<Balancer, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         let objectives = || settings.classes.iter().map(|class| class.latency_objective);
         let min_objective = objectives().min().unwrap_or(1);
         let max_objective = objectives().max().unwrap_or(1);
         let staleness_bounds = settings.classes.iter().filter_map(staleness_bound);
         let tick = (min_objective / TICKS_PER_OBJECTIVE)
-            .max(settings.round)
+            .max(settings.min_batch_interval)
             .max(MIN_TICK);
         Ok(Balancer {
             rng: SplitMix64::new(seed),
@@ -87,7 +87,7 @@
     }
 
     /// Number of endpoints that it keeps in memory.
-    pub fn known(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
@@ -100,7 +100,7 @@
             Event::ResponseStarted {
                 request, endpoint, ..
             } => self.on_response_started(now, request, &endpoint),
-            Event::ClientLeft { request } => self.complete(request, out),
+            Event::ClientDisconnected { request } => self.complete(request, out),
             Event::Timer { token } if token == TIMER_TOKEN => {
                 self.is_timer_set = false;
                 self.retry_all_queued(now, out);
@@ -108,7 +108,7 @@
             Event::Timer { .. } => {}
             // A health check can't see a full connection table, a cut link or a hang: it ends no
             // ejection.
-            Event::ProbeEnded {
+            Event::HealthCheckEnded {
                 endpoint, report, ..
             } => {
                 if let Some(index) = self.endpoints.find(&endpoint) {
@@ -254,7 +254,7 @@
             .applied_position
             .filter(|_| is_served)
             .unwrap_or(now);
-        let is_remembered = !self.settings.sessions_carry_position;
+        let is_remembered = !self.settings.has_session_positions;
         let session = attempt.session.filter(|_| is_remembered);
         self.sessions.record_write(session, commit);
     }
@@ -272,11 +272,11 @@
                 .possibly_executed
                 .retain(|sent| sent.number != ended.attempt);
         }
-        if !ended.closed && pending.in_flight == 0 && !pending.is_streaming {
+        if !ended.is_request_complete && pending.in_flight == 0 && !pending.is_streaming {
             return self.retry_or_finish(now, pending, ended.outcome, out);
         }
         self.pending.insert(ended.request, pending);
-        if ended.closed {
+        if ended.is_request_complete {
             self.complete(ended.request, out);
         }
     }
@@ -299,7 +299,7 @@
         out.push(Action::Reject {
             request: pending.request.id,
             reason,
-            retry_after: limits.retry_advice.then_some(advice),
+            retry_after: limits.allows_retry_advice.then_some(advice),
         });
         self.complete_request(pending, out);
     }
@@ -331,7 +331,7 @@
         if pending.is_queued {
             self.remove_from_queue(id, pending.request.replica_set);
         }
-        if pending.in_flight == 0 || !self.settings.limits.cancel {
+        if pending.in_flight == 0 || !self.settings.limits.allows_cancellation {
             return;
         }
         for sent in pending.possibly_executed {
@@ -359,7 +359,7 @@
 /// The request's latency objective, nanoseconds: its class's, extended by its expected execution
 /// time.
 fn latency_objective(class: &Class, request: &Request) -> Nanos {
-    let work = request.work.unwrap_or(0) as f64;
+    let work = request.expected_execution_time.unwrap_or(0) as f64;
     let extension = (work * class.objective_stretch) as Nanos;
     class
         .latency_objective
--- a/crates/routing/src/discovery_backoff.rs
+++ b/crates/routing/src/discovery_backoff.rs
@@ -39,7 +39,7 @@
         ListSubscription {
             next_attempt_at: None,
             consecutive_failures: 0,
-            is_required: settings.must_subscribe,
+            is_required: settings.is_subscription_required,
             spread: slots.min(MAX_BACKOFF).max(tick),
             response_timeout: (settings.rules.poll_interval / 2).max(tick),
             tick,
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -120,7 +120,7 @@
             request: id,
             endpoint: endpoint.id.clone(),
             limit: None,
-            by: write_before,
+            write_by: write_before,
         });
         pending.possibly_executed.push(SentAttempt {
             number: pending.attempts_sent,
--- a/crates/routing/src/endpoint_list.rs
+++ b/crates/routing/src/endpoint_list.rs
@@ -139,7 +139,7 @@
         settings: &Settings,
         mut initial_rotation_position: impl FnMut() -> f64,
     ) {
-        let is_absence_binding = !settings.rules.only_draining_binds;
+        let is_absence_binding = !settings.rules.allows_unlisted_endpoints;
         if kind != ListKind::Changes && is_absence_binding {
             self.unlist_missing(now, entries);
         }
@@ -157,7 +157,7 @@
                 EndpointState::Removed => {}
             }
             if entry.state != EndpointState::Removed {
-                let has_role = settings.list_role != ListRole::Silent;
+                let has_role = settings.list_role != ListRole::None;
                 self.update(now, index, entry, has_role);
             }
         }
@@ -207,7 +207,7 @@
             // It has started again, so it can be reached: an ejection for its absence is over.
             endpoint.health.ejected_until = now;
         }
-        endpoint.is_listed_as_primary = entry.primary && has_role;
+        endpoint.is_listed_as_primary = entry.is_primary && has_role;
     }
 
     fn insert(
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -22,7 +22,7 @@
     /// When its process last started (0: long ago).
     pub started: Timestamp,
     /// Whether the list names it as its replica set's primary.
-    pub primary: bool,
+    pub is_primary: bool,
     /// Its state.
     pub state: EndpointState,
     /// Its capacity relative to others.
@@ -62,7 +62,7 @@
     /// Its tenant, as counted in [`Settings::tenants`](crate::Settings::tenants).
     pub tenant: Option<u32>,
     /// Expected execution time, nanoseconds, where the client states it.
-    pub work: Option<Nanos>,
+    pub expected_execution_time: Option<Nanos>,
     /// The client marked it as a retry.
     pub is_retry: bool,
     /// Time until the client's deadline, nanoseconds.
@@ -150,7 +150,7 @@
     /// Time since it was sent, nanoseconds.
     pub latency: Nanos,
     /// The request is complete, by this outcome or before it.
-    pub closed: bool,
+    pub is_request_complete: bool,
 }
 
 /// What has happened.
@@ -177,7 +177,7 @@
         endpoint: EndpointId,
     },
     /// The client has disconnected; no response is needed.
-    ClientLeft {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
@@ -187,7 +187,7 @@
         token: u64,
     },
     /// The result of a health check.
-    ProbeEnded {
+    HealthCheckEnded {
         /// The endpoint.
         endpoint: EndpointId,
         /// How it ended.
--- a/crates/routing/src/primary_tracking.rs
+++ b/crates/routing/src/primary_tracking.rs
@@ -251,7 +251,7 @@
             self.class(pending).operation == Operation::Write && pending.attempts_sent == 0;
         let has_attempts = self.settings.limits.max_attempts > ATTEMPTS_KEPT_FOR_PRIMARY;
         let only_responses_carry_positions =
-            self.settings.reports == ReportSource::Silent && self.settings.positions;
+            self.settings.reports == ReportSource::None && self.settings.has_applied_positions;
         if !is_new_write || !has_attempts || !only_responses_carry_positions {
             return None;
         }
--- a/crates/routing/src/session_consistency.rs
+++ b/crates/routing/src/session_consistency.rs
@@ -55,7 +55,7 @@
 impl Balancer {
     /// The position of the log that a read of the request's session needs.
     pub(crate) fn required_position(&self, now: Timestamp, request: &Request) -> Option<Timestamp> {
-        if self.settings.sessions_carry_position {
+        if self.settings.has_session_positions {
             return request.since_write.map(|age| now.saturating_sub(age));
         }
         let recorded = self.sessions.required_position(request.session.as_ref());
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -81,11 +81,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportSource {
     /// With every response and health check result.
-    Answers,
+    Responses,
     /// With health check results only.
-    Probes,
+    HealthChecks,
     /// Nowhere.
-    Silent,
+    None,
 }
 
 /// What endpoints do with a read for which they are too far behind.
@@ -103,11 +103,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListRole {
     /// It names the primary, some seconds late.
-    Late,
+    Delayed,
     /// It names the primary as it was at the start.
-    Start,
+    Initial,
     /// It does not name the primary.
-    Silent,
+    None,
 }
 
 /// Limits that the router has to keep.
@@ -117,7 +117,7 @@
     /// nanoseconds.
     pub drain_grace: Nanos,
     /// Only an entry in state draining forbids new work; absence from the list does not.
-    pub only_draining_binds: bool,
+    pub allows_unlisted_endpoints: bool,
     /// Slow start: an endpoint that has just started has at least this fraction of its capacity (0
     /// to 1).
     pub slow_start_initial_fraction: f64,
@@ -152,13 +152,13 @@
     /// Most attempts for one request.
     pub max_attempts: u32,
     /// Health checks are allowed.
-    pub probes: bool,
+    pub allows_health_checks: bool,
     /// Attempts may be cancelled.
-    pub cancel: bool,
+    pub allows_cancellation: bool,
     /// A request may have two attempts in flight at once.
-    pub hedging: bool,
+    pub allows_hedging: bool,
     /// Clients receive retry advice ...
-    pub retry_advice: bool,
+    pub allows_retry_advice: bool,
     /// ... and follow it up to this length, nanoseconds.
     pub max_retry_advice: Nanos,
     /// A connection that is not established by then has failed, nanoseconds.
@@ -173,7 +173,7 @@
     /// This router's zone.
     pub zone: u32,
     /// Shortest time between two batches of events, nanoseconds (0: none).
-    pub round: Nanos,
+    pub min_batch_interval: Nanos,
     /// The classes, in the order that [`Request::class`](crate::Request::class) counts.
     pub classes: Vec<Class>,
     /// The tenants, in the order that [`Request::tenant`](crate::Request::tenant) counts; may be
@@ -184,16 +184,16 @@
     /// Where reports come from.
     pub reports: ReportSource,
     /// Whether responses carry the endpoint's applied position.
-    pub positions: bool,
+    pub has_applied_positions: bool,
     /// Whether session reads carry the age of their session's last write; if not, the balancer
     /// remembers it.
-    pub sessions_carry_position: bool,
+    pub has_session_positions: bool,
     /// What endpoints do with reads for which they are too far behind.
     pub stale_reads: StaleReadPolicy,
     /// What the list says about the primary.
     pub list_role: ListRole,
     /// The endpoint list is sent only to subscribers.
-    pub must_subscribe: bool,
+    pub is_subscription_required: bool,
     /// The limits that the router has to keep.
     pub rules: Rules,
     /// The features that the platform allows.
@@ -220,7 +220,7 @@
     ///
     /// # Errors
     /// Names the first field whose value is out of range or contradicts another.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         let invalid = |text: String| Err(SettingsError(text));
         if self.classes.is_empty() {
             return invalid("classes: none given".into());
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -33,7 +33,7 @@
     Settings {
         router_count: 2,
         zone: 0,
-        round: 5 * MS,
+        min_batch_interval: 5 * MS,
         classes: vec![
             class(
                 Operation::Read(Consistency::BoundedStaleness(300 * MS)),
@@ -55,15 +55,15 @@
         ],
         tenants: Vec::new(),
         over_quota_weight: 1.0,
-        reports: ReportSource::Silent,
-        positions: true,
-        sessions_carry_position: false,
+        reports: ReportSource::None,
+        has_applied_positions: true,
+        has_session_positions: false,
         stale_reads: StaleReadPolicy::Serve,
-        list_role: ListRole::Late,
-        must_subscribe: false,
+        list_role: ListRole::Delayed,
+        is_subscription_required: false,
         rules: Rules {
             drain_grace: 1000 * MS,
-            only_draining_binds: false,
+            allows_unlisted_endpoints: false,
             slow_start_initial_fraction: 0.2,
             slow_start_duration: 10_000 * MS,
             overload_multiple: 3.0,
@@ -72,21 +72,21 @@
         },
         limits: Limits {
             max_attempts: 6,
-            probes: true,
-            cancel: true,
-            hedging: true,
-            retry_advice: true,
+            allows_health_checks: true,
+            allows_cancellation: true,
+            allows_hedging: true,
+            allows_retry_advice: true,
             max_retry_advice: 500 * MS,
             connect_timeout: 250 * MS,
         },
     }
 }
 
-pub fn entry(name: &str, primary: bool) -> EndpointEntry {
+pub fn entry(name: &str, is_primary: bool) -> EndpointEntry {
     EndpointEntry {
         endpoint: Arc::from(name),
         started: 0,
-        primary,
+        is_primary,
         state: EndpointState::Serving,
         weight: 1.0,
         replica_set: 1,
@@ -155,7 +155,7 @@
             session: Some(Arc::from("s")),
             since_write: None,
             tenant: None,
-            work: None,
+            expected_execution_time: None,
             is_retry: false,
             time_left: 2000 * MS,
         };
@@ -178,7 +178,7 @@
             replication: s,
             report: ReplicationStatus::default(),
             latency: 50 * MS,
-            closed: outcome == AttemptOutcome::Served,
+            is_request_complete: outcome == AttemptOutcome::Served,
         };
         self.feed(Event::AttemptEnded(o))
     }
--- a/crates/routing/tests/failures/admission.rs
+++ b/crates/routing/tests/failures/admission.rs
@@ -13,7 +13,7 @@
         session: None,
         since_write: None,
         tenant: None,
-        work: None,
+        expected_execution_time: None,
         is_retry: false,
         time_left: 3 * MS,
     };
@@ -99,7 +99,7 @@
             session,
             since_write,
             tenant,
-            work,
+            expected_execution_time: work,
             is_retry,
             time_left,
         };
--- a/crates/routing/tests/failures/endpoint_list.rs
+++ b/crates/routing/tests/failures/endpoint_list.rs
@@ -33,7 +33,7 @@
         let mut set = settings();
         set.rules.drain_grace = grace * MS;
         // Where responses carry positions, writes go to the primary at once.
-        set.reports = ReportSource::Answers;
+        set.reports = ReportSource::Responses;
         let mut h = Host::new(set);
         h.warm_up();
         let mut primary = entry("a", true);
@@ -54,7 +54,7 @@
 #[test]
 fn broken_subscription_is_renewed_soon_at_times_that_differ_between_routers() {
     let mut set = settings();
-    set.must_subscribe = true;
+    set.is_subscription_required = true;
     let mut at = std::collections::BTreeSet::new();
     for seed in 0..20 {
         let mut h = Host::seeded(set.clone(), seed);
@@ -108,7 +108,7 @@
         }
     };
     h.feed(change(&to, EndpointState::Removed));
-    assert_eq!(h.balancer.known(), 3);
+    assert_eq!(h.balancer.endpoint_count(), 3);
     let out = h.outcome(
         id,
         &to,
@@ -129,6 +129,6 @@
         kind: ListKind::Changes,
         entries: Vec::new(),
     });
-    assert_eq!(h.balancer.known(), 2);
+    assert_eq!(h.balancer.endpoint_count(), 2);
     assert!((0..4).all(|_| ["a", &other].contains(&&*h.serve(SESSION, h.now))));
 }
--- a/crates/routing/tests/failures/outlier_detection.rs
+++ b/crates/routing/tests/failures/outlier_detection.rs
@@ -26,7 +26,7 @@
                 );
                 // Its process may well answer a probe: its connection table is full.
                 let (endpoint, report) = (Arc::from("b"), ReplicationStatus::default());
-                out.extend(h.feed(Event::ProbeEnded {
+                out.extend(h.feed(Event::HealthCheckEnded {
                     endpoint,
                     outcome: AttemptOutcome::Served,
                     report,
@@ -79,7 +79,7 @@
                 h.outcome(id, &m, 1, AttemptOutcome::Served, s);
             }
             let endpoint: EndpointId = Arc::from("b");
-            h.feed(Event::ProbeEnded {
+            h.feed(Event::HealthCheckEnded {
                 endpoint,
                 outcome: AttemptOutcome::Served,
                 report: ReplicationStatus::default(),
--- a/crates/routing/tests/failures/replica_selection.rs
+++ b/crates/routing/tests/failures/replica_selection.rs
@@ -87,7 +87,7 @@
             replication,
             report,
             latency,
-            closed: false,
+            is_request_complete: false,
         };
         h.feed(Event::AttemptEnded(o));
     }
--- a/crates/routing/tests/failures/retry.rs
+++ b/crates/routing/tests/failures/retry.rs
@@ -36,8 +36,8 @@
 #[test]
 fn misrouted_write_is_sent_to_another_endpoint() {
     let mut set = settings();
-    set.list_role = ListRole::Silent;
-    set.reports = ReportSource::Answers;
+    set.list_role = ListRole::None;
+    set.reports = ReportSource::Responses;
     let mut h = Host::new(set);
     let (id, out) = h.request(WRITE);
     let first = sent(&out).unwrap().to_string();
@@ -65,7 +65,7 @@
 fn retry_states_the_time_by_which_it_must_be_written() {
     let by = |out: &[Action]| {
         out.iter().find_map(|a| match a {
-            Action::Send { by, .. } => Some(*by),
+            Action::Send { write_by, .. } => Some(*write_by),
             _ => None,
         })
     };
--- a/crates/routing/tests/failures/session_consistency.rs
+++ b/crates/routing/tests/failures/session_consistency.rs
@@ -23,7 +23,7 @@
     h.warm_up();
     let (id, out) = h.request(WRITE);
     assert_eq!(sent(&out), Some("a"));
-    h.feed(Event::ClientLeft { request: id });
+    h.feed(Event::ClientDisconnected { request: id });
     h.outcome(id, "a", 0, AttemptOutcome::Served, primary(h.now + 5 * MS));
     let (_, out) = h.request(SESSION);
     assert_eq!(
@@ -55,7 +55,7 @@
         assert_eq!(sent(&out), Some("a"));
         h.wait(50 * MS);
         h.outcome(id, "a", 0, outcome, ReplicationStatus::default());
-        h.feed(Event::ClientLeft { request: id });
+        h.feed(Event::ClientDisconnected { request: id });
         let to: Vec<String> = (0..6).map(|_| h.serve(SESSION, before)).collect();
         assert_eq!(to.iter().all(|to| to == "a"), binds, "{outcome:?}: {to:?}");
     }
--- a/crates/routing/tests/failures/slow_start.rs
+++ b/crates/routing/tests/failures/slow_start.rs
@@ -55,7 +55,7 @@
                 replication,
                 report,
                 latency,
-                closed,
+                is_request_complete: closed,
             }));
         }
         let mut cold = entry("b", false);
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -155,7 +155,7 @@
         session: Some(format!("session {id}").into()),
         since_write: None,
         tenant: None,
-        work: None,
+        expected_execution_time: None,
         is_retry: false,
         time_left: 2000 * MS,
     };
@@ -350,7 +350,7 @@
     const N: usize = 300;
     for seed in 0..3 {
         let mut set = settings();
-        (set.must_subscribe, set.router_count) = (true, N as u32);
+        (set.is_subscription_required, set.router_count) = (true, N as u32);
         let mut hosts: Vec<Host> = (0..N as u64)
             .map(|i| Host::seeded(set.clone(), seed * 1000 + i))
             .collect();
--- a/crates/routing/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -176,15 +176,15 @@
         StaleReadPolicy::Reject,
         StaleReadPolicy::Wait(100 * MS),
     ][seed as usize % 3];
-    set.sessions_carry_position = seed & 1 == 1;
-    set.rules.only_draining_binds = seed & 4 == 4;
-    set.list_role = [ListRole::Late, ListRole::Silent, ListRole::Start][seed as usize % 3];
+    set.has_session_positions = seed & 1 == 1;
+    set.rules.allows_unlisted_endpoints = seed & 4 == 4;
+    set.list_role = [ListRole::Delayed, ListRole::None, ListRole::Initial][seed as usize % 3];
     set.reports = [
-        ReportSource::Silent,
-        ReportSource::Answers,
-        ReportSource::Probes,
+        ReportSource::None,
+        ReportSource::Responses,
+        ReportSource::HealthChecks,
     ][seed as usize % 3];
-    set.must_subscribe = seed & 2 == 2;
+    set.is_subscription_required = seed & 2 == 2;
     set.rules.slow_start_duration = 3000 * MS;
     set.tenants = vec![Tenant { quota: 20.0 }, Tenant { quota: 2000.0 }];
     set
@@ -255,7 +255,7 @@
         EndpointEntry {
             endpoint: name(endpoint),
             started: it.started,
-            primary: self.primaries[replica_set as usize] == endpoint,
+            is_primary: self.primaries[replica_set as usize] == endpoint,
             state: it.state,
             weight: 1.0,
             replica_set: replica_set as u32,
@@ -300,7 +300,7 @@
                     role: Some(Role::Replica),
                     applied_position: Some(self.now),
                 };
-                self.feed(Event::ProbeEnded {
+                self.feed(Event::HealthCheckEnded {
                     endpoint: name(endpoint),
                     outcome: AttemptOutcome::Served,
                     report,
@@ -331,7 +331,7 @@
             session: (session < 30).then(|| Arc::from(format!("session {session}"))),
             since_write: (session < 20).then_some(session * 37 * MS),
             tenant: [None, Some(0), Some(1)][self.choices.below(3) as usize],
-            work: (session.is_multiple_of(4)).then_some(session * MS),
+            expected_execution_time: (session.is_multiple_of(4)).then_some(session * MS),
             is_retry: session.is_multiple_of(9),
             time_left,
         };
@@ -359,7 +359,7 @@
             }
             Scheduled::ClientLeaves(request) => {
                 if self.over.insert(request) {
-                    self.feed(Event::ClientLeft { request });
+                    self.feed(Event::ClientDisconnected { request });
                 }
             }
             Scheduled::AttemptEnded {
@@ -400,7 +400,7 @@
             role: Some(role),
             applied_position: Some(self.now - lag),
         };
-        let has_report = says && self.settings.reports == ReportSource::Answers;
+        let has_report = says && self.settings.reports == ReportSource::Responses;
         if outcome == AttemptOutcome::Served {
             self.over.insert(request);
         }
@@ -420,7 +420,7 @@
                 ReplicationStatus::default()
             },
             latency: self.now - sent,
-            closed: self.over.contains(&request),
+            is_request_complete: self.over.contains(&request),
         }));
     }
 
@@ -464,9 +464,9 @@
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         self.hash.add(self.now);
-        self.hash.add(self.balancer.known() as u64);
+        self.hash.add(self.balancer.endpoint_count() as u64);
         self.hash.add(self.now);
-        self.hash.add(self.balancer.known() as u64);
+        self.hash.add(self.balancer.endpoint_count() as u64);
         for action in actions {
             let codes = self.carry_out(action);
             self.counts[codes[0] as usize - 1] += 1;
@@ -481,7 +481,7 @@
                 request,
                 endpoint,
                 limit,
-                by,
+                write_by: by,
             } => {
                 assert_eq!(limit, None, "not used so far: give it a code if it is");
                 self.send(request, number(&endpoint));
@@ -507,7 +507,7 @@
                 self.schedule(after, Scheduled::Timer(token));
                 [5, after, token, 0]
             }
-            Action::Probe { endpoint } => [6, number(&endpoint), 0, 0],
+            Action::CheckHealth { endpoint } => [6, number(&endpoint), 0, 0],
             Action::Subscribe => [7, 0, 0, 0],
             Action::FetchList => [8, 0, 0, 0],
         }
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -98,7 +98,7 @@
 }
 
 fn odd_day(seed: u64, set: Settings) {
-    let only_draining = set.rules.only_draining_binds;
+    let only_draining = set.rules.allows_unlisted_endpoints;
     let mut rng = Rng(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1);
     let mut c = Checker {
         unchecked: set.stale_reads == StaleReadPolicy::Serve,
@@ -205,9 +205,9 @@
                     ENDINGS[rng.below(9) as usize],
                     replica(1),
                 );
-                out.extend(c.h.feed(Event::ClientLeft { request: 1 << 41 }));
+                out.extend(c.h.feed(Event::ClientDisconnected { request: 1 << 41 }));
                 out.extend(c.h.feed(Event::Timer { token: 99 }));
-                out.extend(c.h.feed(Event::ProbeEnded {
+                out.extend(c.h.feed(Event::HealthCheckEnded {
                     endpoint,
                     outcome: AttemptOutcome::Served,
                     report: replica(1),
@@ -240,14 +240,14 @@
         if seed & 1 == 1 {
             set.stale_reads = StaleReadPolicy::Reject;
         }
-        set.sessions_carry_position = seed & 2 == 2;
-        set.rules.only_draining_binds = seed & 4 == 4;
+        set.has_session_positions = seed & 2 == 2;
+        set.rules.allows_unlisted_endpoints = seed & 4 == 4;
         if seed & 8 == 8 {
-            set.list_role = ListRole::Silent;
+            set.list_role = ListRole::None;
         }
         if seed & 16 == 16 {
-            set.reports = ReportSource::Answers;
-            set.must_subscribe = true;
+            set.reports = ReportSource::Responses;
+            set.is_subscription_required = true;
         }
         odd_day(seed, set);
     }
@@ -264,7 +264,7 @@
             session: None,
             since_write: Some(Nanos::MAX),
             tenant: Some(9),
-            work: Some(Nanos::MAX),
+            expected_execution_time: Some(Nanos::MAX),
             is_retry: true,
             time_left,
         };
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -186,7 +186,7 @@
                     replication,
                     report,
                     latency,
-                    closed,
+                    is_request_complete: closed,
                 };
                 h.feed(Event::AttemptEnded(o));
             }
@@ -236,7 +236,7 @@
 fn removed_endpoint_still_serves_where_only_draining_binds() {
     for binds in [true, false] {
         let mut set = settings();
-        set.rules.only_draining_binds = !binds;
+        set.rules.allows_unlisted_endpoints = !binds;
         let mut h = Host::new(set);
         h.warm_up();
         let mut gone = entry("b", false);
@@ -280,7 +280,7 @@
         let waited = h.wait(100 * MS);
         probes += waited
             .iter()
-            .filter(|a| matches!(a, Action::Probe { .. }))
+            .filter(|a| matches!(a, Action::CheckHealth { .. }))
             .count();
     }
     assert!(
@@ -328,7 +328,7 @@
             session,
             since_write,
             tenant,
-            work,
+            expected_execution_time: work,
             is_retry,
             time_left,
         };
@@ -393,7 +393,7 @@
 #[test]
 fn hundred_routers_get_the_list_from_a_slow_discovery_service() {
     let mut set = settings();
-    (set.must_subscribe, set.router_count) = (true, 100);
+    (set.is_subscription_required, set.router_count) = (true, 100);
     for seed in 0..3 {
         let mut hosts: Vec<Host> = (0..100)
             .map(|i| Host::seeded(set.clone(), seed * 1000 + i))
@@ -463,7 +463,7 @@
 fn strong_read_takes_part_in_primary_discovery_where_endpoints_reject_stale_reads() {
     for stale_reads in [StaleReadPolicy::Reject, StaleReadPolicy::Serve] {
         let mut set = settings();
-        (set.stale_reads, set.list_role) = (stale_reads, ListRole::Silent);
+        (set.stale_reads, set.list_role) = (stale_reads, ListRole::None);
         for seed in 0..20 {
             let mut h = Host::seeded(set.clone(), seed);
             let (id, mut out) = h.request(FRESH);
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -31,7 +31,7 @@
                 request,
                 endpoint,
                 limit,
-                by: _,
+                write_by: _,
             } => {
                 let limit = OptionalNanos(*limit);
                 write!(f, "RELAY\t{router}\t{request:016x}\t{endpoint}\t{limit}")
@@ -51,7 +51,7 @@
                 write!(f, "DROP_ATTEMPT\t{router}\t{request:016x}\t{attempt}")
             }
             Action::SetTimer { after, token } => write!(f, "SET_TIMER\t{router}\t{after}\t{token}"),
-            Action::Probe { endpoint } => write!(f, "PROBE\t{router}\t{endpoint}"),
+            Action::CheckHealth { endpoint } => write!(f, "PROBE\t{router}\t{endpoint}"),
             Action::Subscribe => write!(f, "WATCH\t{router}\t1"),
             Action::FetchList => write!(f, "REFRESH\t{router}"),
         }
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -97,7 +97,7 @@
     Ok(EndpointEntry {
         endpoint,
         started,
-        primary: leads == Some(1.0),
+        is_primary: leads == Some(1.0),
         state,
         weight,
         replica_set,
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -46,7 +46,7 @@
         session,
         since_write: has_written.map(|ms| (ms * MILLISECOND_NS) as Nanos),
         tenant,
-        work: work.filter(|work| flags & HAS_WORK != 0 && *work > 0),
+        expected_execution_time: work.filter(|work| flags & HAS_WORK != 0 && *work > 0),
         is_retry: flags & IS_RETRY != 0,
         time_left,
     }))
@@ -75,7 +75,7 @@
         replication: replication::note(note.unwrap_or(0), origin),
         report,
         latency,
-        closed,
+        is_request_complete: closed,
     }))
 }
 
@@ -90,7 +90,7 @@
     fields.number::<u64>("took")?;
     let text = fields.optional_text("feedback")?;
     let report = replication::report(text, origin?)?;
-    Ok(Event::ProbeEnded {
+    Ok(Event::HealthCheckEnded {
         endpoint,
         outcome,
         report,
@@ -116,7 +116,7 @@
 /// `CLIENT_LEFT`.
 pub fn client_left(fields: &mut Fields<'_>) -> Result<Event, LineError> {
     let request = fields.request_id("call")?;
-    Ok(Event::ClientLeft { request })
+    Ok(Event::ClientDisconnected { request })
 }
 
 /// `DEADLINE_HIT`: a timer is due.
