--- a/crates/router/src/client/accept_loop.rs
+++ b/crates/router/src/client/accept_loop.rs
@@ -42,14 +42,16 @@
 /// end by itself.
 async fn acquire_permit(shared: &Rc<Shared>) -> DescriptorPermit {
     loop {
-        if let Some(permit) = shared.clients.try_acquire() {
+        if let Some(permit) = shared.client_descriptors.try_acquire() {
             return permit;
         }
-        shared.clients.request_any_eviction();
+        shared
+            .client_descriptors
+            .request_eviction_including_stateful();
         let pause = async {
             Timer::after(PERMIT_RETRY_INTERVAL).await;
         };
-        or(shared.clients.permit_released(), pause).await;
+        or(shared.client_descriptors.permit_released(), pause).await;
     }
 }
 
@@ -64,11 +66,11 @@
     shared.last_arrival.set(shared.clock.now());
     // Counted from here on, not from when its task first runs: in a burst that is many connections later, and a
     // connection in use would be asked to make room for those that say nothing.
-    let unproven = shared.clients.count_unproven();
+    let unproven = shared.client_descriptors.count_unused();
     let task = serve(shared.clone(), stream, permit, unproven);
     executor.spawn(task).detach();
-    if shared.clients.is_running_low() {
+    if shared.client_descriptors.is_running_low() {
         // Ahead of the need: the next one must not wait in the backlog for room to be made.
-        shared.clients.request_eviction();
+        shared.client_descriptors.request_eviction();
     }
 }
--- a/crates/router/src/client/closing.rs
+++ b/crates/router/src/client/closing.rs
@@ -6,7 +6,7 @@
 use super::wait_limits::EXPENDABLE_EVICTION_DELAY;
 use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
-use crate::runtime::shared::HolderKind;
+use crate::runtime::shared::EvictionPriority;
 use async_io::Timer;
 use futures_lite::future::or;
 use reelrill_pg_protocol::frame::FrameError;
@@ -70,7 +70,7 @@
         }
         let shared = &self.shared;
         let discard = async {
-            let read = |mut s: &TcpStream| s.read(&mut shared.scratch.borrow_mut());
+            let read = |mut s: &TcpStream| s.read(&mut shared.discard_buffer.borrow_mut());
             loop {
                 match self.stream.read_with(read).await {
                     Ok(1..) => {}
@@ -86,8 +86,8 @@
         let evicted = async {
             Timer::after(EXPENDABLE_EVICTION_DELAY).await;
             shared
-                .clients
-                .eviction_requested(HolderKind::Expendable)
+                .client_descriptors
+                .eviction_requested(EvictionPriority::Expendable)
                 .await;
         };
         or(discard, or(late, evicted)).await;
--- a/crates/router/src/client/connection.rs
+++ b/crates/router/src/client/connection.rs
@@ -16,7 +16,7 @@
 use crate::observability::counters::count;
 use crate::runtime::buffer::{Buffer, MemoryLimitReached};
 use crate::runtime::shared::{
-    CancellationKey, CancellationSignal, DescriptorPermit, HolderGuard, HolderKind, Shared,
+    CancellationKey, CancellationSignal, CountGuard, DescriptorPermit, EvictionPriority, Shared,
 };
 use async_io::Async;
 use futures_lite::future::or;
@@ -36,7 +36,7 @@
     shared: Rc<Shared>,
     stream: Async<TcpStream>,
     _permit: DescriptorPermit,
-    unproven: HolderGuard,
+    unproven: CountGuard,
 ) {
     let _ = stream.get_ref().set_nodelay(true);
     let mut client = Client::new(shared, stream, unproven);
@@ -88,11 +88,11 @@
 }
 
 impl Client {
-    fn new(shared: Rc<Shared>, stream: Async<TcpStream>, unproven: HolderGuard) -> Client {
+    fn new(shared: Rc<Shared>, stream: Async<TcpStream>, unproven: CountGuard) -> Client {
         let is_extended = shared.config.edge.extended.mode != Mode::Off;
         Client {
             stream,
-            buffer: Buffer::new(&shared.memory),
+            buffer: Buffer::new(&shared.buffer_memory),
             accepted: shared.clock.now(),
             state: ConnectionState::AwaitingStartup { unproven },
             has_input_ended: false,
@@ -198,7 +198,7 @@
                 self.has_input_ended = socket::has_hung_up(self.stream.get_ref());
                 return Ok(());
             }
-            match self.buffer.fill_now(self.stream.get_ref()) {
+            match self.buffer.try_fill(self.stream.get_ref()) {
                 Ok(n) => self.has_input_ended = n == 0,
                 // Without memory it waits, as with a full buffer.
                 Err(e) if MemoryLimitReached::caused(&e) => return Ok(()),
@@ -252,12 +252,16 @@
         };
         let (holder, since, timeout) = if self.state.is_unproven() {
             let timeout = Some(CloseReason::StartupTimeout);
-            (HolderKind::Expendable, self.accepted, timeout)
+            (EvictionPriority::Expendable, self.accepted, timeout)
         } else if is_between {
             (self.idle_holder(), now, None)
         } else {
             let since = self.state.on_partial_message(now);
-            (HolderKind::Expendable, since, Some(CloseReason::Stalled))
+            (
+                EvictionPriority::Expendable,
+                since,
+                Some(CloseReason::Stalled),
+            )
         };
         WaitLimits {
             holder,
@@ -267,12 +271,12 @@
         }
     }
 
-    fn idle_holder(&self) -> HolderKind {
+    fn idle_holder(&self) -> EvictionPriority {
         let extended = self.extended_queries.as_ref();
         if extended.is_some_and(ExtendedQueries::has_state) {
-            HolderKind::Stateful
+            EvictionPriority::Stateful
         } else {
-            HolderKind::Idle
+            EvictionPriority::Idle
         }
     }
 
@@ -288,8 +292,8 @@
         }
         let is_between = self.buffer.bytes().is_empty();
         let limits = self.wait_limits(is_between);
-        let is_idle = limits.holder == HolderKind::Idle;
-        let _idle = is_idle.then(|| self.shared.clients.count_idle());
+        let is_idle = limits.holder == EvictionPriority::Idle;
+        let _idle = is_idle.then(|| self.shared.client_descriptors.count_idle());
         let close_due = async { Wait::CloseDue(limits.close_due(&self.shared).await) };
         let read = async { Wait::Read(self.buffer.fill(&self.stream).await) };
         match or(read, close_due).await {
@@ -318,25 +322,25 @@
         Err(reason)
     }
 
-    /// A request that was read at `arrived`.
+    /// A request that was read at `received_at`.
     pub(super) fn incoming(
         &self,
         admitted: &Admitted,
-        ask: Rc<Ask>,
-        arrived: Timestamp,
+        statement: Rc<Ask>,
+        received_at: Timestamp,
     ) -> ClientRequest {
         ClientRequest {
-            request: self.shared.next_request(),
-            id: admitted.id.unwrap_or_else(rand::random),
+            id: self.shared.next_request_id(),
+            client_request_id: admitted.id.unwrap_or_else(rand::random),
             class: admitted.class,
             replica_set: admitted.replica_set,
             session: admitted.session.clone(),
-            after: admitted.after,
+            required_position: admitted.after,
             is_retry: admitted.is_retry,
-            wait: admitted.wait,
-            arrived,
-            ask,
-            left: CancellationFlag::default(),
+            timeout: admitted.wait,
+            received_at,
+            statement,
+            cancelled: CancellationFlag::default(),
         }
     }
 
--- a/crates/router/src/client/connection_state.rs
+++ b/crates/router/src/client/connection_state.rs
@@ -1,6 +1,6 @@
 //! How far a client's connection has come between its commands.
 
-use crate::runtime::shared::HolderGuard;
+use crate::runtime::shared::CountGuard;
 use reelrill_routing::Timestamp;
 
 /// The state of a connection on which no request waits for its answer.
@@ -8,12 +8,12 @@
     /// The startup has not been answered.
     AwaitingStartup {
         /// Counts the connection as unproven.
-        unproven: HolderGuard,
+        unproven: CountGuard,
     },
     /// The startup has been answered, and no request has come yet.
     AwaitingFirstRequest {
         /// Counts the connection as unproven until the state changes.
-        _unproven: HolderGuard,
+        _unproven: CountGuard,
     },
     /// It has had requests. The next message has not begun, or is complete.
     Idle,
--- a/crates/router/src/client/extended_queries.rs
+++ b/crates/router/src/client/extended_queries.rs
@@ -34,9 +34,9 @@
 impl ExtendedQueries {
     /// Nothing prepared or pipelined yet.
     pub fn new(shared: &Shared) -> ExtendedQueries {
-        let capacity = shared.common.limits.reads * RESPONSES_PER_READ + EXTRA_RESPONSES;
+        let capacity = shared.session_resources.limits.reads * RESPONSES_PER_READ + EXTRA_RESPONSES;
         ExtendedQueries {
-            plan: Plan::new(shared.common.clone()),
+            plan: Plan::new(shared.session_resources.clone()),
             outstanding: OutstandingRequests::new(capacity),
             data_type: shared.config.edge.extended.data_type.oid(),
         }
@@ -155,7 +155,7 @@
     if is_suspended {
         put(out, b's', &[]);
     } else {
-        backend::put_complete(out, &answer.tag);
+        backend::put_complete(out, &answer.command_tag);
     }
     false
 }
--- a/crates/router/src/client/outstanding.rs
+++ b/crates/router/src/client/outstanding.rs
@@ -44,13 +44,13 @@
     ) -> ResponseTarget {
         self.requests.push(OutstandingRequest {
             part,
-            request: request.request,
-            left: request.left.clone(),
+            request: request.id,
+            left: request.cancelled.clone(),
             result_format,
         });
         ResponseTarget {
             part,
-            to: self.sender.clone(),
+            sender: self.sender.clone(),
         }
     }
 
--- a/crates/router/src/client/reading.rs
+++ b/crates/router/src/client/reading.rs
@@ -24,10 +24,10 @@
 impl LateReading {
     /// Whether nothing more may be read from the connection.
     pub fn has_ended(&self, shared: &Shared, buffer: &Buffer, stream: &TcpStream) -> bool {
-        if shared.is_closed_to_new() {
+        if shared.has_read_deadline_passed() {
             return true;
         }
-        if !shared.owes_nothing_new() {
+        if !shared.can_drop_new_input() {
             return false;
         }
         let until = self.until.get().unwrap_or_else(|| {
--- a/crates/router/src/client/responses.rs
+++ b/crates/router/src/client/responses.rs
@@ -1,31 +1,31 @@
 //! Final responses as messages of the protocol.
 
-use crate::messages::{Answer, FinalResponse};
+use crate::messages::{FinalResponse, QueryResult};
 use reelrill_pg_protocol::{backend, code};
 
 /// How much is written at once, so that many answers do not pile up.
 pub const WRITE_SIZE: usize = 64 * 1024;
 
 /// A served answer to a simple query.
-pub fn put_answer(out: &mut Vec<u8>, answer: &Answer) {
+pub fn put_answer(out: &mut Vec<u8>, answer: &QueryResult) {
     if let Some(c) = &answer.column {
         backend::put_column(
             out,
             &backend::Column {
                 name: &c.name,
-                kind: c.kind,
+                kind: c.origin_and_type,
                 format: c.format,
             },
         );
     }
     backend::put_value(out, &answer.value);
-    backend::put_complete(out, &answer.tag);
+    backend::put_complete(out, &answer.command_tag);
 }
 
 /// Any other answer.
 pub fn put_failure(out: &mut Vec<u8>, reply: &FinalResponse) {
     match reply {
-        FinalResponse::Refused { retry_after } => {
+        FinalResponse::Rejected { retry_after } => {
             let after = retry_after.map(|span| span.div_ceil(1_000_000).to_string());
             let text = "refused: trying again is harmless";
             backend::put_error(out, false, code::TOO_MANY, text, after.as_deref());
--- a/crates/router/src/client/simple_queries.rs
+++ b/crates/router/src/client/simple_queries.rs
@@ -160,7 +160,7 @@
 
     fn read_request(&self, text: &str) -> Result<(Admitted, Rc<Ask>), Wrong> {
         let (named, digits) = Named::simple(text)?;
-        let admitted = self.shared.common.catalog.admit(&named)?;
+        let admitted = self.shared.session_resources.catalog.admit(&named)?;
         let ask = Ask::Simple(Simple::new(text.as_bytes().to_vec(), digits));
         Ok((admitted, Rc::new(ask)))
     }
--- a/crates/router/src/client/wait_limits.rs
+++ b/crates/router/src/client/wait_limits.rs
@@ -3,7 +3,7 @@
 //! Only says when closing is due. Must never close a connection itself: what has come by then is served first.
 
 use crate::observability::close_reason::CloseReason;
-use crate::runtime::shared::{HolderKind, Shared};
+use crate::runtime::shared::{EvictionPriority, Shared};
 use async_io::Timer;
 use futures_lite::future::or;
 use reelrill_routing::{Nanos, Timestamp};
@@ -40,12 +40,12 @@
 impl ShutdownWait {
     /// When closing is due, for a shutdown that is on at `now`.
     fn ends_at(self, shared: &Shared, now: Timestamp) -> Timestamp {
-        let last_read = shared.last_read().unwrap_or(now);
+        let last_read = shared.read_deadline().unwrap_or(now);
         let last = last_read.saturating_sub(FINAL_READ_MARGIN);
         match self {
             ShutdownWait::None => now,
             ShutdownWait::FirstRequest { accepted } => {
-                let began = accepted.max(shared.ended_at.get().unwrap_or(now));
+                let began = accepted.max(shared.shutdown_started_at.get().unwrap_or(now));
                 last.min(began.saturating_add(SHUTDOWN_FIRST_REQUEST_TIMEOUT))
             }
             ShutdownWait::RestOfMessage => last,
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct WaitLimits {
     /// What the connection is to the descriptor budget.
-    pub holder: HolderKind,
+    pub holder: EvictionPriority,
     /// From when the wait counts.
     pub since: Timestamp,
     /// Why the connection is closed where no whole message comes in time; none: it may wait without an end.
@@ -85,7 +85,7 @@
     }
 
     async fn shut_down(&self, shared: &Shared) -> CloseReason {
-        shared.draining.wait().await;
+        shared.shutdown_started.wait().await;
         let now = shared.clock.now();
         let until = self.shutdown.ends_at(shared, now);
         if until > now {
@@ -96,11 +96,14 @@
 
     async fn evicted(&self, shared: &Shared) -> CloseReason {
         let delay = match self.holder {
-            HolderKind::Expendable => EXPENDABLE_EVICTION_DELAY,
-            HolderKind::Idle | HolderKind::Stateful => IDLE_EVICTION_DELAY,
+            EvictionPriority::Expendable => EXPENDABLE_EVICTION_DELAY,
+            EvictionPriority::Idle | EvictionPriority::Stateful => IDLE_EVICTION_DELAY,
         };
         Timer::at(shared.clock.instant(self.since) + delay).await;
-        shared.clients.eviction_requested(self.holder).await;
+        shared
+            .client_descriptors
+            .eviction_requested(self.holder)
+            .await;
         CloseReason::Evicted
     }
 }
--- a/crates/router/src/client/wakeup.rs
+++ b/crates/router/src/client/wakeup.rs
@@ -45,15 +45,22 @@
 
 impl Client {
     /// Sends a request to the dispatcher. Returns whether it was taken: not when the router is ending.
-    pub(super) async fn dispatch(&self, incoming: ClientRequest, reply: ResponseTarget) -> bool {
-        let message = Message::Request { incoming, reply };
+    pub(super) async fn dispatch(
+        &self,
+        request: ClientRequest,
+        response_target: ResponseTarget,
+    ) -> bool {
+        let message = Message::Request {
+            request,
+            response_target,
+        };
         self.shared.dispatcher.send(message).await.is_ok()
     }
 
     /// Tells the dispatcher that these requests are owed nothing any more.
     pub(super) async fn withdraw(&self, requests: Vec<RequestId>) {
         for request in requests {
-            let message = Message::ClientLeft { request };
+            let message = Message::RequestCancelled { request };
             // A dispatcher that has ended has forgotten the request already.
             let _ = self.shared.dispatcher.send(message).await;
         }
--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -112,7 +112,8 @@
     async fn connect(&self, timeout: Nanos) -> Result<Connection, PollError> {
         let log = self.shared.log.new(o!());
         let open = async {
-            let connection = Connection::open(self.address.get(), &self.shared.memory, log).await?;
+            let connection =
+                Connection::open(self.address.get(), &self.shared.buffer_memory, log).await?;
             Ok(connection)
         };
         or(open, time_out(timeout)).await
--- a/crates/router/src/discovery/list_watch.rs
+++ b/crates/router/src/discovery/list_watch.rs
@@ -183,7 +183,7 @@
             Err(_) => (ListKind::Failed, Vec::new()),
         };
         // The dispatcher ends last; without a receiver there is nobody to report to.
-        if let Some(registry) = &self.shared.directory {
+        if let Some(registry) = &self.shared.registry {
             let event = RegistryEvent::EndpointList {
                 kind,
                 listed,
@@ -191,7 +191,7 @@
             };
             let _ = registry.send(event).await;
         } else {
-            let message = Message::List { kind, listed };
+            let message = Message::EndpointList { kind, listed };
             let _ = self.shared.dispatcher.send(message).await;
         }
     }
--- a/crates/router/src/discovery/registry/mod.rs
+++ b/crates/router/src/discovery/registry/mod.rs
@@ -84,7 +84,7 @@
         list_requests: Sender<EndpointListRequest>,
         events: Receiver<RegistryEvent>,
     ) -> Result<Option<EndpointRegistryTask>, RegistryError> {
-        if shared.directory.is_none() {
+        if shared.registry.is_none() {
             return Ok(None);
         }
         let discovery = &shared.config.edge.discovery;
@@ -287,7 +287,7 @@
     }
 
     async fn send_list(&self, kind: ListKind, listed: Vec<ListedEndpoint>) {
-        let message = Message::List { kind, listed };
+        let message = Message::EndpointList { kind, listed };
         let _ = self.shared.dispatcher.send(message).await;
     }
 
--- a/crates/router/src/discovery/registry/services.rs
+++ b/crates/router/src/discovery/registry/services.rs
@@ -193,7 +193,7 @@
         count(&self.shared.counters.dns_queries);
         let (held_open, dropped) = async_channel::bounded::<()>(1);
         service.queries.insert(query.id, held_open);
-        let Some(events) = self.shared.directory.clone() else {
+        let Some(events) = self.shared.registry.clone() else {
             return;
         };
         let cancelled = async move {
--- a/crates/router/src/dispatcher/actions.rs
+++ b/crates/router/src/dispatcher/actions.rs
@@ -31,14 +31,14 @@
                 retry_after,
             } => {
                 self.count_rejected(request, reason);
-                self.answer(request, FinalResponse::Refused { retry_after });
+                self.answer(request, FinalResponse::Rejected { retry_after });
             }
             Action::Fail { request, reason } => {
                 self.count_rejected(request, reason);
                 self.answer(request, FinalResponse::Failed("not served"));
             }
             Action::Cancel { request, attempt } => {
-                let cancelled = AttemptResult::silent(AttemptOutcome::Cancelled);
+                let cancelled = AttemptResult::from_outcome(AttemptOutcome::Cancelled);
                 self.finish_attempt(request, attempt, cancelled);
             }
             Action::SetTimer { after, token } => {
--- a/crates/router/src/dispatcher/attempts.rs
+++ b/crates/router/src/dispatcher/attempts.rs
@@ -42,7 +42,7 @@
             self.hand_to_pool(&endpoint, attempt)
         };
         match started {
-            Err(outcome) => self.finish_attempt(id, number, AttemptResult::silent(outcome)),
+            Err(outcome) => self.finish_attempt(id, number, AttemptResult::from_outcome(outcome)),
             Ok(()) if time_limit.is_some() => {
                 let entry = DeadlineEntry::AttemptTimeout(id, number);
                 self.deadlines.add(until, entry);
@@ -77,7 +77,7 @@
         debug!(self.shared.log, "attempt ended"; "request" => format_args!("{client_id:016x}"),
                "class" => class, "number" => number, "member" => &*attempt.endpoint,
                "ending" => ?outcome, "ns" => latency, "position" => ?result.replication.applied_position);
-        if let Some(answer) = result.answer {
+        if let Some(answer) = result.query_result {
             self.answer(id, FinalResponse::Served(answer));
         }
         let closed = self
@@ -149,8 +149,8 @@
     id: RequestId,
     endpoint: &EndpointId,
     now: Timestamp,
-    until: Timestamp,
-    write_by: Option<Timestamp>,
+    deadline: Timestamp,
+    write_deadline: Option<Timestamp>,
 ) -> Attempt {
     let number = request.attempts_made;
     let (abandon_on_drop, abandoned) = async_channel::bounded(1);
@@ -165,11 +165,11 @@
     Attempt {
         request: id,
         number,
-        ask: request.ask.clone(),
-        until,
-        write_by,
+        statement: request.ask.clone(),
+        deadline,
+        write_deadline,
         abandoned,
-        client_left: request.client_left.clone(),
+        request_cancelled: request.client_left.clone(),
         progress,
     }
 }
--- a/crates/router/src/dispatcher/mailbox.rs
+++ b/crates/router/src/dispatcher/mailbox.rs
@@ -35,9 +35,9 @@
     /// Sends a message, and waits while its queue is full. An error: the dispatcher has ended.
     pub async fn send(&self, message: Message) -> Result<(), SendError<Message>> {
         let queue = match message {
-            Message::List { .. } | Message::ShutdownStarted => &self.control,
+            Message::EndpointList { .. } | Message::ShutdownStarted => &self.control,
             Message::Request { .. }
-            | Message::ClientLeft { .. }
+            | Message::RequestCancelled { .. }
             | Message::AttemptEnded { .. }
             | Message::HealthCheckEnded { .. } => &self.requests,
         };
--- a/crates/router/src/dispatcher/mailbox/tests.rs
+++ b/crates/router/src/dispatcher/mailbox/tests.rs
@@ -12,15 +12,15 @@
 
 fn name(message: &Message) -> String {
     match message {
-        Message::List { .. } => "list".to_owned(),
+        Message::EndpointList { .. } => "list".to_owned(),
         Message::ShutdownStarted => "shutdown".to_owned(),
-        Message::ClientLeft { request } => request.to_string(),
+        Message::RequestCancelled { request } => request.to_string(),
         other => format!("{other:?}"),
     }
 }
 
 fn list() -> Message {
-    Message::List {
+    Message::EndpointList {
         kind: ListKind::Changes,
         listed: Vec::new(),
     }
@@ -30,7 +30,7 @@
 fn a_list_change_is_read_before_a_thousand_waiting_requests() {
     let (sender, mailbox) = mailbox();
     for request in 0..1000 {
-        block_on(sender.send(Message::ClientLeft { request })).unwrap();
+        block_on(sender.send(Message::RequestCancelled { request })).unwrap();
     }
     let next = || mailbox.try_next().map(|message| name(&message));
     assert_eq!(next().as_deref(), Some("0"));
@@ -47,7 +47,7 @@
 fn each_queue_keeps_its_order_and_is_read_to_its_end_after_the_sender_is_gone() {
     let (sender, mailbox) = mailbox();
     for request in [1, 2] {
-        block_on(sender.send(Message::ClientLeft { request })).unwrap();
+        block_on(sender.send(Message::RequestCancelled { request })).unwrap();
     }
     block_on(sender.send(list())).unwrap();
     block_on(sender.send(Message::ShutdownStarted)).unwrap();
--- a/crates/router/src/dispatcher/mod.rs
+++ b/crates/router/src/dispatcher/mod.rs
@@ -119,8 +119,11 @@
 
     fn on_message(&mut self, message: Message) {
         match message {
-            Message::Request { incoming, reply } => self.on_request(incoming, reply),
-            Message::ClientLeft { request } => self.on_client_left(request),
+            Message::Request {
+                request,
+                response_target,
+            } => self.on_request(request, response_target),
+            Message::RequestCancelled { request } => self.on_client_left(request),
             Message::AttemptEnded {
                 request,
                 attempt,
@@ -129,7 +132,7 @@
             Message::HealthCheckEnded { endpoint, result } => {
                 self.on_health_check_ended(endpoint, result)
             }
-            Message::List { kind, listed } => self.on_list(kind, listed),
+            Message::EndpointList { kind, listed } => self.on_list(kind, listed),
             Message::ShutdownStarted => self.on_shutdown(),
         }
     }
@@ -145,7 +148,7 @@
 
     /// Whatever is pending has its answer before the process may be killed.
     fn on_shutdown(&mut self) {
-        let Some(last) = self.shared.last_answer() else {
+        let Some(last) = self.shared.response_deadline() else {
             return;
         };
         for (id, request) in self.requests.iter_mut() {
@@ -164,7 +167,7 @@
                     self.events.push_back(Event::Timer { token });
                 }
                 DeadlineEntry::AttemptTimeout(request, number) => {
-                    let timed_out = AttemptResult::silent(AttemptOutcome::TimedOut);
+                    let timed_out = AttemptResult::from_outcome(AttemptOutcome::TimedOut);
                     self.finish_attempt(request, number, timed_out);
                 }
                 DeadlineEntry::RequestDeadline(request) => self.on_request_deadline(request),
--- a/crates/router/src/dispatcher/request_table/tests.rs
+++ b/crates/router/src/dispatcher/request_table/tests.rs
@@ -9,14 +9,14 @@
 
 /// A table with one queued request.
 fn table() -> RequestTable {
-    let (to, _) = async_channel::bounded::<(u64, FinalResponse)>(1);
+    let (sender, _) = async_channel::bounded::<(u64, FinalResponse)>(1);
     let request = PendingRequest::new(
         CLIENT_ID,
         100,
         Rc::new(Ask::Simple(Simple::new(b"0".to_vec(), 0..1))),
         CancellationFlag::default(),
         0,
-        ResponseTarget { part: 7, to },
+        ResponseTarget { part: 7, sender },
     );
     let mut table = RequestTable::default();
     table.insert(ID, request);
--- a/crates/router/src/dispatcher/requests.rs
+++ b/crates/router/src/dispatcher/requests.rs
@@ -15,18 +15,21 @@
     /// Takes a request in, or answers it at once if it may not be taken in.
     pub(super) fn on_request(&mut self, incoming: ClientRequest, reply: ResponseTarget) {
         count(&self.shared.counters.requests);
-        if incoming.left.is_raised() {
+        if incoming.cancelled.is_raised() {
             // Its client has gone while it waited in the mailbox: nothing is owed, and nothing begins.
             count(&self.shared.counters.client_left);
             return count(&self.shared.counters.client_left_before_admission);
         }
-        if self.shared.rejects_new() {
+        if self.shared.should_reject_new_requests() {
             // Its client kept a connection open that is about to close: whatever is forwarded now may find the
             // process killed.
             count(&self.shared.counters.rejected);
-            return respond(reply, FinalResponse::Refused { retry_after: None });
+            return respond(reply, FinalResponse::Rejected { retry_after: None });
         }
-        if self.requests.is_client_id_in_use(incoming.id) {
+        if self
+            .requests
+            .is_client_id_in_use(incoming.client_request_id)
+        {
             // An id names one request: endpoints would take a second one under it for its copy.
             count(&self.shared.counters.invalid_statements);
             return respond(reply, FinalResponse::Failed("this id is already in use"));
@@ -36,28 +39,30 @@
 
     fn admit(&mut self, incoming: ClientRequest, reply: ResponseTarget) {
         let now = self.shared.clock.now();
-        debug!(self.shared.log, "taken"; "request" => format_args!("{:016x}", incoming.id),
+        debug!(self.shared.log, "taken"; "request" => format_args!("{:016x}", incoming.client_request_id),
                "class" => incoming.class, "group" => incoming.replica_set,
-               "session" => incoming.session.as_deref(), "after" => incoming.after);
+               "session" => incoming.session.as_deref(), "after" => incoming.required_position);
         let deadline = self.answer_deadline(&incoming);
         let request = PendingRequest::new(
-            incoming.id,
+            incoming.client_request_id,
             deadline,
-            incoming.ask,
-            incoming.left,
+            incoming.statement,
+            incoming.cancelled,
             incoming.class,
             reply,
         );
-        self.requests.insert(incoming.request, request);
+        self.requests.insert(incoming.id, request);
         self.deadlines
-            .add(deadline, DeadlineEntry::RequestDeadline(incoming.request));
+            .add(deadline, DeadlineEntry::RequestDeadline(incoming.id));
         let platform_now = self.platform.platform(now);
         self.events.push_back(Event::Request(Request {
-            id: incoming.request,
+            id: incoming.id,
             class: incoming.class,
             replica_set: incoming.replica_set,
             session: incoming.session,
-            since_write: incoming.after.map(|at| platform_now.saturating_sub(at)),
+            since_write: incoming
+                .required_position
+                .map(|at| platform_now.saturating_sub(at)),
             tenant: None,
             work: None,
             is_retry: incoming.is_retry,
@@ -67,9 +72,9 @@
 
     /// When the final answer has to leave: before the client stops waiting, and before the process may be killed.
     fn answer_deadline(&self, incoming: &ClientRequest) -> Timestamp {
-        let wait = incoming.wait.saturating_sub(ANSWER_TRAVEL_TIME);
-        let deadline = incoming.arrived.saturating_add(wait);
-        match self.shared.last_answer() {
+        let wait = incoming.timeout.saturating_sub(ANSWER_TRAVEL_TIME);
+        let deadline = incoming.received_at.saturating_add(wait);
+        match self.shared.response_deadline() {
             Some(last) => deadline.min(last),
             None => deadline,
         }
@@ -96,7 +101,7 @@
             .map(|attempt| attempt.number)
             .collect();
         for number in unwritten {
-            let abandoned = AttemptResult::silent(AttemptOutcome::Abandoned);
+            let abandoned = AttemptResult::from_outcome(AttemptOutcome::Abandoned);
             self.finish_attempt(request, number, abandoned);
         }
     }
@@ -108,7 +113,7 @@
         let attempts = self.requests.get(request).map_or(&[][..], |r| r.attempts());
         let numbers: Vec<u32> = attempts.iter().map(|attempt| attempt.number).collect();
         for number in numbers {
-            let timed_out = AttemptResult::silent(AttemptOutcome::TimedOut);
+            let timed_out = AttemptResult::from_outcome(AttemptOutcome::TimedOut);
             self.finish_attempt(request, number, timed_out);
         }
         self.settle();
@@ -125,7 +130,7 @@
         let response = if request.attempts_made > 0 {
             FinalResponse::Failed("no answer in time")
         } else {
-            FinalResponse::Refused { retry_after: None }
+            FinalResponse::Rejected { retry_after: None }
         };
         self.answer(id, response);
         self.events.push_back(Event::ClientLeft { request: id });
@@ -139,7 +144,7 @@
         let counters = &self.shared.counters;
         count(match &response {
             FinalResponse::Served(_) => &counters.served,
-            FinalResponse::Refused { .. } => &counters.rejected,
+            FinalResponse::Rejected { .. } => &counters.rejected,
             FinalResponse::Failed(_) | FinalResponse::Cancelled => &counters.failed,
         });
         respond(reply, response);
@@ -148,5 +153,5 @@
 
 /// Hands a final response to the client's task. A client that has just gone no longer listens; it says so by itself.
 fn respond(target: ResponseTarget, response: FinalResponse) {
-    let _ = target.to.try_send((target.part, response));
+    let _ = target.sender.try_send((target.part, response));
 }
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -1,7 +1,7 @@
-//! What passes between the client tasks, the dispatcher, the endpoint pools and discovery.
+//! The messages between the client tasks, the dispatcher, the endpoint pools and discovery.
 //!
-//! Plain data that names no client protocol, so that another one can be put before the same dispatcher. Nothing here
-//! owns a task or a socket.
+//! These types are plain data and name no client protocol, so that a front end for another protocol can use the same
+//! dispatcher. None of them owns a task or a socket.
 
 use reelrill_pg_protocol::Format;
 use reelrill_pg_session::bound::Ask;
@@ -14,184 +14,229 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Raised once, and seen at once by all that hold it: no message has to pass through a mailbox first.
+/// Marks a request as cancelled. Once raised it stays raised, and every holder of a clone sees it at once, without a
+/// message through a mailbox.
 #[derive(Debug, Clone, Default)]
 pub struct CancellationFlag(Rc<Cell<bool>>);
 
 impl CancellationFlag {
+    /// Raises the flag.
     pub fn raise(&self) {
         self.0.set(true);
     }
 
+    /// Returns whether the flag has been raised.
     pub fn is_raised(&self) -> bool {
         self.0.get()
     }
 }
 
-/// A client's request as its task has read it.
+/// A client's request, parsed and ready for the dispatcher.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// The router's own name for this request: clients may name theirs alike.
-    pub request: RequestId,
-    /// The client's name for it, which endpoints get to see.
-    pub id: u64,
+    /// The id that the router assigned. It is unique, while several clients may use the same request id.
+    pub id: RequestId,
+    /// The id that the client assigned; it is passed on to endpoints.
+    pub client_request_id: u64,
+    /// The index of the request class in the settings.
     pub class: u32,
+    /// The index of the replica set in the settings.
     pub replica_set: u32,
+    /// The session whose writes the request must observe.
     pub session: Option<Arc<str>>,
-    /// The position that a session read must see.
-    pub after: Option<Timestamp>,
+    /// The replication position that a read in a session must observe.
+    pub required_position: Option<Timestamp>,
+    /// Whether the client sends the request again.
     pub is_retry: bool,
-    /// How long the client waits from `arrived` on, in nanoseconds.
-    pub wait: Nanos,
-    pub arrived: Timestamp,
-    pub ask: Rc<Ask>,
-    /// Raised by the client's task as soon as the client has gone or called the request off: nothing begins from then
-    /// on, whatever still waits in a mailbox, for a connection or for a descriptor.
-    pub left: CancellationFlag,
+    /// The time that the client waits from `received_at` on, in nanoseconds.
+    pub timeout: Nanos,
+    /// The time at which the client's task read the request.
+    pub received_at: Timestamp,
+    /// The statement to execute.
+    pub statement: Rc<Ask>,
+    /// Raised by the client's task as soon as the client disconnects or cancels the request. No further step is
+    /// started from then on, even if the request waits in a mailbox, for a connection or for a file descriptor.
+    pub cancelled: CancellationFlag,
 }
 
-/// The one final answer to a request.
+/// The final response to a request. Each request has exactly one.
 #[derive(Debug)]
 pub enum FinalResponse {
-    Served(Answer),
-    Refused {
+    /// An endpoint executed the statement.
+    Served(QueryResult),
+    /// The request had no effect, and the client may retry it.
+    Rejected {
+        /// The delay before a retry, in nanoseconds.
         retry_after: Option<Nanos>,
     },
+    /// The request failed, with an error message for the client; it may have been executed.
     Failed(&'static str),
-    /// Its client called it off.
+    /// The client cancelled the request; it may have been executed.
     Cancelled,
 }
 
-/// Where the one reply goes: a client's parts share a channel that has room for all that it has out.
+/// The destination of a request's final response. All requests of one client share a channel with capacity for all of
+/// its outstanding requests.
 #[derive(Debug, Clone)]
 pub struct ResponseTarget {
+    /// Identifies the request among those of its client.
     pub part: u64,
-    pub to: async_channel::Sender<(u64, FinalResponse)>,
+    /// The client's response channel.
+    pub sender: async_channel::Sender<(u64, FinalResponse)>,
 }
 
-/// A complete answer as an endpoint gave it: one value.
+/// The complete result of a statement, as the endpoint sent it: one row of one column.
 #[derive(Debug)]
-pub struct Answer {
-    /// What the endpoint said of it; none: it was asked for in a format, and is in that.
-    pub column: Option<Column>,
+pub struct QueryResult {
+    /// The endpoint's description of the column. `None` for a prepared statement, whose value has the requested format.
+    pub column: Option<ResultColumn>,
+    /// The value of the one column.
     pub value: Vec<u8>,
-    /// What was done, such as `SELECT 1`.
-    pub tag: Box<str>,
+    /// The command tag, such as `SELECT 1`.
+    pub command_tag: Box<str>,
 }
 
-/// The column of a value.
+/// The description of a result column.
 #[derive(Debug)]
-pub struct Column {
+pub struct ResultColumn {
+    /// The column's name.
     pub name: Box<str>,
-    /// Where it comes from and its type; passed on as it came.
-    pub kind: [u8; 16],
+    /// The table, attribute and type fields of the RowDescription message, passed on unchanged.
+    pub origin_and_type: [u8; 16],
+    /// The format of the value.
     pub format: Format,
 }
 
-/// How an attempt ended on its connection.
+/// The result of an attempt or a health check.
 #[derive(Debug)]
 pub struct AttemptResult {
+    /// The outcome that the balancer receives.
     pub outcome: AttemptOutcome,
+    /// The replication status from the parameters that the endpoint sent with its response.
     pub replication: ReplicationStatus,
+    /// The replication status from the endpoint's load report.
     pub report: ReplicationStatus,
-    pub answer: Option<Answer>,
+    /// The result of the statement, if the outcome is [`AttemptOutcome::Served`].
+    pub query_result: Option<QueryResult>,
 }
 
 impl AttemptResult {
-    /// An outcome that came without a report from the endpoint.
-    pub fn silent(outcome: AttemptOutcome) -> AttemptResult {
+    /// Creates a result without a query result, a replication status or a load report.
+    pub fn from_outcome(outcome: AttemptOutcome) -> AttemptResult {
         AttemptResult {
             outcome,
             replication: ReplicationStatus::default(),
             report: ReplicationStatus::default(),
-            answer: None,
+            query_result: None,
         }
     }
 }
 
-/// One line of the list of endpoints and where to dial it.
+/// An entry of the endpoint list, with the address to connect to.
 #[derive(Debug, Clone)]
 pub struct ListedEndpoint {
+    /// The entry as the balancer receives it.
     pub entry: EndpointEntry,
+    /// The address that the pool connects to.
     pub address: SocketAddr,
 }
 
-/// What goes into the dispatcher's mailbox.
+/// A message to the dispatcher.
 #[derive(Debug)]
 pub enum Message {
+    /// A client sent a request.
     Request {
-        incoming: ClientRequest,
-        reply: ResponseTarget,
+        /// The request.
+        request: ClientRequest,
+        /// The destination of its final response.
+        response_target: ResponseTarget,
     },
-    ClientLeft {
+    /// The client disconnected or cancelled the request: no response is due.
+    RequestCancelled {
+        /// The request's id.
         request: RequestId,
     },
+    /// An attempt ended.
     AttemptEnded {
+        /// The request's id.
         request: RequestId,
+        /// The number of the attempt.
         attempt: u32,
+        /// The result of the attempt.
         result: AttemptResult,
     },
+    /// A health check ended.
     HealthCheckEnded {
+        /// The endpoint that was checked.
         endpoint: EndpointId,
+        /// The result of the check.
         result: AttemptResult,
     },
-    List {
+    /// The endpoint list was read, changed or could not be read.
+    EndpointList {
+        /// Whether `listed` is complete, holds changes only, or the poll failed.
         kind: ListKind,
+        /// The entries.
         listed: Vec<ListedEndpoint>,
     },
-    /// SIGTERM has come.
+    /// The router received SIGTERM or SIGINT.
     ShutdownStarted,
 }
 
-/// How far an attempt has come with its endpoint.
+/// The phase of an attempt.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum AttemptPhase {
-    /// It waits in a pool. Nothing has been written.
+    /// The attempt waits in the pool for a connection. Nothing has been written.
     #[default]
     WaitingForConnection,
-    /// Its connection writes. Not enough has been written for the request to run.
+    /// The request is being written. Too little has been written for the endpoint to execute it.
     Writing,
-    /// The last byte with which the request may run has been written.
+    /// Enough has been written for the endpoint to execute the request.
     Written,
 }
 
-/// How far an attempt has come, as its connection tells the dispatcher without a message.
+/// The phase of an attempt, shared by its connection, which sets it, and the dispatcher, which reads it without a
+/// message through its mailbox.
 #[derive(Debug, Clone, Default)]
 pub struct AttemptProgress(Rc<Cell<AttemptPhase>>);
 
 impl AttemptProgress {
-    /// A connection begins to write. A request that may have run stays so, also when it is written again.
+    /// Records that a connection starts to write the request. An attempt that was written stays written, even if the
+    /// request is written a second time.
     pub fn start_writing(&self) {
         if self.0.get() == AttemptPhase::WaitingForConnection {
             self.0.set(AttemptPhase::Writing);
         }
     }
 
-    /// The last byte with which the request may run has been written.
+    /// Records that enough has been written for the endpoint to execute the request.
     pub fn finish_writing(&self) {
         self.0.set(AttemptPhase::Written);
     }
 
-    /// The request may have run.
+    /// Returns whether the endpoint may have executed the request.
     pub fn is_written(&self) -> bool {
         self.0.get() == AttemptPhase::Written
     }
 }
 
-/// One attempt as a pool gets it.
+/// One attempt, as the dispatcher passes it to an endpoint pool.
 #[derive(Debug)]
 pub struct Attempt {
+    /// The request's id.
     pub request: RequestId,
-    /// Counts the attempts of a request from 0 on.
+    /// Numbers the attempts of a request, from 0.
     pub number: u32,
-    pub ask: Rc<Ask>,
-    /// When the router stops waiting.
-    pub until: Timestamp,
-    /// It must be written by then, or not at all.
-    pub write_by: Option<Timestamp>,
-    /// Closed once the dispatcher waits for the attempt no more.
+    /// The statement to execute.
+    pub statement: Rc<Ask>,
+    /// The time at which the router stops waiting for the response.
+    pub deadline: Timestamp,
+    /// The time from which the request must not be written any more.
+    pub write_deadline: Option<Timestamp>,
+    /// A channel that the dispatcher closes when it abandons the attempt; it never carries a message.
     pub abandoned: async_channel::Receiver<()>,
-    /// Its client has gone: what has not been written is not written any more.
-    pub client_left: CancellationFlag,
+    /// Raised when the client disconnects or cancels the request. An unwritten request is then not written any more.
+    pub request_cancelled: CancellationFlag,
+    /// The phase of the attempt.
     pub progress: AttemptProgress,
 }
--- a/crates/router/src/reload.rs
+++ b/crates/router/src/reload.rs
@@ -27,7 +27,7 @@
     if new.edge.extended != shared.config.edge.extended {
         warn!(shared.log, "a change takes effect at the next start"; "of" => "extended");
     }
-    match &shared.directory {
+    match &shared.registry {
         Some(directory) => drop(
             directory
                 .send(RegistryEvent::SettingsReloaded(new.edge.discovery))
--- a/crates/router/src/runtime/buffer.rs
+++ b/crates/router/src/runtime/buffer.rs
@@ -132,7 +132,7 @@
     }
 
     /// Reads what has come, without waiting for more.
-    pub fn fill_now(&mut self, mut stream: &TcpStream) -> io::Result<usize> {
+    pub fn try_fill(&mut self, mut stream: &TcpStream) -> io::Result<usize> {
         let n = stream.read(self.room()?)?;
         self.on_read(n);
         Ok(n)
--- a/crates/router/src/runtime/descriptor_budget.rs
+++ b/crates/router/src/runtime/descriptor_budget.rs
@@ -29,26 +29,26 @@
 pub struct DescriptorPermit(Rc<DescriptorBudget>);
 
 /// Counts a holder as one of a kind until dropped.
-pub struct HolderGuard {
+pub struct CountGuard {
     budget: Rc<DescriptorBudget>,
     counter: fn(&DescriptorBudget) -> &Cell<usize>,
 }
 
-impl HolderGuard {
+impl CountGuard {
     fn new(
         budget: &Rc<DescriptorBudget>,
         counter: fn(&DescriptorBudget) -> &Cell<usize>,
-    ) -> HolderGuard {
+    ) -> CountGuard {
         let count = counter(budget);
         count.set(count.get() + 1);
-        HolderGuard {
+        CountGuard {
             budget: budget.clone(),
             counter,
         }
     }
 }
 
-impl Drop for HolderGuard {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         let count = (self.counter)(&self.budget);
         count.set(count.get().saturating_sub(1));
@@ -57,7 +57,7 @@
 
 /// Kinds of holders that can be evicted, in the order in which they are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HolderKind {
+pub enum EvictionPriority {
     /// A connection that has never asked anything, has stalled, or is being closed: it goes first.
     Expendable,
     /// A connection between requests.
@@ -106,13 +106,13 @@
     }
 
     /// Counts a holder that has not asked anything yet.
-    pub fn count_unproven(self: &Rc<Self>) -> HolderGuard {
-        HolderGuard::new(self, |budget| &budget.unproven)
+    pub fn count_unused(self: &Rc<Self>) -> CountGuard {
+        CountGuard::new(self, |budget| &budget.unproven)
     }
 
     /// Counts a holder between requests that would lose nothing.
-    pub fn count_idle(self: &Rc<Self>) -> HolderGuard {
-        HolderGuard::new(self, |budget| &budget.idle_holders)
+    pub fn count_idle(self: &Rc<Self>) -> CountGuard {
+        CountGuard::new(self, |budget| &budget.idle_holders)
     }
 
     /// Asks the holder that has listened longest to give its descriptor up, the expendable ones first. Where many are
@@ -126,18 +126,18 @@
     }
 
     /// The same where no permit is left: the holders that lose something go, if there is no other.
-    pub fn request_any_eviction(&self) {
+    pub fn request_eviction_including_stateful(&self) {
         if !self.request_eviction() {
             self.stateful.notify(1.additional());
         }
     }
 
     /// Waits until a holder of this kind is asked to give its descriptor up.
-    pub async fn eviction_requested(&self, kind: HolderKind) {
+    pub async fn eviction_requested(&self, kind: EvictionPriority) {
         match kind {
-            HolderKind::Expendable => self.expendable.listen().await,
-            HolderKind::Idle => self.idle.listen().await,
-            HolderKind::Stateful => self.stateful.listen().await,
+            EvictionPriority::Expendable => self.expendable.listen().await,
+            EvictionPriority::Idle => self.idle.listen().await,
+            EvictionPriority::Stateful => self.stateful.listen().await,
         }
     }
 
--- a/crates/router/src/runtime/shared.rs
+++ b/crates/router/src/runtime/shared.rs
@@ -1,4 +1,5 @@
-//! What all tasks of the one thread share: clock, log, counters, the descriptor budget and the phase.
+//! The state that all tasks of the router's one thread share: configuration, clock, log, counters, resource budgets and
+//! the phase of a graceful shutdown.
 
 use crate::config::Config;
 use crate::discovery::messages::RegistryEvent;
@@ -9,7 +10,7 @@
 pub use crate::runtime::cancellation::{CancellationKey, CancellationRegistry, CancellationSignal};
 pub use crate::runtime::clock::Clock;
 pub use crate::runtime::descriptor_budget::{
-    DescriptorBudget, DescriptorPermit, HolderGuard, HolderKind,
+    CountGuard, DescriptorBudget, DescriptorPermit, EvictionPriority,
 };
 pub use crate::runtime::flag::Flag;
 use crate::runtime::shutdown::ShutdownSchedule;
@@ -22,58 +23,61 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// What all tasks share; one for the process.
+/// Holds the state that all tasks share. There is one for the process.
 pub struct Shared {
     /// The configuration as read at the start.
     pub config: Config,
-    /// The router's time.
+    /// The router's clock.
     pub clock: Clock,
-    /// Where log lines go.
+    /// The root logger.
     pub log: Logger,
-    /// What the router counts.
+    /// The router's counters.
     pub counters: Counters,
-    /// Descriptors for clients and for endpoints, apart: a flood of clients must not keep the requests of others
-    /// from the endpoints.
-    pub clients: Rc<DescriptorBudget>,
-    pub upstream: Rc<DescriptorBudget>,
-    /// The router knows endpoints to serve from.
+    /// The file descriptors for client connections. Their budget is separate from that of `upstream_descriptors`, so
+    /// that a burst of clients cannot keep the requests of other clients from the endpoints.
+    pub client_descriptors: Rc<DescriptorBudget>,
+    /// The file descriptors for connections to endpoints.
+    pub upstream_descriptors: Rc<DescriptorBudget>,
+    /// Raised once the router knows endpoints that it can forward requests to.
     pub ready: Flag,
-    /// SIGTERM has come.
-    pub draining: Flag,
-    /// When SIGTERM came.
-    pub ended_at: Cell<Option<Timestamp>>,
-    /// What happens how long after that.
-    pub shutdown: ShutdownSchedule,
-    /// When a connection or a request last came in.
+    /// Raised by SIGTERM or SIGINT.
+    pub shutdown_started: Flag,
+    /// The time at which the graceful shutdown started.
+    pub shutdown_started_at: Cell<Option<Timestamp>>,
+    /// The schedule of the graceful shutdown.
+    pub shutdown_schedule: ShutdownSchedule,
+    /// The time at which a connection was last accepted or a request last received.
     pub last_arrival: Cell<Timestamp>,
-    /// Takes what clients ask for.
+    /// Sends messages to the dispatcher.
     pub dispatcher: MailboxSender,
-    /// Where the endpoint list and what endpoints say of themselves go, if there are other sources.
-    pub directory: Option<async_channel::Sender<RegistryEvent>>,
-    /// What the buffers of all connections may grow to.
-    pub memory: Rc<MemoryBudget>,
-    /// Where bytes go that nobody wants; one for all connections.
-    pub scratch: RefCell<Vec<u8>>,
-    requests: Cell<u64>,
-    /// What all clients' prepared statements and pipelines share.
-    pub common: Rc<Common>,
-    /// The clients that may cancel what they wait for.
+    /// Sends the endpoint list and the responses of endpoints to the registry. `None` if the endpoint list is the only
+    /// source: it then goes to the dispatcher.
+    pub registry: Option<async_channel::Sender<RegistryEvent>>,
+    /// The memory budget for the large buffers of all connections.
+    pub buffer_memory: Rc<MemoryBudget>,
+    /// Receives bytes that are discarded. All connections share it.
+    pub discard_buffer: RefCell<Vec<u8>>,
+    request_count: Cell<u64>,
+    /// The resources that the prepared statements and pipelines of all clients share.
+    pub session_resources: Rc<Common>,
+    /// The clients that can cancel their requests.
     pub cancellations: CancellationRegistry,
 }
 
-/// Kept back for the listener, the reactor, the log, discovery and what a library may open.
+/// The descriptors reserved for the listener, the reactor, the log, discovery and the libraries.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// The clients' part of the rest. Requests hold up to a third of all descriptors on the clients' side, and about
-/// as many on the other; the clients' part has room for those that come and hold nothing.
+/// The percentage of the remaining descriptors that client connections may use. Clients with a request in progress hold
+/// up to a third of all descriptors, and their upstream connections about as many; the clients' share also has room for
+/// connections without a request.
 const CLIENT_DESCRIPTORS_PERCENT: usize = 55;
-/// The part of the memory limit for large buffers. What a buffer holds may be copied twice on its way (statement,
-/// attempt), and the rest of the process needs some 5 MB.
+/// The percentage of the memory limit that large buffers may use. The content of a buffer may be copied twice (into the
+/// statement and into the attempt), and the rest of the process needs about 5 MB.
 const LARGE_BUFFERS_PERCENT: usize = 20;
-/// What is thrown away is read in pieces of this size.
-const SCRATCH_SIZE: usize = 64 * 1024;
+/// The largest number of bytes that are read at once to be discarded.
+const DISCARD_BUFFER_SIZE: usize = 64 * 1024;
 
-/// What all clients' prepared statements and pipelines share.
-fn session_common(config: &Config) -> Common {
+/// Creates the resources that the prepared statements and pipelines of all clients share.
+fn new_session_resources(config: &Config) -> Common {
     let extended = &config.edge.extended;
     Common {
         templates: Templates::new(extended.limits.text_bytes, extended.data_type.oid()),
@@ -88,91 +92,93 @@
 }
 
 impl Shared {
-    /// Divides descriptors and memory as the configuration says.
+    /// Creates the shared state, with descriptors and memory divided as the configuration requires.
     pub fn new(
         config: Config,
         log: Logger,
         dispatcher: MailboxSender,
-        directory: Option<async_channel::Sender<RegistryEvent>>,
+        registry: Option<async_channel::Sender<RegistryEvent>>,
     ) -> Rc<Shared> {
         let available = config.sockets - RESERVED_DESCRIPTORS;
         let for_clients = available * CLIENT_DESCRIPTORS_PERCENT / 100;
         let clock = Clock::new();
         let deadlines = config.site.settings.classes.iter().map(|c| c.deadline);
-        let shutdown = ShutdownSchedule::new(deadlines.max().unwrap_or(0));
-        let common = session_common(&config);
+        let shutdown_schedule = ShutdownSchedule::new(deadlines.max().unwrap_or(0));
+        let session_resources = new_session_resources(&config);
         Rc::new(Shared {
-            clients: DescriptorBudget::new(for_clients),
-            upstream: DescriptorBudget::new(available - for_clients),
-            memory: MemoryBudget::new(config.memory * LARGE_BUFFERS_PERCENT / 100),
+            client_descriptors: DescriptorBudget::new(for_clients),
+            upstream_descriptors: DescriptorBudget::new(available - for_clients),
+            buffer_memory: MemoryBudget::new(config.memory * LARGE_BUFFERS_PERCENT / 100),
             config,
             log,
             counters: Counters::default(),
             ready: Flag::default(),
-            draining: Flag::default(),
-            ended_at: Cell::new(None),
-            shutdown,
+            shutdown_started: Flag::default(),
+            shutdown_started_at: Cell::new(None),
+            shutdown_schedule,
             last_arrival: Cell::new(clock.now()),
             clock,
             dispatcher,
-            directory,
-            scratch: RefCell::new(vec![0; SCRATCH_SIZE]),
-            requests: Cell::new(0),
-            common: Rc::new(common),
+            registry,
+            discard_buffer: RefCell::new(vec![0; DISCARD_BUFFER_SIZE]),
+            request_count: Cell::new(0),
+            session_resources: Rc::new(session_resources),
             cancellations: CancellationRegistry::default(),
         })
     }
 
-    /// An endpoint answered for itself. A full mailbox loses nothing: it will answer again.
-    pub fn report_alive(&self, endpoint: &EndpointId, is_draining: bool) {
-        if let Some(directory) = &self.directory {
-            let _ = directory.try_send(RegistryEvent::EndpointResponded {
+    /// Notifies the registry that an endpoint responded. A notification that finds a full mailbox is dropped: the next
+    /// response leads to another.
+    pub fn report_endpoint_responded(&self, endpoint: &EndpointId, is_draining: bool) {
+        if let Some(registry) = &self.registry {
+            let _ = registry.try_send(RegistryEvent::EndpointResponded {
                 endpoint: endpoint.clone(),
                 is_draining,
             });
         }
     }
 
-    /// While the router is ending: when the last answer must be out.
-    pub fn last_answer(&self) -> Option<Timestamp> {
-        self.ended_at
+    /// Returns the time by which all responses must be sent, if a graceful shutdown is in progress.
+    pub fn response_deadline(&self) -> Option<Timestamp> {
+        self.shutdown_started_at
             .get()
-            .map(|at| at.saturating_add(self.shutdown.last_answer))
+            .map(|at| at.saturating_add(self.shutdown_schedule.response_window))
     }
 
-    /// While the router is ending: when it stops reading.
-    pub fn last_read(&self) -> Option<Timestamp> {
-        self.ended_at
+    /// Returns the time at which the router stops reading, if a graceful shutdown is in progress.
+    pub fn read_deadline(&self) -> Option<Timestamp> {
+        self.shutdown_started_at
             .get()
-            .map(|at| at.saturating_add(self.shutdown.last_read))
+            .map(|at| at.saturating_add(self.shutdown_schedule.read_window))
     }
 
-    /// The router is ending, and a request that is read now is rejected.
-    pub fn rejects_new(&self) -> bool {
+    /// Returns whether a request that is read now must be rejected because of a graceful shutdown.
+    pub fn should_reject_new_requests(&self) -> bool {
         let last = self
-            .ended_at
+            .shutdown_started_at
             .get()
-            .map(|at| at.saturating_add(self.shutdown.last_forward));
+            .map(|at| at.saturating_add(self.shutdown_schedule.forward_window));
         last.is_some_and(|last| self.clock.now() > last)
     }
 
-    /// The router is ending, and what comes from now on is not owed an answer any more.
-    pub fn owes_nothing_new(&self) -> bool {
+    /// Returns whether a request that arrives now may be left without a response because of a graceful shutdown.
+    pub fn can_drop_new_input(&self) -> bool {
         let last = self
-            .ended_at
+            .shutdown_started_at
             .get()
-            .map(|at| at.saturating_add(self.shutdown.last_owed));
+            .map(|at| at.saturating_add(self.shutdown_schedule.guarantee_window));
         last.is_some_and(|last| self.clock.now() > last)
     }
 
-    /// The router is ending, and reads nothing more.
-    pub fn is_closed_to_new(&self) -> bool {
-        self.last_read().is_some_and(|last| self.clock.now() > last)
+    /// Returns whether the router has stopped reading because of a graceful shutdown.
+    pub fn has_read_deadline_passed(&self) -> bool {
+        self.read_deadline()
+            .is_some_and(|last| self.clock.now() > last)
     }
 
-    /// A name for a request that no other has.
-    pub fn next_request(&self) -> u64 {
-        self.requests.set(self.requests.get() + 1);
-        self.requests.get()
+    /// Returns a request id that the router has not used before.
+    pub fn next_request_id(&self) -> u64 {
+        self.request_count.set(self.request_count.get() + 1);
+        self.request_count.get()
     }
 }
--- a/crates/router/src/runtime/shutdown.rs
+++ b/crates/router/src/runtime/shutdown.rs
@@ -1,58 +1,62 @@
-//! The schedule of a graceful shutdown: what still happens how long after SIGTERM.
+//! The schedule of a graceful shutdown: what the router still does at which time after SIGTERM.
 //!
-//! The process may be killed the longest deadline (of which at most 3 s count) plus 0.7 s after SIGTERM, and clients
-//! go on sending on every connection that stays open until then. So all spans follow from the longest deadline:
+//! The process may be killed 0.7 s after the longest deadline, counted from SIGTERM (a longer deadline counts as 3 s).
+//! Clients continue to send on every connection that stays open until then. All windows are therefore derived from the
+//! longest deadline:
 //!
-//! | up to | what happens |
+//! | until the end of | the router |
 //! | --- | --- |
-//! | `last_forward` | a request is forwarded as usual |
-//! | `last_owed` | what comes is owed an answer; later on, little more is read of each connection |
-//! | `last_answer` | a request that was forwarded gets its answer; a later one is rejected as soon as it is read |
-//! | `last_read` | whatever comes is still read; after that connections are only closed |
+//! | `forward_window` | forwards requests as usual |
+//! | `guarantee_window` | guarantees a response to each request; later it reads little more from each connection |
+//! | `response_window` | sends the responses to forwarded requests; it rejects a later request as soon as it is read |
+//! | `read_window` | still reads all input; afterwards it only closes connections |
 
 use reelrill_routing::Nanos;
 
 const MILLISECOND: Nanos = 1_000_000;
-/// What counts at most of the longest deadline.
-const LONGEST_DEADLINE: Nanos = 3000 * MILLISECOND;
-/// From the longest deadline to the last answer: 0.2 s before the process may be killed, since the answer has to
-/// travel and the process may be held up for 0.15 s.
-const ANSWER_AFTER_DEADLINE: Nanos = 500 * MILLISECOND;
-/// How much earlier than the answer a request has to be read to be forwarded, and the most that counts of it.
-const FORWARD_BEFORE_ANSWER: Nanos = 200 * MILLISECOND;
-const LAST_FORWARD: Nanos = 600 * MILLISECOND;
-/// How much earlier than the last answer reading ends, and the least that it goes on: what comes within 0.7 s of the
-/// signal is owed an answer.
-const READ_BEFORE_ANSWER: Nanos = 100 * MILLISECOND;
-const LEAST_READ: Nanos = 700 * MILLISECOND;
-/// New connections keep coming for 0.4 s: the process stays for longer, also if nobody is connected.
-const MIN_DRAIN: Nanos = 900 * MILLISECOND;
+/// The upper bound of the longest deadline, where the schedule depends on it.
+const MAX_COUNTED_DEADLINE: Nanos = 3000 * MILLISECOND;
+/// The time from the longest deadline to the end of the response window. It leaves 0.2 s before the process may be
+/// killed, because a response needs time to arrive and the process may be delayed by 0.15 s.
+const RESPONSE_AFTER_DEADLINE: Nanos = 500 * MILLISECOND;
+/// The least time from the end of the forward window to the end of the response window.
+const FORWARD_BEFORE_RESPONSE: Nanos = 200 * MILLISECOND;
+/// The longest forward window.
+const MAX_FORWARD_WINDOW: Nanos = 600 * MILLISECOND;
+/// The time from the end of the read window to the end of the response window.
+const READ_BEFORE_RESPONSE: Nanos = 100 * MILLISECOND;
+/// The shortest read window, and the guarantee window: a request that arrives within 0.7 s after the signal must get a
+/// response.
+const MIN_READ_WINDOW: Nanos = 700 * MILLISECOND;
+/// The shortest duration of a graceful shutdown. New connections arrive for 0.4 s after the signal, so the process runs
+/// longer than that, even without a client.
+const MIN_DURATION: Nanos = 900 * MILLISECOND;
 
-/// Spans from SIGTERM on.
+/// The times of a graceful shutdown, in nanoseconds after SIGTERM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShutdownSchedule {
     /// A request that is read later is rejected.
-    pub last_forward: Nanos,
-    /// What comes later is not owed an answer: the router may close the connection.
-    pub last_owed: Nanos,
-    /// By then all answers are out.
-    pub last_answer: Nanos,
-    /// After that nothing more is read.
-    pub last_read: Nanos,
-    /// The process ends no earlier.
-    pub min_drain: Nanos,
+    pub forward_window: Nanos,
+    /// A request that arrives later need not get a response: the router may close the connection.
+    pub guarantee_window: Nanos,
+    /// All responses are sent by the end of this window.
+    pub response_window: Nanos,
+    /// Nothing is read after this window.
+    pub read_window: Nanos,
+    /// The process does not exit earlier.
+    pub min_duration: Nanos,
 }
 
 impl ShutdownSchedule {
-    /// The schedule where no client waits for longer than this.
+    /// Creates the schedule for the longest deadline of all request classes, in nanoseconds.
     pub fn new(longest_deadline: Nanos) -> ShutdownSchedule {
-        let last_answer = longest_deadline.min(LONGEST_DEADLINE) + ANSWER_AFTER_DEADLINE;
+        let response_window = longest_deadline.min(MAX_COUNTED_DEADLINE) + RESPONSE_AFTER_DEADLINE;
         ShutdownSchedule {
-            last_forward: LAST_FORWARD.min(last_answer - FORWARD_BEFORE_ANSWER),
-            last_owed: LEAST_READ,
-            last_answer,
-            last_read: LEAST_READ.max(last_answer - READ_BEFORE_ANSWER),
-            min_drain: MIN_DRAIN.min(last_answer),
+            forward_window: MAX_FORWARD_WINDOW.min(response_window - FORWARD_BEFORE_RESPONSE),
+            guarantee_window: MIN_READ_WINDOW,
+            response_window,
+            read_window: MIN_READ_WINDOW.max(response_window - READ_BEFORE_RESPONSE),
+            min_duration: MIN_DURATION.min(response_window),
         }
     }
 }
--- a/crates/router/src/runtime/shutdown/tests.rs
+++ b/crates/router/src/runtime/shutdown/tests.rs
@@ -1,35 +1,43 @@
-//! The schedule against what the platform grants.
+//! Tests that the schedule fits the time between SIGTERM and the kill.
 
 use super::*;
 use rstest::rstest;
 
-/// From the longest deadline on, the process may be killed after this.
+/// The time from the longest deadline until the process may be killed.
 const KILL_AFTER_DEADLINE: Nanos = 700 * MILLISECOND;
-/// New connections arrive for this long.
-const NEW_CONNECTIONS: Nanos = 400 * MILLISECOND;
-/// The process may be held up for this long between reading its clock and writing.
-const HELD_UP: Nanos = 150 * MILLISECOND;
+/// The time after SIGTERM during which new connections arrive.
+const NEW_CONNECTIONS_WINDOW: Nanos = 400 * MILLISECOND;
+/// The longest delay of the process between reading its clock and writing a response.
+const PROCESS_DELAY: Nanos = 150 * MILLISECOND;
 
-/// Guards all deployments, from the shortest deadlines to the longest.
+/// Guards against a window that ends before the platform allows or after the kill. Each window depends on the longest
+/// deadline, so deadlines from 0 to 30 s are tested.
 #[rstest]
-fn the_schedule_fits_between_the_signal_and_the_kill(
+fn schedule_fits_between_signal_and_kill_for_any_deadline(
     #[values(0, 1, 50, 100, 300, 1000, 2999, 3000, 30_000)] deadline_ms: Nanos,
 ) {
     let deadline = deadline_ms * MILLISECOND;
     let schedule = ShutdownSchedule::new(deadline);
-    let kill = deadline.min(LONGEST_DEADLINE) + KILL_AFTER_DEADLINE;
-    assert!(schedule.last_answer + HELD_UP < kill, "{schedule:?}");
-    assert!(schedule.last_forward < schedule.last_answer, "{schedule:?}");
+    let kill = deadline.min(MAX_COUNTED_DEADLINE) + KILL_AFTER_DEADLINE;
     assert!(
-        schedule.last_read >= 700 * MILLISECOND && schedule.last_read <= kill,
+        schedule.response_window + PROCESS_DELAY < kill,
         "{schedule:?}"
     );
     assert!(
-        schedule.last_owed >= 700 * MILLISECOND && schedule.last_owed <= schedule.last_read,
+        schedule.forward_window < schedule.response_window,
         "{schedule:?}"
     );
     assert!(
-        schedule.min_drain > NEW_CONNECTIONS && schedule.min_drain < kill,
+        schedule.read_window >= 700 * MILLISECOND && schedule.read_window <= kill,
+        "{schedule:?}"
+    );
+    assert!(
+        schedule.guarantee_window >= 700 * MILLISECOND
+            && schedule.guarantee_window <= schedule.read_window,
+        "{schedule:?}"
+    );
+    assert!(
+        schedule.min_duration > NEW_CONNECTIONS_WINDOW && schedule.min_duration < kill,
         "{schedule:?}"
     );
 }
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -22,10 +22,10 @@
         match signal {
             Ok(Signal::Usr1) => info!(shared.log, "counters"; "all" => %shared.counters),
             Ok(Signal::Hup) => reload::reload(shared, &discovery_address).await,
-            Ok(_) if shared.draining.is_raised() => info!(shared.log, "already ending"),
+            Ok(_) if shared.shutdown_started.is_raised() => info!(shared.log, "already ending"),
             Ok(_) => {
-                shared.ended_at.set(Some(shared.clock.now()));
-                shared.draining.raise();
+                shared.shutdown_started_at.set(Some(shared.clock.now()));
+                shared.shutdown_started.raise();
                 // The decider ends last.
                 let _ = shared.dispatcher.send(Message::ShutdownStarted).await;
             }
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -88,7 +88,7 @@
         address: SocketAddr,
         permit: DescriptorPermit,
     ) -> UpstreamConnection {
-        let memory = shared.memory.clone();
+        let memory = shared.buffer_memory.clone();
         let max_prepared = shared.config.edge.extended.limits.prepared;
         UpstreamConnection {
             idle_since: shared.clock.now(),
@@ -339,6 +339,7 @@
     }
 
     pub(super) fn report_alive(&self, is_draining: bool) {
-        self.shared.report_alive(&self.endpoint, is_draining);
+        self.shared
+            .report_endpoint_responded(&self.endpoint, is_draining);
     }
 }
--- a/crates/router/src/upstream/exchange.rs
+++ b/crates/router/src/upstream/exchange.rs
@@ -25,7 +25,7 @@
 impl Attempt {
     /// Neither abandoned by the dispatcher nor left by its client.
     pub(super) fn is_wanted(&self) -> bool {
-        !self.abandoned.is_closed() && !self.client_left.is_raised()
+        !self.abandoned.is_closed() && !self.request_cancelled.is_raised()
     }
 
     /// How long the endpoint may take if the request is written now, in nanoseconds; none: it must not be written any
@@ -33,9 +33,9 @@
     /// write.
     fn time_left(&self, shared: &Shared, status: &EndpointStatus) -> Option<Nanos> {
         let now = shared.clock.now();
-        let is_late = now >= self.until || self.write_by.is_some_and(|by| now >= by);
+        let is_late = now >= self.deadline || self.write_deadline.is_some_and(|by| now >= by);
         let may_be_written = self.is_wanted() && !is_late && !status.is_closed_to_new(shared);
-        may_be_written.then(|| self.until - now)
+        may_be_written.then(|| self.deadline - now)
     }
 
     /// The message that tells the dispatcher of this attempt's result.
@@ -60,7 +60,7 @@
     let Some(wait) = time_left() else {
         give_back(&pool, connection).await;
         if attempt.is_wanted() {
-            let not_sent = AttemptResult::silent(AttemptOutcome::NotSent);
+            let not_sent = AttemptResult::from_outcome(AttemptOutcome::NotSent);
             tell_dispatcher(&shared, attempt.ended(not_sent)).await;
         }
         return;
@@ -71,14 +71,14 @@
         None
     };
     let exchange = async {
-        let response = connection.execute(&attempt.ask, wait, time_left, &attempt.progress);
+        let response = connection.execute(&attempt.statement, wait, time_left, &attempt.progress);
         Some(response.await)
     };
     let Some(response) = or(exchange, abandoned).await else {
         return;
     };
     let result = match response {
-        Err(error) => AttemptResult::silent(error.outcome()),
+        Err(error) => AttemptResult::from_outcome(error.outcome()),
         Ok(response) => finish(&pool, connection, response).await,
     };
     tell_dispatcher(&shared, attempt.ended(result)).await;
@@ -101,14 +101,14 @@
     let progress = AttemptProgress::default();
     let exchange = async { Some(connection.query(REPORT_QUERY, &progress).await) };
     let result = match or(exchange, timed_out).await {
-        None => AttemptResult::silent(AttemptOutcome::TimedOut),
-        Some(Err(_)) => AttemptResult::silent(AttemptOutcome::ConnectionReset),
+        None => AttemptResult::from_outcome(AttemptOutcome::TimedOut),
+        Some(Err(_)) => AttemptResult::from_outcome(AttemptOutcome::ConnectionReset),
         Some(Ok(response)) => {
             let report = response.text().map(parse_load_report).unwrap_or_default();
             let result = finish(&pool, connection, response).await;
             AttemptResult {
                 report,
-                answer: None,
+                query_result: None,
                 ..result
             }
         }
@@ -125,7 +125,7 @@
     let is_ready = response.is_ready;
     let replication = response.replication;
     let report = response.report;
-    let (outcome, answer) = response.into_outcome();
+    let (outcome, query_result) = response.into_outcome();
     if is_ready {
         give_back(pool, connection).await;
     }
@@ -133,7 +133,7 @@
         outcome,
         replication,
         report,
-        answer,
+        query_result,
     }
 }
 
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -11,7 +11,7 @@
 use crate::messages::{Attempt, AttemptResult, Message};
 use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
-use crate::runtime::shared::{HolderKind, Shared};
+use crate::runtime::shared::{EvictionPriority, Shared};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -158,14 +158,14 @@
             command.map_or(Wakeup::HandleDropped, Wakeup::Command)
         };
         let descriptor_freed = when(lacks_descriptor, async {
-            self.shared.upstream.permit_released().await;
+            self.shared.upstream_descriptors.permit_released().await;
             Wakeup::DescriptorFreed
         });
         let descriptor_timeout = self.descriptor_timeout();
         let descriptor_wanted = when(has_idle, async {
             self.shared
-                .upstream
-                .eviction_requested(HolderKind::Idle)
+                .upstream_descriptors
+                .eviction_requested(EvictionPriority::Idle)
                 .await;
             Wakeup::DescriptorWanted
         });
@@ -293,7 +293,7 @@
             return connection.close(CloseReason::Moved);
         }
         // An idle connection must not keep a descriptor that another pool waits for.
-        if self.waiting.is_empty() && self.shared.upstream.has_waiters() {
+        if self.waiting.is_empty() && self.shared.upstream_descriptors.has_waiters() {
             count(&self.shared.counters.connections_evicted);
             return connection.close(CloseReason::Evicted);
         }
@@ -329,8 +329,11 @@
 
     fn dial_for_waiting(&mut self) {
         while self.dialing < self.waiting.len() {
-            let Some(permit) = self.shared.upstream.try_acquire() else {
-                return self.shared.upstream.request_any_eviction();
+            let Some(permit) = self.shared.upstream_descriptors.try_acquire() else {
+                return self
+                    .shared
+                    .upstream_descriptors
+                    .request_eviction_including_stateful();
             };
             self.dialing += 1;
             let endpoint = self.endpoint.clone();
@@ -370,7 +373,7 @@
 
     /// A job that got no connection has this outcome.
     async fn fail(&self, job: Job, outcome: AttemptOutcome) {
-        let result = AttemptResult::silent(outcome);
+        let result = AttemptResult::from_outcome(outcome);
         let message = match job {
             Job::Attempt(attempt) => attempt.ended(result),
             Job::HealthCheck => Message::HealthCheckEnded {
--- a/crates/router/src/upstream/response.rs
+++ b/crates/router/src/upstream/response.rs
@@ -5,7 +5,7 @@
 
 use super::fault::outcome_of_error;
 use super::load_report::parse_load_report;
-use crate::messages::{Answer, Column};
+use crate::messages::{QueryResult, ResultColumn};
 use reelrill_pg_protocol::{backend, code, text};
 use reelrill_routing::{AttemptOutcome, ReplicationStatus, Role};
 
@@ -18,7 +18,7 @@
     /// come. There is no description then; the value is in the format that was asked for.
     confirmations: &'static [u8],
     is_prepared: bool,
-    column: Option<Column>,
+    column: Option<ResultColumn>,
     value: Option<Vec<u8>>,
     command_tag: Option<Box<str>>,
     error_code: Option<String>,
@@ -52,18 +52,18 @@
     }
 
     /// The outcome, and the answer if it is complete.
-    pub fn into_outcome(self) -> (AttemptOutcome, Option<Answer>) {
+    pub fn into_outcome(self) -> (AttemptOutcome, Option<QueryResult>) {
         if let Some(code) = &self.error_code {
             return (outcome_of_error(code), None);
         }
         match (self.value, self.command_tag) {
-            (Some(value), Some(tag)) => {
-                let answer = Answer {
+            (Some(value), Some(command_tag)) => {
+                let result = QueryResult {
                     column: self.column,
                     value,
-                    tag,
+                    command_tag,
                 };
-                (AttemptOutcome::Served, Some(answer))
+                (AttemptOutcome::Served, Some(result))
             }
             _ => (AttemptOutcome::MalformedResponse, None),
         }
@@ -134,9 +134,9 @@
 
     fn take_description(&mut self, body: &[u8]) -> Option<()> {
         let column = backend::one_column(body)?;
-        self.column = Some(Column {
+        self.column = Some(ResultColumn {
             name: column.name.into(),
-            kind: column.kind,
+            origin_and_type: column.kind,
             format: column.format,
         });
         Some(())
