--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -10,8 +10,8 @@
 #[command(name = "reelrill", version, about, disable_version_flag = true)]
 pub struct Cli {
     /// The project's own settings (YAML); see deploy/edge.example.yaml
-    #[arg(long, env = "RELAY_EDGE", global = true, value_name = "FILE")]
-    pub edge: Option<PathBuf>,
+    #[arg(long = "edge", env = "RELAY_EDGE", global = true, value_name = "FILE")]
+    pub extensions_path: Option<PathBuf>,
     #[command(subcommand)]
     command: Option<Command>,
 }
@@ -45,8 +45,8 @@
     ///
     /// # Errors
     /// If the file can't be used.
-    pub fn settings(&self) -> Result<Extensions, ExtensionsError> {
-        self.edge
+    pub fn load_extensions(&self) -> Result<Extensions, ExtensionsError> {
+        self.extensions_path
             .as_deref()
             .map_or_else(|| Ok(Extensions::default()), Extensions::load)
     }
--- a/crates/router/src/client/accept_loop.rs
+++ b/crates/router/src/client/accept_loop.rs
@@ -18,7 +18,7 @@
 const PERMIT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Accepts until the process ends. Without a free descriptor, connections wait in the kernel's backlog.
-pub async fn listen(
+pub async fn accept_connections(
     shared: Rc<Shared>,
     executor: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
--- a/crates/router/src/client/connection.rs
+++ b/crates/router/src/client/connection.rs
@@ -10,7 +10,7 @@
 use super::simple_queries::SimpleQueries;
 use super::wait_limits::{ShutdownWait, WaitLimits};
 use super::{closing, socket};
-use crate::extensions::Mode;
+use crate::extensions::ExtendedQueryMode;
 use crate::messages::{CancellationFlag, ClientRequest};
 use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
@@ -89,7 +89,7 @@
 
 impl Client {
     fn new(shared: Rc<Shared>, stream: Async<TcpStream>, unproven: HolderGuard) -> Client {
-        let is_extended = shared.config.edge.extended.mode != Mode::Off;
+        let is_extended = shared.config.extensions.extended.mode != ExtendedQueryMode::Off;
         Client {
             stream,
             buffer: Buffer::new(&shared.memory),
--- a/crates/router/src/client/extended_queries.rs
+++ b/crates/router/src/client/extended_queries.rs
@@ -38,7 +38,7 @@
         ExtendedQueries {
             plan: Plan::new(shared.common.clone()),
             outstanding: OutstandingRequests::new(capacity),
-            data_type: shared.config.edge.extended.data_type.oid(),
+            data_type: shared.config.extensions.extended.data_type.oid(),
         }
     }
 
@@ -183,7 +183,7 @@
             // Its end may stand behind what it has sent: nothing is begun for one that has gone.
             self.read_available()?;
             if self.has_left() && !self.is_pipeline_idle() {
-                return Err(CloseReason::LeftWaiting);
+                return Err(CloseReason::DisconnectedWhileWaiting);
             }
             self.take_commands();
             self.take_responses().await;
--- a/crates/router/src/client/mod.rs
+++ b/crates/router/src/client/mod.rs
@@ -20,4 +20,4 @@
 mod wait_limits;
 mod wakeup;
 
-pub use accept_loop::listen;
+pub use accept_loop::accept_connections;
--- a/crates/router/src/client/simple_queries.rs
+++ b/crates/router/src/client/simple_queries.rs
@@ -73,7 +73,7 @@
             // Its end may stand behind what it has sent: nothing is begun for one that has gone.
             self.read_available()?;
             if !self.simple_queries.queue.is_empty() && self.has_left() {
-                return Err(CloseReason::LeftWaiting);
+                return Err(CloseReason::DisconnectedWhileWaiting);
             }
             self.take_simple_queries();
             while let Some((part, response)) = self.simple_queries.outstanding.try_response() {
--- a/crates/router/src/client/socket.rs
+++ b/crates/router/src/client/socket.rs
@@ -43,7 +43,7 @@
     };
     let hung_up = async {
         hang_up(stream.get_ref()).await;
-        Err(CloseReason::LeftWaiting)
+        Err(CloseReason::DisconnectedWhileWaiting)
     };
     or(write, or(hung_up, late)).await
 }
--- a/crates/router/src/client/socket/tests.rs
+++ b/crates/router/src/client/socket/tests.rs
@@ -77,6 +77,6 @@
     let began = Instant::now();
     let written =
         futures_lite::future::block_on(write_to_client(&router, &vec![0; MORE_THAN_FITS]));
-    assert_eq!(written, Err(CloseReason::LeftWaiting));
+    assert_eq!(written, Err(CloseReason::DisconnectedWhileWaiting));
     assert!(began.elapsed() < WRITE_TIMEOUT / 2, "{:?}", began.elapsed());
 }
--- a/crates/router/src/client/wakeup.rs
+++ b/crates/router/src/client/wakeup.rs
@@ -35,7 +35,7 @@
     };
     let read = async {
         match read.await {
-            Ok(0) => Err(CloseReason::LeftWaiting),
+            Ok(0) => Err(CloseReason::DisconnectedWhileWaiting),
             Ok(_) => Ok(Wakeup::Progress),
             Err(_) => Err(CloseReason::Reset),
         }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -91,39 +91,42 @@
     /// The router's name in its log.
     pub name: String,
     /// The address that clients connect to.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// The address of the discovery service.
-    pub discovery: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// The seed of the balancer's random numbers.
     pub seed: u64,
     /// The limit on open file descriptors of the process.
-    pub sockets: usize,
+    pub descriptor_limit: usize,
     /// The limit on memory of the process, in bytes.
-    pub memory: usize,
+    pub memory_limit: usize,
     /// The last known endpoint list, to start with: its version and entries.
-    pub known: (Option<u64>, Vec<ListedEndpoint>),
+    pub known_list: (Option<u64>, Vec<ListedEndpoint>),
     /// The platform's settings, converted.
     pub site: Site,
     /// The project's own settings.
-    pub edge: Extensions,
-    /// The file that `edge` is read from.
-    edge_path: Option<PathBuf>,
+    pub extensions: Extensions,
+    /// The file that `extensions` is read from.
+    extensions_path: Option<PathBuf>,
     /// The platform's settings as they are in the file, to find changes.
     settings: Value,
 }
 
 impl Config {
-    /// Reads the configuration at the start. `edge` was read from `edge_path`, if there is such a file.
+    /// Reads the configuration at the start. `extensions` was read from `extensions_path`, if there is such a file.
     ///
     /// # Errors
     /// If `RELAY_CONFIG` is not set, or its file can't be used.
-    pub fn load(edge: Extensions, edge_path: Option<PathBuf>) -> Result<Config, ConfigError> {
+    pub fn load(
+        extensions: Extensions,
+        extensions_path: Option<PathBuf>,
+    ) -> Result<Config, ConfigError> {
         let path = Config::path()?;
-        let config = Config::read(&path, &Config::file(&path)?, edge, |name| {
+        let config = Config::read(&path, &Config::file(&path)?, extensions, |name| {
             std::env::var(name).ok()
         })?;
         Ok(Config {
-            edge_path,
+            extensions_path,
             ..config
         })
     }
@@ -146,25 +149,28 @@
         let value = Config::file(&path)?;
         let discovery = match value.get("discovery") {
             Some(named) => named.as_str().unwrap_or_default().to_owned(),
-            None => self.discovery.to_string(),
+            None => self.discovery_address.to_string(),
         };
-        let edge = self
-            .edge_path
+        let extensions = self
+            .extensions_path
             .as_deref()
-            .map_or_else(|| Ok(self.edge.clone()), Extensions::load)?;
-        Config::read(&path, &value, edge, |name| match name {
+            .map_or_else(|| Ok(self.extensions.clone()), Extensions::load)?;
+        Config::read(&path, &value, extensions, |name| match name {
             "RELAY_DISCOVERY" => Some(discovery.clone()),
             _ => std::env::var(name).ok(),
         })
     }
 
     /// The keys whose values differ in `new` and only take effect at a start.
-    pub fn needs_restart(&self, new: &Config) -> Vec<&'static str> {
+    pub fn keys_needing_restart(&self, new: &Config) -> Vec<&'static str> {
         let differs = [
             ("name", self.name != new.name),
-            ("listen", self.listen != new.listen),
-            ("limits.sockets", self.sockets != new.sockets),
-            ("limits.memory_mb", self.memory != new.memory),
+            ("listen", self.listen_address != new.listen_address),
+            (
+                "limits.sockets",
+                self.descriptor_limit != new.descriptor_limit,
+            ),
+            ("limits.memory_mb", self.memory_limit != new.memory_limit),
             ("settings", self.settings != new.settings),
         ];
         differs
@@ -190,7 +196,7 @@
     fn read(
         path: &str,
         value: &Value,
-        edge: Extensions,
+        extensions: Extensions,
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, ConfigError> {
         let file = ConfigFile { path, value, env };
@@ -200,7 +206,7 @@
                 path: path.to_owned(),
                 source,
             })?;
-        let known = file.known_list(&site.zones)?;
+        let known_list = file.known_list(&site.zones)?;
         let sockets = file.limit("sockets", MIN_SOCKETS, DEFAULT_SOCKETS)?;
         let memory_mb = file.limit("memory_mb", MIN_MEMORY_MB, DEFAULT_MEMORY_MB)?;
         let memory_mb = memory_mb.clamp(*EFFECTIVE_MEMORY_MB.start(), *EFFECTIVE_MEMORY_MB.end());
@@ -208,16 +214,16 @@
             name: file
                 .text("RELAY_NAME", "name")
                 .unwrap_or_else(|| DEFAULT_NAME.to_owned()),
-            listen: file.address("RELAY_LISTEN", "listen")?,
-            discovery: file.address("RELAY_DISCOVERY", "discovery")?,
+            listen_address: file.address("RELAY_LISTEN", "listen")?,
+            discovery_address: file.address("RELAY_DISCOVERY", "discovery")?,
             seed: file.seed(),
-            sockets: usize::try_from(sockets).unwrap_or(DEFAULT_SOCKETS as usize),
-            memory: usize::try_from(memory_mb).unwrap_or(DEFAULT_MEMORY_MB as usize)
+            descriptor_limit: usize::try_from(sockets).unwrap_or(DEFAULT_SOCKETS as usize),
+            memory_limit: usize::try_from(memory_mb).unwrap_or(DEFAULT_MEMORY_MB as usize)
                 << BYTES_PER_MB_SHIFT,
-            known,
+            known_list,
             site,
-            edge,
-            edge_path: None,
+            extensions,
+            extensions_path: None,
             settings,
         })
     }
--- a/crates/router/src/discovery/admin_socket/mod.rs
+++ b/crates/router/src/discovery/admin_socket/mod.rs
@@ -41,7 +41,7 @@
     executor: &Rc<LocalExecutor<'static>>,
 ) -> std::io::Result<Receiver<StatusQuery>> {
     let (queries, received) = async_channel::bounded(MAX_QUEUED_QUERIES);
-    if let Some(path) = &shared.config.edge.members_socket {
+    if let Some(path) = &shared.config.extensions.members_socket {
         let listener = bind(path)?;
         let log = shared.log.clone();
         executor.spawn(serve(listener, queries, log)).detach();
@@ -96,7 +96,7 @@
 ///
 /// # Errors
 /// If the socket can't be read, or nothing can be printed.
-pub fn print(socket: &Path) -> std::io::Result<()> {
+pub fn print_status(socket: &Path) -> std::io::Result<()> {
     let mut table = String::new();
     UnixStream::connect(socket)?.read_to_string(&mut table)?;
     std::io::stdout().write_all(table.as_bytes())
--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -63,7 +63,7 @@
     /// A client of the service at the configured address, not connected yet.
     pub fn new(shared: Rc<Shared>) -> DiscoveryClient {
         DiscoveryClient {
-            address: Cell::new(shared.config.discovery),
+            address: Cell::new(shared.config.discovery_address),
             shared,
             connection: Cell::default(),
             poll_started_at: Cell::default(),
@@ -77,7 +77,7 @@
         }
         info!(self.shared.log, "discovery has moved"; "address" => %address);
         if let Some(connection) = self.connection.take() {
-            connection.end(CloseReason::Moved);
+            connection.end(CloseReason::AddressChanged);
         }
         true
     }
--- a/crates/router/src/discovery/list_watch.rs
+++ b/crates/router/src/discovery/list_watch.rs
@@ -60,7 +60,7 @@
     };
     let mut task = ListWatchTask {
         client: DiscoveryClient::new(shared.clone()),
-        watch: ListWatch::new(service, shared.config.known.0),
+        watch: ListWatch::new(service, shared.config.known_list.0),
         shared,
         requests,
         addresses,
--- a/crates/router/src/discovery/registry/mod.rs
+++ b/crates/router/src/discovery/registry/mod.rs
@@ -87,7 +87,7 @@
         if shared.directory.is_none() {
             return Ok(None);
         }
-        let discovery = &shared.config.edge.discovery;
+        let discovery = &shared.config.extensions.discovery;
         let settings = RegistrySettings {
             heartbeat_ttl: discovery.vouch_s.saturating_mul(NANOS_PER_SECOND),
             ..RegistrySettings::default()
@@ -130,7 +130,7 @@
     async fn start(&mut self) {
         let now = self.shared.clock.now();
         let mut changes = Vec::new();
-        if self.shared.config.edge.discovery.roster {
+        if self.shared.config.extensions.discovery.roster {
             let input = Input::SourceAdded {
                 source: ENDPOINT_LIST,
                 kind: SourceKind::EndpointList,
@@ -138,7 +138,7 @@
             self.endpoints.handle(now, input, &mut changes);
             // The balancer takes the records' changes for a list that is watched, and would not request it.
             self.list_retry_at = Some(now);
-            let (version, known) = self.shared.config.known.clone();
+            let (version, known) = self.shared.config.known_list.clone();
             self.on_entries(now, known, version.unwrap_or(0), &mut changes);
         }
         for source in self.service_ids() {
--- a/crates/router/src/dispatcher/mod.rs
+++ b/crates/router/src/dispatcher/mod.rs
@@ -79,7 +79,7 @@
 
     /// Runs until nobody is left to send a message.
     pub async fn run(mut self, mailbox: Mailbox) {
-        self.on_list(ListKind::Cached, self.shared.config.known.1.clone());
+        self.on_list(ListKind::Cached, self.shared.config.known_list.1.clone());
         self.settle();
         let mut in_a_row = 0;
         loop {
--- a/crates/router/src/extensions.rs
+++ b/crates/router/src/extensions.rs
@@ -130,7 +130,7 @@
 /// Whether clients may use extended queries, and how requests are then sent to endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Mode {
+pub enum ExtendedQueryMode {
     /// Clients get an error.
     #[default]
     Off,
@@ -166,7 +166,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Extended {
     /// Whether and how they are served.
-    pub mode: Mode,
+    pub mode: ExtendedQueryMode,
     /// The type that is reported for the column `data`.
     pub data_type: DataType,
     /// What sessions may hold.
--- a/crates/router/src/extensions/tests.rs
+++ b/crates/router/src/extensions/tests.rs
@@ -17,7 +17,7 @@
     let edge = load("extended: {mode: translate, limits: {reads: 4}}").unwrap();
     assert_eq!(
         (edge.extended.mode, edge.extended.limits.reads),
-        (Mode::Translate, 4)
+        (ExtendedQueryMode::Translate, 4)
     );
     assert_eq!(
         edge.extended.limits,
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -60,7 +60,7 @@
             }
             Err(e) => fail(&e, ExitCode::from(INVALID_FILE)),
         },
-        cli::Command::Members { socket } => match discovery::admin_socket::print(&socket) {
+        cli::Command::Members { socket } => match discovery::admin_socket::print_status(&socket) {
             Ok(()) => ExitCode::SUCCESS,
             Err(e) => fail(
                 &format_args!("{}: {e}", socket.display()),
@@ -76,7 +76,7 @@
 
 /// Serves until the router is told to end. An error comes before anything has been served.
 fn serve(cli: &cli::Cli) -> Result<ExitCode, cli::CheckError> {
-    let config = config::Config::load(cli.settings()?, cli.edge.clone())?;
+    let config = config::Config::load(cli.load_extensions()?, cli.extensions_path.clone())?;
     let (log, _flush) = observability::logging::start(&config.name);
     Ok(match start(config, &log) {
         Ok(()) => ExitCode::SUCCESS,
@@ -102,12 +102,12 @@
 }
 
 fn start(config: config::Config, log: &Logger) -> Result<(), StartError> {
-    let address = config.listen;
+    let address = config.listen_address;
     let executor = Rc::new(LocalExecutor::new());
     let (dispatcher, inbox) = dispatcher::mailbox::mailbox();
     let (calls, asked) = async_channel::bounded(4);
     let (told, news) = async_channel::bounded(MAILBOX);
-    let told = config.edge.discovery.dns_sd.is_some().then_some(told);
+    let told = config.extensions.discovery.dns_sd.is_some().then_some(told);
     let shared = Shared::new(config, log.clone(), dispatcher, told);
     // Room for the newest alone: what a later configuration says goes before what an earlier one said.
     let (discovery_address, discovery_addresses) = async_channel::bounded(1);
@@ -117,12 +117,12 @@
         discovery::registry::EndpointRegistryTask::new(&shared, &executor, calls, news)?;
     let listener = listener(address).map_err(|e| StartError::Listen(address, e))?;
     let bound = listener.get_ref().local_addr().unwrap_or(address);
-    info!(log, "listening"; "address" => %bound, "instances" => shared.config.known.1.len());
+    info!(log, "listening"; "address" => %bound, "instances" => shared.config.known_list.1.len());
     executor.spawn(dispatcher.run(inbox)).detach();
     if let Some(directory) = directory {
         executor.spawn(directory.run()).detach();
     }
-    if shared.config.edge.discovery.roster {
+    if shared.config.extensions.discovery.roster {
         executor
             .spawn(discovery::list_watch::run(
                 shared.clone(),
@@ -132,7 +132,11 @@
             .detach();
     }
     executor
-        .spawn(client::listen(shared.clone(), executor.clone(), listener))
+        .spawn(client::accept_connections(
+            shared.clone(),
+            executor.clone(),
+            listener,
+        ))
         .detach();
     let handle_signals = signals::handle(&shared, signals, discovery_address);
     async_io::block_on(executor.run(or(handle_signals, drain::until_drained(&shared))));
--- a/crates/router/src/observability/close_reason.rs
+++ b/crates/router/src/observability/close_reason.rs
@@ -13,7 +13,7 @@
     /// The client sent Terminate.
     Terminate,
     /// The client disconnected before its response.
-    LeftWaiting,
+    DisconnectedWhileWaiting,
     /// The startup message did not arrive in time.
     StartupTimeout,
     /// The rest of a message did not arrive in time.
@@ -33,7 +33,7 @@
     /// Idle, and closed by the graceful shutdown.
     Shutdown,
     /// The connection to an endpoint failed before the session was ready.
-    DialFailed,
+    ConnectFailed,
     /// The endpoint or the discovery service rejected it with an error.
     Rejected,
     /// An attempt on it was abandoned.
@@ -43,7 +43,7 @@
     /// Idle for nearly as long as the endpoint allows.
     Idle,
     /// The address of the endpoint or of the discovery service changed, or the endpoint was removed from the list.
-    Moved,
+    AddressChanged,
     /// The discovery service did not respond in time.
     TimedOut,
     /// A new poll of the discovery service replaced it.
@@ -64,7 +64,7 @@
             CloseReason::Truncated => "truncated",
             CloseReason::Reset => "reset",
             CloseReason::Terminate => "terminate",
-            CloseReason::LeftWaiting => "left_waiting",
+            CloseReason::DisconnectedWhileWaiting => "left_waiting",
             CloseReason::StartupTimeout => "startup_timeout",
             CloseReason::Stalled => "stalled",
             CloseReason::CancelRequest => "cancel_request",
@@ -74,12 +74,12 @@
             CloseReason::NotReading => "not_reading",
             CloseReason::Evicted => "evicted",
             CloseReason::Shutdown => "shutdown",
-            CloseReason::DialFailed => "dial_failed",
+            CloseReason::ConnectFailed => "dial_failed",
             CloseReason::Rejected => "rejected",
             CloseReason::AttemptAbandoned => "attempt_abandoned",
             CloseReason::MalformedResponse => "malformed_response",
             CloseReason::Idle => "idle",
-            CloseReason::Moved => "moved",
+            CloseReason::AddressChanged => "moved",
             CloseReason::TimedOut => "timed_out",
             CloseReason::Replaced => "replaced",
         }
--- a/crates/router/src/reload.rs
+++ b/crates/router/src/reload.rs
@@ -17,23 +17,23 @@
             return error!(shared.log, "the new configuration is wrong, the old one stays"; "error" => %e);
         }
     };
-    info!(shared.log, "configuration read again"; "discovery" => %new.discovery);
-    let kept = shared.config.needs_restart(&new);
+    info!(shared.log, "configuration read again"; "discovery" => %new.discovery_address);
+    let kept = shared.config.keys_needing_restart(&new);
     if !kept.is_empty() {
         warn!(shared.log, "a change takes effect at the next start"; "of" => kept.join(", "));
     }
     // Fails only where discovery is not used.
-    let _ = discovery_address.force_send(new.discovery);
-    if new.edge.extended != shared.config.edge.extended {
+    let _ = discovery_address.force_send(new.discovery_address);
+    if new.extensions.extended != shared.config.extensions.extended {
         warn!(shared.log, "a change takes effect at the next start"; "of" => "extended");
     }
     match &shared.directory {
         Some(directory) => drop(
             directory
-                .send(RegistryEvent::SettingsReloaded(new.edge.discovery))
+                .send(RegistryEvent::SettingsReloaded(new.extensions.discovery))
                 .await,
         ),
-        None if new.edge.discovery != shared.config.edge.discovery => {
+        None if new.extensions.discovery != shared.config.extensions.discovery => {
             warn!(shared.log, "a change takes effect at the next start"; "of" => "discovery");
         }
         None => {}
--- a/crates/router/src/runtime/shared.rs
+++ b/crates/router/src/runtime/shared.rs
@@ -3,7 +3,7 @@
 use crate::config::Config;
 use crate::discovery::messages::RegistryEvent;
 use crate::dispatcher::mailbox::MailboxSender;
-use crate::extensions::Mode;
+use crate::extensions::ExtendedQueryMode;
 use crate::observability::counters::Counters;
 use crate::runtime::buffer::MemoryBudget;
 pub use crate::runtime::cancellation::{CancellationKey, CancellationRegistry, CancellationSignal};
@@ -74,7 +74,7 @@
 
 /// What all clients' prepared statements and pipelines share.
 fn session_common(config: &Config) -> Common {
-    let extended = &config.edge.extended;
+    let extended = &config.extensions.extended;
     Common {
         templates: Templates::new(extended.limits.text_bytes, extended.data_type.oid()),
         limits: extended.limits,
@@ -83,7 +83,7 @@
             config.site.class_names.clone(),
             config.site.settings.classes.clone(),
         ),
-        translate: extended.mode == Mode::Translate,
+        translate: extended.mode == ExtendedQueryMode::Translate,
     }
 }
 
@@ -95,7 +95,7 @@
         dispatcher: MailboxSender,
         directory: Option<async_channel::Sender<RegistryEvent>>,
     ) -> Rc<Shared> {
-        let available = config.sockets - RESERVED_DESCRIPTORS;
+        let available = config.descriptor_limit - RESERVED_DESCRIPTORS;
         let for_clients = available * CLIENT_DESCRIPTORS_PERCENT / 100;
         let clock = Clock::new();
         let deadlines = config.site.settings.classes.iter().map(|c| c.deadline);
@@ -104,7 +104,7 @@
         Rc::new(Shared {
             clients: DescriptorBudget::new(for_clients),
             upstream: DescriptorBudget::new(available - for_clients),
-            memory: MemoryBudget::new(config.memory * LARGE_BUFFERS_PERCENT / 100),
+            memory: MemoryBudget::new(config.memory_limit * LARGE_BUFFERS_PERCENT / 100),
             config,
             log,
             counters: Counters::default(),
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -89,7 +89,7 @@
         permit: DescriptorPermit,
     ) -> UpstreamConnection {
         let memory = shared.memory.clone();
-        let max_prepared = shared.config.edge.extended.limits.prepared;
+        let max_prepared = shared.config.extensions.extended.limits.prepared;
         UpstreamConnection {
             idle_since: shared.clock.now(),
             shared,
@@ -97,7 +97,7 @@
             buffer: Buffer::new(&memory),
             endpoint,
             address,
-            close_reason: CloseReason::DialFailed,
+            close_reason: CloseReason::ConnectFailed,
             prepared: Prepared::new(max_prepared),
             reported_alive_at: 0,
             _permit: permit,
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -210,7 +210,7 @@
                 self.fail_waiting(AttemptOutcome::NotSent).await;
                 self.idle
                     .drain(..)
-                    .for_each(|c| c.close(CloseReason::Moved));
+                    .for_each(|c| c.close(CloseReason::AddressChanged));
                 return ControlFlow::Break(());
             }
             Wakeup::IdleCheck => self.close_expired(),
@@ -277,7 +277,7 @@
     fn close_moved(&mut self) {
         let address = self.status.address();
         for connection in self.idle.extract_if(.., |c| c.address != address) {
-            connection.close(CloseReason::Moved);
+            connection.close(CloseReason::AddressChanged);
         }
     }
 
@@ -290,7 +290,7 @@
 
     fn keep(&mut self, mut connection: UpstreamConnection) {
         if connection.address != self.status.address() {
-            return connection.close(CloseReason::Moved);
+            return connection.close(CloseReason::AddressChanged);
         }
         // An idle connection must not keep a descriptor that another pool waits for.
         if self.waiting.is_empty() && self.shared.upstream.has_waiters() {
