--- a/crates/router/src/runtime/shared.rs
+++ b/crates/router/src/runtime/shared.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::discovery::messages::RegistryEvent;
 use crate::dispatcher::mailbox::MailboxSender;
-use crate::extensions::Mode;
+use crate::extensions::ExtendedQueryMode;
 use crate::observability::counters::Counters;
 use crate::runtime::buffer::MemoryBudget;
 pub use crate::runtime::cancellation::{CancellationKey, CancellationRegistry, CancellationSignal};
@@ -78,7 +78,7 @@
 
 /// Creates the resources that the prepared statements and pipelines of all clients share.
 fn new_session_resources(config: &Config) -> Common {
-    let extended = &config.edge.extended;
+    let extended = &config.extensions.extended;
     Common {
         templates: Templates::new(extended.limits.text_bytes, extended.data_type.oid()),
         limits: extended.limits,
@@ -87,7 +87,7 @@
             config.site.class_names.clone(),
             config.site.settings.classes.clone(),
         ),
-        translate: extended.mode == Mode::Translate,
+        translate: extended.mode == ExtendedQueryMode::Translate,
     }
 }
 
@@ -99,7 +99,7 @@
         dispatcher: MailboxSender,
         registry: Option<async_channel::Sender<RegistryEvent>>,
     ) -> Rc<Shared> {
-        let available = config.sockets - RESERVED_DESCRIPTORS;
+        let available = config.descriptor_limit - RESERVED_DESCRIPTORS;
         let for_clients = available * CLIENT_DESCRIPTORS_PERCENT / 100;
         let clock = Clock::new();
         let deadlines = config.site.settings.classes.iter().map(|c| c.deadline);
@@ -108,7 +108,7 @@
         Rc::new(Shared {
             client_descriptors: DescriptorBudget::new(for_clients),
             upstream_descriptors: DescriptorBudget::new(available - for_clients),
-            buffer_memory: MemoryBudget::new(config.memory * LARGE_BUFFERS_PERCENT / 100),
+            buffer_memory: MemoryBudget::new(config.memory_limit * LARGE_BUFFERS_PERCENT / 100),
             config,
             log,
             counters: Counters::default(),
