--- a/crates/pg-protocol/src/frame.rs
+++ b/crates/pg-protocol/src/frame.rs
@@ -1,13 +1,13 @@
 //! Where a message ends. A length is judged as soon as it is announced, before anything behind it is kept.
 
 /// The largest row taken from an instance: one value, and what frames it.
-pub const LARGEST_ROW: usize = 64 * 1024 + 16;
+pub const MAX_ROW_LENGTH: usize = 64 * 1024 + 16;
 /// The largest message that carries no value.
-pub const LARGEST_WORD: usize = 16 * 1024;
+pub const MAX_SMALL_MESSAGE_LENGTH: usize = 16 * 1024;
 /// The largest message taken: a value of 64 KiB in hexadecimal digits, and room for the statement.
-pub const LARGEST: usize = 160 * 1024;
+pub const MAX_MESSAGE_LENGTH: usize = 160 * 1024;
 /// The largest message that opens a connection.
-pub const LARGEST_STARTUP: usize = 10_000;
+pub const MAX_STARTUP_LENGTH: usize = 10_000;
 
 /// Why bytes are no message.
 #[derive(Debug, Clone, thiserror::Error, PartialEq, Eq)]
@@ -20,7 +20,11 @@
     Malformed,
 }
 
-pub(crate) fn length(bytes: &[u8], least: usize, most: usize) -> Result<Option<usize>, FrameError> {
+pub(crate) fn parse_length(
+    bytes: &[u8],
+    least: usize,
+    most: usize,
+) -> Result<Option<usize>, FrameError> {
     let Some(field) = bytes.first_chunk::<4>() else {
         return Ok(None);
     };
@@ -36,34 +40,41 @@
 pub type Frame<'a> = (u8, &'a [u8], usize);
 
 /// The first message in `bytes`, once it is whole; its length field may say `most` bytes.
-pub fn within(bytes: &[u8], most: usize) -> Result<Option<Frame<'_>>, FrameError> {
+pub fn parse(bytes: &[u8], most: usize) -> Result<Option<Frame<'_>>, FrameError> {
     let Some((&tag, rest)) = bytes.split_first() else {
         return Ok(None);
     };
-    let Some(len) = length(rest, 4, most)? else {
+    let Some(len) = parse_length(rest, 4, most)? else {
         return Ok(None);
     };
     Ok(rest.get(4..len).map(|body| (tag, body, len + 1)))
 }
 
 /// The first message of a client. Only a query may be large, and where `extended` queries are taken, Parse and Bind.
-pub fn command(bytes: &[u8], extended: bool) -> Result<Option<Frame<'_>>, FrameError> {
+pub fn parse_frontend(bytes: &[u8], extended: bool) -> Result<Option<Frame<'_>>, FrameError> {
     let may_be_large = match bytes.first() {
         Some(b'Q') => true,
         Some(b'P' | b'B') => extended,
         _ => false,
     };
-    within(bytes, if may_be_large { LARGEST } else { LARGEST_WORD })
+    parse(
+        bytes,
+        if may_be_large {
+            MAX_MESSAGE_LENGTH
+        } else {
+            MAX_SMALL_MESSAGE_LENGTH
+        },
+    )
 }
 
 /// The first message of an instance's answer. Only a row may be large, and its value has 64 KiB at most.
-pub fn answer(bytes: &[u8]) -> Result<Option<Frame<'_>>, FrameError> {
-    within(
+pub fn parse_backend(bytes: &[u8]) -> Result<Option<Frame<'_>>, FrameError> {
+    parse(
         bytes,
         if bytes.first() == Some(&b'D') {
-            LARGEST_ROW
+            MAX_ROW_LENGTH
         } else {
-            LARGEST_WORD
+            MAX_SMALL_MESSAGE_LENGTH
         },
     )
 }
--- a/crates/pg-protocol/src/frame/tests.rs
+++ b/crates/pg-protocol/src/frame/tests.rs
@@ -13,5 +13,5 @@
 #[case(b"B\0\x01\0\0", Err(FrameError::Oversized(0x1_0000)))]
 #[case(b"E\0\x01\0\0", Err(FrameError::Oversized(0x1_0000)))]
 fn commands(#[case] bytes: &[u8], #[case] wanted: Result<Option<Frame>, FrameError>) {
-    assert_eq!(command(bytes, false), wanted);
+    assert_eq!(parse_frontend(bytes, false), wanted);
 }
--- a/crates/pg-protocol/src/frontend.rs
+++ b/crates/pg-protocol/src/frontend.rs
@@ -1,7 +1,7 @@
 //! What a client writes.
 
 use crate::frame::{self, FrameError};
-use crate::{Format, code, put, text};
+use crate::{Format, put_message, split_cstring, sqlstate};
 
 /// The most parameters that a message may name: more than any statement here has, far fewer than fit the field.
 pub const MOST_PARAMETERS: usize = 64;
@@ -15,21 +15,21 @@
         minor: u16,
     },
     /// A wish for encryption, answered with one byte.
-    Encryption,
+    EncryptionRequest,
     /// A wish to call off what another connection waits for, which the two numbers name.
-    Cancel {
+    CancelRequest {
         /// As BackendKeyData told it.
         process: u32,
         /// As BackendKeyData told it.
         secret: u32,
     },
     /// A version that is not spoken here.
-    Version,
+    UnsupportedVersion,
 }
 
 /// Reads the message that opens a connection, which has no tag, and its length.
-pub fn startup(bytes: &[u8]) -> Result<Option<(Startup, usize)>, FrameError> {
-    let Some(len) = frame::length(bytes, 8, frame::LARGEST_STARTUP)? else {
+pub fn parse_startup(bytes: &[u8]) -> Result<Option<(Startup, usize)>, FrameError> {
+    let Some(len) = frame::parse_length(bytes, 8, frame::MAX_STARTUP_LENGTH)? else {
         return Ok(None);
     };
     let Some(body) = bytes.get(4..len) else {
@@ -43,20 +43,20 @@
     let kind = match word(0).ok_or(FrameError::Malformed)? {
         80_877_102 => match (word(4), word(8)) {
             (Some(process), Some(secret)) if body.len() == 12 => {
-                Startup::Cancel { process, secret }
+                Startup::CancelRequest { process, secret }
             }
             _ => return Err(FrameError::Malformed),
         },
-        80_877_103 | 80_877_104 => Startup::Encryption,
+        80_877_103 | 80_877_104 => Startup::EncryptionRequest,
         code if code >> 16 == 3 => Startup::Session { minor: code as u16 },
-        _ => Startup::Version,
+        _ => Startup::UnsupportedVersion,
     };
     Ok(Some((kind, len)))
 }
 
 /// What Describe and Close are about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Object {
+pub enum ObjectKind {
     /// A prepared statement.
     Statement,
     /// A portal.
@@ -80,16 +80,16 @@
     /// Makes a portal of a statement and its parameters.
     Bind(Bind<'a>),
     /// Asks what a statement takes and gives, or what a portal gives.
-    Describe(Object, &'a str),
+    Describe(ObjectKind, &'a str),
     /// Runs a portal.
     Execute {
         /// The portal.
         portal: &'a str,
         /// The most rows to give now; 0: all.
-        rows: u32,
+        row_limit: u32,
     },
     /// Forgets a statement or a portal.
-    Close(Object, &'a str),
+    Close(ObjectKind, &'a str),
     /// Asks for the answers so far.
     Flush,
     /// Ends a segment.
@@ -106,22 +106,22 @@
     /// The statement.
     pub statement: &'a str,
     /// The format of each parameter; none: all text; one: it holds for all.
-    pub formats: Vec<Format>,
+    pub parameter_formats: Vec<Format>,
     /// The values; none is null.
     pub values: Vec<Option<&'a [u8]>>,
     /// The format of each result column, counted as those of the parameters.
-    pub results: Vec<Format>,
+    pub result_formats: Vec<Format>,
 }
 
 impl Bind<'_> {
     /// The format of the parameter at `index`, counted from 0.
-    pub fn format(&self, index: usize) -> Format {
-        format_at(&self.formats, index)
+    pub fn parameter_format(&self, index: usize) -> Format {
+        format_at(&self.parameter_formats, index)
     }
 
     /// The format of the result column at `index`, counted from 0.
-    pub fn result(&self, index: usize) -> Format {
-        format_at(&self.results, index)
+    pub fn result_format(&self, index: usize) -> Format {
+        format_at(&self.result_formats, index)
     }
 }
 
@@ -137,22 +137,22 @@
 pub enum CommandError {
     /// A tag that no client writes here.
     #[error("an unknown message")]
-    Unknown(u8),
+    UnknownMessage(u8),
     /// Its body does not hold what its tag says.
     #[error("a {0} whose fields do not fit its length")]
-    Fields(&'static str),
+    MalformedFields(&'static str),
     /// A count beyond what is taken.
     #[error("a {0} with {1} parameters, of {MOST_PARAMETERS} at most")]
-    TooMany(&'static str, usize),
+    TooManyParameters(&'static str, usize),
     /// A format that the protocol does not know.
     #[error("a {0} with an unknown format code")]
-    Format(&'static str),
+    UnknownFormat(&'static str),
 }
 
 impl CommandError {
     /// Its error code.
-    pub fn code(&self) -> &'static str {
-        code::PROTOCOL_VIOLATION
+    pub fn sqlstate(&self) -> &'static str {
+        sqlstate::PROTOCOL_VIOLATION
     }
 }
 
@@ -160,7 +160,7 @@
 
 impl<'a> Fields<'a> {
     fn text(&mut self) -> Option<&'a str> {
-        let (found, rest) = text(self.0)?;
+        let (found, rest) = split_cstring(self.0)?;
         self.0 = rest;
         Some(found)
     }
@@ -184,12 +184,12 @@
             }
         }
     }
-    fn object(&mut self) -> Option<Object> {
+    fn object(&mut self) -> Option<ObjectKind> {
         let (&kind, rest) = self.0.split_first()?;
         self.0 = rest;
         match kind {
-            b'S' => Some(Object::Statement),
-            b'P' => Some(Object::Portal),
+            b'S' => Some(ObjectKind::Statement),
+            b'P' => Some(ObjectKind::Portal),
             _ => None,
         }
     }
@@ -201,23 +201,23 @@
     fields: &mut Fields<'a>,
     mut one: impl FnMut(&mut Fields<'a>) -> Result<T, CommandError>,
 ) -> Result<Vec<T>, CommandError> {
-    let count = fields.u16().ok_or(CommandError::Fields(what))? as usize;
+    let count = fields.u16().ok_or(CommandError::MalformedFields(what))? as usize;
     if count > MOST_PARAMETERS {
-        return Err(CommandError::TooMany(what, count));
+        return Err(CommandError::TooManyParameters(what, count));
     }
     (0..count).map(|_| one(fields)).collect()
 }
 
 /// Reads a client's message.
-pub fn read(tag: u8, body: &[u8]) -> Result<Command<'_>, CommandError> {
+pub fn parse_command(tag: u8, body: &[u8]) -> Result<Command<'_>, CommandError> {
     let (what, mut f) = (name_of(tag), Fields(body));
-    let wrong = || CommandError::Fields(what);
+    let wrong = || CommandError::MalformedFields(what);
     let formats = |f: &mut Fields| {
         counted(what, f, |f| {
             f.u16()
                 .ok_or(wrong())
-                .map(Format::of)?
-                .ok_or(CommandError::Format(what))
+                .map(Format::from_code)?
+                .ok_or(CommandError::UnknownFormat(what))
         })
     };
     let command = match tag {
@@ -230,15 +230,15 @@
         b'B' => Command::Bind(Bind {
             portal: f.text().ok_or_else(wrong)?,
             statement: f.text().ok_or_else(wrong)?,
-            formats: formats(&mut f)?,
+            parameter_formats: formats(&mut f)?,
             values: counted(what, &mut f, |f| f.value().ok_or(wrong()))?,
-            results: formats(&mut f)?,
+            result_formats: formats(&mut f)?,
         }),
         b'D' => Command::Describe(f.object().ok_or_else(wrong)?, f.text().ok_or_else(wrong)?),
         b'E' => Command::Execute {
             portal: f.text().ok_or_else(wrong)?,
             // A negative limit is none, as servers of this protocol take it.
-            rows: f
+            row_limit: f
                 .u32()
                 .ok_or_else(wrong)
                 .map(|n| if n as i32 > 0 { n } else { 0 })?,
@@ -247,7 +247,7 @@
         b'H' => Command::Flush,
         b'S' => Command::Sync,
         b'X' => return Ok(Command::Terminate),
-        other => return Err(CommandError::Unknown(other)),
+        other => return Err(CommandError::UnknownMessage(other)),
     };
     if f.0.is_empty() {
         Ok(command)
@@ -279,7 +279,7 @@
 }
 
 /// Appends a CancelRequest, which opens a connection of its own.
-pub fn put_cancel(out: &mut Vec<u8>, process: u32, secret: u32) {
+pub fn put_cancel_request(out: &mut Vec<u8>, process: u32, secret: u32) {
     for word in [16, 80_877_102, process, secret] {
         out.extend_from_slice(&word.to_be_bytes());
     }
@@ -287,14 +287,14 @@
 
 /// Appends a simple query.
 pub fn put_query(out: &mut Vec<u8>, text: &[u8]) {
-    put(out, b'Q', &[text, &[0]]);
+    put_message(out, b'Q', &[text, &[0]]);
 }
 
 /// Appends a Parse.
 pub fn put_parse(out: &mut Vec<u8>, name: &str, text: &str, types: &[u32]) {
     let types: Vec<u8> = types.iter().flat_map(|t| t.to_be_bytes()).collect();
     let count = (types.len() as u16 / 4).to_be_bytes();
-    put(
+    put_message(
         out,
         b'P',
         &[name.as_bytes(), &[0], text.as_bytes(), &[0], &count, &types],
@@ -336,39 +336,43 @@
 }
 
 /// Appends a Describe.
-pub fn put_describe(out: &mut Vec<u8>, object: Object, name: &str) {
-    put(out, b'D', &[&[letter(object)], name.as_bytes(), &[0]]);
+pub fn put_describe(out: &mut Vec<u8>, object: ObjectKind, name: &str) {
+    put_message(out, b'D', &[&[letter(object)], name.as_bytes(), &[0]]);
 }
 
-/// Appends an Execute; `rows` 0: all.
-pub fn put_execute(out: &mut Vec<u8>, portal: &str, rows: u32) {
-    put(out, b'E', &[portal.as_bytes(), &[0], &rows.to_be_bytes()]);
+/// Appends an Execute; `row_limit` 0: all.
+pub fn put_execute(out: &mut Vec<u8>, portal: &str, row_limit: u32) {
+    put_message(
+        out,
+        b'E',
+        &[portal.as_bytes(), &[0], &row_limit.to_be_bytes()],
+    );
 }
 
 /// Appends a Close.
-pub fn put_close(out: &mut Vec<u8>, object: Object, name: &str) {
-    put(out, b'C', &[&[letter(object)], name.as_bytes(), &[0]]);
+pub fn put_close(out: &mut Vec<u8>, object: ObjectKind, name: &str) {
+    put_message(out, b'C', &[&[letter(object)], name.as_bytes(), &[0]]);
 }
 
 /// Appends a Sync.
 pub fn put_sync(out: &mut Vec<u8>) {
-    put(out, b'S', &[]);
+    put_message(out, b'S', &[]);
 }
 
 /// Appends a Flush.
 pub fn put_flush(out: &mut Vec<u8>) {
-    put(out, b'H', &[]);
+    put_message(out, b'H', &[]);
 }
 
 /// Appends a Terminate.
 pub fn put_terminate(out: &mut Vec<u8>) {
-    put(out, b'X', &[]);
+    put_message(out, b'X', &[]);
 }
 
-fn letter(object: Object) -> u8 {
+fn letter(object: ObjectKind) -> u8 {
     match object {
-        Object::Statement => b'S',
-        Object::Portal => b'P',
+        ObjectKind::Statement => b'S',
+        ObjectKind::Portal => b'P',
     }
 }
 
--- a/crates/pg-session/src/bound.rs
+++ b/crates/pg-session/src/bound.rs
@@ -69,7 +69,7 @@
         Ok(Bound {
             template: template.clone(),
             values: Values::copy(bind, &accounts.values)?,
-            result: bind.result(0),
+            result: bind.result_format(0),
             drawn,
         })
     }
--- a/crates/pg-session/src/bound/tests.rs
+++ b/crates/pg-session/src/bound/tests.rs
@@ -22,13 +22,13 @@
     values: &[Option<&[u8]>],
 ) -> Result<Bound, Wrong> {
     let template = Templates::new(1 << 20, oid::BYTEA).get(text, types)?;
-    let (formats, values) = (formats.to_vec(), values.to_vec());
+    let (parameter_formats, values) = (formats.to_vec(), values.to_vec());
     let bind = Bind {
         portal: "",
         statement: "",
-        formats,
+        parameter_formats,
         values,
-        results: vec![Format::Binary],
+        result_formats: vec![Format::Binary],
     };
     Bound::new(&template, &bind, 0xabc, &accounts())
 }
@@ -43,8 +43,8 @@
 fn sent(bound: &Bound, wait: Nanos) -> Vec<Option<Vec<u8>>> {
     let mut out = Vec::new();
     bound.put_bind(&mut out, wait);
-    let (tag, body, _) = frame::command(&out, true).unwrap().unwrap();
-    let Ok(Command::Bind(bind)) = frontend::read(tag, body) else {
+    let (tag, body, _) = frame::parse_frontend(&out, true).unwrap().unwrap();
+    let Ok(Command::Bind(bind)) = frontend::parse_command(tag, body) else {
         panic!("no bind")
     };
     bind.values.iter().map(|v| v.map(<[u8]>::to_vec)).collect()
--- a/crates/pg-session/src/bound/values.rs
+++ b/crates/pg-session/src/bound/values.rs
@@ -45,7 +45,7 @@
                 start..bytes.len()
             });
             values.push(Value {
-                format: bind.format(index),
+                format: bind.parameter_format(index),
                 range,
             });
         }
@@ -90,11 +90,11 @@
             takes,
         });
     }
-    if bind.formats.len() > 1 && bind.formats.len() != takes {
-        return Err(Wrong::Formats(bind.formats.len()));
+    if bind.parameter_formats.len() > 1 && bind.parameter_formats.len() != takes {
+        return Err(Wrong::Formats(bind.parameter_formats.len()));
     }
-    if bind.results.len() > 1 {
-        return Err(Wrong::Formats(bind.results.len()));
+    if bind.result_formats.len() > 1 {
+        return Err(Wrong::Formats(bind.result_formats.len()));
     }
     Ok(())
 }
--- a/crates/pg-session/src/lib.rs
+++ b/crates/pg-session/src/lib.rs
@@ -22,9 +22,9 @@
 pub mod queue;
 pub mod template;
 
-use reelrill_pg_protocol::code;
+use reelrill_pg_protocol::sqlstate;
 
-/// Why a command is refused. The text names the thing at fault; [`Wrong::code`] is what the client gets with it.
+/// Why a command is refused. The text names the thing at fault; [`Wrong::sqlstate`] is what the client gets with it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Wrong {
     /// The text is no statement of ours.
@@ -102,22 +102,22 @@
 
 impl Wrong {
     /// The error code that goes with it.
-    pub fn code(&self) -> &'static str {
+    pub fn sqlstate(&self) -> &'static str {
         match self {
-            Wrong::Form(_) | Wrong::Class(_) | Wrong::Kind(_) => code::SYNTAX,
-            Wrong::Unsupported(_) => code::UNSUPPORTED,
-            Wrong::NoType(_) => code::NO_TYPE,
-            Wrong::Type { .. } | Wrong::Shared(_) => code::WRONG_TYPE,
-            Wrong::Count { .. } | Wrong::Formats(_) => code::PROTOCOL_VIOLATION,
-            Wrong::Null(_) => code::NULL,
-            Wrong::Value(_) => code::WRONG_VALUE,
-            Wrong::Literal(_) => code::UNSUPPORTED,
-            Wrong::NoStatement(_) => code::NO_STATEMENT,
-            Wrong::NoPortal(_) => code::NO_PORTAL,
-            Wrong::StatementExists(_) => code::STATEMENT_EXISTS,
-            Wrong::PortalExists(_) => code::PORTAL_EXISTS,
-            Wrong::PortalDone(_) => code::PORTAL_DONE,
-            Wrong::Limit { .. } => code::LIMIT,
+            Wrong::Form(_) | Wrong::Class(_) | Wrong::Kind(_) => sqlstate::SYNTAX_ERROR,
+            Wrong::Unsupported(_) => sqlstate::FEATURE_NOT_SUPPORTED,
+            Wrong::NoType(_) => sqlstate::INDETERMINATE_DATATYPE,
+            Wrong::Type { .. } | Wrong::Shared(_) => sqlstate::DATATYPE_MISMATCH,
+            Wrong::Count { .. } | Wrong::Formats(_) => sqlstate::PROTOCOL_VIOLATION,
+            Wrong::Null(_) => sqlstate::NULL_VALUE_NOT_ALLOWED,
+            Wrong::Value(_) => sqlstate::INVALID_PARAMETER_VALUE,
+            Wrong::Literal(_) => sqlstate::FEATURE_NOT_SUPPORTED,
+            Wrong::NoStatement(_) => sqlstate::INVALID_SQL_STATEMENT_NAME,
+            Wrong::NoPortal(_) => sqlstate::INVALID_CURSOR_NAME,
+            Wrong::StatementExists(_) => sqlstate::DUPLICATE_PREPARED_STATEMENT,
+            Wrong::PortalExists(_) => sqlstate::DUPLICATE_CURSOR,
+            Wrong::PortalDone(_) => sqlstate::OBJECT_NOT_IN_PREREQUISITE_STATE,
+            Wrong::Limit { .. } => sqlstate::PROGRAM_LIMIT_EXCEEDED,
         }
     }
 }
--- a/crates/pg-session/src/plan.rs
+++ b/crates/pg-session/src/plan.rs
@@ -28,7 +28,7 @@
 use pipeline::Pipeline;
 use portal::{Execution, Portal};
 use reelrill_pg_protocol::Format;
-use reelrill_pg_protocol::frontend::{Bind, Command, Object};
+use reelrill_pg_protocol::frontend::{Bind, Command, ObjectKind};
 use segment::Segment;
 use statements::{PreparedStatement, Statements};
 use std::collections::HashMap;
@@ -185,14 +185,14 @@
                 self.bind(bind, drawn)?;
                 Output::Bound
             }
-            Command::Describe(Object::Statement, name) => self.describe_statement(name)?,
-            Command::Describe(Object::Portal, name) => self.describe_portal(name)?,
-            Command::Execute { portal, rows } => return self.execute(portal, *rows),
-            Command::Close(Object::Statement, name) => {
+            Command::Describe(ObjectKind::Statement, name) => self.describe_statement(name)?,
+            Command::Describe(ObjectKind::Portal, name) => self.describe_portal(name)?,
+            Command::Execute { portal, row_limit } => return self.execute(portal, *row_limit),
+            Command::Close(ObjectKind::Statement, name) => {
                 self.set_statement(name, None);
                 Output::Closed
             }
-            Command::Close(Object::Portal, name) => {
+            Command::Close(ObjectKind::Portal, name) => {
                 self.portals.remove(*name);
                 Output::Closed
             }
--- a/crates/pg-session/src/plan/portal.rs
+++ b/crates/pg-session/src/plan/portal.rs
@@ -68,7 +68,7 @@
         };
         Ok(Portal {
             content,
-            result: bind.result(0),
+            result: bind.result_format(0),
             progress: Progress::NotRun,
         })
     }
--- a/crates/pg-session/src/template/parameter_types.rs
+++ b/crates/pg-session/src/template/parameter_types.rs
@@ -55,7 +55,7 @@
     value_type: u32,
 ) -> Result<u32, Wrong> {
     let places = places_of(form, number);
-    let specified = declared.filter(|oid| *oid != oid::UNKNOWN);
+    let specified = declared.filter(|oid| *oid != oid::UNSPECIFIED);
     let inferred = || {
         places
             .iter()
@@ -102,7 +102,7 @@
     if oid::is_text(type_oid) {
         return true;
     }
-    let is_integer = oid::integer_len(type_oid).is_some();
+    let is_integer = oid::integer_width(type_oid).is_some();
     match place {
         Place::Key | Place::Class => false,
         Place::Value => type_oid == oid::BYTEA,
--- a/crates/pg-session/tests/plan.rs
+++ b/crates/pg-session/tests/plan.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use reelrill_pg_protocol::Format;
-use reelrill_pg_protocol::frontend::{Bind, Command, Object};
+use reelrill_pg_protocol::frontend::{Bind, Command, ObjectKind};
 use reelrill_pg_protocol::oid;
 use reelrill_pg_session::Wrong;
 use reelrill_pg_session::account::{Accounts, Limits};
@@ -86,14 +86,17 @@
         Op::Bind(portal, statement) => Command::Bind(Bind {
             portal,
             statement,
-            formats: Vec::new(),
+            parameter_formats: Vec::new(),
             values: vec![Some(b"k")],
-            results: vec![Format::Binary],
+            result_formats: vec![Format::Binary],
         }),
-        Op::Execute(portal) => Command::Execute { portal, rows: 0 },
-        Op::CloseStatement(name) => Command::Close(Object::Statement, name),
-        Op::ClosePortal(name) => Command::Close(Object::Portal, name),
-        Op::DescribeStatement(name) => Command::Describe(Object::Statement, name),
+        Op::Execute(portal) => Command::Execute {
+            portal,
+            row_limit: 0,
+        },
+        Op::CloseStatement(name) => Command::Close(ObjectKind::Statement, name),
+        Op::ClosePortal(name) => Command::Close(ObjectKind::Portal, name),
+        Op::DescribeStatement(name) => Command::Describe(ObjectKind::Statement, name),
         Op::Sync => Command::Sync,
     };
     plan.command(&command, id as u64);
@@ -273,18 +276,18 @@
     plan.command(
         &Command::Execute {
             portal: "",
-            rows: 1,
+            row_limit: 1,
         },
         1,
     );
     plan.command(
         &Command::Execute {
             portal: "",
-            rows: 1,
+            row_limit: 1,
         },
         1,
     );
-    plan.command(&Command::Describe(Object::Portal, ""), 1);
+    plan.command(&Command::Describe(ObjectKind::Portal, ""), 1);
     let start = plan.start().unwrap();
     assert!(plan.start().is_none());
     assert_eq!(
@@ -323,15 +326,15 @@
     let bind = Bind {
         portal: "",
         statement: "u",
-        formats: vec![],
+        parameter_formats: vec![],
         values: vec![],
-        results: vec![],
+        result_formats: vec![],
     };
     plan.command(&Command::Bind(bind), 1);
     plan.command(
         &Command::Execute {
             portal: "",
-            rows: 0,
+            row_limit: 0,
         },
         1,
     );
@@ -420,13 +423,13 @@
         give(&mut plan, &Op::Parse("", false), 1);
         let names: Vec<String> = (0..20).map(|n| format!("p{n}")).collect();
         for portal in &names {
-            let (formats, values) = (Vec::new(), vec![Some(&[b'k'; 100][..])]);
+            let (parameter_formats, values) = (Vec::new(), vec![Some(&[b'k'; 100][..])]);
             let bind = Bind {
                 portal,
                 statement: "",
-                formats,
+                parameter_formats,
                 values,
-                results: Vec::new(),
+                result_formats: Vec::new(),
             };
             plan.command(&Command::Bind(bind), 1);
         }
--- a/crates/router/src/client/closing.rs
+++ b/crates/router/src/client/closing.rs
@@ -11,7 +11,7 @@
 use futures_lite::future::or;
 use reelrill_pg_protocol::frame::FrameError;
 use reelrill_pg_protocol::frontend::CommandError;
-use reelrill_pg_protocol::{backend, code};
+use reelrill_pg_protocol::{backend, sqlstate};
 use std::io::{ErrorKind, Read as _};
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
@@ -35,27 +35,30 @@
     }
 
     pub(super) async fn broken_command(&mut self, e: &CommandError) -> CloseReason {
-        self.final_error(e.code(), &e.to_string()).await;
+        self.final_error(e.sqlstate(), &e.to_string()).await;
         CloseReason::Malformed
     }
 
     /// The request was never taken: trying again is harmless.
     pub(super) async fn no_memory(&mut self) -> CloseReason {
-        self.final_error(code::TOO_MANY, "no memory for a message of this size now")
-            .await;
+        self.final_error(
+            sqlstate::TOO_MANY_CONNECTIONS,
+            "no memory for a message of this size now",
+        )
+        .await;
         CloseReason::NoMemory
     }
 
     /// Says what is wrong; the connection is closed after it.
     pub(super) async fn fatal(&mut self, why: &str) -> CloseReason {
-        self.final_error(code::PROTOCOL_VIOLATION, why).await;
+        self.final_error(sqlstate::PROTOCOL_VIOLATION, why).await;
         CloseReason::Malformed
     }
 
     async fn final_error(&mut self, code: &str, why: &str) {
         count(&self.shared.counters.invalid_statements);
         let mut out = Vec::new();
-        backend::put_error(&mut out, true, code, why, None);
+        backend::put_error_response(&mut out, true, code, why, None);
         if self.write(&out).await.is_ok() {
             self.lingering_close(AFTER_FINAL_ERROR).await;
         }
--- a/crates/router/src/client/connection.rs
+++ b/crates/router/src/client/connection.rs
@@ -22,7 +22,7 @@
 use futures_lite::future::or;
 use reelrill_pg_protocol::frame;
 use reelrill_pg_protocol::frontend::{self, Startup};
-use reelrill_pg_protocol::{backend, code};
+use reelrill_pg_protocol::{backend, sqlstate};
 use reelrill_pg_session::admit::Admitted;
 use reelrill_pg_session::bound::Ask;
 use reelrill_routing::Timestamp;
@@ -112,7 +112,7 @@
         self.state.on_startup_answered();
         loop {
             let is_extended = self.extended_queries.is_some();
-            let (tag, body, len) = match frame::command(self.buffer.bytes(), is_extended) {
+            let (tag, body, len) = match frame::parse_frontend(self.buffer.bytes(), is_extended) {
                 Ok(Some(message)) => message,
                 Ok(None) => {
                     self.wait_for_input().await?;
@@ -139,7 +139,7 @@
 
     async fn startup(&mut self) -> Result<(), CloseReason> {
         loop {
-            let (kind, len) = match frontend::startup(self.buffer.bytes()) {
+            let (kind, len) = match frontend::parse_startup(self.buffer.bytes()) {
                 Ok(Some(message)) => message,
                 Ok(None) => {
                     self.wait_for_input().await?;
@@ -149,12 +149,12 @@
             };
             self.buffer.consume(len);
             match kind {
-                Startup::Encryption => self.write(b"N").await?,
-                Startup::Cancel { process, secret } => {
+                Startup::EncryptionRequest => self.write(b"N").await?,
+                Startup::CancelRequest { process, secret } => {
                     self.on_cancel_request(CancellationKey { process, secret });
                     return Err(CloseReason::CancelRequest);
                 }
-                Startup::Version => {
+                Startup::UnsupportedVersion => {
                     return Err(self.fatal("this protocol version is not spoken").await);
                 }
                 Startup::Session { minor } => return self.welcome(minor).await,
@@ -176,7 +176,7 @@
             self.cancellation_process = Some(key.process);
         }
         let mut out = Vec::new();
-        backend::put_welcome(&mut out, minor, key.process, key.secret);
+        backend::put_session_start(&mut out, minor, key.process, key.secret);
         self.write(&out).await
     }
 
@@ -230,7 +230,9 @@
     /// Whether its client has gone: it has closed the connection, or said goodbye behind what it has sent.
     pub(super) fn has_left(&self) -> bool {
         let mut rest = self.buffer.bytes();
-        while let Ok(Some((tag, _, len))) = frame::command(rest, self.extended_queries.is_some()) {
+        while let Ok(Some((tag, _, len))) =
+            frame::parse_frontend(rest, self.extended_queries.is_some())
+        {
             if tag == b'X' {
                 return true;
             }
@@ -352,7 +354,7 @@
             "message '{}' is not supported: use simple queries",
             char::from(tag)
         );
-        backend::put_error(&mut out, false, code::UNSUPPORTED, &why, None);
+        backend::put_error_response(&mut out, false, sqlstate::FEATURE_NOT_SUPPORTED, &why, None);
         self.write(&out).await
     }
 
@@ -361,7 +363,7 @@
         self.buffer.consume(len);
         self.is_skipping_to_sync = false;
         let mut out = Vec::new();
-        backend::put_ready(&mut out);
+        backend::put_ready_for_query(&mut out);
         self.write(&out).await
     }
 
--- a/crates/router/src/client/extended_queries.rs
+++ b/crates/router/src/client/extended_queries.rs
@@ -12,7 +12,7 @@
 use crate::runtime::shared::Shared;
 use reelrill_pg_protocol::backend::{self, Column};
 use reelrill_pg_protocol::frontend::{self, Command};
-use reelrill_pg_protocol::{Format, frame, put};
+use reelrill_pg_protocol::{Format, frame, put_message};
 use reelrill_pg_session::Wrong;
 use reelrill_pg_session::bound::convert;
 use reelrill_pg_session::plan::{Output, Plan};
@@ -105,10 +105,10 @@
     fn take_commands(&mut self, bytes: &[u8]) -> usize {
         let mut rest = bytes;
         while !self.plan.is_full() {
-            let Ok(Some((tag, body, len))) = frame::command(rest, true) else {
+            let Ok(Some((tag, body, len))) = frame::parse_frontend(rest, true) else {
                 break;
             };
-            match frontend::read(tag, body) {
+            match frontend::parse_command(tag, body) {
                 Ok(Command::Terminate | Command::Query(_)) | Err(_) => break,
                 Ok(command) => self.plan.command(&command, rand::random()),
             }
@@ -120,24 +120,24 @@
     /// Puts one output. Returns whether the client waits for it: it ends with a Sync or a Flush, or is an error.
     fn put_output(&self, out: &mut Vec<u8>, output: Output<FinalResponse>) -> bool {
         match output {
-            Output::Parsed => put(out, b'1', &[]),
-            Output::Bound => put(out, b'2', &[]),
-            Output::Closed => put(out, b'3', &[]),
-            Output::NoData => put(out, b'n', &[]),
-            Output::Empty => put(out, b'I', &[]),
-            Output::Parameters(types) => backend::put_parameters(out, &types),
+            Output::Parsed => put_message(out, b'1', &[]),
+            Output::Bound => put_message(out, b'2', &[]),
+            Output::Closed => put_message(out, b'3', &[]),
+            Output::NoData => put_message(out, b'n', &[]),
+            Output::Empty => put_message(out, b'I', &[]),
+            Output::Parameters(types) => backend::put_parameter_description(out, &types),
             Output::Column(format) => {
-                backend::put_column(out, &Column::new("data", self.data_type, format));
+                backend::put_row_description(out, &Column::new("data", self.data_type, format));
             }
-            Output::Complete(tag) => backend::put_complete(out, tag),
+            Output::Complete(tag) => backend::put_command_complete(out, tag),
             Output::Answer { answer, suspended } => return put_answer(out, &answer, suspended),
             Output::Wrong(wrong) => {
-                backend::put_error(out, false, wrong.code(), &wrong.to_string(), None);
+                backend::put_error_response(out, false, wrong.sqlstate(), &wrong.to_string(), None);
                 return true;
             }
             Output::Flush => return true,
             Output::Ready => {
-                backend::put_ready(out);
+                backend::put_ready_for_query(out);
                 return true;
             }
         }
@@ -151,11 +151,11 @@
         put_failure(out, answer);
         return true;
     };
-    backend::put_value(out, &answer.value);
+    backend::put_data_row(out, &answer.value);
     if is_suspended {
-        put(out, b's', &[]);
+        put_message(out, b's', &[]);
     } else {
-        backend::put_complete(out, &answer.tag);
+        backend::put_command_complete(out, &answer.tag);
     }
     false
 }
--- a/crates/router/src/client/message_kind.rs
+++ b/crates/router/src/client/message_kind.rs
@@ -26,12 +26,12 @@
     pub fn of(tag: u8, body: &[u8], is_extended: bool) -> MessageKind {
         match tag {
             b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'S' if is_extended => {
-                match frontend::read(tag, body) {
+                match frontend::parse_command(tag, body) {
                     Ok(_) => MessageKind::ExtendedCommand,
                     Err(error) => MessageKind::Malformed(error),
                 }
             }
-            b'Q' if backend::only_text(body).is_some() => MessageKind::SimpleQuery,
+            b'Q' if backend::parse_single_string(body).is_some() => MessageKind::SimpleQuery,
             b'Q' => MessageKind::Violation("a query that is no text"),
             b'X' => MessageKind::Terminate,
             b'S' => MessageKind::Sync,
--- a/crates/router/src/client/reading.rs
+++ b/crates/router/src/client/reading.rs
@@ -43,9 +43,9 @@
 /// Whether `bytes` begin with a message that is complete, or can't be read.
 pub fn is_whole(bytes: &[u8], has_started: bool, is_extended: bool) -> bool {
     if has_started {
-        !matches!(frame::command(bytes, is_extended), Ok(None))
+        !matches!(frame::parse_frontend(bytes, is_extended), Ok(None))
     } else {
-        !matches!(frontend::startup(bytes), Ok(None))
+        !matches!(frontend::parse_startup(bytes), Ok(None))
     }
 }
 
--- a/crates/router/src/client/responses.rs
+++ b/crates/router/src/client/responses.rs
@@ -1,7 +1,7 @@
 //! Final responses as messages of the protocol.
 
 use crate::messages::{Answer, FinalResponse};
-use reelrill_pg_protocol::{backend, code};
+use reelrill_pg_protocol::{backend, sqlstate};
 
 /// How much is written at once, so that many answers do not pile up.
 pub const WRITE_SIZE: usize = 64 * 1024;
@@ -9,17 +9,17 @@
 /// A served answer to a simple query.
 pub fn put_answer(out: &mut Vec<u8>, answer: &Answer) {
     if let Some(c) = &answer.column {
-        backend::put_column(
+        backend::put_row_description(
             out,
             &backend::Column {
                 name: &c.name,
-                kind: c.kind,
+                type_info: c.kind,
                 format: c.format,
             },
         );
     }
-    backend::put_value(out, &answer.value);
-    backend::put_complete(out, &answer.tag);
+    backend::put_data_row(out, &answer.value);
+    backend::put_command_complete(out, &answer.tag);
 }
 
 /// Any other answer.
@@ -28,14 +28,22 @@
         FinalResponse::Refused { retry_after } => {
             let after = retry_after.map(|span| span.div_ceil(1_000_000).to_string());
             let text = "refused: trying again is harmless";
-            backend::put_error(out, false, code::TOO_MANY, text, after.as_deref());
+            backend::put_error_response(
+                out,
+                false,
+                sqlstate::TOO_MANY_CONNECTIONS,
+                text,
+                after.as_deref(),
+            );
+        }
+        FinalResponse::Failed(why) => {
+            backend::put_error_response(out, false, sqlstate::SYSTEM_ERROR, why, None)
         }
-        FinalResponse::Failed(why) => backend::put_error(out, false, code::FAILED, why, None),
         FinalResponse::Cancelled => {
-            backend::put_error(
+            backend::put_error_response(
                 out,
                 false,
-                code::CANCELED,
+                sqlstate::QUERY_CANCELED,
                 "called off by its client; it may have run",
                 None,
             );
--- a/crates/router/src/client/simple_queries.rs
+++ b/crates/router/src/client/simple_queries.rs
@@ -10,7 +10,7 @@
 use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
 use futures_lite::future::or;
-use reelrill_pg_protocol::{Format, backend, code, frame, put};
+use reelrill_pg_protocol::{Format, backend, frame, put_message, sqlstate};
 use reelrill_pg_session::Wrong;
 use reelrill_pg_session::admit::{Admitted, Named};
 use reelrill_pg_session::bound::{Ask, Simple};
@@ -123,11 +123,12 @@
     fn take_simple_queries(&mut self) {
         let is_extended = self.extended_queries.is_some();
         while !self.simple_queries.queue.is_full() {
-            let Ok(Some((b'Q', body, len))) = frame::command(self.buffer.bytes(), is_extended)
+            let Ok(Some((b'Q', body, len))) =
+                frame::parse_frontend(self.buffer.bytes(), is_extended)
             else {
                 return;
             };
-            let Some(text) = backend::only_text(body) else {
+            let Some(text) = backend::parse_single_string(body) else {
                 return;
             };
             let text = text.to_owned();
@@ -171,12 +172,12 @@
         match extended.and_then(|extended| extended.run_session_statement(text)) {
             Some(Ok(tag)) => LocalResponse::Complete(tag),
             Some(Err(error)) => LocalResponse::Error {
-                code: error.code(),
+                code: error.sqlstate(),
                 message: error.to_string(),
             },
             // Whatever it is, a simple query that is none of ours has this code.
             None => LocalResponse::Error {
-                code: code::SYNTAX,
+                code: sqlstate::SYNTAX_ERROR,
                 message: error.to_string(),
             },
         }
@@ -216,14 +217,16 @@
             match output {
                 Output::Answer(FinalResponse::Served(answer)) => put_answer(out, &answer),
                 Output::Answer(other) => put_failure(out, &other),
-                Output::Said(LocalResponse::EmptyQuery) => put(out, b'I', &[]),
-                Output::Said(LocalResponse::Complete(tag)) => backend::put_complete(out, tag),
+                Output::Said(LocalResponse::EmptyQuery) => put_message(out, b'I', &[]),
+                Output::Said(LocalResponse::Complete(tag)) => {
+                    backend::put_command_complete(out, tag)
+                }
                 Output::Said(LocalResponse::Error { code, message }) => {
                     count(&self.shared.counters.invalid_statements);
-                    backend::put_error(out, false, code, &message, None);
+                    backend::put_error_response(out, false, code, &message, None);
                 }
             }
-            backend::put_ready(out);
+            backend::put_ready_for_query(out);
         }
     }
 }
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -15,7 +15,7 @@
 use futures_lite::AsyncWriteExt as _;
 use futures_lite::future::or;
 use reelrill_pg_protocol::frame;
-use reelrill_pg_protocol::frontend::{self, Object};
+use reelrill_pg_protocol::frontend::{self, ObjectKind};
 use reelrill_pg_session::bound::{Ask, Bound};
 use reelrill_pg_session::prepared::{Need, Prepared};
 use reelrill_pg_session::template::{self, Kind};
@@ -175,7 +175,7 @@
             Need::Ready => b"2",
             Need::Prepare { evict: None } => b"12",
             Need::Prepare { evict: Some(old) } => {
-                frontend::put_close(&mut messages, Object::Statement, &template::name(old));
+                frontend::put_close(&mut messages, ObjectKind::Statement, &template::name(old));
                 b"312"
             }
         };
@@ -266,7 +266,7 @@
             ExchangeError::MalformedResponse,
         );
         loop {
-            let progress = match frame::answer(self.buffer.bytes()) {
+            let progress = match frame::parse_backend(self.buffer.bytes()) {
                 Ok(Some((kind, body, length))) => {
                     let progress = response.take(kind, body);
                     self.buffer.consume(length);
--- a/crates/router/src/upstream/dial.rs
+++ b/crates/router/src/upstream/dial.rs
@@ -10,7 +10,7 @@
 use crate::runtime::shared::{DescriptorPermit, Shared};
 use async_io::{Async, Timer};
 use futures_lite::future::or;
-use reelrill_pg_protocol::{backend, code, frame, frontend};
+use reelrill_pg_protocol::{backend, frame, frontend, sqlstate};
 use reelrill_routing::{AttemptOutcome, EndpointId, Nanos};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -106,9 +106,9 @@
 /// Reads up to ReadyForQuery.
 async fn await_welcome(connection: &mut UpstreamConnection) -> Result<(), AttemptOutcome> {
     loop {
-        match frame::within(connection.buffer.bytes(), frame::LARGEST_WORD) {
+        match frame::parse(connection.buffer.bytes(), frame::MAX_SMALL_MESSAGE_LENGTH) {
             Ok(Some((b'E', body, _))) => {
-                let code = backend::error_code(body).map(str::to_owned);
+                let code = backend::error_sqlstate(body).map(str::to_owned);
                 return Err(turned_away(connection, code.as_deref()));
             }
             Ok(Some((kind, _, length))) => {
@@ -130,7 +130,7 @@
 
 /// The endpoint answered the startup message with an error of this code.
 fn turned_away(connection: &mut UpstreamConnection, code: Option<&str>) -> AttemptOutcome {
-    if code == Some(code::LEAVING) {
+    if code == Some(sqlstate::CANNOT_CONNECT_NOW) {
         connection.report_alive(true);
     }
     connection.close_reason = CloseReason::Rejected;
--- a/crates/router/src/upstream/fault.rs
+++ b/crates/router/src/upstream/fault.rs
@@ -4,7 +4,7 @@
 //! must not count towards its ejection. What a failed call means for a request depends on the stage alone: nothing has
 //! run before the last byte is written, and anything may have run after it.
 
-use reelrill_pg_protocol::code;
+use reelrill_pg_protocol::sqlstate;
 use reelrill_routing::AttemptOutcome;
 use rustix::io::Errno;
 use std::io;
@@ -123,11 +123,13 @@
 /// the statement (22 for data, 42 for syntax).
 pub fn outcome_of_error(code: &str) -> AttemptOutcome {
     match code {
-        code::READ_ONLY | code::BEHIND => AttemptOutcome::Misrouted,
-        code::TOO_MANY => AttemptOutcome::Overloaded,
-        code::PROTOCOL_VIOLATION => AttemptOutcome::InvalidRequest,
+        sqlstate::READ_ONLY_SQL_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD => {
+            AttemptOutcome::Misrouted
+        }
+        sqlstate::TOO_MANY_CONNECTIONS => AttemptOutcome::Overloaded,
+        sqlstate::PROTOCOL_VIOLATION => AttemptOutcome::InvalidRequest,
         // Only a prepared statement ends so: the endpoint has forgotten it, twice in a row.
-        code::NO_STATEMENT => AttemptOutcome::NotSent,
+        sqlstate::INVALID_SQL_STATEMENT_NAME => AttemptOutcome::NotSent,
         _ if code.starts_with("22") || code.starts_with("42") => AttemptOutcome::InvalidRequest,
         _ => AttemptOutcome::Error,
     }
--- a/crates/router/src/upstream/response.rs
+++ b/crates/router/src/upstream/response.rs
@@ -6,7 +6,7 @@
 use super::fault::outcome_of_error;
 use super::load_report::parse_load_report;
 use crate::messages::{Answer, Column};
-use reelrill_pg_protocol::{backend, code, text};
+use reelrill_pg_protocol::{backend, split_cstring, sqlstate};
 use reelrill_routing::{AttemptOutcome, ReplicationStatus, Role};
 
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
@@ -86,12 +86,12 @@
 
     /// The endpoint does not know the prepared statement that it was asked to run.
     pub fn has_unknown_statement(&self) -> bool {
-        self.error_code.as_deref() == Some(code::NO_STATEMENT)
+        self.error_code.as_deref() == Some(sqlstate::INVALID_SQL_STATEMENT_NAME)
     }
 
     /// The endpoint says that it is draining.
     pub fn says_draining(&self) -> bool {
-        self.error_code.as_deref() == Some(code::LEAVING)
+        self.error_code.as_deref() == Some(sqlstate::CANNOT_CONNECT_NOW)
     }
 
     /// The one value as text, such as a load report.
@@ -133,27 +133,27 @@
     }
 
     fn take_description(&mut self, body: &[u8]) -> Option<()> {
-        let column = backend::one_column(body)?;
+        let column = backend::parse_single_column(body)?;
         self.column = Some(Column {
             name: column.name.into(),
-            kind: column.kind,
+            kind: column.type_info,
             format: column.format,
         });
         Some(())
     }
 
     fn take_row(&mut self, body: &[u8]) -> Option<()> {
-        self.value = Some(backend::single_value(body)?.to_vec());
+        self.value = Some(backend::parse_single_value(body)?.to_vec());
         Some(())
     }
 
     fn take_command_tag(&mut self, body: &[u8]) -> Option<()> {
-        self.command_tag = Some(backend::only_text(body)?.into());
+        self.command_tag = Some(backend::parse_single_string(body)?.into());
         Some(())
     }
 
     fn take_error(&mut self, body: &[u8]) -> Option<()> {
-        self.error_code = Some(backend::error_code(body)?.to_owned());
+        self.error_code = Some(backend::error_sqlstate(body)?.to_owned());
         Some(())
     }
 
@@ -165,10 +165,12 @@
 
     /// Reads what the endpoint says of itself in a parameter; others are left out.
     fn take_parameter(&mut self, body: &[u8]) {
-        let Some((name, rest)) = text(body) else {
+        let Some((name, rest)) = split_cstring(body) else {
+            return;
+        };
+        let Some((value, _)) = split_cstring(rest) else {
             return;
         };
-        let Some((value, _)) = text(rest) else { return };
         match name {
             "part" if value == "master" => self.replication.role = Some(Role::Primary),
             "part" if value == "replica" => self.replication.role = Some(Role::Replica),
--- a/crates/router/tests/edges.rs
+++ b/crates/router/tests/edges.rs
@@ -228,7 +228,7 @@
     client.send(&query(&read(ID, 20_000)));
     until_dialled(&instance);
     let mut cancel = Vec::new();
-    frontend::put_cancel(&mut cancel, client.key.0, client.key.1);
+    frontend::put_cancel_request(&mut cancel, client.key.0, client.key.1);
     Client::connect(router.address).send(&cancel);
     assert_eq!(client.answer().unwrap().code, "57014");
     assert!(router.counted("attempts_unwritten_client_left=1"));
--- a/crates/router/tests/extended.rs
+++ b/crates/router/tests/extended.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use futures_util::future::join_all;
-use reelrill_pg_protocol::frontend::{self, Object};
+use reelrill_pg_protocol::frontend::{self, ObjectKind};
 use reelrill_pg_protocol::{Format, oid};
 use reelrill_test_support::client::{parse, query, run, sync};
 use rstest::rstest;
@@ -14,13 +14,13 @@
 const READ: &str = "SELECT data FROM facts WHERE code = $1 /* id=$2,c=board,d=$3,cluster=2 */";
 const WRITE: &str = "INSERT INTO facts (code, data) VALUES ($1, $2) RETURNING data /* c=book,d=$3,cluster=2,k=$4 */";
 
-fn describe(object: Object, name: &str) -> Vec<u8> {
+fn describe(object: ObjectKind, name: &str) -> Vec<u8> {
     let mut out = Vec::new();
     frontend::put_describe(&mut out, object, name);
     out
 }
 
-fn close(object: Object, name: &str) -> Vec<u8> {
+fn close(object: ObjectKind, name: &str) -> Vec<u8> {
     let mut out = Vec::new();
     frontend::put_close(&mut out, object, name);
     out
@@ -95,7 +95,7 @@
 fn a_statement_is_prepared_once_and_run_often() {
     let (replica_set, endpoints, _discovery, router) = replica_set_of(&["a"], ON);
     let mut client = router.client();
-    let answer = client.extended(&[parse("s", READ, &[]), describe(Object::Statement, "s")]);
+    let answer = client.extended(&[parse("s", READ, &[]), describe(ObjectKind::Statement, "s")]);
     assert_eq!(answer.tags, "1tTZ");
     assert_eq!(
         client
@@ -126,8 +126,8 @@
 #[rstest]
 #[case(&[run("x", &[])], "EZ", "26000")]
 #[case(&[execute("x", 0)], "EZ", "34000")]
-#[case(&[describe(Object::Portal, "x")], "EZ", "34000")]
-#[case(&[describe(Object::Statement, "x")], "EZ", "26000")]
+#[case(&[describe(ObjectKind::Portal, "x")], "EZ", "34000")]
+#[case(&[describe(ObjectKind::Statement, "x")], "EZ", "26000")]
 #[case(&[parse("a", READ, &[]), parse("a", READ, &[])], "1EZ", "42P05")]
 #[case(&[parse("", READ, &[]), bind("p", "", &["k", "00000000000000a1", "9"]), bind("p", "", &["k", "", "9"])], "12EZ", "42P03")]
 #[case(&[parse("", READ, &[]), run("", &[Some("k")])], "1EZ", "08P01")]
@@ -181,7 +181,10 @@
     assert_eq!(client.ask("RESET ALL").tags, "CZ");
     assert_eq!(
         client
-            .extended(&[close(Object::Statement, "b"), close(Object::Portal, "none")])
+            .extended(&[
+                close(ObjectKind::Statement, "b"),
+                close(ObjectKind::Portal, "none")
+            ])
             .tags,
         "33Z"
     );
@@ -419,7 +422,7 @@
     let commands = [
         parse("s", READ, &[]),
         read_of("s", 1),
-        close(Object::Statement, "s"),
+        close(ObjectKind::Statement, "s"),
         parse("", READ, &[]),
         read_of("", 2),
         parse("", &other, &[]),
@@ -471,7 +474,7 @@
     let cancel = |process, secret| {
         let mut other = Client::connect(router.address);
         let mut out = Vec::new();
-        frontend::put_cancel(&mut out, process, secret);
+        frontend::put_cancel_request(&mut out, process, secret);
         other.send(&out);
         assert!(other.message().is_none());
     };
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -49,7 +49,7 @@
     /// The next message.
     pub fn message(&mut self) -> Option<(u8, Vec<u8>)> {
         self.next(|bytes| {
-            let found = frame::within(bytes, 1 << 26)?;
+            let found = frame::parse(bytes, 1 << 26)?;
             Ok(found.map(|(tag, body, len)| ((tag, body.to_vec()), len)))
         })
     }
@@ -175,7 +175,7 @@
             match tag {
                 b'Z' => return Some(answer),
                 b'D' => {
-                    let value = backend::single_value(&body).unwrap_or_default();
+                    let value = backend::parse_single_value(&body).unwrap_or_default();
                     answer.value = String::from_utf8_lossy(value).into_owned();
                     answer.values.push(answer.value.clone());
                 }
@@ -184,7 +184,7 @@
                     (answer.code, answer.detail) = (field(b'C').unwrap_or_default(), field(b'D'));
                     answer.text = field(b'M').unwrap_or_default();
                 }
-                b'K' => self.key = backend::key_data(&body).unwrap_or_default(),
+                b'K' => self.key = backend::parse_key_data(&body).unwrap_or_default(),
                 _ => {}
             }
         }
--- a/crates/test-support/src/instance.rs
+++ b/crates/test-support/src/instance.rs
@@ -4,8 +4,8 @@
 use crate::group::{Group, now_ms};
 use crate::watched::{LIMIT, Watched};
 use reelrill_pg_protocol::backend::{self, Column};
-use reelrill_pg_protocol::frontend::{self, Bind, Command, Object};
-use reelrill_pg_protocol::{Format, oid, put};
+use reelrill_pg_protocol::frontend::{self, Bind, Command, ObjectKind};
+use reelrill_pg_protocol::{Format, oid, put_message};
 use socket2::SockRef;
 use std::collections::{HashMap, VecDeque};
 use std::io::Write;
@@ -354,16 +354,16 @@
     }
 
     fn serve(mut self) -> Option<()> {
-        self.reader.next(frontend::startup)?;
+        self.reader.next(frontend::parse_startup)?;
         self.inner
             .aloof
             .wait_for(LIMIT, |aloof| (!*aloof).then_some(()))?;
-        put(&mut self.out, b'R', &[&[0; 4]]);
-        backend::put_ready(&mut self.out);
+        put_message(&mut self.out, b'R', &[&[0; 4]]);
+        backend::put_ready_for_query(&mut self.out);
         self.flush()?;
         loop {
             let (tag, body) = self.reader.message()?;
-            let Ok(command) = frontend::read(tag, &body) else {
+            let Ok(command) = frontend::parse_command(tag, &body) else {
                 return None;
             };
             match command {
@@ -399,7 +399,7 @@
     }
 
     fn error(&mut self, code: &str, text: &str) {
-        backend::put_error(&mut self.out, false, code, text, None);
+        backend::put_error_response(&mut self.out, false, code, text, None);
         self.is_skipping = true;
     }
 
@@ -430,10 +430,10 @@
                 (role, g.position(&self.inner.name))
             }
         };
-        backend::put_parameter(&mut self.out, "part", role);
+        backend::put_parameter_status(&mut self.out, "part", role);
         let telling = self.inner.telling.change(|t| *t);
         if telling.position {
-            backend::put_parameter(&mut self.out, "caught_up_to", &position.to_string());
+            backend::put_parameter_status(&mut self.out, "caught_up_to", &position.to_string());
         }
         let gauges = format!(
             "x0={},x1={},inflight=0,util=0.1",
@@ -441,9 +441,9 @@
             u8::from(role == "master")
         );
         if telling.report {
-            backend::put_parameter(&mut self.out, "gauges", &gauges);
+            backend::put_parameter_status(&mut self.out, "gauges", &gauges);
         }
-        backend::put_ready(&mut self.out);
+        backend::put_ready_for_query(&mut self.out);
     }
 
     /// Runs a request in words: a value, or an error's code and text.
@@ -473,11 +473,11 @@
                     u8::from_str_radix(digits.get(i..i + 2).unwrap_or("0"), 16).unwrap_or(0)
                 };
                 let bytes: Vec<u8> = (0..digits.len()).step_by(2).map(byte).collect();
-                backend::put_value(&mut self.out, &bytes);
+                backend::put_data_row(&mut self.out, &bytes);
             }
-            None => backend::put_value(&mut self.out, value.as_bytes()),
+            None => backend::put_data_row(&mut self.out, value.as_bytes()),
         }
-        backend::put_complete(&mut self.out, tag);
+        backend::put_command_complete(&mut self.out, tag);
     }
 
     /// What comes in place of an answer, if anything does. None: the connection is over.
@@ -489,7 +489,7 @@
             }
             Act::Break | Act::Stall => {
                 let mut row = Vec::new();
-                backend::put_value(&mut row, b"half of it");
+                backend::put_data_row(&mut row, b"half of it");
                 self.out.extend_from_slice(&row[..10]);
                 self.flush()?;
                 (act == Act::Stall).then_some(true)
@@ -506,7 +506,7 @@
         self.at(Stage::Unanswered)?;
         let act = self.act()?;
         if let Act::Code(code) = act {
-            backend::put_error(&mut self.out, false, code, "no", None);
+            backend::put_error_response(&mut self.out, false, code, "no", None);
         } else if matches!(act, Act::Raw(_)) {
             self.spoil(act)?;
             return Some(());
@@ -519,9 +519,12 @@
                     let oid = if self.inner.group().is_some() {
                         oid::TEXT
                     } else {
-                        oid::UNKNOWN
+                        oid::UNSPECIFIED
                     };
-                    backend::put_column(&mut self.out, &Column::new("data", oid, Format::Text));
+                    backend::put_row_description(
+                        &mut self.out,
+                        &Column::new("data", oid, Format::Text),
+                    );
                     if self.spoil(act)? {
                         return Some(());
                     }
@@ -532,7 +535,9 @@
                     };
                     self.put_served(&value, Format::Text, tag);
                 }
-                Err((code, text)) => backend::put_error(&mut self.out, false, code, text, None),
+                Err((code, text)) => {
+                    backend::put_error_response(&mut self.out, false, code, text, None)
+                }
             }
         }
         self.status();
@@ -558,7 +563,7 @@
                 }
                 self.statements
                     .insert(name.to_owned(), (text.to_owned(), types));
-                put(&mut self.out, b'1', &[]);
+                put_message(&mut self.out, b'1', &[]);
             }
             Command::Bind(bind) => {
                 self.count(|c| c.binds += 1);
@@ -573,11 +578,11 @@
                 };
                 let portal = Portal {
                     text,
-                    format: bind.result(0),
+                    format: bind.result_format(0),
                     has_run: false,
                 };
                 self.portals.insert(bind.portal.to_owned(), portal);
-                put(&mut self.out, b'2', &[]);
+                put_message(&mut self.out, b'2', &[]);
             }
             Command::Execute { portal, .. } => {
                 self.count(|c| c.executes += 1);
@@ -609,10 +614,10 @@
             Command::Close(object, name) => {
                 self.count(|c| c.closes += 1);
                 match object {
-                    Object::Statement => drop(self.statements.remove(name)),
-                    Object::Portal => drop(self.portals.remove(name)),
+                    ObjectKind::Statement => drop(self.statements.remove(name)),
+                    ObjectKind::Portal => drop(self.portals.remove(name)),
                 }
-                put(&mut self.out, b'3', &[]);
+                put_message(&mut self.out, b'3', &[]);
             }
             _ => self.error("0A000", "not spoken here"),
         }
@@ -638,7 +643,7 @@
         // What is in the comment stands there bare, all else in quotes.
         let is_literal = !out.contains("/*");
         let value = bind.values.get(index)?.unwrap_or(b"0");
-        let binary = bind.format(index) == Format::Binary;
+        let binary = bind.parameter_format(index) == Format::Binary;
         let word = match types[index] {
             oid::BYTEA if binary => {
                 "\\x".to_owned() + &value.iter().map(|b| format!("{b:02x}")).collect::<String>()
