--- a/crates/pg-session/src/bound.rs
+++ b/crates/pg-session/src/endpoint_query.rs
@@ -18,59 +18,59 @@
 mod value_format;
 mod values;
 
-pub use simple::Simple;
-pub use value_format::convert;
+pub use simple::SimpleQuery;
+pub use value_format::convert_format;
 
-use crate::Wrong;
-use crate::account::Accounts;
-use crate::form::Place;
-use crate::template::{Kind, Request, Template};
+use crate::SessionError;
+use crate::limits::SharedBudgets;
+use crate::statement::Field;
+use crate::template::{RequestTemplate, StatementKind, Template};
 use reelrill_pg_protocol::Format;
 use reelrill_pg_protocol::frontend::{self, Bind};
 use reelrill_routing::Nanos;
-use simple::wait_ms;
+use simple::timeout_ms;
 use std::rc::Rc;
 use value_format::{encode_id, encode_number};
 use values::Values;
 
 /// What an endpoint is to be asked.
 #[derive(Debug)]
-pub enum Ask {
+pub enum EndpointQuery {
     /// A statement as text, sent as a simple query.
-    Simple(Simple),
+    Simple(SimpleQuery),
     /// A prepared statement and its values.
-    Bound(Bound),
+    Bound(BoundStatement),
 }
 
 /// A prepared statement and its values.
 #[derive(Debug)]
-pub struct Bound {
+pub struct BoundStatement {
     template: Rc<Template>,
     values: Values,
     result: Format,
     /// The request's id where the client brought none.
-    drawn: u64,
+    generated_id: u64,
 }
 
-impl Bound {
-    /// Takes a statement's values from a Bind. `drawn` is the request's id where the client brings none.
+impl BoundStatement {
+    /// Takes a statement's values from a Bind. `generated_id` is the request's id where the client brings none.
     ///
     /// # Errors
     ///
-    /// [`Wrong::Count`] or [`Wrong::Formats`] if the Bind does not fit the statement, [`Wrong::Limit`] if the
+    /// [`SessionError::ParameterCountMismatch`] or [`SessionError::FormatCountMismatch`] if the Bind does not fit the statement, [`SessionError::LimitExceeded`] if the
     /// bound on values is reached.
     pub fn new(
         template: &Rc<Template>,
         bind: &Bind,
-        drawn: u64,
-        accounts: &Accounts,
-    ) -> Result<Bound, Wrong> {
-        values::check_counts(bind, template.types().len())?;
-        Ok(Bound {
+        generated_id: u64,
+        budgets: &SharedBudgets,
+    ) -> Result<BoundStatement, SessionError> {
+        values::check_counts(bind, template.client_parameter_types().len())?;
+        Ok(BoundStatement {
             template: template.clone(),
-            values: Values::copy(bind, &accounts.values)?,
+            values: Values::copy(bind, &budgets.value_bytes)?,
             result: bind.result_format(0),
-            drawn,
+            generated_id,
         })
     }
 
@@ -80,14 +80,14 @@
     }
 
     /// The format that the client wants its value in.
-    pub fn result(&self) -> Format {
+    pub fn result_format(&self) -> Format {
         self.result
     }
 
-    fn request(&self) -> Option<&Request> {
+    fn request(&self) -> Option<&RequestTemplate> {
         match &self.template.kind {
-            Kind::Request(request) => Some(request),
-            Kind::Utility(_) | Kind::Empty => None,
+            StatementKind::Request(request) => Some(request),
+            StatementKind::Utility(_) | StatementKind::Empty => None,
         }
     }
 
@@ -105,29 +105,39 @@
         let Some(request) = self.request() else {
             return;
         };
-        let wait_type = request.types[request.wait];
-        let wait_value = encode_number(wait_type, self.format(request.wait), wait_ms(wait));
+        let wait_type = request.types[request.timeout_index];
+        let wait_value = encode_number(
+            wait_type,
+            self.format(request.timeout_index),
+            timeout_ms(wait),
+        );
         let id_index = id_index(request);
-        let id_value =
-            id_index.map(|index| encode_id(request.types[index], self.format(index), self.drawn));
+        let id_value = id_index
+            .map(|index| encode_id(request.types[index], self.format(index), self.generated_id));
         let values = (0..request.types.len()).map(|index| {
             let value = match self.value(index) {
-                _ if index == request.wait => Some(&wait_value[..]),
+                _ if index == request.timeout_index => Some(&wait_value[..]),
                 None if Some(index) == id_index => id_value.as_deref(),
                 from_client => from_client,
             };
             (self.format(index), value)
         });
-        frontend::put_bind(out, "", &self.template.name(), values, self.result);
+        frontend::put_bind(
+            out,
+            "",
+            &self.template.statement_name(),
+            values,
+            self.result,
+        );
     }
 }
 
 /// The index of the parameter that brings the request's id, counted from 0.
-fn id_index(request: &Request) -> Option<usize> {
+fn id_index(request: &RequestTemplate) -> Option<usize> {
     request
-        .marks
+        .parameter_references
         .iter()
-        .find(|(_, place, _)| *place == Place::Id)
+        .find(|(_, place, _)| *place == Field::Id)
         .map(|(_, _, index)| *index)
 }
 
--- a/crates/pg-session/src/bound/tests.rs
+++ b/crates/pg-session/src/endpoint_query/tests.rs
@@ -1,10 +1,10 @@
 //! Tests of `bound`.
 
 use super::*;
-use crate::account::Limits;
-use crate::admit::Named;
-use crate::admit::tests::catalog;
-use crate::template::Templates;
+use crate::limits::Limits;
+use crate::request::RequestFields;
+use crate::request::tests::catalog;
+use crate::template::TemplateStore;
 use proptest::prelude::*;
 use reelrill_pg_protocol::frame;
 use reelrill_pg_protocol::frontend::Command;
@@ -20,8 +20,8 @@
     types: &[u32],
     formats: &[Format],
     values: &[Option<&[u8]>],
-) -> Result<Bound, Wrong> {
-    let template = Templates::new(1 << 20, oid::BYTEA).get(text, types)?;
+) -> Result<BoundStatement, SessionError> {
+    let template = TemplateStore::new(1 << 20, oid::BYTEA).get_or_insert(text, types)?;
     let (parameter_formats, values) = (formats.to_vec(), values.to_vec());
     let bind = Bind {
         portal: "",
@@ -30,17 +30,17 @@
         values,
         result_formats: vec![Format::Binary],
     };
-    Bound::new(&template, &bind, 0xabc, &accounts())
+    BoundStatement::new(&template, &bind, 0xabc, &budgets())
 }
 
-fn accounts() -> Accounts {
-    Accounts::new(&Limits::default())
+fn budgets() -> SharedBudgets {
+    SharedBudgets::new(&Limits::default())
 }
 
 const BINARY: [Format; 1] = [Format::Binary];
 
 /// The values of the Bind that an endpoint gets.
-fn sent(bound: &Bound, wait: Nanos) -> Vec<Option<Vec<u8>>> {
+fn sent(bound: &BoundStatement, wait: Nanos) -> Vec<Option<Vec<u8>>> {
     let mut out = Vec::new();
     bound.put_bind(&mut out, wait);
     let (tag, body, _) = frame::parse_frontend(&out, true).unwrap().unwrap();
@@ -71,12 +71,12 @@
         Some(b"k1"),
     ];
     let types = [0, 0, oid::INT8, oid::INT8, oid::INT2];
-    let admit = |b: &Bound| b.named(|n| catalog().admit(n)).unwrap();
+    let admit = |b: &BoundStatement| b.with_fields(|n| catalog().validate(n)).unwrap();
     let one = bound(WRITE, &[], &[], &text).unwrap();
     let other = bound(WRITE, &types, &BINARY, &binary).unwrap();
     assert_eq!(admit(&one), admit(&other));
     assert_eq!(
-        (admit(&one).id, admit(&one).replica_set, admit(&one).wait),
+        (admit(&one).id, admit(&one).replica_set, admit(&one).timeout),
         (Some(id), 2, 480_000_000)
     );
     assert_eq!(sent(&one, 77_900_000)[3], Some(b"77".to_vec()));
@@ -85,12 +85,12 @@
         Some(77i64.to_be_bytes().to_vec())
     );
     let (one, other) = (
-        one.literally(&accounts()).unwrap(),
-        other.literally(&accounts()).unwrap(),
+        one.to_simple_query(&budgets()).unwrap(),
+        other.to_simple_query(&budgets()).unwrap(),
     );
-    assert_eq!(one.with_wait(5_000_000), other.with_wait(5_000_000));
+    assert_eq!(one.with_timeout(5_000_000), other.with_timeout(5_000_000));
     assert_eq!(
-        String::from_utf8(one.with_wait(5_000_000)).unwrap(),
+        String::from_utf8(one.with_timeout(5_000_000)).unwrap(),
         "INSERT INTO facts (code, data) VALUES ('s', '\\x01') RETURNING data \
          /* id=fedcba9876543210,c=book,d=5,cluster=2,k=k1 */"
     );
@@ -100,25 +100,29 @@
 fn what_the_client_leaves_open_the_router_fills_in() {
     let text = "SELECT data FROM facts WHERE code = $1 /* c=board,cluster=2,id=$2 */";
     let b = bound(text, &[], &[], &[Some(b"s"), None]).unwrap();
-    let admitted = b.named(|n| catalog().admit(n)).unwrap();
-    assert_eq!((admitted.id, admitted.wait), (Some(0xabc), 1_000_000_000));
+    let admitted = b.with_fields(|n| catalog().validate(n)).unwrap();
+    assert_eq!(
+        (admitted.id, admitted.timeout),
+        (Some(0xabc), 1_000_000_000)
+    );
     let wanted = [&b"s"[..], b"0000000000000abc", b"250"].map(|v| Some(v.to_vec()));
     assert_eq!(sent(&b, 250_000_000), wanted);
 }
 
 #[rstest]
-#[case(&[Some("s")], Wrong::Count { brought: 1, takes: 6 })]
-#[case(&[None, Some("v"), None, None, Some("2"), Some("k")], Wrong::Null("code"))]
-#[case(&[Some("s"), None, None, None, Some("2"), Some("k")], Wrong::Null("data"))]
-#[case(&[Some("s"), Some("\\xz"), None, None, Some("2"), Some("k")], Wrong::Value("data"))]
-#[case(&[Some("s"), Some("v"), Some("1"), None, Some("2"), Some("k")], Wrong::Value("id"))]
-#[case(&[Some("s"), Some("v"), None, Some("-5"), Some("2"), Some("k")], Wrong::Value("d"))]
-#[case(&[Some("s"), Some("v"), None, Some("0"), Some("2"), Some("k")], Wrong::Value("d"))]
-#[case(&[Some("s"), Some("v"), None, None, None, Some("k")], Wrong::Null("cluster"))]
-#[case(&[Some("s"), Some("v"), None, None, Some("2"), None], Wrong::Value("k"))]
-fn values_that_do_not_fit_are_named(#[case] values: &[Option<&str>], #[case] wanted: Wrong) {
+#[case(&[Some("s")], SessionError::ParameterCountMismatch { brought: 1, takes: 6 })]
+#[case(&[None, Some("v"), None, None, Some("2"), Some("k")], SessionError::NullValue("code"))]
+#[case(&[Some("s"), None, None, None, Some("2"), Some("k")], SessionError::NullValue("data"))]
+#[case(&[Some("s"), Some("\\xz"), None, None, Some("2"), Some("k")], SessionError::InvalidValue("data"))]
+#[case(&[Some("s"), Some("v"), Some("1"), None, Some("2"), Some("k")], SessionError::InvalidValue("id"))]
+#[case(&[Some("s"), Some("v"), None, Some("-5"), Some("2"), Some("k")], SessionError::InvalidValue("d"))]
+#[case(&[Some("s"), Some("v"), None, Some("0"), Some("2"), Some("k")], SessionError::InvalidValue("d"))]
+#[case(&[Some("s"), Some("v"), None, None, None, Some("k")], SessionError::NullValue("cluster"))]
+#[case(&[Some("s"), Some("v"), None, None, Some("2"), None], SessionError::InvalidValue("k"))]
+fn values_that_do_not_fit_are_named(#[case] values: &[Option<&str>], #[case] wanted: SessionError) {
     let values: Vec<_> = values.iter().map(|v| v.map(str::as_bytes)).collect();
-    let found = bound(WRITE, &[], &[], &values).and_then(|b| b.named(|n| catalog().admit(n)));
+    let found =
+        bound(WRITE, &[], &[], &values).and_then(|b| b.with_fields(|n| catalog().validate(n)));
     assert_eq!(found.err(), Some(wanted));
 }
 
@@ -142,12 +146,16 @@
         &[Some(code), Some(b"v"), None, None, Some(b"2"), Some(k)],
     )
     .unwrap();
-    assert_eq!(b.literally(&accounts()).err(), at.map(Wrong::Literal));
+    assert_eq!(
+        b.to_simple_query(&budgets()).err(),
+        at.map(SessionError::UnsafeLiteral)
+    );
 }
 
 #[test]
 fn values_come_in_the_format_that_was_asked_for() {
-    let turn = |v: &'static [u8], from, to| convert(v, oid::BYTEA, from, to).map(Cow::into_owned);
+    let turn =
+        |v: &'static [u8], from, to| convert_format(v, oid::BYTEA, from, to).map(Cow::into_owned);
     assert_eq!(
         turn(b"\\x9F03", Format::Text, Format::Binary),
         Some(vec![0x9f, 3])
@@ -167,7 +175,7 @@
     );
     assert_eq!(turn(b"a\\9", Format::Text, Format::Binary), None);
     assert_eq!(
-        convert(b"a", oid::TEXT, Format::Text, Format::Binary),
+        convert_format(b"a", oid::TEXT, Format::Text, Format::Binary),
         Some(Cow::Borrowed(&b"a"[..]))
     );
 }
@@ -186,11 +194,11 @@
     fn a_literal_is_read_back_as_it_was(code in "\\PC{0,20}", data in "[ -~]{0,20}", k in "\\PC{0,10}") {
         let values = [Some(code.as_bytes()), Some(data.as_bytes()), None, None, Some(&b"2"[..]), Some(k.as_bytes())];
         let b = bound(WRITE, &[], &[], &values).unwrap();
-        if let Ok(simple) = b.literally(&accounts()) {
-            let text = String::from_utf8(simple.with_wait(9_000_000)).unwrap();
-            let (named, _) = Named::simple(&text).unwrap();
+        if let Ok(simple) = b.to_simple_query(&budgets()) {
+            let text = String::from_utf8(simple.with_timeout(9_000_000)).unwrap();
+            let (named, _) = RequestFields::from_simple_query(&text).unwrap();
             prop_assert_eq!(named.key.replace("''", "'"), code);
-            prop_assert_eq!((named.id, named.wait_ms, named.replica_set), (Some(0xabc), Some(9), 2));
+            prop_assert_eq!((named.id, named.timeout_ms, named.replica_set), (Some(0xabc), Some(9), 2));
         }
     }
 }
--- a/crates/pg-session/src/bound/value_format.rs
+++ b/crates/pg-session/src/endpoint_query/value_format.rs
@@ -61,7 +61,7 @@
 
 /// A value that an endpoint returned in one format, in the format that the client asked for; `None` if it can't
 /// be converted.
-pub fn convert(value: &[u8], oid: u32, from: Format, to: Format) -> Option<Cow<'_, [u8]>> {
+pub fn convert_format(value: &[u8], oid: u32, from: Format, to: Format) -> Option<Cow<'_, [u8]>> {
     if from == to || oid::is_text(oid) {
         return Some(Cow::Borrowed(value));
     }
--- a/crates/pg-session/src/bound/values.rs
+++ b/crates/pg-session/src/endpoint_query/values.rs
@@ -3,8 +3,8 @@
 //! Responsible for checking a Bind's counts and keeping its values. Owns a copy of them in one buffer, with its
 //! share of the bound of all clients. Must never interpret a value.
 
-use crate::Wrong;
-use crate::account::{Account, Share};
+use crate::SessionError;
+use crate::limits::{Budget, Reservation};
 use reelrill_pg_protocol::Format;
 use reelrill_pg_protocol::frontend::Bind;
 use std::ops::Range;
@@ -24,7 +24,7 @@
     bytes: Vec<u8>,
     values: Vec<Value>,
     /// Given back on drop.
-    _share: Share,
+    _share: Reservation,
 }
 
 impl Values {
@@ -32,10 +32,10 @@
     ///
     /// # Errors
     ///
-    /// [`Wrong::Limit`] if `account`, in bytes, has no room for them.
-    pub(super) fn copy(bind: &Bind, account: &Rc<Account>) -> Result<Values, Wrong> {
+    /// [`SessionError::LimitExceeded`] if `budget`, in bytes, has no room for them.
+    pub(super) fn copy(bind: &Bind, budget: &Rc<Budget>) -> Result<Values, SessionError> {
         let total_bytes = bind.values.iter().flatten().map(|value| value.len()).sum();
-        let share = take_share(account, total_bytes)?;
+        let share = reserve_value_bytes(budget, total_bytes)?;
         let mut bytes = Vec::with_capacity(total_bytes);
         let mut values = Vec::with_capacity(bind.values.len());
         for (index, value) in bind.values.iter().enumerate() {
@@ -71,30 +71,37 @@
 }
 
 /// Takes a share of the bound on values, in bytes.
-pub(super) fn take_share(account: &Rc<Account>, bytes: usize) -> Result<Share, Wrong> {
-    account.take(bytes).ok_or_else(|| Wrong::Limit {
-        what: "bytes of values",
-        most: account.most(),
-    })
+pub(super) fn reserve_value_bytes(
+    budget: &Rc<Budget>,
+    bytes: usize,
+) -> Result<Reservation, SessionError> {
+    budget
+        .reserve(bytes)
+        .ok_or_else(|| SessionError::LimitExceeded {
+            what: "bytes of values",
+            most: budget.limit(),
+        })
 }
 
 /// Checks the counts of a Bind against its statement, which takes `takes` parameters and returns one column.
 ///
 /// # Errors
 ///
-/// [`Wrong::Count`] for the values, [`Wrong::Formats`] for the formats.
-pub(super) fn check_counts(bind: &Bind, takes: usize) -> Result<(), Wrong> {
+/// [`SessionError::ParameterCountMismatch`] for the values, [`SessionError::FormatCountMismatch`] for the formats.
+pub(super) fn check_counts(bind: &Bind, takes: usize) -> Result<(), SessionError> {
     if bind.values.len() != takes {
-        return Err(Wrong::Count {
+        return Err(SessionError::ParameterCountMismatch {
             brought: bind.values.len(),
             takes,
         });
     }
     if bind.parameter_formats.len() > 1 && bind.parameter_formats.len() != takes {
-        return Err(Wrong::Formats(bind.parameter_formats.len()));
+        return Err(SessionError::FormatCountMismatch(
+            bind.parameter_formats.len(),
+        ));
     }
     if bind.result_formats.len() > 1 {
-        return Err(Wrong::Formats(bind.result_formats.len()));
+        return Err(SessionError::FormatCountMismatch(bind.result_formats.len()));
     }
     Ok(())
 }
--- a/crates/pg-session/src/plan.rs
+++ b/crates/pg-session/src/extended.rs
@@ -20,11 +20,11 @@
 mod segment;
 mod statements;
 
-use crate::Wrong;
-use crate::account::{Accounts, Limits};
-use crate::admit::{Admitted, Catalog};
-use crate::bound::Ask;
-use crate::template::{Kind, Templates, Utility};
+use crate::SessionError;
+use crate::endpoint_query::EndpointQuery;
+use crate::limits::{Limits, SharedBudgets};
+use crate::request::{ClassCatalog, ValidatedRequest};
+use crate::template::{StatementKind, TemplateStore, UtilityStatement};
 use pipeline::Pipeline;
 use portal::{Execution, Portal};
 use reelrill_pg_protocol::Format;
@@ -36,79 +36,79 @@
 
 /// What all clients' sessions share.
 #[derive(Debug)]
-pub struct Common {
+pub struct SharedResources {
     /// The prepared statements.
-    pub templates: Templates,
+    pub templates: TemplateStore,
     /// The bounds, in the units that [`Limits`] names.
     pub limits: Limits,
     /// What is in use of the bounds that all clients share.
-    pub accounts: Accounts,
+    pub budgets: SharedBudgets,
     /// The classes of requests that are served.
-    pub catalog: Catalog,
+    pub classes: ClassCatalog,
     /// Whether endpoints get simple queries only: values become literals.
-    pub translate: bool,
+    pub should_translate: bool,
 }
 
 /// What a client gets next.
 #[derive(Debug, PartialEq)]
 pub enum Output<A> {
     /// ParseComplete.
-    Parsed,
+    ParseComplete,
     /// BindComplete.
-    Bound,
+    BindComplete,
     /// CloseComplete.
-    Closed,
+    CloseComplete,
     /// ParameterDescription of a statement.
-    Parameters(Vec<u32>),
+    ParameterDescription(Vec<u32>),
     /// RowDescription of the one column, in this format.
-    Column(Format),
+    RowDescription(Format),
     /// NoData.
     NoData,
     /// EmptyQueryResponse.
-    Empty,
+    EmptyQueryResponse,
     /// CommandComplete of something that went to no endpoint.
-    Complete(&'static str),
+    CommandComplete(&'static str),
     /// The final answer of a part.
-    Answer {
-        /// As it was given to [`Plan::finish`].
-        answer: A,
+    Response {
+        /// As it was given to [`ExtendedSession::finish`].
+        response: A,
         /// The portal had a row limit and is not done: a served answer ends with PortalSuspended.
-        suspended: bool,
+        is_suspended: bool,
     },
     /// An error: all that follows is skipped up to the Sync.
-    Wrong(Wrong),
+    Error(SessionError),
     /// What has been said so far is to reach the client now.
     Flush,
     /// ReadyForQuery.
-    Ready,
+    ReadyForQuery,
 }
 
 /// A part that is to start now.
 #[derive(Debug)]
-pub struct Start {
-    /// Its number, for [`Plan::finish`].
-    pub part: u64,
+pub struct StartedRequest {
+    /// Its number, for [`ExtendedSession::finish`].
+    pub number: u64,
     /// What the dispatcher is told.
-    pub admitted: Rc<Admitted>,
+    pub request: Rc<ValidatedRequest>,
     /// What endpoints are asked.
-    pub ask: Rc<Ask>,
+    pub query: Rc<EndpointQuery>,
     /// The format that the client wants its value in.
-    pub result: Format,
+    pub result_format: Format,
 }
 
 /// One client's session; `A` is the type of its host's final answers.
-pub struct Plan<A> {
-    common: Rc<Common>,
+pub struct ExtendedSession<A> {
+    common: Rc<SharedResources>,
     statements: Statements,
     portals: HashMap<Box<str>, Portal>,
     pipeline: Pipeline<A>,
     segment: Segment,
 }
 
-impl<A> Plan<A> {
+impl<A> ExtendedSession<A> {
     /// The session of a client that has sent nothing yet.
-    pub fn new(common: Rc<Common>) -> Plan<A> {
-        Plan {
+    pub fn new(common: Rc<SharedResources>) -> ExtendedSession<A> {
+        ExtendedSession {
             common,
             statements: Statements::default(),
             portals: HashMap::new(),
@@ -123,7 +123,7 @@
     }
 
     /// Whether a segment is open: a simple query would end it.
-    pub fn is_open(&self) -> bool {
+    pub fn has_open_segment(&self) -> bool {
         !self.segment.is_closed
     }
 
@@ -134,13 +134,13 @@
     }
 
     /// How many statements this client has prepared.
-    pub fn statements(&self) -> usize {
+    pub fn statement_count(&self) -> usize {
         self.statements.len()
     }
 
-    /// Takes a command of an extended query. `drawn` is its request's id where the client brings none. What is
-    /// wrong with it is an [`Output::Wrong`].
-    pub fn command(&mut self, command: &Command, drawn: u64) {
+    /// Takes a command of an extended query. `generated_id` is its request's id where the client brings none. What is
+    /// wrong with it is an [`Output::Error`].
+    pub fn on_command(&mut self, command: &Command, generated_id: u64) {
         if let Command::Sync = command {
             self.sync();
             return;
@@ -153,9 +153,9 @@
         let done = self
             .segment
             .count_command(most)
-            .and_then(|()| self.take(command, drawn));
+            .and_then(|()| self.take(command, generated_id));
         if let Err(wrong) = done {
-            self.pipeline.push_response(Output::Wrong(wrong));
+            self.pipeline.push_response(Output::Error(wrong));
             self.segment.is_skipping = true;
         }
     }
@@ -163,7 +163,7 @@
     /// Ends the segment and its portals.
     fn sync(&mut self) {
         self.portals.clear();
-        self.pipeline.push_response(Output::Ready);
+        self.pipeline.push_response(Output::ReadyForQuery);
         self.segment = Segment::new(self.pipeline.next_number());
         self.commit_if_answered();
     }
@@ -175,26 +175,26 @@
         }
     }
 
-    fn take(&mut self, command: &Command, drawn: u64) -> Result<(), Wrong> {
+    fn take(&mut self, command: &Command, generated_id: u64) -> Result<(), SessionError> {
         let response = match command {
             Command::Parse { name, text, types } => {
                 self.parse(name, text, types)?;
-                Output::Parsed
+                Output::ParseComplete
             }
             Command::Bind(bind) => {
-                self.bind(bind, drawn)?;
-                Output::Bound
+                self.bind(bind, generated_id)?;
+                Output::BindComplete
             }
             Command::Describe(ObjectKind::Statement, name) => self.describe_statement(name)?,
             Command::Describe(ObjectKind::Portal, name) => self.describe_portal(name)?,
             Command::Execute { portal, row_limit } => return self.execute(portal, *row_limit),
             Command::Close(ObjectKind::Statement, name) => {
                 self.set_statement(name, None);
-                Output::Closed
+                Output::CloseComplete
             }
             Command::Close(ObjectKind::Portal, name) => {
                 self.portals.remove(*name);
-                Output::Closed
+                Output::CloseComplete
             }
             Command::Flush => Output::Flush,
             Command::Sync | Command::Terminate | Command::Query(_) => return Ok(()),
@@ -210,50 +210,50 @@
         self.statements.set(name, statement, undo_item);
     }
 
-    fn parse(&mut self, name: &str, text: &str, types: &[u32]) -> Result<(), Wrong> {
+    fn parse(&mut self, name: &str, text: &str, types: &[u32]) -> Result<(), SessionError> {
         let is_known = self.statements.contains(name);
         if is_known && !name.is_empty() {
-            return Err(Wrong::StatementExists(name.to_owned()));
+            return Err(SessionError::DuplicateStatement(name.to_owned()));
         }
         let limits = &self.common.limits;
         if !is_known && self.statements.kept() >= limits.statements {
-            return Err(Wrong::Limit {
+            return Err(SessionError::LimitExceeded {
                 what: "prepared statements of one client",
                 most: limits.statements,
             });
         }
-        let share = self.common.accounts.statements.take(1);
+        let share = self.common.budgets.statements.reserve(1);
         let statement = PreparedStatement {
-            _share: share.ok_or(Wrong::Limit {
+            _share: share.ok_or(SessionError::LimitExceeded {
                 what: "prepared statements of all clients",
                 most: limits.all_statements,
             })?,
-            template: self.common.templates.get(text, types)?,
+            template: self.common.templates.get_or_insert(text, types)?,
         };
         self.set_statement(name, Some(statement));
         Ok(())
     }
 
-    fn bind(&mut self, bind: &Bind, drawn: u64) -> Result<(), Wrong> {
+    fn bind(&mut self, bind: &Bind, generated_id: u64) -> Result<(), SessionError> {
         let template = self
             .statements
             .template(bind.statement)
-            .ok_or_else(|| Wrong::NoStatement(bind.statement.to_owned()))?;
+            .ok_or_else(|| SessionError::UnknownStatement(bind.statement.to_owned()))?;
         self.check_portal_name(bind.portal)?;
-        let portal = Portal::new(template, bind, drawn, &self.common)?;
+        let portal = Portal::new(template, bind, generated_id, &self.common)?;
         self.portals.insert(bind.portal.into(), portal);
         Ok(())
     }
 
     /// Whether a Bind may make a portal of this name; the unnamed one is replaced.
-    fn check_portal_name(&self, name: &str) -> Result<(), Wrong> {
+    fn check_portal_name(&self, name: &str) -> Result<(), SessionError> {
         let is_known = self.portals.contains_key(name);
         if is_known && !name.is_empty() {
-            return Err(Wrong::PortalExists(name.to_owned()));
+            return Err(SessionError::DuplicatePortal(name.to_owned()));
         }
         let most = self.common.limits.portals;
         if !is_known && self.portals.len() >= most {
-            return Err(Wrong::Limit {
+            return Err(SessionError::LimitExceeded {
                 what: "portals of one client",
                 most,
             });
@@ -262,61 +262,63 @@
     }
 
     /// Answers with the parameters, and returns the description of the rows.
-    fn describe_statement(&mut self, name: &str) -> Result<Output<A>, Wrong> {
+    fn describe_statement(&mut self, name: &str) -> Result<Output<A>, SessionError> {
         let template = self
             .statements
             .template(name)
-            .ok_or_else(|| Wrong::NoStatement(name.to_owned()))?;
-        let parameters = Output::Parameters(template.types().to_vec());
+            .ok_or_else(|| SessionError::UnknownStatement(name.to_owned()))?;
+        let parameters = Output::ParameterDescription(template.client_parameter_types().to_vec());
         self.pipeline.push_response(parameters);
         Ok(match template.kind {
-            Kind::Request(_) => Output::Column(Format::Text),
-            Kind::Utility(_) | Kind::Empty => Output::NoData,
+            StatementKind::Request(_) => Output::RowDescription(Format::Text),
+            StatementKind::Utility(_) | StatementKind::Empty => Output::NoData,
         })
     }
 
-    fn describe_portal(&self, name: &str) -> Result<Output<A>, Wrong> {
+    fn describe_portal(&self, name: &str) -> Result<Output<A>, SessionError> {
         let portal = self
             .portals
             .get(name)
-            .ok_or_else(|| Wrong::NoPortal(name.to_owned()))?;
-        Ok(portal.column().map_or(Output::NoData, Output::Column))
+            .ok_or_else(|| SessionError::UnknownPortal(name.to_owned()))?;
+        Ok(portal
+            .column()
+            .map_or(Output::NoData, Output::RowDescription))
     }
 
-    fn execute(&mut self, name: &str, row_limit: u32) -> Result<(), Wrong> {
+    fn execute(&mut self, name: &str, row_limit: u32) -> Result<(), SessionError> {
         let portal = self
             .portals
             .get_mut(name)
-            .ok_or_else(|| Wrong::NoPortal(name.to_owned()))?;
+            .ok_or_else(|| SessionError::UnknownPortal(name.to_owned()))?;
         let response = match portal.execute(name, row_limit)? {
             Execution::Request(request) => {
                 self.pipeline.push_request(request);
                 return Ok(());
             }
             Execution::Utility(template) => {
-                let Kind::Utility(utility) = &template.kind else {
+                let StatementKind::Utility(utility) = &template.kind else {
                     return Ok(());
                 };
                 self.run_utility(utility)?;
-                Output::Complete(utility.tag())
+                Output::CommandComplete(utility.command_tag())
             }
-            Execution::Exhausted(tag) => Output::Complete(tag),
-            Execution::Empty => Output::Empty,
+            Execution::Exhausted(tag) => Output::CommandComplete(tag),
+            Execution::Empty => Output::EmptyQueryResponse,
         };
         self.pipeline.push_response(response);
         Ok(())
     }
 
-    fn run_utility(&mut self, utility: &Utility) -> Result<(), Wrong> {
+    fn run_utility(&mut self, utility: &UtilityStatement) -> Result<(), SessionError> {
         match utility {
-            Utility::Setting(_) => {}
-            Utility::Deallocate(Some(name)) => {
+            UtilityStatement::Setting(_) => {}
+            UtilityStatement::Deallocate(Some(name)) => {
                 if !self.statements.contains(name) {
-                    return Err(Wrong::NoStatement(name.to_string()));
+                    return Err(SessionError::UnknownStatement(name.to_string()));
                 }
                 self.set_statement(name, None);
             }
-            Utility::DiscardAll | Utility::Deallocate(None) => {
+            UtilityStatement::DiscardAll | UtilityStatement::Deallocate(None) => {
                 for name in self.statements.names() {
                     self.set_statement(&name, None);
                 }
@@ -330,17 +332,17 @@
     ///
     /// # Errors
     ///
-    /// [`Wrong::Unsupported`], or [`Wrong::NoStatement`] for a statement that the client has not prepared.
-    pub fn simple(&mut self, text: &str) -> Option<Result<&'static str, Wrong>> {
-        let utility = match Utility::read(text)? {
+    /// [`SessionError::Unsupported`], or [`SessionError::UnknownStatement`] for a statement that the client has not prepared.
+    pub fn run_utility_query(&mut self, text: &str) -> Option<Result<&'static str, SessionError>> {
+        let utility = match UtilityStatement::parse(text)? {
             Ok(utility) => utility,
             Err(wrong) => return Some(Err(wrong)),
         };
-        Some(self.run_utility(&utility).map(|()| utility.tag()))
+        Some(self.run_utility(&utility).map(|()| utility.command_tag()))
     }
 
     /// A simple query removes the unnamed statement and all portals, and ends the skipping of commands.
-    pub fn on_simple(&mut self) {
+    pub fn on_simple_query(&mut self) {
         self.portals.clear();
         self.statements.set("", None, None);
         self.segment = Segment::new(self.pipeline.next_number());
@@ -348,41 +350,41 @@
     }
 
     /// The next part that may start now; it counts as started.
-    pub fn start(&mut self) -> Option<Start> {
+    pub fn start_next(&mut self) -> Option<StartedRequest> {
         self.pipeline.start(self.common.limits.reads.max(1))
     }
 
     /// A part has its final answer. Returns the numbers of the parts behind it that were running and whose answers
     /// are not wanted any more. A part that is not known, because it was undone, changes nothing.
-    pub fn finish(&mut self, part: u64, answer: A, served: bool) -> Vec<u64> {
-        let Some(position) = self.pipeline.answer(part, answer) else {
+    pub fn finish(&mut self, number: u64, response: A, is_served: bool) -> Vec<u64> {
+        let Some(position) = self.pipeline.answer(number, response) else {
             return Vec::new();
         };
-        let called_off = if served {
+        let cancelled = if is_served {
             Vec::new()
         } else {
-            self.undo_behind(part, position)
+            self.undo_behind(number, position)
         };
         self.commit_if_answered();
-        called_off
+        cancelled
     }
 
     /// Undoes what was planned behind a failed part in its segment; returns the parts that were running.
-    fn undo_behind(&mut self, part: u64, position: usize) -> Vec<u64> {
+    fn undo_behind(&mut self, number: u64, position: usize) -> Vec<u64> {
         let discarded = self.pipeline.discard_behind(position);
         self.segment.is_skipping |= discarded.sync.is_none();
         self.statements
-            .roll_back(part, discarded.sync.unwrap_or(u64::MAX));
-        discarded.called_off
+            .roll_back(number, discarded.sync.unwrap_or(u64::MAX));
+        discarded.cancelled
     }
 
     /// The first part without an answer, and whether it has been started: what a CancelRequest is about.
-    pub fn first_open(&self) -> Option<(u64, bool)> {
-        self.pipeline.first_open()
+    pub fn first_pending(&self) -> Option<(u64, bool)> {
+        self.pipeline.first_pending()
     }
 
     /// What the client gets next, if it can be said already.
-    pub fn output(&mut self) -> Option<Output<A>> {
+    pub fn pop_output(&mut self) -> Option<Output<A>> {
         self.pipeline.pop_ready()
     }
 }
--- a/crates/pg-session/src/plan/pipeline.rs
+++ b/crates/pg-session/src/extended/pipeline.rs
@@ -4,9 +4,9 @@
 //! running requests. Must never release a response ahead of an earlier one, nor run a write beside another
 //! request.
 
-use super::{Output, Start};
-use crate::admit::Admitted;
-use crate::bound::Ask;
+use super::{Output, StartedRequest};
+use crate::endpoint_query::EndpointQuery;
+use crate::request::ValidatedRequest;
 use reelrill_pg_protocol::Format;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -20,8 +20,8 @@
 
 /// A request that one Execute asks for.
 pub(super) struct PlannedRequest {
-    pub ask: Rc<Ask>,
-    pub admitted: Rc<Admitted>,
+    pub query: Rc<EndpointQuery>,
+    pub admitted: Rc<ValidatedRequest>,
     pub result: Format,
     /// The portal has a row limit and is suspended after the row.
     pub is_suspended: bool,
@@ -53,14 +53,14 @@
     }
 
     fn is_sync(&self) -> bool {
-        matches!(self, Item::Response(Output::Ready))
+        matches!(self, Item::Response(Output::ReadyForQuery))
     }
 }
 
 /// What a failed request takes with it.
 pub(super) struct Discarded {
     /// The requests that were running; their answers are not wanted any more.
-    pub called_off: Vec<u64>,
+    pub cancelled: Vec<u64>,
     /// The number of the Sync that ends the segment; `None` if the client has not sent it yet.
     pub sync: Option<u64>,
 }
@@ -125,7 +125,7 @@
     }
 
     /// Starts the next request that may run now, with at most `max_running` at once.
-    pub(super) fn start(&mut self, max_running: usize) -> Option<Start> {
+    pub(super) fn start(&mut self, max_running: usize) -> Option<StartedRequest> {
         let mut running_ahead = 0;
         for (number, item) in &mut self.items {
             let Item::Part { state, request } = item else {
@@ -141,11 +141,11 @@
                 State::Waiting => {
                     *state = State::Running;
                     self.running += 1;
-                    return Some(Start {
-                        part: *number,
-                        admitted: request.admitted.clone(),
-                        ask: request.ask.clone(),
-                        result: request.result,
+                    return Some(StartedRequest {
+                        number: *number,
+                        request: request.admitted.clone(),
+                        query: request.query.clone(),
+                        result_format: request.result,
                     });
                 }
             }
@@ -182,18 +182,18 @@
             .map(|offset| position + offset);
         let sync = sync_position.map(|at| self.items[at].0);
         let end = sync_position.unwrap_or(self.items.len());
-        let called_off: Vec<u64> = self
+        let cancelled: Vec<u64> = self
             .items
             .drain(position + 1..end)
             .filter(|(_, item)| item.is_running())
             .map(|(number, _)| number)
             .collect();
-        self.running -= called_off.len();
-        Discarded { called_off, sync }
+        self.running -= cancelled.len();
+        Discarded { cancelled, sync }
     }
 
     /// The first request without an answer, and whether it is running.
-    pub(super) fn first_open(&self) -> Option<(u64, bool)> {
+    pub(super) fn first_pending(&self) -> Option<(u64, bool)> {
         let (number, item) = self.items.iter().find(|(_, item)| item.is_open())?;
         Some((*number, item.is_running()))
     }
@@ -208,11 +208,11 @@
         match item {
             Item::Response(response) => Some(response),
             Item::Part {
-                state: State::Answered(answer),
+                state: State::Answered(response),
                 request,
-            } => Some(Output::Answer {
-                answer,
-                suspended: request.is_suspended,
+            } => Some(Output::Response {
+                response,
+                is_suspended: request.is_suspended,
             }),
             Item::Part { .. } => None,
         }
--- a/crates/pg-session/src/plan/portal.rs
+++ b/crates/pg-session/src/extended/portal.rs
@@ -2,12 +2,12 @@
 //!
 //! Responsible for what an Execute of it does. Owns the bound request. Must never run a write twice.
 
-use super::Common;
+use super::SharedResources;
 use super::pipeline::PlannedRequest;
-use crate::Wrong;
-use crate::admit::Admitted;
-use crate::bound::{Ask, Bound};
-use crate::template::{Kind, Template};
+use crate::SessionError;
+use crate::endpoint_query::{BoundStatement, EndpointQuery};
+use crate::request::ValidatedRequest;
+use crate::template::{StatementKind, Template};
 use reelrill_pg_protocol::Format;
 use reelrill_pg_protocol::frontend::Bind;
 use std::rc::Rc;
@@ -18,8 +18,8 @@
 /// What a portal runs.
 enum Content {
     Request {
-        ask: Rc<Ask>,
-        admitted: Rc<Admitted>,
+        query: Rc<EndpointQuery>,
+        admitted: Rc<ValidatedRequest>,
     },
     Utility(Rc<Template>),
     Empty,
@@ -53,18 +53,18 @@
 }
 
 impl Portal {
-    /// Binds a prepared statement. `drawn_id` names the request where the client does not.
+    /// Binds a prepared statement. `generated_id` names the request where the client does not.
     pub(super) fn new(
         template: &Rc<Template>,
         bind: &Bind,
-        drawn_id: u64,
-        common: &Common,
-    ) -> Result<Portal, Wrong> {
-        let bound = Bound::new(template, bind, drawn_id, &common.accounts)?;
+        generated_id: u64,
+        common: &SharedResources,
+    ) -> Result<Portal, SessionError> {
+        let bound = BoundStatement::new(template, bind, generated_id, &common.budgets)?;
         let content = match &template.kind {
-            Kind::Request(_) => Content::request(bound, common)?,
-            Kind::Utility(_) => Content::Utility(template.clone()),
-            Kind::Empty => Content::Empty,
+            StatementKind::Request(_) => Content::request(bound, common)?,
+            StatementKind::Utility(_) => Content::Utility(template.clone()),
+            StatementKind::Empty => Content::Empty,
         };
         Ok(Portal {
             content,
@@ -82,7 +82,11 @@
     }
 
     /// Counts an Execute with a row limit (0: none) and says what it does; `name` is the portal's.
-    pub(super) fn execute(&mut self, name: &str, row_limit: u32) -> Result<Execution, Wrong> {
+    pub(super) fn execute(
+        &mut self,
+        name: &str,
+        row_limit: u32,
+    ) -> Result<Execution, SessionError> {
         let before = self.progress;
         // Only the Execute after a limit of one row finds that there is no further row.
         let is_suspended = row_limit == ROWS_OF_A_REQUEST;
@@ -97,8 +101,8 @@
             Content::Request { admitted, .. } if before != Progress::NotRun => {
                 execute_again(name, admitted.is_write, before)
             }
-            Content::Request { ask, admitted } => Ok(Execution::Request(PlannedRequest {
-                ask: ask.clone(),
+            Content::Request { query, admitted } => Ok(Execution::Request(PlannedRequest {
+                query: query.clone(),
                 admitted: admitted.clone(),
                 result: self.result,
                 is_suspended,
@@ -108,25 +112,25 @@
 }
 
 impl Content {
-    fn request(bound: Bound, common: &Common) -> Result<Content, Wrong> {
-        let admitted = bound.named(|named| common.catalog.admit(named))?;
-        let ask = if common.translate {
-            Ask::Simple(bound.literally(&common.accounts)?)
+    fn request(bound: BoundStatement, common: &SharedResources) -> Result<Content, SessionError> {
+        let admitted = bound.with_fields(|named| common.classes.validate(named))?;
+        let query = if common.should_translate {
+            EndpointQuery::Simple(bound.to_simple_query(&common.budgets)?)
         } else {
-            Ask::Bound(bound)
+            EndpointQuery::Bound(bound)
         };
         Ok(Content::Request {
-            ask: Rc::new(ask),
+            query: Rc::new(query),
             admitted: Rc::new(admitted),
         })
     }
 }
 
 /// An Execute of a request that has run: there is no further row, and a complete write is refused.
-fn execute_again(name: &str, is_write: bool, before: Progress) -> Result<Execution, Wrong> {
+fn execute_again(name: &str, is_write: bool, before: Progress) -> Result<Execution, SessionError> {
     match (is_write, before) {
         (false, _) => Ok(Execution::Exhausted("SELECT 0")),
         (true, Progress::Suspended) => Ok(Execution::Exhausted("INSERT 0 1")),
-        (true, _) => Err(Wrong::PortalDone(name.to_owned())),
+        (true, _) => Err(SessionError::PortalAlreadyRun(name.to_owned())),
     }
 }
--- a/crates/pg-session/src/plan/segment.rs
+++ b/crates/pg-session/src/extended/segment.rs
@@ -3,7 +3,7 @@
 //! Responsible for the bound on a segment's commands. Owns the state of the segment that is being read. Must
 //! never outlive its Sync: each starts with a new value.
 
-use crate::Wrong;
+use crate::SessionError;
 
 /// The commands since the last Sync.
 pub(super) struct Segment {
@@ -31,11 +31,11 @@
     ///
     /// # Errors
     ///
-    /// [`Wrong::Limit`] for the command after the first `most`.
-    pub(super) fn count_command(&mut self, most: usize) -> Result<(), Wrong> {
+    /// [`SessionError::LimitExceeded`] for the command after the first `most`.
+    pub(super) fn count_command(&mut self, most: usize) -> Result<(), SessionError> {
         self.commands += 1;
         if self.commands > most {
-            return Err(Wrong::Limit {
+            return Err(SessionError::LimitExceeded {
                 what: "commands in a segment",
                 most,
             });
--- a/crates/pg-session/src/plan/statements.rs
+++ b/crates/pg-session/src/extended/statements.rs
@@ -3,7 +3,7 @@
 //! Responsible for what a name stands for. Owns the names, each with its share of the bound of all clients, and
 //! a log of the changes made behind a request without an answer. Must never undo a change out of order.
 
-use crate::account::Share;
+use crate::limits::Reservation;
 use crate::template::Template;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 pub(super) struct PreparedStatement {
     pub template: Rc<Template>,
     /// Its share of the bound of all clients, given back on drop.
-    pub _share: Share,
+    pub _share: Reservation,
 }
 
 /// A change of a name that may have to be undone.
--- a/crates/pg-session/src/lib.rs
+++ b/crates/pg-session/src/lib.rs
@@ -13,32 +13,32 @@
 //! | [`account`] | the bounds on what clients may hold |
 #![forbid(unsafe_code)]
 
-pub mod account;
-pub mod admit;
-pub mod bound;
-pub mod form;
-pub mod plan;
+pub mod endpoint_query;
+pub mod extended;
+pub mod limits;
 pub mod prepared;
 pub mod queue;
+pub mod request;
+pub mod statement;
 pub mod template;
 
 use reelrill_pg_protocol::sqlstate;
 
-/// Why a command is refused. The text names the thing at fault; [`Wrong::sqlstate`] is what the client gets with it.
+/// Why a command is refused. The text names the thing at fault; [`SessionError::sqlstate`] is what the client gets with it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Wrong {
+pub enum SessionError {
     /// The text is no statement of ours.
     #[error(transparent)]
-    Form(#[from] form::FormError),
+    Parse(#[from] statement::ParseError),
     /// A statement that is known and not supported.
     #[error("{0} is not supported here: each statement stands for itself")]
     Unsupported(String),
     /// Nothing tells the type of a parameter.
     #[error("parameter ${0}: neither its place nor the Parse tells its type")]
-    NoType(u16),
+    UnknownParameterType(u16),
     /// A declared type that does not go with the parameter's place.
     #[error("parameter ${param}: type {oid} does not go with '{place}'")]
-    Type {
+    ParameterTypeMismatch {
         /// Counted from 1.
         param: u16,
         /// The type as declared.
@@ -48,10 +48,10 @@
     },
     /// The waiting time is rewritten for each attempt, so nothing else may read its parameter.
     #[error("parameter ${0}: the one of 'd' may stand for nothing else")]
-    Shared(u16),
+    SharedTimeoutParameter(u16),
     /// A Bind with another number of parameters than its statement has.
     #[error("the Bind brings {brought} parameters, the statement takes {takes}")]
-    Count {
+    ParameterCountMismatch {
         /// In the Bind.
         brought: usize,
         /// In the statement.
@@ -59,40 +59,40 @@
     },
     /// More formats than values.
     #[error("the Bind brings {0} formats, which fit neither its parameters nor its one column")]
-    Formats(usize),
+    FormatCountMismatch(usize),
     /// A value that must be there is null.
     #[error("'{0}' is null")]
-    Null(&'static str),
+    NullValue(&'static str),
     /// A value that makes no sense in its place.
     #[error("'{0}': missing or wrong")]
-    Value(&'static str),
+    InvalidValue(&'static str),
     /// A value that can't be written as a literal without doubt.
     #[error("'{0}': this value can't be written safely as a literal")]
-    Literal(&'static str),
+    UnsafeLiteral(&'static str),
     /// A class that the settings do not name.
     #[error("unknown class '{0}'")]
-    Class(String),
+    UnknownClass(String),
     /// A class that reads where the statement writes, or the other way round.
     #[error("class '{0}' does not go with this statement")]
-    Kind(String),
+    ClassMismatch(String),
     /// No statement of this name.
     #[error("prepared statement \"{0}\" does not exist")]
-    NoStatement(String),
+    UnknownStatement(String),
     /// No portal of this name.
     #[error("portal \"{0}\" does not exist")]
-    NoPortal(String),
+    UnknownPortal(String),
     /// The name is in use.
     #[error("prepared statement \"{0}\" already exists")]
-    StatementExists(String),
+    DuplicateStatement(String),
     /// The name is in use.
     #[error("portal \"{0}\" already exists")]
-    PortalExists(String),
+    DuplicatePortal(String),
     /// A write that has run is not run again.
     #[error("portal \"{0}\" has run; a Bind makes a new one")]
-    PortalDone(String),
+    PortalAlreadyRun(String),
     /// A bound is reached.
     #[error("too many {what}: {most} at most")]
-    Limit {
+    LimitExceeded {
         /// What there is too much of.
         what: &'static str,
         /// The bound.
@@ -100,24 +100,29 @@
     },
 }
 
-impl Wrong {
+impl SessionError {
     /// The error code that goes with it.
     pub fn sqlstate(&self) -> &'static str {
         match self {
-            Wrong::Form(_) | Wrong::Class(_) | Wrong::Kind(_) => sqlstate::SYNTAX_ERROR,
-            Wrong::Unsupported(_) => sqlstate::FEATURE_NOT_SUPPORTED,
-            Wrong::NoType(_) => sqlstate::INDETERMINATE_DATATYPE,
-            Wrong::Type { .. } | Wrong::Shared(_) => sqlstate::DATATYPE_MISMATCH,
-            Wrong::Count { .. } | Wrong::Formats(_) => sqlstate::PROTOCOL_VIOLATION,
-            Wrong::Null(_) => sqlstate::NULL_VALUE_NOT_ALLOWED,
-            Wrong::Value(_) => sqlstate::INVALID_PARAMETER_VALUE,
-            Wrong::Literal(_) => sqlstate::FEATURE_NOT_SUPPORTED,
-            Wrong::NoStatement(_) => sqlstate::INVALID_SQL_STATEMENT_NAME,
-            Wrong::NoPortal(_) => sqlstate::INVALID_CURSOR_NAME,
-            Wrong::StatementExists(_) => sqlstate::DUPLICATE_PREPARED_STATEMENT,
-            Wrong::PortalExists(_) => sqlstate::DUPLICATE_CURSOR,
-            Wrong::PortalDone(_) => sqlstate::OBJECT_NOT_IN_PREREQUISITE_STATE,
-            Wrong::Limit { .. } => sqlstate::PROGRAM_LIMIT_EXCEEDED,
+            SessionError::Parse(_)
+            | SessionError::UnknownClass(_)
+            | SessionError::ClassMismatch(_) => sqlstate::SYNTAX_ERROR,
+            SessionError::Unsupported(_) => sqlstate::FEATURE_NOT_SUPPORTED,
+            SessionError::UnknownParameterType(_) => sqlstate::INDETERMINATE_DATATYPE,
+            SessionError::ParameterTypeMismatch { .. }
+            | SessionError::SharedTimeoutParameter(_) => sqlstate::DATATYPE_MISMATCH,
+            SessionError::ParameterCountMismatch { .. } | SessionError::FormatCountMismatch(_) => {
+                sqlstate::PROTOCOL_VIOLATION
+            }
+            SessionError::NullValue(_) => sqlstate::NULL_VALUE_NOT_ALLOWED,
+            SessionError::InvalidValue(_) => sqlstate::INVALID_PARAMETER_VALUE,
+            SessionError::UnsafeLiteral(_) => sqlstate::FEATURE_NOT_SUPPORTED,
+            SessionError::UnknownStatement(_) => sqlstate::INVALID_SQL_STATEMENT_NAME,
+            SessionError::UnknownPortal(_) => sqlstate::INVALID_CURSOR_NAME,
+            SessionError::DuplicateStatement(_) => sqlstate::DUPLICATE_PREPARED_STATEMENT,
+            SessionError::DuplicatePortal(_) => sqlstate::DUPLICATE_CURSOR,
+            SessionError::PortalAlreadyRun(_) => sqlstate::OBJECT_NOT_IN_PREREQUISITE_STATE,
+            SessionError::LimitExceeded { .. } => sqlstate::PROGRAM_LIMIT_EXCEEDED,
         }
     }
 }
--- a/crates/pg-session/src/account.rs
+++ b/crates/pg-session/src/limits.rs
@@ -8,36 +8,36 @@
 
 /// A bound, and how much of it is in use.
 #[derive(Debug)]
-pub struct Account {
+pub struct Budget {
     used: Cell<usize>,
-    most: usize,
+    limit: usize,
 }
 
-/// A part of an [`Account`] in use; given back when dropped.
+/// A part of an [`Budget`] in use; given back when dropped.
 #[derive(Debug)]
-pub struct Share {
-    account: Rc<Account>,
+pub struct Reservation {
+    account: Rc<Budget>,
     amount: usize,
 }
 
-impl Account {
-    /// An account of `most`, in whatever unit its holders count.
-    pub fn new(most: usize) -> Rc<Account> {
-        Rc::new(Account {
+impl Budget {
+    /// An account of `limit`, in whatever unit its holders count.
+    pub fn new(limit: usize) -> Rc<Budget> {
+        Rc::new(Budget {
             used: Cell::new(0),
-            most,
+            limit,
         })
     }
 
     /// Reserves `amount`; `None` if that much is not left.
-    pub fn take(self: &Rc<Self>, amount: usize) -> Option<Share> {
+    pub fn reserve(self: &Rc<Self>, amount: usize) -> Option<Reservation> {
         let used = self
             .used
             .get()
             .checked_add(amount)
-            .filter(|used| *used <= self.most)?;
+            .filter(|used| *used <= self.limit)?;
         self.used.set(used);
-        Some(Share {
+        Some(Reservation {
             account: self.clone(),
             amount,
         })
@@ -49,12 +49,12 @@
     }
 
     /// The bound.
-    pub fn most(&self) -> usize {
-        self.most
+    pub fn limit(&self) -> usize {
+        self.limit
     }
 }
 
-impl Drop for Share {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.account.used.set(self.account.used.get() - self.amount);
     }
@@ -63,9 +63,9 @@
 /// The bounds of prepared statements, portals and pipelines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Prepared statements of one client.
+    /// PreparedStatements statements of one client.
     pub statements: usize,
-    /// Prepared statements of all clients, each client's counted.
+    /// PreparedStatements statements of all clients, each client's counted.
     pub all_statements: usize,
     /// Bytes of different statement texts, all clients together.
     pub text_bytes: usize,
@@ -99,21 +99,21 @@
     }
 }
 
-/// The accounts behind the bounds that all clients share.
+/// The budgets behind the bounds that all clients share.
 #[derive(Debug, Clone)]
-pub struct Accounts {
+pub struct SharedBudgets {
     /// Of [`Limits::all_statements`].
-    pub statements: Rc<Account>,
+    pub statements: Rc<Budget>,
     /// Of [`Limits::value_bytes`].
-    pub values: Rc<Account>,
+    pub value_bytes: Rc<Budget>,
 }
 
-impl Accounts {
-    /// Accounts with nothing in use.
-    pub fn new(limits: &Limits) -> Accounts {
-        Accounts {
-            statements: Account::new(limits.all_statements),
-            values: Account::new(limits.value_bytes),
+impl SharedBudgets {
+    /// SharedBudgets with nothing in use.
+    pub fn new(limits: &Limits) -> SharedBudgets {
+        SharedBudgets {
+            statements: Budget::new(limits.all_statements),
+            value_bytes: Budget::new(limits.value_bytes),
         }
     }
 }
--- a/crates/pg-session/src/prepared.rs
+++ b/crates/pg-session/src/prepared.rs
@@ -9,11 +9,11 @@
 
 /// What a run of a statement takes on this connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Need {
+pub enum Preparation {
     /// It is prepared here.
-    Ready,
+    NotNeeded,
     /// It must be prepared first, and before it the statement named here must go.
-    Prepare {
+    Needed {
         /// The one not used for longest.
         evict: Option<u64>,
     },
@@ -21,25 +21,25 @@
 
 /// The statements prepared on one connection, by their templates' numbers.
 #[derive(Debug)]
-pub struct Prepared(LruCache<u64, ()>);
+pub struct PreparedStatements(LruCache<u64, ()>);
 
-impl Prepared {
+impl PreparedStatements {
     /// Nothing is prepared; at most `most` will be (one, if that is 0).
-    pub fn new(most: usize) -> Prepared {
+    pub fn new(capacity: usize) -> PreparedStatements {
         // The table is made as it is needed: most connections use few statements.
         let mut cache = LruCache::unbounded();
-        cache.resize(NonZeroUsize::new(most).unwrap_or(NonZeroUsize::MIN));
-        Prepared(cache)
+        cache.resize(NonZeroUsize::new(capacity).unwrap_or(NonZeroUsize::MIN));
+        PreparedStatements(cache)
     }
 
     /// What a run of this template takes. One that must go counts as gone from here on: its Close is written
     /// ahead of all that follows.
-    pub fn need(&mut self, id: u64) -> Need {
+    pub fn preparation(&mut self, id: u64) -> Preparation {
         if self.0.get(&id).is_some() {
-            return Need::Ready;
+            return Preparation::NotNeeded;
         }
         let is_full = self.0.len() >= self.0.cap().get();
-        Need::Prepare {
+        Preparation::Needed {
             evict: if is_full {
                 self.0.pop_lru().map(|(id, ())| id)
             } else {
@@ -49,12 +49,12 @@
     }
 
     /// The endpoint has confirmed it.
-    pub fn confirmed(&mut self, id: u64) {
+    pub fn insert(&mut self, id: u64) {
         self.0.put(id, ());
     }
 
     /// The endpoint says that it does not have it.
-    pub fn forgotten(&mut self, id: u64) {
+    pub fn remove(&mut self, id: u64) {
         self.0.pop(&id);
     }
 
--- a/crates/pg-session/src/queue.rs
+++ b/crates/pg-session/src/queue.rs
@@ -7,15 +7,15 @@
 //! of each. So they are started as they come, and only their answers keep their order. Two requests of one session keep
 //! theirs where one of them writes: a session's read behind its own write sees it.
 
-use crate::admit::Admitted;
-use crate::bound::Ask;
+use crate::endpoint_query::EndpointQuery;
+use crate::request::ValidatedRequest;
 use reelrill_routing::Timestamp;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
 /// Bounds of one client's queue.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct QueueLimits {
     /// Queries that have been read and not answered.
     pub queries: usize,
     /// The bytes of their texts. One query may be larger.
@@ -24,9 +24,9 @@
     pub running: usize,
 }
 
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits {
+impl Default for QueueLimits {
+    fn default() -> QueueLimits {
+        QueueLimits {
             queries: 128,
             bytes: 32 * 1024,
             running: 32,
@@ -35,14 +35,17 @@
 }
 
 enum State<A> {
-    Waiting { ask: Rc<Ask>, arrived: Timestamp },
+    Waiting {
+        query: Rc<EndpointQuery>,
+        received_at: Timestamp,
+    },
     Running,
     Done(A),
 }
 
 enum Item<A, S> {
     Request {
-        admitted: Admitted,
+        admitted: ValidatedRequest,
         state: State<A>,
     },
     /// Said without an endpoint.
@@ -51,29 +54,29 @@
 
 /// A request that is to start now.
 #[derive(Debug)]
-pub struct Start {
-    /// Its number, for [`Queue::finish`].
-    pub part: u64,
+pub struct StartedRequest {
+    /// Its number, for [`SimpleQueryQueue::finish`].
+    pub number: u64,
     /// What the dispatcher is told.
-    pub admitted: Admitted,
+    pub request: ValidatedRequest,
     /// What endpoints are asked.
-    pub ask: Rc<Ask>,
+    pub query: Rc<EndpointQuery>,
     /// When it was read.
-    pub arrived: Timestamp,
+    pub received_at: Timestamp,
 }
 
 /// What a client gets next.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Output<A, S> {
     /// The final answer of a request.
-    Answer(A),
+    Response(A),
     /// What was put into the queue to be said.
-    Said(S),
+    LocalResponse(S),
 }
 
 /// Queries in the order in which they came; `A` is a final answer, `S` what is said without an endpoint.
-pub struct Queue<A, S> {
-    limits: Limits,
+pub struct SimpleQueryQueue<A, S> {
+    limits: QueueLimits,
     items: VecDeque<(usize, Item<A, S>)>,
     /// The number of the first item.
     first: u64,
@@ -81,10 +84,10 @@
     running: usize,
 }
 
-impl<A, S> Queue<A, S> {
+impl<A, S> SimpleQueryQueue<A, S> {
     /// An empty queue.
-    pub fn new(limits: Limits) -> Queue<A, S> {
-        Queue {
+    pub fn new(limits: QueueLimits) -> SimpleQueryQueue<A, S> {
+        SimpleQueryQueue {
             limits,
             items: VecDeque::new(),
             first: 0,
@@ -103,21 +106,27 @@
         self.items.len() >= self.limits.queries || self.bytes >= self.limits.bytes
     }
 
-    /// A request was read at `arrived`, in so many bytes.
-    pub fn request(&mut self, admitted: Admitted, ask: Rc<Ask>, arrived: Timestamp, bytes: usize) {
+    /// A request was read at `received_at`, in so many bytes.
+    pub fn push_request(
+        &mut self,
+        admitted: ValidatedRequest,
+        query: Rc<EndpointQuery>,
+        received_at: Timestamp,
+        bytes: usize,
+    ) {
         self.bytes += bytes;
-        let state = State::Waiting { ask, arrived };
+        let state = State::Waiting { query, received_at };
         self.items
             .push_back((bytes, Item::Request { admitted, state }));
     }
 
     /// A query was read that needs no endpoint.
-    pub fn say(&mut self, said: S) {
+    pub fn push_local_response(&mut self, said: S) {
         self.items.push_back((0, Item::Said(said)));
     }
 
     /// The next request that may start. Each is given once.
-    pub fn start(&mut self) -> Option<Start> {
+    pub fn start_next(&mut self) -> Option<StartedRequest> {
         if self.running >= self.limits.running {
             return None;
         }
@@ -125,15 +134,15 @@
         let Item::Request { admitted, state } = &mut self.items[at].1 else {
             return None;
         };
-        let State::Waiting { ask, arrived } = std::mem::replace(state, State::Running) else {
+        let State::Waiting { query, received_at } = std::mem::replace(state, State::Running) else {
             return None;
         };
         self.running += 1;
-        Some(Start {
-            part: self.first + at as u64,
-            admitted: admitted.clone(),
-            ask,
-            arrived,
+        Some(StartedRequest {
+            number: self.first + at as u64,
+            request: admitted.clone(),
+            query,
+            received_at,
         })
     }
 
@@ -162,8 +171,8 @@
     }
 
     /// A request has its final answer. One that is not known, or has its answer, keeps what it has.
-    pub fn finish(&mut self, part: u64, answer: A) {
-        let at = part
+    pub fn finish(&mut self, number: u64, answer: A) {
+        let at = number
             .checked_sub(self.first)
             .and_then(|at| usize::try_from(at).ok());
         let Some((_, Item::Request { state, .. })) = at.and_then(|at| self.items.get_mut(at))
@@ -179,7 +188,7 @@
     }
 
     /// The first request without an answer: what a CancelRequest is about.
-    pub fn first_open(&self) -> Option<u64> {
+    pub fn first_pending(&self) -> Option<u64> {
         let is_open = |(_, i): &(usize, Item<A, S>)| match i {
             Item::Request { state, .. } => !matches!(state, State::Done(_)),
             Item::Said(_) => false,
@@ -191,7 +200,7 @@
     }
 
     /// What is said next, if it is the turn of something that can be; `may_say`: whether that can be said now.
-    pub fn output(&mut self, may_say: impl Fn(&S) -> bool) -> Option<Output<A, S>> {
+    pub fn pop_output(&mut self, may_say: impl Fn(&S) -> bool) -> Option<Output<A, S>> {
         match &self.items.front()?.1 {
             Item::Request {
                 state: State::Done(_),
@@ -207,9 +216,9 @@
             Item::Request {
                 state: State::Done(answer),
                 ..
-            } => Some(Output::Answer(answer)),
+            } => Some(Output::Response(answer)),
             Item::Request { .. } => None,
-            Item::Said(said) => Some(Output::Said(said)),
+            Item::Said(said) => Some(Output::LocalResponse(said)),
         }
     }
 }
--- a/crates/pg-session/src/admit/tests.rs
+++ b/crates/pg-session/src/request/tests.rs
@@ -7,7 +7,7 @@
 const READ: &str = "SELECT data FROM facts WHERE code = '7f3a' \
                     /* id=9b1f03aa5c7e2d41,c=own,d=480,cluster=2,after=1767225600123 */";
 
-pub(crate) fn catalog() -> Catalog {
+pub(crate) fn catalog() -> ClassCatalog {
     let class = |operation, idempotency| Class {
         operation,
         idempotency,
@@ -18,7 +18,7 @@
         priority_weight: 1.0,
         late_weight: 0.0,
     };
-    Catalog::new(
+    ClassCatalog::new(
         ["board", "own", "book"].map(str::to_owned).into(),
         vec![
             class(
@@ -39,18 +39,18 @@
 
 #[test]
 fn a_simple_query_names_its_request() {
-    let (named, digits) = Named::simple(READ).unwrap();
+    let (named, digits) = RequestFields::from_simple_query(READ).unwrap();
     assert_eq!(
         (named.id, named.replica_set, &READ[digits]),
         (Some(0x9b1f_03aa_5c7e_2d41), 2, "480")
     );
-    let admitted = catalog().admit(&named).unwrap();
+    let admitted = catalog().validate(&named).unwrap();
     assert_eq!(
         (admitted.class, admitted.session.as_deref()),
         (1, Some("7f3a"))
     );
     assert_eq!(
-        (admitted.after, admitted.wait),
+        (admitted.last_write_at, admitted.timeout),
         (Some(1_767_225_600_123_000_000), 480_000_000)
     );
 }
@@ -68,62 +68,62 @@
 #[case("after=1", "after=x", "after")]
 fn what_is_wrong_is_named(#[case] part: &str, #[case] other: &str, #[case] wanted: &'static str) {
     assert_eq!(
-        Named::simple(&READ.replacen(part, other, 1)).err(),
-        Some(FormError::Field(wanted))
+        RequestFields::from_simple_query(&READ.replacen(part, other, 1)).err(),
+        Some(ParseError::InvalidField(wanted))
     );
 }
 
 #[test]
 fn a_request_must_fit_its_class() {
-    let (named, _) = Named::simple(READ).unwrap();
-    let admit = |n: Named| catalog().admit(&n);
+    let (named, _) = RequestFields::from_simple_query(READ).unwrap();
+    let admit = |n: RequestFields| catalog().validate(&n);
     assert_eq!(
-        admit(Named {
+        admit(RequestFields {
             class: "x",
             ..named.clone()
         }),
-        Err(Wrong::Class("x".into()))
+        Err(SessionError::UnknownClass("x".into()))
     );
     assert_eq!(
-        admit(Named {
+        admit(RequestFields {
             class: "book",
             ..named.clone()
         }),
-        Err(Wrong::Kind("book".into()))
+        Err(SessionError::ClassMismatch("book".into()))
     );
     assert_eq!(
-        admit(Named {
+        admit(RequestFields {
             class: "book",
             is_write: true,
             ..named.clone()
         }),
-        Err(Wrong::Value("k"))
+        Err(SessionError::InvalidValue("k"))
     );
     for wrong in [0, LONGEST_WAIT_MS + 1] {
         assert_eq!(
-            admit(Named {
-                wait_ms: Some(wrong),
+            admit(RequestFields {
+                timeout_ms: Some(wrong),
                 ..named.clone()
             }),
-            Err(Wrong::Value("d"))
+            Err(SessionError::InvalidValue("d"))
         );
     }
     assert_eq!(
-        admit(Named {
-            wait_ms: None,
+        admit(RequestFields {
+            timeout_ms: None,
             ..named.clone()
         })
         .unwrap()
-        .wait,
+        .timeout,
         1_000_000_000
     );
     assert_eq!(
-        admit(Named {
-            wait_ms: Some(9000),
+        admit(RequestFields {
+            timeout_ms: Some(9000),
             ..named
         })
         .unwrap()
-        .wait,
+        .timeout,
         1_000_000_000
     );
 }
--- a/crates/pg-session/src/form.rs
+++ b/crates/pg-session/src/statement.rs
@@ -11,39 +11,39 @@
 use std::str::FromStr;
 
 /// The largest value, in bytes.
-pub const LARGEST_VALUE: usize = 64 * 1024;
+pub const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// Why a text is no statement of ours.
 #[derive(Debug, Clone, thiserror::Error, PartialEq, Eq)]
-pub enum FormError {
+pub enum ParseError {
     /// Another statement.
     #[error("neither the read nor the write that is spoken here")]
-    Form,
+    UnknownStatement,
     /// Nothing names the request.
     #[error("no comment at the end of the statement")]
-    Missing,
+    MissingComment,
     /// A word of the comment.
     #[error("{0}: missing or wrong")]
-    Field(&'static str),
+    InvalidField(&'static str),
     /// Words of the comment that are no pairs, or too many.
     #[error("a name without a value, or twice")]
-    Pair,
+    InvalidPair,
     /// The value of a write.
     #[error("a value that is no hexadecimal text, or too large")]
-    Value,
+    InvalidValue,
 }
 
 /// A word of a statement: as it stands there, or the number of a parameter, counted from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word<'a> {
+pub enum FieldValue<'a> {
     /// Between its quotes, where it has them.
     Text(&'a str),
     /// `$n`.
-    Param(u16),
+    Parameter(u16),
 }
 
 /// Where a word stands, as the words that can be parameters go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
+pub enum Field {
     /// The quoted key: names the session in classes that have sessions.
     Key,
     /// The value that a write writes.
@@ -55,44 +55,44 @@
     /// `cluster`
     ReplicaSet,
     /// `d`
-    Wait,
+    Timeout,
     /// `k`
-    Idempotency,
+    IdempotencyKey,
     /// `after`
-    After,
+    LastWrite,
     /// `r`
     Retry,
     /// A name that the router passes on and does not read.
     Other,
 }
 
-impl Place {
+impl Field {
     /// Its name in the comment, or its column.
     pub fn name(self) -> &'static str {
         match self {
-            Place::Key => "code",
-            Place::Value => "data",
-            Place::Id => "id",
-            Place::Class => "c",
-            Place::ReplicaSet => "cluster",
-            Place::Wait => "d",
-            Place::Idempotency => "k",
-            Place::After => "after",
-            Place::Retry => "r",
-            Place::Other => "a name that is only passed on",
+            Field::Key => "code",
+            Field::Value => "data",
+            Field::Id => "id",
+            Field::Class => "c",
+            Field::ReplicaSet => "cluster",
+            Field::Timeout => "d",
+            Field::IdempotencyKey => "k",
+            Field::LastWrite => "after",
+            Field::Retry => "r",
+            Field::Other => "a name that is only passed on",
         }
     }
 
-    fn of(name: &str) -> Place {
+    fn from_name(name: &str) -> Field {
         match name {
-            "id" => Place::Id,
-            "c" => Place::Class,
-            "cluster" => Place::ReplicaSet,
-            "d" => Place::Wait,
-            "k" => Place::Idempotency,
-            "after" => Place::After,
-            "r" => Place::Retry,
-            _ => Place::Other,
+            "id" => Field::Id,
+            "c" => Field::Class,
+            "cluster" => Field::ReplicaSet,
+            "d" => Field::Timeout,
+            "k" => Field::IdempotencyKey,
+            "after" => Field::LastWrite,
+            "r" => Field::Retry,
+            _ => Field::Other,
         }
     }
 }
@@ -100,9 +100,9 @@
 /// A statement's words in the order in which they stand, and where each stands in its text (a literal with its
 /// quotes).
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Form<'a> {
+pub struct ParsedStatement<'a> {
     /// All words.
-    pub words: Vec<(Place, Word<'a>, Range<usize>)>,
+    pub fields: Vec<(Field, FieldValue<'a>, Range<usize>)>,
     /// It writes.
     pub is_write: bool,
     /// Where another pair could be added to the comment.
@@ -110,7 +110,7 @@
 }
 
 /// Digits and nothing else: the standard library's own reading also takes a sign.
-pub fn number<T: FromStr>(value: &str) -> Option<T> {
+pub fn parse_number<T: FromStr>(value: &str) -> Option<T> {
     value
         .bytes()
         .all(|b| b.is_ascii_digit())
@@ -118,44 +118,47 @@
 }
 
 /// Whether this is a value as text: up to 64 KiB of it, or `\x` and whole bytes in hexadecimal digits.
-pub fn is_value(value: &str) -> bool {
+pub fn is_valid_value(value: &str) -> bool {
     match value.strip_prefix("\\x") {
         Some(digits) => {
             let all_hex = digits.bytes().all(|b| b.is_ascii_hexdigit());
-            digits.len() % 2 == 0 && digits.len() / 2 <= LARGEST_VALUE && all_hex
+            digits.len() % 2 == 0 && digits.len() / 2 <= MAX_VALUE_BYTES && all_hex
         }
-        None => value.len() <= LARGEST_VALUE,
+        None => value.len() <= MAX_VALUE_BYTES,
     }
 }
 
 /// The name of a request: 16 hexadecimal digits.
-pub fn id(value: &str) -> Option<u64> {
+pub fn parse_request_id(value: &str) -> Option<u64> {
     let is_id = value.len() == 16 && value.bytes().all(|b| b.is_ascii_hexdigit());
     is_id.then(|| u64::from_str_radix(value, 16).ok())?
 }
 
-impl<'a> Form<'a> {
-    /// Parses a whole statement; `prepared` says that words may be parameters.
+impl<'a> ParsedStatement<'a> {
+    /// Parses a whole statement; `allows_parameters` says that words may be parameters.
     ///
     /// # Errors
     ///
     /// Why the text is no statement of this form.
-    pub fn read(statement: &'a str, prepared: bool) -> Result<Form<'a>, FormError> {
-        Parser::new(statement, prepared).parse()
+    pub fn parse(
+        statement: &'a str,
+        allows_parameters: bool,
+    ) -> Result<ParsedStatement<'a>, ParseError> {
+        Parser::new(statement, allows_parameters).parse()
     }
 
     /// The word at a place, and where it stands.
-    pub fn word(&self, wanted: Place) -> Option<(Word<'a>, Range<usize>)> {
-        self.words
+    pub fn field(&self, wanted: Field) -> Option<(FieldValue<'a>, Range<usize>)> {
+        self.fields
             .iter()
             .find(|(place, ..)| *place == wanted)
             .map(|(_, w, range)| (*w, range.clone()))
     }
 
     /// The word at a place, if it stands there as text.
-    pub fn text(&self, wanted: Place) -> Option<&'a str> {
-        match self.word(wanted) {
-            Some((Word::Text(text), _)) => Some(text),
+    pub fn field_text(&self, wanted: Field) -> Option<&'a str> {
+        match self.field(wanted) {
+            Some((FieldValue::Text(text), _)) => Some(text),
             _ => None,
         }
     }
--- a/crates/pg-session/src/form/parser.rs
+++ b/crates/pg-session/src/statement/parser.rs
@@ -4,7 +4,7 @@
 //! Must never accept a text that an endpoint would reject or read in another way: it would cost the endpoint
 //! work, and others their time.
 
-use super::{Form, FormError, Place, Word, is_value};
+use super::{Field, FieldValue, ParseError, ParsedStatement, is_valid_value};
 use std::ops::Range;
 
 /// The read, up to its key.
@@ -31,7 +31,7 @@
     statement: &'a str,
     /// Whether words may be parameters.
     allows_parameters: bool,
-    words: Vec<(Place, Word<'a>, Range<usize>)>,
+    fields: Vec<(Field, FieldValue<'a>, Range<usize>)>,
 }
 
 impl<'a> Parser<'a> {
@@ -39,23 +39,23 @@
         Parser {
             statement,
             allows_parameters,
-            words: Vec::with_capacity(USUAL_WORDS),
+            fields: Vec::with_capacity(USUAL_WORDS),
         }
     }
 
     /// Parses the whole statement.
-    pub(super) fn parse(mut self) -> Result<Form<'a>, FormError> {
+    pub(super) fn parse(mut self) -> Result<ParsedStatement<'a>, ParseError> {
         let (is_write, rest) = match self.statement.strip_prefix(READ) {
-            Some(rest) => (false, self.parse_word(Place::Key, rest)),
+            Some(rest) => (false, self.parse_word(Field::Key, rest)),
             None => (true, self.parse_write()),
         };
-        let rest = rest.ok_or(FormError::Form)?;
+        let rest = rest.ok_or(ParseError::UnknownStatement)?;
         self.check_value()?;
         let comment = comment_inside(rest)?;
         self.parse_comment(comment)?;
         let comment_end = self.offset(comment) + comment.trim_end().len();
-        Ok(Form {
-            words: self.words,
+        Ok(ParsedStatement {
+            fields: self.fields,
             is_write,
             comment_end,
         })
@@ -65,18 +65,18 @@
     fn parse_write(&mut self) -> Option<&'a str> {
         let [before_key, before_value, end] = WRITE;
         let rest = self.statement.strip_prefix(before_key)?;
-        let rest = self.parse_word(Place::Key, rest)?;
+        let rest = self.parse_word(Field::Key, rest)?;
         let rest = rest.strip_prefix(before_value)?;
-        let rest = self.parse_word(Place::Value, rest)?;
+        let rest = self.parse_word(Field::Value, rest)?;
         rest.strip_prefix(end)
     }
 
     /// Parses a literal or a parameter, and returns what follows it.
-    fn parse_word(&mut self, place: Place, text: &'a str) -> Option<&'a str> {
+    fn parse_word(&mut self, place: Field, text: &'a str) -> Option<&'a str> {
         let start = self.offset(text);
         if let Some((inside, rest)) = split_literal(text) {
             let range = start..self.offset(rest);
-            self.words.push((place, Word::Text(inside), range));
+            self.fields.push((place, FieldValue::Text(inside), range));
             return Some(rest);
         }
         let digits = text.get(1..)?;
@@ -85,43 +85,43 @@
             .unwrap_or(digits.len());
         let end = 1 + digits_len;
         let number = self.parameter(text.get(..end)?)?;
-        self.words
-            .push((place, Word::Param(number), start..start + end));
+        self.fields
+            .push((place, FieldValue::Parameter(number), start..start + end));
         text.get(end..)
     }
 
     /// Checks the value of a write if it stands in the text.
-    fn check_value(&self) -> Result<(), FormError> {
-        let is_wrong = |place: &Place, word: &Word| match word {
-            Word::Text(value) => *place == Place::Value && !is_value(value),
-            Word::Param(_) => false,
+    fn check_value(&self) -> Result<(), ParseError> {
+        let is_wrong = |place: &Field, word: &FieldValue| match word {
+            FieldValue::Text(value) => *place == Field::Value && !is_valid_value(value),
+            FieldValue::Parameter(_) => false,
         };
         if self
-            .words
+            .fields
             .iter()
             .any(|(place, word, _)| is_wrong(place, word))
         {
-            return Err(FormError::Value);
+            return Err(ParseError::InvalidValue);
         }
         Ok(())
     }
 
     /// Parses the pairs of a comment, which commas separate.
-    fn parse_comment(&mut self, comment: &'a str) -> Result<(), FormError> {
+    fn parse_comment(&mut self, comment: &'a str) -> Result<(), ParseError> {
         let mut names: Vec<&str> = Vec::with_capacity(USUAL_NAMES);
         for pair in comment.split(',') {
-            let (name, value) = pair.trim().split_once('=').ok_or(FormError::Pair)?;
+            let (name, value) = pair.trim().split_once('=').ok_or(ParseError::InvalidPair)?;
             if value.is_empty() || names.contains(&name) || names.len() >= MAX_NAMES {
-                return Err(FormError::Pair);
+                return Err(ParseError::InvalidPair);
             }
             names.push(name);
             let word = match self.parameter(value) {
-                Some(number) => Word::Param(number),
-                None => Word::Text(value),
+                Some(number) => FieldValue::Parameter(number),
+                None => FieldValue::Text(value),
             };
             let start = self.offset(value);
             let range = start..start + value.len();
-            self.words.push((Place::of(name), word, range));
+            self.fields.push((Field::from_name(name), word, range));
         }
         Ok(())
     }
@@ -145,15 +145,15 @@
 }
 
 /// What stands inside the comment that ends a statement.
-fn comment_inside(text: &str) -> Result<&str, FormError> {
+fn comment_inside(text: &str) -> Result<&str, ParseError> {
     let is_end = |c: char| c.is_ascii_whitespace() || c == ';';
     let inside = text
         .trim_start()
         .strip_prefix("/*")
         .and_then(|rest| rest.trim_end_matches(is_end).strip_suffix("*/"))
-        .ok_or(FormError::Missing)?;
+        .ok_or(ParseError::MissingComment)?;
     if inside.contains("*/") || inside.contains("/*") {
-        return Err(FormError::Missing);
+        return Err(ParseError::MissingComment);
     }
     Ok(inside)
 }
--- a/crates/pg-session/src/template.rs
+++ b/crates/pg-session/src/template.rs
@@ -1,4 +1,4 @@
-//! Prepared statements, parsed once and shared by all clients that prepare the same text with the same types.
+//! PreparedStatements statements, parsed once and shared by all clients that prepare the same text with the same types.
 //!
 //! Responsible for what a statement is (a request, a utility statement or nothing) and for its parameters.
 //! The text that endpoints get differs from the client's in two words alone: the waiting time and the request's
@@ -17,49 +17,49 @@
 mod store;
 mod utility;
 
-pub use store::Templates;
-pub use utility::Utility;
+pub use store::TemplateStore;
+pub use utility::UtilityStatement;
 
-use crate::Wrong;
-use crate::form::{Form, FormError, Place};
+use crate::SessionError;
+use crate::statement::{Field, ParseError, ParsedStatement};
 use std::ops::Range;
 use store::StoreEntry;
 
 /// A word of a prepared statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Slot {
+pub enum TemplateValue {
     /// Stands in the text: the same for each Bind.
     Text(Box<str>),
     /// The index of a parameter, counted from 0.
-    Param(usize),
+    Parameter(usize),
 }
 
 /// A prepared statement that is a request to an endpoint.
 #[derive(Debug)]
-pub struct Request {
+pub struct RequestTemplate {
     /// The text for endpoints, with the parameters that the router adds.
     pub text: Box<str>,
     /// The object ids of all parameters' types, the added ones last.
     pub types: Vec<u32>,
     /// How many parameters the client's Bind brings; the router brings the others.
-    pub given: usize,
+    pub client_parameter_count: usize,
     /// The words that the router reads, in their order.
-    pub slots: Vec<(Place, Slot)>,
+    pub fields: Vec<(Field, TemplateValue)>,
     /// Each parameter in `text`: the bytes where it stands, what it stands for, and its index from 0.
-    pub marks: Vec<(Range<usize>, Place, usize)>,
+    pub parameter_references: Vec<(Range<usize>, Field, usize)>,
     /// Whether the statement writes.
     pub is_write: bool,
     /// The index of the parameter that brings the waiting time (milliseconds), counted from 0.
-    pub wait: usize,
+    pub timeout_index: usize,
 }
 
 /// What a prepared statement is.
 #[derive(Debug)]
-pub enum Kind {
+pub enum StatementKind {
     /// A request, which endpoints run.
-    Request(Request),
+    Request(RequestTemplate),
     /// A statement that the router handles alone.
-    Utility(Utility),
+    Utility(UtilityStatement),
     /// An empty statement.
     Empty,
 }
@@ -70,7 +70,7 @@
     /// Unique in its store, never used again.
     pub id: u64,
     /// What the statement is.
-    pub kind: Kind,
+    pub kind: StatementKind,
     source: Box<str>,
     declared: Box<[u32]>,
     _entry: StoreEntry,
@@ -78,40 +78,40 @@
 
 impl Template {
     /// The object ids of the types of the parameters that clients bring.
-    pub fn types(&self) -> &[u32] {
+    pub fn client_parameter_types(&self) -> &[u32] {
         match &self.kind {
-            Kind::Request(request) => &request.types[..request.given],
-            Kind::Utility(_) | Kind::Empty => &[],
+            StatementKind::Request(request) => &request.types[..request.client_parameter_count],
+            StatementKind::Utility(_) | StatementKind::Empty => &[],
         }
     }
 
     /// Its name on connections to endpoints.
-    pub fn name(&self) -> String {
-        name(self.id)
+    pub fn statement_name(&self) -> String {
+        statement_name(self.id)
     }
 }
 
 /// The name on connections to endpoints of the template with this id.
-pub fn name(id: u64) -> String {
+pub fn statement_name(id: u64) -> String {
     format!("r{id:x}")
 }
 
 /// Parses a statement. `declared` are the parameter types of its Parse (0: unspecified), `value_type` is the
 /// type of the value column.
-fn parse(text: &str, declared: &[u32], value_type: u32) -> Result<Kind, Wrong> {
+fn parse(text: &str, declared: &[u32], value_type: u32) -> Result<StatementKind, SessionError> {
     if utility::trim_statement(text).is_empty() {
-        return Ok(Kind::Empty);
+        return Ok(StatementKind::Empty);
     }
-    if let Some(utility) = Utility::read(text) {
-        return utility.map(Kind::Utility);
+    if let Some(utility) = UtilityStatement::parse(text) {
+        return utility.map(StatementKind::Utility);
     }
-    let form = Form::read(text, true)?;
-    for required in [Place::Class, Place::ReplicaSet] {
-        form.word(required)
-            .ok_or(FormError::Field(required.name()))?;
+    let form = ParsedStatement::parse(text, true)?;
+    for required in [Field::Class, Field::ReplicaSet] {
+        form.field(required)
+            .ok_or(ParseError::InvalidField(required.name()))?;
     }
     let types = parameter_types::resolve(&form, declared, value_type)?;
-    endpoint_text::rewrite(text, &form, types).map(Kind::Request)
+    endpoint_text::rewrite(text, &form, types).map(StatementKind::Request)
 }
 
 #[cfg(test)]
--- a/crates/pg-session/src/template/endpoint_text.rs
+++ b/crates/pg-session/src/template/endpoint_text.rs
@@ -5,9 +5,9 @@
 //! the comment as one. Owns the text only while it is built. Must never change any other byte of the client's
 //! text, nor the numbers of the parameters that clients bring.
 
-use super::{Request, Slot};
-use crate::Wrong;
-use crate::form::{Form, FormError, Place, Word};
+use super::{RequestTemplate, TemplateValue};
+use crate::SessionError;
+use crate::statement::{Field, FieldValue, ParseError, ParsedStatement};
 use reelrill_pg_protocol::oid;
 use std::ops::Range;
 
@@ -18,28 +18,34 @@
 ///
 /// # Errors
 ///
-/// [`Wrong::Form`] if the statement has no waiting time in the end.
-pub(super) fn rewrite(text: &str, form: &Form, types: Vec<u32>) -> Result<Request, Wrong> {
-    let given = types.len();
+/// [`SessionError::Parse`] if the statement has no waiting time in the end.
+pub(super) fn rewrite(
+    text: &str,
+    form: &ParsedStatement,
+    types: Vec<u32>,
+) -> Result<RequestTemplate, SessionError> {
+    let client_parameter_count = types.len();
     let mut rewriter = Rewriter::new(text, types);
-    for (place, word, range) in &form.words {
+    for (place, word, range) in &form.fields {
         rewriter.add_word(*place, *word, range);
     }
     rewriter.copy_until(form.comment_end);
-    for (place, type_oid) in [(Place::Id, oid::TEXT), (Place::Wait, oid::INT4)] {
-        if form.word(place).is_none() {
+    for (place, type_oid) in [(Field::Id, oid::TEXT), (Field::Timeout, oid::INT4)] {
+        if form.field(place).is_none() {
             rewriter.append_pair(place, type_oid);
         }
     }
     rewriter.copy_until(text.len());
-    Ok(Request {
+    Ok(RequestTemplate {
         text: rewriter.text.into(),
         types: rewriter.types,
-        given,
-        slots: rewriter.slots,
-        marks: rewriter.marks,
+        client_parameter_count,
+        fields: rewriter.fields,
+        parameter_references: rewriter.parameter_references,
         is_write: form.is_write,
-        wait: rewriter.wait.ok_or(FormError::Field(Place::Wait.name()))?,
+        timeout_index: rewriter
+            .wait
+            .ok_or(ParseError::InvalidField(Field::Timeout.name()))?,
     })
 }
 
@@ -50,8 +56,8 @@
     copied: usize,
     text: String,
     types: Vec<u32>,
-    slots: Vec<(Place, Slot)>,
-    marks: Vec<(Range<usize>, Place, usize)>,
+    fields: Vec<(Field, TemplateValue)>,
+    parameter_references: Vec<(Range<usize>, Field, usize)>,
     wait: Option<usize>,
 }
 
@@ -62,26 +68,26 @@
             copied: 0,
             text: String::with_capacity(source.len() + APPENDED_BYTES),
             types,
-            slots: Vec::new(),
-            marks: Vec::new(),
+            fields: Vec::new(),
+            parameter_references: Vec::new(),
             wait: None,
         }
     }
 
     /// Takes the next word of the client's text, which stands at `range`.
-    fn add_word(&mut self, place: Place, word: Word, range: &Range<usize>) {
+    fn add_word(&mut self, place: Field, word: FieldValue, range: &Range<usize>) {
         match word {
-            Word::Param(number) => {
+            FieldValue::Parameter(number) => {
                 let index = usize::from(number) - 1;
                 self.replace(range, place, index);
-                self.slots.push((place, Slot::Param(index)));
+                self.fields.push((place, TemplateValue::Parameter(index)));
             }
-            Word::Text(fixed) => {
-                if place == Place::Wait {
+            FieldValue::Text(fixed) => {
+                if place == Field::Timeout {
                     let index = self.add_type(oid::INT4);
                     self.replace(range, place, index);
                 }
-                self.slots.push((place, Slot::Text(fixed.into())));
+                self.fields.push((place, TemplateValue::Text(fixed.into())));
             }
         }
     }
@@ -93,14 +99,14 @@
     }
 
     /// Puts a parameter in the place of a word of the client's text.
-    fn replace(&mut self, range: &Range<usize>, place: Place, index: usize) {
+    fn replace(&mut self, range: &Range<usize>, place: Field, index: usize) {
         self.copy_until(range.start);
         self.put_parameter(place, index);
         self.copied = range.end;
     }
 
     /// Appends a name to the comment with a parameter of its own.
-    fn append_pair(&mut self, place: Place, type_oid: u32) {
+    fn append_pair(&mut self, place: Field, type_oid: u32) {
         let index = self.add_type(type_oid);
         self.text.push(',');
         self.text.push_str(place.name());
@@ -114,11 +120,12 @@
         self.types.len() - 1
     }
 
-    fn put_parameter(&mut self, place: Place, index: usize) {
+    fn put_parameter(&mut self, place: Field, index: usize) {
         let start = self.text.len();
         self.text.push_str(&format!("${}", index + 1));
-        self.marks.push((start..self.text.len(), place, index));
-        if place == Place::Wait {
+        self.parameter_references
+            .push((start..self.text.len(), place, index));
+        if place == Field::Timeout {
             self.wait = Some(index);
         }
     }
--- a/crates/pg-session/src/template/parameter_types.rs
+++ b/crates/pg-session/src/template/parameter_types.rs
@@ -4,8 +4,8 @@
 //! for refusing types that do not fit. Owns no state. Must never leave a type unspecified: endpoints get every
 //! type in the Parse.
 
-use crate::Wrong;
-use crate::form::{Form, Place, Word};
+use crate::SessionError;
+use crate::statement::{Field, FieldValue, ParsedStatement};
 use reelrill_pg_protocol::frontend::MOST_PARAMETERS;
 use reelrill_pg_protocol::oid;
 
@@ -18,13 +18,17 @@
 ///
 /// # Errors
 ///
-/// [`Wrong::Limit`] for too many parameters, [`Wrong::NoType`], [`Wrong::Type`] and [`Wrong::Shared`] for one
+/// [`SessionError::LimitExceeded`] for too many parameters, [`SessionError::UnknownParameterType`], [`SessionError::ParameterTypeMismatch`] and [`SessionError::SharedTimeoutParameter`] for one
 /// parameter.
-pub(super) fn resolve(form: &Form, declared: &[u32], value_type: u32) -> Result<Vec<u32>, Wrong> {
+pub(super) fn resolve(
+    form: &ParsedStatement,
+    declared: &[u32],
+    value_type: u32,
+) -> Result<Vec<u32>, SessionError> {
     let count = count_parameters(form).max(declared.len());
     let max_count = MOST_PARAMETERS - MAX_ADDED_PARAMETERS;
     if count > max_count {
-        return Err(Wrong::Limit {
+        return Err(SessionError::LimitExceeded {
             what: "parameters",
             most: max_count,
         });
@@ -39,21 +43,21 @@
 }
 
 /// The highest parameter number in a statement.
-fn count_parameters(form: &Form) -> usize {
-    let numbers = form.words.iter().map(|(_, word, _)| match word {
-        Word::Param(number) => usize::from(*number),
-        Word::Text(_) => 0,
+fn count_parameters(form: &ParsedStatement) -> usize {
+    let numbers = form.fields.iter().map(|(_, word, _)| match word {
+        FieldValue::Parameter(number) => usize::from(*number),
+        FieldValue::Text(_) => 0,
     });
     numbers.max().unwrap_or(0)
 }
 
 /// The type of one parameter, counted from 1.
 fn resolve_one(
-    form: &Form,
+    form: &ParsedStatement,
     number: u16,
     declared: Option<u32>,
     value_type: u32,
-) -> Result<u32, Wrong> {
+) -> Result<u32, SessionError> {
     let places = places_of(form, number);
     let specified = declared.filter(|oid| *oid != oid::UNSPECIFIED);
     let inferred = || {
@@ -61,54 +65,56 @@
             .iter()
             .find_map(|place| default_type(*place, value_type))
     };
-    let resolved = specified.or_else(inferred).ok_or(Wrong::NoType(number))?;
+    let resolved = specified
+        .or_else(inferred)
+        .ok_or(SessionError::UnknownParameterType(number))?;
     if let Some(place) = places.iter().find(|place| !accepts(**place, resolved)) {
-        return Err(Wrong::Type {
+        return Err(SessionError::ParameterTypeMismatch {
             param: number,
             oid: resolved,
             place: place.name(),
         });
     }
-    if places.len() > 1 && places.contains(&Place::Wait) {
-        return Err(Wrong::Shared(number));
+    if places.len() > 1 && places.contains(&Field::Timeout) {
+        return Err(SessionError::SharedTimeoutParameter(number));
     }
     Ok(resolved)
 }
 
 /// All places that a parameter stands in.
-fn places_of(form: &Form, number: u16) -> Vec<Place> {
-    form.words
+fn places_of(form: &ParsedStatement, number: u16) -> Vec<Field> {
+    form.fields
         .iter()
-        .filter(|(_, word, _)| *word == Word::Param(number))
+        .filter(|(_, word, _)| *word == FieldValue::Parameter(number))
         .map(|(place, ..)| *place)
         .collect()
 }
 
 /// The type of a parameter whose type is unspecified; `None` if its place tells none.
-fn default_type(place: Place, value_type: u32) -> Option<u32> {
+fn default_type(place: Field, value_type: u32) -> Option<u32> {
     match place {
-        Place::Value => Some(value_type),
-        Place::Key | Place::Id | Place::Class | Place::Idempotency | Place::Retry => {
+        Field::Value => Some(value_type),
+        Field::Key | Field::Id | Field::Class | Field::IdempotencyKey | Field::Retry => {
             Some(oid::TEXT)
         }
-        Place::ReplicaSet | Place::Wait => Some(oid::INT4),
-        Place::After => Some(oid::INT8),
-        Place::Other => None,
+        Field::ReplicaSet | Field::Timeout => Some(oid::INT4),
+        Field::LastWrite => Some(oid::INT8),
+        Field::Other => None,
     }
 }
 
 /// Whether a parameter of this type may stand in a place.
-fn accepts(place: Place, type_oid: u32) -> bool {
+fn accepts(place: Field, type_oid: u32) -> bool {
     if oid::is_text(type_oid) {
         return true;
     }
     let is_integer = oid::integer_width(type_oid).is_some();
     match place {
-        Place::Key | Place::Class => false,
-        Place::Value => type_oid == oid::BYTEA,
-        Place::Id | Place::Idempotency => type_oid == oid::INT8,
-        Place::ReplicaSet | Place::Wait | Place::After => is_integer,
-        Place::Retry => is_integer || type_oid == oid::BOOL,
-        Place::Other => true,
+        Field::Key | Field::Class => false,
+        Field::Value => type_oid == oid::BYTEA,
+        Field::Id | Field::IdempotencyKey => type_oid == oid::INT8,
+        Field::ReplicaSet | Field::Timeout | Field::LastWrite => is_integer,
+        Field::Retry => is_integer || type_oid == oid::BOOL,
+        Field::Other => true,
     }
 }
--- a/crates/pg-session/src/template/store.rs
+++ b/crates/pg-session/src/template/store.rs
@@ -5,8 +5,8 @@
 //! prepared them, and leave the index when the last of them drops its reference. Must never give an id twice,
 //! nor keep a statement alive that nobody has prepared.
 
-use super::{Kind, Template, parse};
-use crate::Wrong;
+use super::{StatementKind, Template, parse};
+use crate::SessionError;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
@@ -29,7 +29,7 @@
 
 /// All prepared statements of a router, each kept once. Clones share one store.
 #[derive(Debug, Clone)]
-pub struct Templates(Rc<RefCell<Store>>);
+pub struct TemplateStore(Rc<RefCell<Store>>);
 
 /// A template's entry in its store: gives its bytes back when the template is dropped.
 #[derive(Debug)]
@@ -39,10 +39,10 @@
     cost_bytes: usize,
 }
 
-impl Templates {
+impl TemplateStore {
     /// A store for at most `max_bytes` bytes; `value_type` is the object id of the value column's type.
-    pub fn new(max_bytes: usize, value_type: u32) -> Templates {
-        Templates(Rc::new(RefCell::new(Store {
+    pub fn new(max_bytes: usize, value_type: u32) -> TemplateStore {
+        TemplateStore(Rc::new(RefCell::new(Store {
             buckets: HashMap::new(),
             hasher: RandomState::new(),
             used_bytes: 0,
@@ -56,8 +56,12 @@
     ///
     /// # Errors
     ///
-    /// What is wrong with the text or its types, or [`Wrong::Limit`] if the store is full.
-    pub fn get(&self, text: &str, declared: &[u32]) -> Result<Rc<Template>, Wrong> {
+    /// What is wrong with the text or its types, or [`SessionError::LimitExceeded`] if the store is full.
+    pub fn get_or_insert(
+        &self,
+        text: &str,
+        declared: &[u32],
+    ) -> Result<Rc<Template>, SessionError> {
         let hash = self.0.borrow().hasher.hash_one((text, declared));
         if let Some(known) = self.find(hash, text, declared) {
             return Ok(known);
@@ -83,7 +87,7 @@
     }
 
     /// How many templates there are, and the bytes that they are counted for.
-    pub fn used(&self) -> (usize, usize) {
+    pub fn usage(&self) -> (usize, usize) {
         let store = self.0.borrow();
         let count = store.buckets.values().map(Vec::len).sum();
         (count, store.used_bytes)
@@ -101,9 +105,9 @@
 
 impl Store {
     /// Counts a new template against the bound and gives it an id.
-    fn reserve(&mut self, cost_bytes: usize) -> Result<u64, Wrong> {
+    fn reserve(&mut self, cost_bytes: usize) -> Result<u64, SessionError> {
         if self.used_bytes + cost_bytes > self.max_bytes {
-            return Err(Wrong::Limit {
+            return Err(SessionError::LimitExceeded {
                 what: "bytes of statement texts",
                 most: self.max_bytes,
             });
@@ -116,10 +120,10 @@
 }
 
 /// What a template is counted for, in bytes: the client's text, the endpoints' text and the overhead.
-fn cost_bytes(text: &str, kind: &Kind) -> usize {
+fn cost_bytes(text: &str, kind: &StatementKind) -> usize {
     let endpoint_text_bytes = match kind {
-        Kind::Request(request) => request.text.len(),
-        Kind::Utility(_) | Kind::Empty => 0,
+        StatementKind::Request(request) => request.text.len(),
+        StatementKind::Utility(_) | StatementKind::Empty => 0,
     };
     TEMPLATE_OVERHEAD_BYTES + text.len() + endpoint_text_bytes
 }
--- a/crates/pg-session/src/template/utility.rs
+++ b/crates/pg-session/src/template/utility.rs
@@ -1,9 +1,9 @@
-//! Utility statements: session settings and the removal of prepared statements, which never reach an endpoint.
+//! UtilityStatement statements: session settings and the removal of prepared statements, which never reach an endpoint.
 //!
 //! Responsible for recognizing such a statement and naming its command tag. Owns no state: the client's session
 //! carries the statement out. Must never accept a statement that would have an effect on an endpoint.
 
-use crate::Wrong;
+use crate::SessionError;
 
 /// Commands that are recognized and refused: each needs state that is kept between statements on one connection.
 const UNSUPPORTED: [&str; 18] = [
@@ -29,7 +29,7 @@
 
 /// A statement that has no effect on endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Utility {
+pub enum UtilityStatement {
     /// `SET` or `RESET`: accepted, without effect.
     Setting(&'static str),
     /// `DISCARD ALL`: removes all prepared statements of the client.
@@ -38,34 +38,34 @@
     Deallocate(Option<Box<str>>),
 }
 
-impl Utility {
+impl UtilityStatement {
     /// Parses a utility statement; `None` if the text is another statement.
     ///
     /// # Errors
     ///
-    /// [`Wrong::Unsupported`] with the command's name for a command that is known and not supported.
-    pub fn read(text: &str) -> Option<Result<Utility, Wrong>> {
+    /// [`SessionError::Unsupported`] with the command's name for a command that is known and not supported.
+    pub fn parse(text: &str) -> Option<Result<UtilityStatement, SessionError>> {
         let mut words = trim_statement(text).split_whitespace();
         let command = words.next()?.to_ascii_uppercase();
         let arguments: Vec<&str> = words.collect();
         match &*command {
-            "SET" => Some(Ok(Utility::Setting("SET"))),
-            "RESET" => Some(Ok(Utility::Setting("RESET"))),
-            "DISCARD" if is_all(&arguments) => Some(Ok(Utility::DiscardAll)),
-            "DISCARD" => Some(Err(Wrong::Unsupported(command))),
+            "SET" => Some(Ok(UtilityStatement::Setting("SET"))),
+            "RESET" => Some(Ok(UtilityStatement::Setting("RESET"))),
+            "DISCARD" if is_all(&arguments) => Some(Ok(UtilityStatement::DiscardAll)),
+            "DISCARD" => Some(Err(SessionError::Unsupported(command))),
             "DEALLOCATE" => parse_deallocate(&arguments).map(Ok),
-            other if UNSUPPORTED.contains(&other) => Some(Err(Wrong::Unsupported(command))),
+            other if UNSUPPORTED.contains(&other) => Some(Err(SessionError::Unsupported(command))),
             _ => None,
         }
     }
 
     /// The command tag of its CommandComplete message.
-    pub fn tag(&self) -> &'static str {
+    pub fn command_tag(&self) -> &'static str {
         match self {
-            Utility::Setting(tag) => tag,
-            Utility::DiscardAll => "DISCARD ALL",
-            Utility::Deallocate(None) => "DEALLOCATE ALL",
-            Utility::Deallocate(Some(_)) => "DEALLOCATE",
+            UtilityStatement::Setting(tag) => tag,
+            UtilityStatement::DiscardAll => "DISCARD ALL",
+            UtilityStatement::Deallocate(None) => "DEALLOCATE ALL",
+            UtilityStatement::Deallocate(Some(_)) => "DEALLOCATE",
         }
     }
 }
@@ -80,14 +80,14 @@
 }
 
 /// Parses what follows `DEALLOCATE`: an optional `PREPARE`, then `ALL` or one name.
-fn parse_deallocate(arguments: &[&str]) -> Option<Utility> {
+fn parse_deallocate(arguments: &[&str]) -> Option<UtilityStatement> {
     let target = match arguments {
         [first, rest @ ..] if first.eq_ignore_ascii_case("prepare") => rest,
         _ => arguments,
     };
     match target {
-        _ if is_all(target) => Some(Utility::Deallocate(None)),
-        [name] => Some(Utility::Deallocate(Some(fold_identifier(name)?))),
+        _ if is_all(target) => Some(UtilityStatement::Deallocate(None)),
+        [name] => Some(UtilityStatement::Deallocate(Some(fold_identifier(name)?))),
         _ => None,
     }
 }
--- a/crates/pg-session/tests/plan.rs
+++ b/crates/pg-session/tests/extended.rs
@@ -5,11 +5,11 @@
 use reelrill_pg_protocol::Format;
 use reelrill_pg_protocol::frontend::{Bind, Command, ObjectKind};
 use reelrill_pg_protocol::oid;
-use reelrill_pg_session::Wrong;
-use reelrill_pg_session::account::{Accounts, Limits};
-use reelrill_pg_session::admit::Catalog;
-use reelrill_pg_session::plan::{Common, Output, Plan, Start};
-use reelrill_pg_session::template::Templates;
+use reelrill_pg_session::SessionError;
+use reelrill_pg_session::extended::{ExtendedSession, Output, SharedResources, StartedRequest};
+use reelrill_pg_session::limits::{Limits, SharedBudgets};
+use reelrill_pg_session::request::ClassCatalog;
+use reelrill_pg_session::template::TemplateStore;
 use reelrill_routing::{Class, Consistency, Idempotency, Operation};
 use rstest::rstest;
 use std::collections::HashMap;
@@ -19,7 +19,7 @@
 const WRITE: &str =
     "INSERT INTO facts (code, data) VALUES ($1, 'v') RETURNING data /* c=book,cluster=1 */";
 
-fn common(limits: Limits) -> Rc<Common> {
+fn common(limits: Limits) -> Rc<SharedResources> {
     let class = |operation| Class {
         operation,
         idempotency: Idempotency::Idempotent,
@@ -31,18 +31,18 @@
         late_weight: 0.0,
     };
     let names = ["board", "book"].map(str::to_owned).into();
-    Rc::new(Common {
-        templates: Templates::new(limits.text_bytes, oid::BYTEA),
+    Rc::new(SharedResources {
+        templates: TemplateStore::new(limits.text_bytes, oid::BYTEA),
         limits,
-        accounts: Accounts::new(&limits),
-        catalog: Catalog::new(
+        budgets: SharedBudgets::new(&limits),
+        classes: ClassCatalog::new(
             names,
             vec![
                 class(Operation::Read(Consistency::Eventual)),
                 class(Operation::Write),
             ],
         ),
-        translate: false,
+        should_translate: false,
     })
 }
 
@@ -76,7 +76,7 @@
 }
 
 /// `id` becomes the name of a request that is bound now.
-fn give(plan: &mut Plan<bool>, op: &Op, id: usize) {
+fn give(plan: &mut ExtendedSession<bool>, op: &Op, id: usize) {
     let command = match *op {
         Op::Parse(name, is_write) => Command::Parse {
             name,
@@ -99,7 +99,7 @@
         Op::DescribeStatement(name) => Command::Describe(ObjectKind::Statement, name),
         Op::Sync => Command::Sync,
     };
-    plan.command(&command, id as u64);
+    plan.on_command(&command, id as u64);
 }
 
 /// What a client gets that sends a command, waits for its answer, and sends the next: `fates` says by the
@@ -117,27 +117,27 @@
             Op::Sync => {
                 portals.clear();
                 skipping = false;
-                "Ready"
+                "ReadyForQuery"
             }
             Op::Parse(name, _) if !name.is_empty() && statements.contains_key(name) => {
-                "StatementExists"
+                "DuplicateStatement"
             }
             Op::Parse(name, is_write) => {
                 statements.insert(name, is_write);
-                "Parsed"
+                "ParseComplete"
             }
             Op::Bind(portal, statement) => match statements.get(statement) {
-                None => "NoStatement",
-                Some(_) if !portal.is_empty() && portals.contains_key(portal) => "PortalExists",
+                None => "UnknownStatement",
+                Some(_) if !portal.is_empty() && portals.contains_key(portal) => "DuplicatePortal",
                 Some(is_write) => {
                     portals.insert(portal, (*is_write, at, false));
-                    "Bound"
+                    "BindComplete"
                 }
             },
             Op::Execute(portal) => match portals.get_mut(portal) {
-                None => "NoPortal",
-                Some((true, _, true)) => "PortalDone",
-                Some((false, _, true)) => "Complete",
+                None => "UnknownPortal",
+                Some((true, _, true)) => "PortalAlreadyRun",
+                Some((false, _, true)) => "CommandComplete",
                 Some((is_write, id, has_run)) => {
                     *has_run = true;
                     if *is_write && fates[*id] {
@@ -148,24 +148,24 @@
             },
             Op::CloseStatement(name) => {
                 statements.remove(name);
-                "Closed"
+                "CloseComplete"
             }
             Op::ClosePortal(name) => {
                 portals.remove(name);
-                "Closed"
+                "CloseComplete"
             }
             Op::DescribeStatement(name) if statements.contains_key(name) => {
-                said.push("Parameters".to_owned());
-                "Column"
+                said.push("ParameterDescription".to_owned());
+                "RowDescription"
             }
-            Op::DescribeStatement(_) => "NoStatement",
+            Op::DescribeStatement(_) => "UnknownStatement",
         };
         let errors = [
-            "StatementExists",
-            "NoStatement",
-            "PortalExists",
-            "NoPortal",
-            "PortalDone",
+            "DuplicateStatement",
+            "UnknownStatement",
+            "DuplicatePortal",
+            "UnknownPortal",
+            "PortalAlreadyRun",
             "failed",
         ];
         skipping |= errors.contains(&word);
@@ -176,8 +176,8 @@
 
 fn word(output: &Output<bool>) -> String {
     match output {
-        Output::Answer { answer, .. } => if *answer { "served" } else { "failed" }.to_owned(),
-        Output::Wrong(wrong) => format!("{wrong:?}")
+        Output::Response { response, .. } => if *response { "served" } else { "failed" }.to_owned(),
+        Output::Error(wrong) => format!("{wrong:?}")
             .split(['(', ' '])
             .next()
             .unwrap_or("")
@@ -209,9 +209,9 @@
         ops.push(Op::Sync);
         let (wanted, writes) = one_by_one(&ops, &fates);
         let limits = Limits { reads, commands: 12, ..Limits::default() };
-        let mut plan: Plan<bool> = Plan::new(common(limits));
+        let mut plan: ExtendedSession<bool> = ExtendedSession::new(common(limits));
         let (mut given, mut said) = (0, Vec::new());
-        let (mut out, mut written): (Vec<Start>, Vec<u64>) = (Vec::new(), Vec::new());
+        let (mut out, mut written): (Vec<StartedRequest>, Vec<u64>) = (Vec::new(), Vec::new());
         for choice in choices.iter().cycle().take(5000) {
             while given < ops.len() && !plan.is_full() {
                 give(&mut plan, &ops[given], given);
@@ -220,14 +220,14 @@
                     break;
                 }
             }
-            while let Some(start) = plan.start() {
-                prop_assert!(!out.iter().any(|o| o.admitted.is_write), "beside a write");
-                prop_assert!(!start.admitted.is_write || out.is_empty(), "a write beside others");
+            while let Some(start) = plan.start_next() {
+                prop_assert!(!out.iter().any(|o| o.request.is_write), "beside a write");
+                prop_assert!(!start.request.is_write || out.is_empty(), "a write beside others");
                 prop_assert!(out.len() < reads);
                 out.push(start);
             }
             // The answers so far must be a beginning of the wanted ones, whenever they are looked at.
-            while let Some(output) = plan.output() {
+            while let Some(output) = plan.pop_output() {
                 said.push(word(&output));
             }
             prop_assert!(wanted.starts_with(&said), "{said:?} for {wanted:?}");
@@ -238,14 +238,14 @@
                 continue;
             }
             let ended = out.swap_remove(choice.index(out.len()));
-            let id = ended.admitted.id.unwrap();
+            let id = ended.request.id.unwrap();
             let fate = fates[id as usize];
-            if ended.admitted.is_write && fate {
+            if ended.request.is_write && fate {
                 written.push(id);
             }
-            let off = plan.finish(ended.part, fate, fate);
-            out.retain(|o| !off.contains(&o.part));
-            prop_assert!(plan.finish(ended.part, !fate, !fate).is_empty(), "a second end changes something");
+            let off = plan.finish(ended.number, fate, fate);
+            out.retain(|o| !off.contains(&o.number));
+            prop_assert!(plan.finish(ended.number, !fate, !fate).is_empty(), "a second end changes something");
         }
         prop_assert_eq!(&said, &wanted);
         prop_assert!(plan.is_idle());
@@ -254,68 +254,75 @@
 }
 
 /// Takes all that may start, ends it as served, and gives what is said.
-fn settle(plan: &mut Plan<bool>) -> Vec<String> {
+fn settle(plan: &mut ExtendedSession<bool>) -> Vec<String> {
     let mut said = Vec::new();
     loop {
-        while let Some(output) = plan.output() {
+        while let Some(output) = plan.pop_output() {
             said.push(word(&output));
         }
-        let Some(start) = plan.start() else {
+        let Some(start) = plan.start_next() else {
             return said;
         };
-        plan.finish(start.part, true, true);
+        plan.finish(start.number, true, true);
     }
 }
 
 #[test]
 fn a_row_limit_of_one_leaves_its_portal_suspended() {
-    let mut plan: Plan<bool> = Plan::new(common(Limits::default()));
+    let mut plan: ExtendedSession<bool> = ExtendedSession::new(common(Limits::default()));
     for op in [Op::Parse("", false), Op::Bind("", "")] {
         give(&mut plan, &op, 1);
     }
-    plan.command(
+    plan.on_command(
         &Command::Execute {
             portal: "",
             row_limit: 1,
         },
         1,
     );
-    plan.command(
+    plan.on_command(
         &Command::Execute {
             portal: "",
             row_limit: 1,
         },
         1,
     );
-    plan.command(&Command::Describe(ObjectKind::Portal, ""), 1);
-    let start = plan.start().unwrap();
-    assert!(plan.start().is_none());
+    plan.on_command(&Command::Describe(ObjectKind::Portal, ""), 1);
+    let start = plan.start_next().unwrap();
+    assert!(plan.start_next().is_none());
     assert_eq!(
-        [plan.output(), plan.output(), plan.output()],
-        [Some(Output::Parsed), Some(Output::Bound), None]
+        [plan.pop_output(), plan.pop_output(), plan.pop_output()],
+        [
+            Some(Output::ParseComplete),
+            Some(Output::BindComplete),
+            None
+        ]
     );
-    plan.finish(start.part, true, true);
+    plan.finish(start.number, true, true);
     assert_eq!(
-        plan.output(),
-        Some(Output::Answer {
-            answer: true,
-            suspended: true
+        plan.pop_output(),
+        Some(Output::Response {
+            response: true,
+            is_suspended: true
         })
     );
-    assert_eq!(plan.output(), Some(Output::Complete("SELECT 0")));
-    assert_eq!(plan.output(), Some(Output::Column(Format::Binary)));
+    assert_eq!(plan.pop_output(), Some(Output::CommandComplete("SELECT 0")));
+    assert_eq!(
+        plan.pop_output(),
+        Some(Output::RowDescription(Format::Binary))
+    );
 }
 
 #[rstest]
-#[case("DEALLOCATE a", "Complete")]
-#[case("DEALLOCATE x", "Wrong")]
-#[case("DISCARD ALL", "Complete")]
-#[case("SET x = 1", "Complete")]
-#[case("", "Empty")]
+#[case("DEALLOCATE a", "CommandComplete")]
+#[case("DEALLOCATE x", "Error")]
+#[case("DISCARD ALL", "CommandComplete")]
+#[case("SET x = 1", "CommandComplete")]
+#[case("", "EmptyQueryResponse")]
 fn utilities_run_without_an_instance(#[case] text: &str, #[case] wanted: &str) {
-    let mut plan: Plan<bool> = Plan::new(common(Limits::default()));
+    let mut plan: ExtendedSession<bool> = ExtendedSession::new(common(Limits::default()));
     give(&mut plan, &Op::Parse("a", false), 1);
-    plan.command(
+    plan.on_command(
         &Command::Parse {
             name: "u",
             text,
@@ -330,23 +337,26 @@
         values: vec![],
         result_formats: vec![],
     };
-    plan.command(&Command::Bind(bind), 1);
-    plan.command(
+    plan.on_command(&Command::Bind(bind), 1);
+    plan.on_command(
         &Command::Execute {
             portal: "",
             row_limit: 0,
         },
         1,
     );
-    plan.command(&Command::Sync, 1);
+    plan.on_command(&Command::Sync, 1);
     let said = settle(&mut plan);
-    assert_eq!(&said[..3], ["Parsed", "Parsed", "Bound"]);
+    assert_eq!(
+        &said[..3],
+        ["ParseComplete", "ParseComplete", "BindComplete"]
+    );
     assert!(
-        said[3] == wanted || (wanted == "Wrong" && said[3] == "NoStatement"),
+        said[3] == wanted || (wanted == "Error" && said[3] == "UnknownStatement"),
         "{said:?}"
     );
     assert_eq!(
-        plan.statements(),
+        plan.statement_count(),
         match text {
             "DEALLOCATE a" => 1,
             "DISCARD ALL" => 0,
@@ -366,12 +376,14 @@
         ..Limits::default()
     };
     let common = common(limits);
-    let mut plans: Vec<Plan<bool>> = (0..2).map(|_| Plan::new(common.clone())).collect();
-    let limit = |what, most| Some(Output::Wrong(Wrong::Limit { what, most }));
+    let mut plans: Vec<ExtendedSession<bool>> = (0..2)
+        .map(|_| ExtendedSession::new(common.clone()))
+        .collect();
+    let limit = |what, most| Some(Output::Error(SessionError::LimitExceeded { what, most }));
     let names = ["a", "b", "c", "d"];
-    let last = |plan: &mut Plan<bool>| {
+    let last = |plan: &mut ExtendedSession<bool>| {
         let mut last = None;
-        while let Some(output) = plan.output() {
+        while let Some(output) = plan.pop_output() {
             last = Some(output);
         }
         last
@@ -403,22 +415,22 @@
     assert_eq!(settle(plan).last().unwrap(), "served");
     drop(plans);
     assert_eq!(
-        (common.accounts.statements.used(), common.templates.used()),
+        (common.budgets.statements.used(), common.templates.usage()),
         (0, (0, 0))
     );
 }
 
 /// Guards the memory of bound values, whether they are kept as values or as literals; a Sync gives it back.
 #[rstest]
-fn bound_values_are_bounded(#[values(false, true)] translate: bool) {
+fn bound_values_are_bounded(#[values(false, true)] should_translate: bool) {
     let limits = Limits {
         value_bytes: 1000,
         ..Limits::default()
     };
     let mut common = Rc::try_unwrap(common(limits)).unwrap();
-    common.translate = translate;
+    common.should_translate = should_translate;
     let common = Rc::new(common);
-    let mut plan: Plan<bool> = Plan::new(common.clone());
+    let mut plan: ExtendedSession<bool> = ExtendedSession::new(common.clone());
     for round in 0..2 {
         give(&mut plan, &Op::Parse("", false), 1);
         let names: Vec<String> = (0..20).map(|n| format!("p{n}")).collect();
@@ -431,20 +443,20 @@
                 values,
                 result_formats: Vec::new(),
             };
-            plan.command(&Command::Bind(bind), 1);
+            plan.on_command(&Command::Bind(bind), 1);
         }
-        assert!(common.accounts.values.used() <= 1000);
+        assert!(common.budgets.value_bytes.used() <= 1000);
         give(&mut plan, &Op::Sync, 1);
         let mut said = Vec::new();
-        while let Some(output) = plan.output() {
+        while let Some(output) = plan.pop_output() {
             said.push(output);
         }
-        let wanted = Wrong::Limit {
+        let wanted = SessionError::LimitExceeded {
             what: "bytes of values",
             most: 1000,
         };
-        assert_eq!(said[said.len() - 2], Output::Wrong(wanted), "round {round}");
+        assert_eq!(said[said.len() - 2], Output::Error(wanted), "round {round}");
         assert!(said.len() > 4 && said.len() < 14, "{said:?}");
-        assert_eq!(common.accounts.values.used(), 0);
+        assert_eq!(common.budgets.value_bytes.used(), 0);
     }
 }
--- a/crates/router/src/client/connection.rs
+++ b/crates/router/src/client/connection.rs
@@ -23,8 +23,8 @@
 use reelrill_pg_protocol::frame;
 use reelrill_pg_protocol::frontend::{self, Startup};
 use reelrill_pg_protocol::{backend, sqlstate};
-use reelrill_pg_session::admit::Admitted;
-use reelrill_pg_session::bound::Ask;
+use reelrill_pg_session::endpoint_query::EndpointQuery;
+use reelrill_pg_session::request::ValidatedRequest;
 use reelrill_routing::Timestamp;
 use slog::info;
 use std::io::ErrorKind;
@@ -323,8 +323,8 @@
     /// A request that was read at `arrived`.
     pub(super) fn incoming(
         &self,
-        admitted: &Admitted,
-        ask: Rc<Ask>,
+        admitted: &ValidatedRequest,
+        ask: Rc<EndpointQuery>,
         arrived: Timestamp,
     ) -> ClientRequest {
         ClientRequest {
@@ -333,9 +333,9 @@
             class: admitted.class,
             replica_set: admitted.replica_set,
             session: admitted.session.clone(),
-            after: admitted.after,
+            after: admitted.last_write_at,
             is_retry: admitted.is_retry,
-            wait: admitted.wait,
+            wait: admitted.timeout,
             arrived,
             ask,
             left: CancellationFlag::default(),
--- a/crates/router/src/client/extended_queries.rs
+++ b/crates/router/src/client/extended_queries.rs
@@ -13,9 +13,9 @@
 use reelrill_pg_protocol::backend::{self, Column};
 use reelrill_pg_protocol::frontend::{self, Command};
 use reelrill_pg_protocol::{Format, frame, put_message};
-use reelrill_pg_session::Wrong;
-use reelrill_pg_session::bound::convert;
-use reelrill_pg_session::plan::{Output, Plan};
+use reelrill_pg_session::SessionError;
+use reelrill_pg_session::endpoint_query::convert_format;
+use reelrill_pg_session::extended::{ExtendedSession, Output};
 use reelrill_routing::RequestId;
 use std::borrow::Cow;
 
@@ -25,7 +25,7 @@
 
 /// The prepared statements of one client and what it has pipelined.
 pub struct ExtendedQueries {
-    plan: Plan<FinalResponse>,
+    plan: ExtendedSession<FinalResponse>,
     outstanding: OutstandingRequests,
     /// The OID of the type of the one column.
     data_type: u32,
@@ -36,7 +36,7 @@
     pub fn new(shared: &Shared) -> ExtendedQueries {
         let capacity = shared.common.limits.reads * RESPONSES_PER_READ + EXTRA_RESPONSES;
         ExtendedQueries {
-            plan: Plan::new(shared.common.clone()),
+            plan: ExtendedSession::new(shared.common.clone()),
             outstanding: OutstandingRequests::new(capacity),
             data_type: shared.config.edge.extended.data_type.oid(),
         }
@@ -44,17 +44,20 @@
 
     /// Whether its client would miss something if the connection were closed now.
     pub fn has_state(&self) -> bool {
-        self.plan.statements() > 0 || self.plan.is_open()
+        self.plan.statement_count() > 0 || self.plan.has_open_segment()
     }
 
     /// A simple query has come: it drops the unnamed statement and all portals.
     pub fn on_simple_query(&mut self) {
-        self.plan.on_simple();
+        self.plan.on_simple_query();
     }
 
     /// Runs a simple query that concerns the session's prepared statements alone. None: it is something else.
-    pub fn run_session_statement(&mut self, text: &str) -> Option<Result<&'static str, Wrong>> {
-        self.plan.simple(text)
+    pub fn run_session_statement(
+        &mut self,
+        text: &str,
+    ) -> Option<Result<&'static str, SessionError>> {
+        self.plan.run_utility_query(text)
     }
 
     /// The response in the format that its client wants.
@@ -63,7 +66,7 @@
             return response;
         };
         let given = answer.column.as_ref().map_or(wanted, |c| c.format);
-        let Some(value) = convert(&answer.value, self.data_type, given, wanted) else {
+        let Some(value) = convert_format(&answer.value, self.data_type, given, wanted) else {
             return FinalResponse::Failed(
                 "it has run; its value can't be given in the format asked for",
             );
@@ -87,7 +90,7 @@
 
     /// Its client cancels the first part without an answer. Returns the requests that are owed nothing any more.
     fn cancel_first(&mut self) -> Vec<RequestId> {
-        let Some((part, _)) = self.plan.first_open() else {
+        let Some((part, _)) = self.plan.first_pending() else {
             return Vec::new();
         };
         let Some(request) = self.outstanding.cancel(part) else {
@@ -110,7 +113,7 @@
             };
             match frontend::parse_command(tag, body) {
                 Ok(Command::Terminate | Command::Query(_)) | Err(_) => break,
-                Ok(command) => self.plan.command(&command, rand::random()),
+                Ok(command) => self.plan.on_command(&command, rand::random()),
             }
             rest = &rest[len..];
         }
@@ -120,23 +123,26 @@
     /// Puts one output. Returns whether the client waits for it: it ends with a Sync or a Flush, or is an error.
     fn put_output(&self, out: &mut Vec<u8>, output: Output<FinalResponse>) -> bool {
         match output {
-            Output::Parsed => put_message(out, b'1', &[]),
-            Output::Bound => put_message(out, b'2', &[]),
-            Output::Closed => put_message(out, b'3', &[]),
+            Output::ParseComplete => put_message(out, b'1', &[]),
+            Output::BindComplete => put_message(out, b'2', &[]),
+            Output::CloseComplete => put_message(out, b'3', &[]),
             Output::NoData => put_message(out, b'n', &[]),
-            Output::Empty => put_message(out, b'I', &[]),
-            Output::Parameters(types) => backend::put_parameter_description(out, &types),
-            Output::Column(format) => {
+            Output::EmptyQueryResponse => put_message(out, b'I', &[]),
+            Output::ParameterDescription(types) => backend::put_parameter_description(out, &types),
+            Output::RowDescription(format) => {
                 backend::put_row_description(out, &Column::new("data", self.data_type, format));
             }
-            Output::Complete(tag) => backend::put_command_complete(out, tag),
-            Output::Answer { answer, suspended } => return put_answer(out, &answer, suspended),
-            Output::Wrong(wrong) => {
+            Output::CommandComplete(tag) => backend::put_command_complete(out, tag),
+            Output::Response {
+                response,
+                is_suspended,
+            } => return put_answer(out, &response, is_suspended),
+            Output::Error(wrong) => {
                 backend::put_error_response(out, false, wrong.sqlstate(), &wrong.to_string(), None);
                 return true;
             }
             Output::Flush => return true,
-            Output::Ready => {
+            Output::ReadyForQuery => {
                 backend::put_ready_for_query(out);
                 return true;
             }
@@ -253,20 +259,24 @@
     }
 
     async fn start_pipelined_requests(&mut self) {
-        while let Some(start) = self.extended_queries.as_mut().and_then(|e| e.plan.start()) {
+        while let Some(start) = self
+            .extended_queries
+            .as_mut()
+            .and_then(|e| e.plan.start_next())
+        {
             let now = self.shared.clock.now();
-            let incoming = self.incoming(&start.admitted, start.ask, now);
+            let incoming = self.incoming(&start.request, start.query, now);
             let Some(extended) = &mut self.extended_queries else {
                 return;
             };
             let outstanding = &mut extended.outstanding;
-            let reply = outstanding.insert(start.part, &incoming, start.result);
+            let reply = outstanding.insert(start.number, &incoming, start.result_format);
             if self.dispatch(incoming, reply).await {
                 continue;
             }
             if let Some(extended) = &mut self.extended_queries {
                 let response = FinalResponse::Failed("the router is ending");
-                let abandoned = extended.finish(start.part, response);
+                let abandoned = extended.finish(start.number, response);
                 self.withdraw(abandoned).await;
             }
         }
@@ -279,9 +289,9 @@
         };
         let mut is_flush_due = false;
         while out.len() < WRITE_SIZE
-            && let Some(output) = extended.plan.output()
+            && let Some(output) = extended.plan.pop_output()
         {
-            if matches!(output, Output::Wrong(_)) {
+            if matches!(output, Output::Error(_)) {
                 count(&self.shared.counters.invalid_statements);
             }
             is_flush_due |= extended.put_output(out, output);
--- a/crates/router/src/client/simple_queries.rs
+++ b/crates/router/src/client/simple_queries.rs
@@ -11,10 +11,10 @@
 use crate::observability::counters::count;
 use futures_lite::future::or;
 use reelrill_pg_protocol::{Format, backend, frame, put_message, sqlstate};
-use reelrill_pg_session::Wrong;
-use reelrill_pg_session::admit::{Admitted, Named};
-use reelrill_pg_session::bound::{Ask, Simple};
-use reelrill_pg_session::queue::{Limits, Output, Queue};
+use reelrill_pg_session::SessionError;
+use reelrill_pg_session::endpoint_query::{EndpointQuery, SimpleQuery};
+use reelrill_pg_session::queue::{Output, QueueLimits, SimpleQueryQueue};
+use reelrill_pg_session::request::{RequestFields, ValidatedRequest};
 use std::rc::Rc;
 
 /// A response that needs no endpoint.
@@ -31,17 +31,17 @@
 
 /// The simple queries of one client that have no answer yet.
 pub struct SimpleQueries {
-    queue: Queue<FinalResponse, LocalResponse>,
+    queue: SimpleQueryQueue<FinalResponse, LocalResponse>,
     outstanding: OutstandingRequests,
 }
 
 impl SimpleQueries {
     /// No queries yet.
     pub fn new() -> SimpleQueries {
-        let limits = Limits::default();
+        let limits = QueueLimits::default();
         let outstanding = OutstandingRequests::new(limits.running * 2);
         SimpleQueries {
-            queue: Queue::new(limits),
+            queue: SimpleQueryQueue::new(limits),
             outstanding,
         }
     }
@@ -144,30 +144,36 @@
         }
         let is_blank = |c: char| c.is_whitespace() || c == ';';
         if text.trim_matches(is_blank).is_empty() {
-            return self.simple_queries.queue.say(LocalResponse::EmptyQuery);
+            return self
+                .simple_queries
+                .queue
+                .push_local_response(LocalResponse::EmptyQuery);
         }
         match self.read_request(text) {
             Ok((admitted, ask)) => {
                 let arrived = self.shared.clock.now();
                 let queue = &mut self.simple_queries.queue;
-                queue.request(admitted, ask, arrived, len);
+                queue.push_request(admitted, ask, arrived, len);
             }
             Err(error) => {
                 let response = self.local_response(text, &error);
-                self.simple_queries.queue.say(response);
+                self.simple_queries.queue.push_local_response(response);
             }
         }
     }
 
-    fn read_request(&self, text: &str) -> Result<(Admitted, Rc<Ask>), Wrong> {
-        let (named, digits) = Named::simple(text)?;
-        let admitted = self.shared.common.catalog.admit(&named)?;
-        let ask = Ask::Simple(Simple::new(text.as_bytes().to_vec(), digits));
+    fn read_request(
+        &self,
+        text: &str,
+    ) -> Result<(ValidatedRequest, Rc<EndpointQuery>), SessionError> {
+        let (named, digits) = RequestFields::from_simple_query(text)?;
+        let admitted = self.shared.common.classes.validate(&named)?;
+        let ask = EndpointQuery::Simple(SimpleQuery::new(text.as_bytes().to_vec(), digits));
         Ok((admitted, Rc::new(ask)))
     }
 
     /// The response to a query that is no request: a statement for the session, or wrong.
-    fn local_response(&mut self, text: &str, error: &Wrong) -> LocalResponse {
+    fn local_response(&mut self, text: &str, error: &SessionError) -> LocalResponse {
         let extended = self.extended_queries.as_mut();
         match extended.and_then(|extended| extended.run_session_statement(text)) {
             Some(Ok(tag)) => LocalResponse::Complete(tag),
@@ -184,13 +190,13 @@
     }
 
     async fn start_simple_queries(&mut self) {
-        while let Some(start) = self.simple_queries.queue.start() {
-            let incoming = self.incoming(&start.admitted, start.ask, start.arrived);
+        while let Some(start) = self.simple_queries.queue.start_next() {
+            let incoming = self.incoming(&start.request, start.query, start.received_at);
             let outstanding = &mut self.simple_queries.outstanding;
-            let reply = outstanding.insert(start.part, &incoming, Format::Text);
+            let reply = outstanding.insert(start.number, &incoming, Format::Text);
             if !self.dispatch(incoming, reply).await {
                 let response = FinalResponse::Failed("the router is ending");
-                self.simple_queries.finish(start.part, response);
+                self.simple_queries.finish(start.number, response);
             }
         }
     }
@@ -198,7 +204,7 @@
     /// Its client cancels the first request without an answer: it fails at once, and the dispatcher owes it nothing
     /// any more. One that has not been started is only answered.
     async fn cancel_simple_query(&mut self) {
-        let Some(part) = self.simple_queries.queue.first_open() else {
+        let Some(part) = self.simple_queries.queue.first_pending() else {
             return;
         };
         let queue = &mut self.simple_queries.queue;
@@ -212,16 +218,16 @@
         let is_ready = self.shared.ready.is_raised();
         let may_say = |r: &LocalResponse| is_ready || !matches!(r, LocalResponse::EmptyQuery);
         while out.len() < WRITE_SIZE
-            && let Some(output) = self.simple_queries.queue.output(may_say)
+            && let Some(output) = self.simple_queries.queue.pop_output(may_say)
         {
             match output {
-                Output::Answer(FinalResponse::Served(answer)) => put_answer(out, &answer),
-                Output::Answer(other) => put_failure(out, &other),
-                Output::Said(LocalResponse::EmptyQuery) => put_message(out, b'I', &[]),
-                Output::Said(LocalResponse::Complete(tag)) => {
+                Output::Response(FinalResponse::Served(answer)) => put_answer(out, &answer),
+                Output::Response(other) => put_failure(out, &other),
+                Output::LocalResponse(LocalResponse::EmptyQuery) => put_message(out, b'I', &[]),
+                Output::LocalResponse(LocalResponse::Complete(tag)) => {
                     backend::put_command_complete(out, tag)
                 }
-                Output::Said(LocalResponse::Error { code, message }) => {
+                Output::LocalResponse(LocalResponse::Error { code, message }) => {
                     count(&self.shared.counters.invalid_statements);
                     backend::put_error_response(out, false, code, &message, None);
                 }
--- a/crates/router/src/dispatcher/request_table.rs
+++ b/crates/router/src/dispatcher/request_table.rs
@@ -5,7 +5,7 @@
 
 use crate::messages::{AttemptProgress, CancellationFlag, ResponseTarget};
 use async_channel::Sender;
-use reelrill_pg_session::bound::Ask;
+use reelrill_pg_session::endpoint_query::EndpointQuery;
 use reelrill_routing::{EndpointId, RequestId, Timestamp};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -44,7 +44,7 @@
     pub client_id: u64,
     /// When its final answer leaves at the latest.
     pub deadline: Timestamp,
-    pub ask: Rc<Ask>,
+    pub ask: Rc<EndpointQuery>,
     /// Raised once its client has gone.
     pub client_left: CancellationFlag,
     /// The index of its class in the settings.
@@ -59,7 +59,7 @@
     pub fn new(
         client_id: u64,
         deadline: Timestamp,
-        ask: Rc<Ask>,
+        ask: Rc<EndpointQuery>,
         client_left: CancellationFlag,
         class: u32,
         reply: ResponseTarget,
--- a/crates/router/src/dispatcher/request_table/tests.rs
+++ b/crates/router/src/dispatcher/request_table/tests.rs
@@ -1,7 +1,7 @@
 use super::{InFlightAttempt, PendingRequest, RequestTable};
 use crate::messages::{AttemptProgress, CancellationFlag, FinalResponse, ResponseTarget};
 use async_channel::Receiver;
-use reelrill_pg_session::bound::{Ask, Simple};
+use reelrill_pg_session::endpoint_query::{EndpointQuery, SimpleQuery};
 use std::rc::Rc;
 
 const ID: u64 = 1;
@@ -13,7 +13,7 @@
     let request = PendingRequest::new(
         CLIENT_ID,
         100,
-        Rc::new(Ask::Simple(Simple::new(b"0".to_vec(), 0..1))),
+        Rc::new(EndpointQuery::Simple(SimpleQuery::new(b"0".to_vec(), 0..1))),
         CancellationFlag::default(),
         0,
         ResponseTarget { part: 7, to },
--- a/crates/router/src/extensions.rs
+++ b/crates/router/src/extensions.rs
@@ -4,7 +4,7 @@
 //! so that values of these types that come from a file are within their ranges.
 
 use reelrill_pg_protocol::oid;
-use reelrill_pg_session::account::Limits;
+use reelrill_pg_session::limits::Limits;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -4,7 +4,7 @@
 //! owns a task or a socket.
 
 use reelrill_pg_protocol::Format;
-use reelrill_pg_session::bound::Ask;
+use reelrill_pg_session::endpoint_query::EndpointQuery;
 use reelrill_routing::{
     AttemptOutcome, EndpointEntry, EndpointId, ListKind, Nanos, ReplicationStatus, RequestId,
     Timestamp,
@@ -44,7 +44,7 @@
     /// How long the client waits from `arrived` on, in nanoseconds.
     pub wait: Nanos,
     pub arrived: Timestamp,
-    pub ask: Rc<Ask>,
+    pub ask: Rc<EndpointQuery>,
     /// Raised by the client's task as soon as the client has gone or called the request off: nothing begins from then
     /// on, whatever still waits in a mailbox, for a connection or for a descriptor.
     pub left: CancellationFlag,
@@ -184,7 +184,7 @@
     pub request: RequestId,
     /// Counts the attempts of a request from 0 on.
     pub number: u32,
-    pub ask: Rc<Ask>,
+    pub ask: Rc<EndpointQuery>,
     /// When the router stops waiting.
     pub until: Timestamp,
     /// It must be written by then, or not at all.
--- a/crates/router/src/runtime/shared.rs
+++ b/crates/router/src/runtime/shared.rs
@@ -13,10 +13,10 @@
 };
 pub use crate::runtime::flag::Flag;
 use crate::runtime::shutdown::ShutdownSchedule;
-use reelrill_pg_session::account::Accounts;
-use reelrill_pg_session::admit::Catalog;
-use reelrill_pg_session::plan::Common;
-use reelrill_pg_session::template::Templates;
+use reelrill_pg_session::extended::SharedResources;
+use reelrill_pg_session::limits::SharedBudgets;
+use reelrill_pg_session::request::ClassCatalog;
+use reelrill_pg_session::template::TemplateStore;
 use reelrill_routing::{EndpointId, Timestamp};
 use slog::Logger;
 use std::cell::{Cell, RefCell};
@@ -56,7 +56,7 @@
     pub scratch: RefCell<Vec<u8>>,
     requests: Cell<u64>,
     /// What all clients' prepared statements and pipelines share.
-    pub common: Rc<Common>,
+    pub common: Rc<SharedResources>,
     /// The clients that may cancel what they wait for.
     pub cancellations: CancellationRegistry,
 }
@@ -73,17 +73,17 @@
 const SCRATCH_SIZE: usize = 64 * 1024;
 
 /// What all clients' prepared statements and pipelines share.
-fn session_common(config: &Config) -> Common {
+fn session_common(config: &Config) -> SharedResources {
     let extended = &config.edge.extended;
-    Common {
-        templates: Templates::new(extended.limits.text_bytes, extended.data_type.oid()),
+    SharedResources {
+        templates: TemplateStore::new(extended.limits.text_bytes, extended.data_type.oid()),
         limits: extended.limits,
-        accounts: Accounts::new(&extended.limits),
-        catalog: Catalog::new(
+        budgets: SharedBudgets::new(&extended.limits),
+        classes: ClassCatalog::new(
             config.site.class_names.clone(),
             config.site.settings.classes.clone(),
         ),
-        translate: extended.mode == Mode::Translate,
+        should_translate: extended.mode == Mode::Translate,
     }
 }
 
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -16,9 +16,9 @@
 use futures_lite::future::or;
 use reelrill_pg_protocol::frame;
 use reelrill_pg_protocol::frontend::{self, ObjectKind};
-use reelrill_pg_session::bound::{Ask, Bound};
-use reelrill_pg_session::prepared::{Need, Prepared};
-use reelrill_pg_session::template::{self, Kind};
+use reelrill_pg_session::endpoint_query::{BoundStatement, EndpointQuery};
+use reelrill_pg_session::prepared::{Preparation, PreparedStatements};
+use reelrill_pg_session::template::{self, StatementKind};
 use reelrill_routing::{EndpointId, Nanos, Timestamp};
 use slog::info;
 use std::io;
@@ -43,7 +43,7 @@
     pub idle_since: Timestamp,
     /// What its log line says, if it is dropped now.
     pub(super) close_reason: CloseReason,
-    prepared: Prepared,
+    prepared: PreparedStatements,
     /// When discovery was last told that the endpoint answers.
     reported_alive_at: Timestamp,
     _permit: DescriptorPermit,
@@ -98,7 +98,7 @@
             endpoint,
             address,
             close_reason: CloseReason::DialFailed,
-            prepared: Prepared::new(max_prepared),
+            prepared: PreparedStatements::new(max_prepared),
             reported_alive_at: 0,
             _permit: permit,
         }
@@ -125,14 +125,16 @@
     /// `time_left` says how long that is when something has to be written again, or that nothing may be.
     pub async fn execute(
         &mut self,
-        ask: &Ask,
+        ask: &EndpointQuery,
         wait: Nanos,
         time_left: impl Fn() -> Option<Nanos>,
         progress: &AttemptProgress,
     ) -> Result<Response, ExchangeError> {
         let bound = match ask {
-            Ask::Simple(simple) => return self.query(&simple.with_wait(wait), progress).await,
-            Ask::Bound(bound) => bound,
+            EndpointQuery::Simple(simple) => {
+                return self.query(&simple.with_timeout(wait), progress).await;
+            }
+            EndpointQuery::Bound(bound) => bound,
         };
         let response = self.execute_prepared(bound, wait, progress).await?;
         if !response.has_unknown_statement() || !response.is_ready {
@@ -143,7 +145,7 @@
             return Ok(response);
         };
         count(&self.shared.counters.statements_reprepared);
-        self.prepared.forgotten(bound.template().id);
+        self.prepared.remove(bound.template().id);
         self.execute_prepared(bound, wait, progress).await
     }
 
@@ -163,23 +165,29 @@
     /// Executes a prepared statement: all that it needs here in one write, a Parse only where it is lacking.
     async fn execute_prepared(
         &mut self,
-        bound: &Bound,
+        bound: &BoundStatement,
         wait: Nanos,
         progress: &AttemptProgress,
     ) -> Result<Response, ExchangeError> {
         let template = bound.template();
         let mut messages = Vec::new();
-        let need = self.prepared.need(template.id);
-        let name = template.name();
+        let need = self.prepared.preparation(template.id);
+        let name = template.statement_name();
         let confirmations: &[u8] = match need {
-            Need::Ready => b"2",
-            Need::Prepare { evict: None } => b"12",
-            Need::Prepare { evict: Some(old) } => {
-                frontend::put_close(&mut messages, ObjectKind::Statement, &template::name(old));
+            Preparation::NotNeeded => b"2",
+            Preparation::Needed { evict: None } => b"12",
+            Preparation::Needed { evict: Some(old) } => {
+                frontend::put_close(
+                    &mut messages,
+                    ObjectKind::Statement,
+                    &template::statement_name(old),
+                );
                 b"312"
             }
         };
-        if let (Need::Prepare { .. }, Kind::Request(request)) = (need, &template.kind) {
+        if let (Preparation::Needed { .. }, StatementKind::Request(request)) =
+            (need, &template.kind)
+        {
             count(&self.shared.counters.statements_prepared);
             frontend::put_parse(&mut messages, &name, &request.text, &request.types);
         }
@@ -192,8 +200,8 @@
         let response = self
             .exchange(&messages, executable_length, progress, response)
             .await?;
-        if need != Need::Ready && response.missing_confirmations() < b"12".len() {
-            self.prepared.confirmed(template.id);
+        if need != Preparation::NotNeeded && response.missing_confirmations() < b"12".len() {
+            self.prepared.insert(template.id);
         }
         Ok(response)
     }
