--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -4,7 +4,7 @@
 //! dispatcher. None of them owns a task or a socket.
 
 use reelrill_pg_protocol::Format;
-use reelrill_pg_session::bound::Ask;
+use reelrill_pg_session::endpoint_query::EndpointQuery;
 use reelrill_routing::{
     AttemptOutcome, EndpointEntry, EndpointId, ListKind, Nanos, ReplicationStatus, RequestId,
     Timestamp,
@@ -53,7 +53,7 @@
     /// The time at which the client's task read the request.
     pub received_at: Timestamp,
     /// The statement to execute.
-    pub statement: Rc<Ask>,
+    pub statement: Rc<EndpointQuery>,
     /// Raised by the client's task as soon as the client disconnects or cancels the request. No further step is
     /// started from then on, even if the request waits in a mailbox, for a connection or for a file descriptor.
     pub cancelled: CancellationFlag,
@@ -228,7 +228,7 @@
     /// Numbers the attempts of a request, from 0.
     pub number: u32,
     /// The statement to execute.
-    pub statement: Rc<Ask>,
+    pub statement: Rc<EndpointQuery>,
     /// The time at which the router stops waiting for the response.
     pub deadline: Timestamp,
     /// The time from which the request must not be written any more.
--- a/crates/router/src/runtime/shared.rs
+++ b/crates/router/src/runtime/shared.rs
@@ -14,10 +14,10 @@
 };
 pub use crate::runtime::flag::Flag;
 use crate::runtime::shutdown::ShutdownSchedule;
-use reelrill_pg_session::account::Accounts;
-use reelrill_pg_session::admit::Catalog;
-use reelrill_pg_session::plan::Common;
-use reelrill_pg_session::template::Templates;
+use reelrill_pg_session::extended::SharedResources;
+use reelrill_pg_session::limits::SharedBudgets;
+use reelrill_pg_session::request::ClassCatalog;
+use reelrill_pg_session::template::TemplateStore;
 use reelrill_routing::{EndpointId, Timestamp};
 use slog::Logger;
 use std::cell::{Cell, RefCell};
@@ -59,7 +59,7 @@
     pub discard_buffer: RefCell<Vec<u8>>,
     request_count: Cell<u64>,
     /// The resources that the prepared statements and pipelines of all clients share.
-    pub session_resources: Rc<Common>,
+    pub session_resources: Rc<SharedResources>,
     /// The clients that can cancel their requests.
     pub cancellations: CancellationRegistry,
 }
@@ -77,17 +77,17 @@
 const DISCARD_BUFFER_SIZE: usize = 64 * 1024;
 
 /// Creates the resources that the prepared statements and pipelines of all clients share.
-fn new_session_resources(config: &Config) -> Common {
+fn new_session_resources(config: &Config) -> SharedResources {
     let extended = &config.extensions.extended;
-    Common {
-        templates: Templates::new(extended.limits.text_bytes, extended.data_type.oid()),
+    SharedResources {
+        templates: TemplateStore::new(extended.limits.text_bytes, extended.data_type.oid()),
         limits: extended.limits,
-        accounts: Accounts::new(&extended.limits),
-        catalog: Catalog::new(
+        budgets: SharedBudgets::new(&extended.limits),
+        classes: ClassCatalog::new(
             config.site.class_names.clone(),
             config.site.settings.classes.clone(),
         ),
-        translate: extended.mode == ExtendedQueryMode::Translate,
+        should_translate: extended.mode == ExtendedQueryMode::Translate,
     }
 }
 
