--- a/crates/experiments/src/membership.rs
+++ b/crates/experiments/src/membership.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use reelrill_service_discovery::wheel::{TimerHandle, TimerWheel};
 use reelrill_service_discovery::{
-    Claim, ClaimedState, EndpointRegistry, Input, RegistrySettings, SourceKind,
+    Claim, ClaimedState, EndpointRegistry, RegistryInput, RegistrySettings, SourceKind,
 };
 use reelrill_test_support::dns::{self, Server, Zone};
 use reelrill_test_support::{Client, Discovery, Group, Instance, Router, settings};
@@ -157,7 +157,7 @@
     );
     let mut out = Vec::new();
     for (source, kind) in [(0, SourceKind::EndpointList), (1, SourceKind::DnsRecords)] {
-        endpoints.handle(0, Input::SourceAdded { source, kind }, &mut out);
+        endpoints.handle(0, RegistryInput::SourceAdded { source, kind }, &mut out);
     }
     for (n, id) in names.ids.iter().enumerate() {
         let claim = Claim {
@@ -167,7 +167,7 @@
         };
         endpoints.handle(
             0,
-            Input::Claimed {
+            RegistryInput::Claimed {
                 source: 0,
                 name: id.clone(),
                 claim: claim.clone(),
@@ -176,12 +176,12 @@
         );
         let claim = Claim {
             version: 0,
-            until: Some(60_000_000_000),
+            expires_at: Some(60_000_000_000),
             ..claim
         };
         endpoints.handle(
             0,
-            Input::Claimed {
+            RegistryInput::Claimed {
                 source: 1,
                 name: names.records[n].clone(),
                 claim,
@@ -206,7 +206,7 @@
         }
         let mut list = HashMap::with_capacity(self.claims.len());
         for (id, [a, b]) in &self.claims {
-            let best = if b.started > a.started { b } else { a };
+            let best = if b.started_at > a.started_at { b } else { a };
             let drains = a.state == ClaimedState::Draining || b.state == ClaimedState::Draining;
             let state = if drains {
                 ClaimedState::Draining
@@ -245,7 +245,7 @@
                     version,
                     ..Claim::new(&names.ids[n], address(n), n as u32 / 5)
                 };
-                inputs.push(Input::Claimed {
+                inputs.push(RegistryInput::Claimed {
                     source: 0,
                     name: names.ids[n].clone(),
                     claim,
--- a/crates/router/src/discovery/admin_socket/status_table.rs
+++ b/crates/router/src/discovery/admin_socket/status_table.rs
@@ -2,7 +2,7 @@
 
 use reelrill_routing::Timestamp;
 use reelrill_service_discovery::{
-    ClaimedState, EndpointRegistry, EndpointStatus, EndpointView, HeldClaim, SourceId,
+    ClaimedState, EndpointRegistry, EndpointStatus, EndpointView, SourceId, StoredClaim,
 };
 use std::fmt::Write as _;
 
@@ -16,20 +16,20 @@
     source_name: impl Fn(SourceId) -> String,
 ) -> String {
     let mut table = String::new();
-    for status in endpoints.status() {
+    for status in endpoints.endpoint_statuses() {
         let _ = writeln!(table, "{}", endpoint_line(&status, now));
         for held in &status.claims {
-            let silent_since = endpoints.silent_since(held.source);
+            let silent_since = endpoints.unreachable_since(held.source);
             let name = source_name(held.source);
             let _ = writeln!(table, "{}", claim_line(held, &name, silent_since, now));
         }
     }
-    let counts = endpoints.counts();
+    let counts = endpoints.counters();
     let _ = writeln!(
         table,
         "{} members, {} contradicted, {} ambiguous, {} refused",
         endpoints.len(),
-        counts.contradictions,
+        counts.state_conflicts,
         counts.ambiguous_names,
         counts.rejected_claims
     );
@@ -43,7 +43,7 @@
         Some(_) => "draining",
     };
     let place = status.listed.as_ref().map_or_else(String::new, place);
-    let answered = match status.answered {
+    let answered = match status.last_response_at {
         Some(at) => age(now, at) + " ago",
         None => "never".to_owned(),
     };
@@ -61,7 +61,7 @@
 }
 
 fn claim_line(
-    held: &HeldClaim,
+    held: &StoredClaim,
     source: &str,
     silent_since: Option<Timestamp>,
     now: Timestamp,
@@ -72,9 +72,9 @@
         "    {source} says {:?} {} start {} told {} ago, the same for {}{stale}{silent}",
         held.claim.state,
         held.claim.address,
-        held.claim.started / NANOS_PER_MILLISECOND,
-        age(now, held.told),
-        age(now, held.since),
+        held.claim.started_at / NANOS_PER_MILLISECOND,
+        age(now, held.renewed_at),
+        age(now, held.unchanged_since),
     )
 }
 
--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -153,10 +153,13 @@
 }
 
 fn path_of(request: &PollRequest) -> String {
-    match request.since {
-        Some(since) => {
-            let wait_ms = since.wait / NANOS_PER_MILLISECOND;
-            format!("{LIST_PATH}?since={}&timeout_ms={wait_ms}", since.version)
+    match request.long_poll {
+        Some(long_poll) => {
+            let wait_ms = long_poll.wait / NANOS_PER_MILLISECOND;
+            format!(
+                "{LIST_PATH}?since={}&timeout_ms={wait_ms}",
+                long_poll.version
+            )
         }
         None => LIST_PATH.to_owned(),
     }
--- a/crates/router/src/discovery/list_watch.rs
+++ b/crates/router/src/discovery/list_watch.rs
@@ -135,23 +135,23 @@
 
     fn on_address(&mut self, now: Timestamp, address: SocketAddr) {
         if self.client.set_address(address) {
-            self.watch.service_replaced();
+            self.watch.on_service_replaced();
         }
         // Polled at once, also if the address is the old one: a poll of it may have been dropped just now.
         self.schedule_request(now, ListRequest::Changes);
     }
 
     async fn on_poll_ended(&mut self, now: Timestamp, result: PollResult) {
-        let next_step = self.watch.complete(now, client::outcome(&result));
+        let next_step = self.watch.complete_poll(now, client::outcome(&result));
         let mut is_reported = true;
         if let NextStep::Poll {
             request,
             delay,
-            suppresses_report,
+            should_suppress_report,
         } = next_step
         {
             self.scheduled = Some(ScheduledPoll { request, delay });
-            is_reported = !suppresses_report;
+            is_reported = !should_suppress_report;
         }
         // This poll answers what was requested meanwhile, but for a request for the complete list.
         while let Ok(request) = self.requests.try_recv() {
--- a/crates/router/src/discovery/registry/dns_query.rs
+++ b/crates/router/src/discovery/registry/dns_query.rs
@@ -15,7 +15,7 @@
 
 /// Sends one query from a port of its own, and passes on what comes back until it is dropped.
 pub async fn run(source: SourceId, query: DnsQuery, events: Sender<RegistryEvent>) {
-    let result = if query.over_tcp {
+    let result = if query.is_tcp {
         over_tcp(&query).await.map(Some)
     } else {
         over_udp(source, &query, &events).await
--- a/crates/router/src/discovery/registry/mod.rs
+++ b/crates/router/src/discovery/registry/mod.rs
@@ -18,7 +18,7 @@
 use futures_lite::future::or;
 use reelrill_routing::{EndpointEntry, EndpointState, ListKind, Nanos, Timestamp};
 use reelrill_service_discovery::{
-    Change, Claim, ClaimedState, EndpointRegistry, EndpointView, Input, ListingRule,
+    Claim, ClaimedState, EndpointRegistry, EndpointView, ListChange, ListingRule, RegistryInput,
     RegistrySettings, SourceId, SourceKind, Withdrawal,
 };
 use services::Service;
@@ -131,7 +131,7 @@
         let now = self.shared.clock.now();
         let mut changes = Vec::new();
         if self.shared.config.edge.discovery.roster {
-            let input = Input::SourceAdded {
+            let input = RegistryInput::SourceAdded {
                 source: ENDPOINT_LIST,
                 kind: SourceKind::EndpointList,
             };
@@ -176,7 +176,7 @@
         browsers.chain(others).flatten().min()
     }
 
-    fn on_due(&mut self, now: Timestamp, changes: &mut Vec<Change>) {
+    fn on_due(&mut self, now: Timestamp, changes: &mut Vec<ListChange>) {
         self.endpoints.on_due(now, changes);
         for source in self.service_ids() {
             self.drive_browser(now, source, changes, |browser, out| {
@@ -201,8 +201,13 @@
         let _ = query.try_send(admin_socket::table(&self.endpoints, now, name));
     }
 
-    async fn on_event(&mut self, now: Timestamp, event: RegistryEvent, changes: &mut Vec<Change>) {
-        let before = self.endpoints.counts().contradictions;
+    async fn on_event(
+        &mut self,
+        now: Timestamp,
+        event: RegistryEvent,
+        changes: &mut Vec<ListChange>,
+    ) {
+        let before = self.endpoints.counters().state_conflicts;
         match event {
             RegistryEvent::EndpointList {
                 kind,
@@ -213,7 +218,7 @@
                 endpoint,
                 is_draining,
             } => {
-                let input = Input::EndpointResponded {
+                let input = RegistryInput::EndpointResponded {
                     endpoint,
                     is_draining,
                 };
@@ -228,9 +233,12 @@
                 self.on_settings(now, &discovery, changes);
             }
         }
-        let contradictions = self.endpoints.counts().contradictions - before;
+        let contradictions = self.endpoints.counters().state_conflicts - before;
         if contradictions > 0 {
-            let endpoint = self.endpoints.contradicted().map_or("", |id| id);
+            let endpoint = self
+                .endpoints
+                .last_conflicting_endpoint()
+                .map_or("", |id| id);
             warn!(self.shared.log, "sources contradict"; "times" => contradictions, "last" => endpoint);
         }
     }
@@ -242,11 +250,11 @@
         kind: ListKind,
         listed: Vec<ListedEndpoint>,
         version: u64,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         if kind == ListKind::Failed {
             let source = ENDPOINT_LIST;
-            let input = Input::SourceFailed { source };
+            let input = RegistryInput::SourceFailed { source };
             self.endpoints.handle(now, input, changes);
             // The balancer thinks that the list is watched as long as changes come, also those of records.
             self.list_retry_at = Some(now + self.next_backoff());
@@ -258,7 +266,7 @@
         if kind == ListKind::Full {
             let names = listed.iter().map(|l| l.entry.endpoint.clone()).collect();
             let source = ENDPOINT_LIST;
-            let input = Input::Snapshot { source, names };
+            let input = RegistryInput::Snapshot { source, names };
             self.endpoints.handle(now, input, changes);
         }
         self.on_entries(now, listed, version, changes);
@@ -278,7 +286,7 @@
         now: Timestamp,
         listed: Vec<ListedEndpoint>,
         version: u64,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         for endpoint in listed {
             let input = input_of(endpoint, version);
@@ -292,7 +300,7 @@
     }
 
     /// Reports changes to the dispatcher, with a line in the log for each.
-    async fn report(&self, changes: Vec<Change>) {
+    async fn report(&self, changes: Vec<ListChange>) {
         if changes.is_empty() {
             return;
         }
@@ -300,8 +308,8 @@
         for change in changes {
             let rule = self.endpoints.rule(change.endpoint());
             listed.push(match change {
-                Change::Gone { endpoint } => self.report_removed(endpoint, rule),
-                Change::Listed {
+                ListChange::Removed { endpoint } => self.report_removed(endpoint, rule),
+                ListChange::Listed {
                     endpoint,
                     view,
                     is_new,
@@ -347,7 +355,7 @@
         };
         let entry = EndpointEntry {
             endpoint,
-            started: view.started,
+            started: view.started_at,
             primary: false,
             state,
             weight: view.weight,
@@ -362,14 +370,18 @@
 }
 
 /// What an entry of the endpoint list states, as the registry takes it.
-fn input_of(listed: ListedEndpoint, version: u64) -> Input {
+fn input_of(listed: ListedEndpoint, version: u64) -> RegistryInput {
     let ListedEndpoint { entry, address } = listed;
     let source = ENDPOINT_LIST;
     let name = entry.endpoint.clone();
     let state = match entry.state {
         EndpointState::Removed => {
-            let how = Withdrawal::Removed;
-            return Input::Withdrawn { source, name, how };
+            let withdrawal = Withdrawal::Removed;
+            return RegistryInput::Withdrawn {
+                source,
+                name,
+                withdrawal,
+            };
         }
         EndpointState::Draining => ClaimedState::Draining,
         EndpointState::Serving => ClaimedState::Ready,
@@ -377,12 +389,12 @@
     let claim = Claim {
         zone: entry.zone,
         state,
-        started: entry.started,
+        started_at: entry.started,
         version,
         weight: entry.weight,
         ..Claim::new(&entry.endpoint, address, entry.replica_set)
     };
-    Input::Claimed {
+    RegistryInput::Claimed {
         source,
         name,
         claim,
--- a/crates/router/src/discovery/registry/services.rs
+++ b/crates/router/src/discovery/registry/services.rs
@@ -7,8 +7,8 @@
 use futures_lite::future::or;
 use hickory_proto::rr::Name;
 use reelrill_routing::Timestamp;
-use reelrill_service_discovery::browse::{Browser, BrowserConfig, DnsQuery, Output};
-use reelrill_service_discovery::{Change, Input, SourceId, SourceKind};
+use reelrill_service_discovery::browse::{Browser, BrowserConfig, BrowserOutput, DnsQuery};
+use reelrill_service_discovery::{ListChange, RegistryInput, SourceId, SourceKind};
 use slog::{info, warn};
 use std::collections::HashMap;
 
@@ -78,12 +78,12 @@
             servers: settings.servers.clone(),
             service: parse_name(name)?,
             domain: parse_name(&settings.domain)?,
-            ttl: (
+            ttl_range: (
                 settings.ttl_floor_ms * NANOS_PER_MILLISECOND,
                 settings.ttl_ceiling_ms * NANOS_PER_MILLISECOND,
             ),
-            timeout: settings.timeout_ms * NANOS_PER_MILLISECOND,
-            budget: settings.budget.into(),
+            query_timeout: settings.timeout_ms * NANOS_PER_MILLISECOND,
+            max_queries_per_second: settings.budget.into(),
             zones: self.shared.config.site.zones.clone(),
         };
         let source = self.next_source;
@@ -108,7 +108,7 @@
         &mut self,
         now: Timestamp,
         discovery: &Discovery,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         let before = self.service_ids();
         let gone = match self.configure_services(discovery) {
@@ -126,7 +126,7 @@
             self.start_service(now, source, changes);
         }
         for source in gone {
-            let input = Input::SourceRemoved { source };
+            let input = RegistryInput::SourceRemoved { source };
             self.endpoints.handle(now, input, changes);
         }
     }
@@ -135,10 +135,10 @@
         &mut self,
         now: Timestamp,
         source: SourceId,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         let kind = SourceKind::DnsRecords;
-        let input = Input::SourceAdded { source, kind };
+        let input = RegistryInput::SourceAdded { source, kind };
         self.endpoints.handle(now, input, changes);
         self.drive_browser(now, source, changes, |browser, out| browser.start(now, out));
     }
@@ -150,7 +150,7 @@
         source: SourceId,
         query: u64,
         bytes: Option<&[u8]>,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         self.drive_browser(now, source, changes, |browser, out| match bytes {
             Some(bytes) => browser.on_response(now, query, bytes, out),
@@ -163,8 +163,8 @@
         &mut self,
         now: Timestamp,
         source: SourceId,
-        changes: &mut Vec<Change>,
-        input: impl FnOnce(&mut Browser, &mut Vec<Output>),
+        changes: &mut Vec<ListChange>,
+        input: impl FnOnce(&mut Browser, &mut Vec<BrowserOutput>),
     ) {
         let Some(service) = self.services.get_mut(&source) else {
             return;
@@ -173,9 +173,9 @@
         input(&mut service.browser, &mut outputs);
         for output in outputs {
             match output {
-                Output::UpdateRegistry(input) => self.endpoints.handle(now, input, changes),
-                Output::CancelQuery(query) => self.cancel_query(source, query),
-                Output::SendQuery(query) => self.start_query(source, query),
+                BrowserOutput::UpdateRegistry(input) => self.endpoints.handle(now, input, changes),
+                BrowserOutput::CancelQuery(query) => self.cancel_query(source, query),
+                BrowserOutput::SendQuery(query) => self.start_query(source, query),
             }
         }
     }
--- a/crates/service-discovery/src/browse/claims.rs
+++ b/crates/service-discovery/src/browse/claims.rs
@@ -1,8 +1,8 @@
 //! Converting resource records into claims: SRV, TXT and address records of an endpoint become one [`Claim`].
 
-use super::types::Output;
+use super::types::BrowserOutput;
 use super::{Browser, RecordKey};
-use crate::{Claim, ClaimedState, Input, Withdrawal};
+use crate::{Claim, ClaimedState, RegistryInput, Withdrawal};
 use hickory_proto::rr::{Name, RData, RecordType};
 use reelrill_routing::Timestamp;
 use std::collections::HashMap;
@@ -72,12 +72,12 @@
     }
 
     /// Withdraws an endpoint's claim, and drops its records and those of a host that no other endpoint names.
-    pub(super) fn withdraw_claim(&mut self, endpoint: &Name, outputs: &mut Vec<Output>) {
+    pub(super) fn withdraw_claim(&mut self, endpoint: &Name, outputs: &mut Vec<BrowserOutput>) {
         if self.claimed.remove(endpoint).is_some() {
-            outputs.push(Output::UpdateRegistry(Input::Withdrawn {
+            outputs.push(BrowserOutput::UpdateRegistry(RegistryInput::Withdrawn {
                 source: self.source,
                 name: registry_name(endpoint),
-                how: Withdrawal::Absent,
+                withdrawal: Withdrawal::Absent,
             }));
         }
         if let Some(target) = self.service_target(endpoint) {
@@ -106,7 +106,7 @@
         &mut self,
         now: Timestamp,
         endpoint: &Name,
-        outputs: &mut Vec<Output>,
+        outputs: &mut Vec<BrowserOutput>,
     ) {
         let Some((pairs, records_until)) = self.endpoint_records(endpoint) else {
             return;
@@ -116,7 +116,7 @@
             return self.withdraw_claim(endpoint, outputs);
         };
         if !self.config.domain.zone_of(&target.host) {
-            self.counts.foreign += 1;
+            self.counters.unrelated_records += 1;
             return;
         }
         let endpoints = self.hosted.entry(target.host.clone()).or_default();
@@ -126,11 +126,11 @@
         };
         let until = records_until.min(address_until);
         let Some(claim) = self.claim_of(&target, ip, &pairs, until) else {
-            self.counts.incomplete += 1;
+            self.counters.incomplete_endpoints += 1;
             return;
         };
         self.claimed.insert(endpoint.clone(), claim.clone());
-        outputs.push(Output::UpdateRegistry(Input::Claimed {
+        outputs.push(BrowserOutput::UpdateRegistry(RegistryInput::Claimed {
             source: self.source,
             name: registry_name(endpoint),
             claim,
@@ -212,11 +212,11 @@
             } else {
                 ClaimedState::Draining
             },
-            started: started_ms.saturating_mul(NANOS_PER_MILLISECOND),
+            started_at: started_ms.saturating_mul(NANOS_PER_MILLISECOND),
             version: 0,
             weight: relative_weight(target.weight),
             tier: target.priority,
-            until: Some(until),
+            expires_at: Some(until),
         })
     }
 }
--- a/crates/service-discovery/src/browse/mod.rs
+++ b/crates/service-discovery/src/browse/mod.rs
@@ -6,8 +6,8 @@
 //! records takes one round trip at a server that sends them along, and three at most.
 //!
 //! What fails takes nothing away: a server that fails is followed by the next, and when all have failed the source is
-//! [`Input::SourceFailed`](crate::Input::SourceFailed) and requested again after a growing pause. An empty list of
-//! endpoints counts as a failure until it has come [`EMPTY_LISTS_BELIEVED`] times in a row.
+//! [`SourceFailed`](crate::RegistryInput::SourceFailed) and requested again after a growing pause. An empty list of
+//! endpoints counts as a failure until it has come [`EMPTY_LIST_THRESHOLD`] times in a row.
 //!
 //! [`Browser`] owns the records and the queries in flight. It never opens a socket and reads no clock.
 
@@ -16,7 +16,7 @@
 mod responses;
 mod types;
 
-pub use types::{BrowserConfig, BrowserCounts, DnsQuery, Output};
+pub use types::{BrowserConfig, BrowserCounters, BrowserOutput, DnsQuery};
 
 use crate::wheel::{TimerHandle, TimerWheel};
 use crate::{Claim, SourceId};
@@ -28,7 +28,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 
 /// How often in a row a list of endpoints must be empty before it is believed.
-pub const EMPTY_LISTS_BELIEVED: u32 = 3;
+pub const EMPTY_LIST_THRESHOLD: u32 = 3;
 
 /// Names a set of records.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -95,14 +95,14 @@
     failures: u32,
     /// Empty lists of endpoints in a row.
     empty_lists: u32,
-    counts: BrowserCounts,
+    counters: BrowserCounters,
 }
 
 impl Browser {
     /// A client that has sent nothing yet; `seed` is for message ids and jitter.
     pub fn new(config: BrowserConfig, source: SourceId, seed: u64, now: Timestamp) -> Browser {
         Browser {
-            tokens: config.budget.max(1.0),
+            tokens: config.max_queries_per_second.max(1.0),
             config,
             source,
             random: StdRng::seed_from_u64(seed),
@@ -120,17 +120,17 @@
             tokens_updated_at: now,
             failures: 0,
             empty_lists: 0,
-            counts: BrowserCounts::default(),
+            counters: BrowserCounters::default(),
         }
     }
 
     /// What has been counted since the start.
-    pub fn counts(&self) -> BrowserCounts {
-        self.counts
+    pub fn counters(&self) -> BrowserCounters {
+        self.counters
     }
 
     /// Begins to browse.
-    pub fn start(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
+    pub fn start(&mut self, now: Timestamp, outputs: &mut Vec<BrowserOutput>) {
         self.request(RecordKey::new(&self.config.service, RecordType::PTR));
         self.send_queued(now, outputs);
     }
@@ -141,14 +141,14 @@
     }
 
     /// Handles queries that took too long, and records that must be requested again.
-    pub fn on_due(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
+    pub fn on_due(&mut self, now: Timestamp, outputs: &mut Vec<BrowserOutput>) {
         let mut due = Vec::new();
         self.wheel.expire(now, &mut due);
         for event in due {
             match event {
                 TimerEvent::QueryTimedOut(id) => {
-                    self.counts.timed_out += 1;
-                    outputs.push(Output::CancelQuery(id));
+                    self.counters.queries_timed_out += 1;
+                    outputs.push(BrowserOutput::CancelQuery(id));
                     self.try_next_server(now, id, outputs);
                 }
                 TimerEvent::RefreshDue(key) => self.on_refresh_due(key),
@@ -170,8 +170,8 @@
     }
 
     /// A query could not be sent, or its connection broke.
-    pub fn on_query_failed(&mut self, now: Timestamp, id: u64, outputs: &mut Vec<Output>) {
-        self.counts.failed += 1;
+    pub fn on_query_failed(&mut self, now: Timestamp, id: u64, outputs: &mut Vec<BrowserOutput>) {
+        self.counters.queries_failed += 1;
         self.try_next_server(now, id, outputs);
         self.send_queued(now, outputs);
     }
@@ -182,20 +182,20 @@
         now: Timestamp,
         id: u64,
         bytes: &[u8],
-        outputs: &mut Vec<Output>,
+        outputs: &mut Vec<BrowserOutput>,
     ) {
         let Some(pending) = self.pending.get(&id) else {
             return;
         };
         let Some(message) = responses::read_response(bytes, pending) else {
-            self.counts.forged += 1;
+            self.counters.mismatched_messages += 1;
             return;
         };
-        if message.metadata.truncation && !pending.query.over_tcp {
+        if message.metadata.truncation && !pending.query.is_tcp {
             self.repeat_over_tcp(id, outputs);
         } else if !responses::is_success(&message) {
-            self.counts.failed += 1;
-            outputs.push(Output::CancelQuery(id));
+            self.counters.queries_failed += 1;
+            outputs.push(BrowserOutput::CancelQuery(id));
             self.try_next_server(now, id, outputs);
         } else if let Some(query) = self.finish_query(id, outputs) {
             self.requested.remove(&query.key);
@@ -210,10 +210,10 @@
         self.send_queued(now, outputs);
     }
 
-    fn repeat_over_tcp(&mut self, id: u64, outputs: &mut Vec<Output>) {
+    fn repeat_over_tcp(&mut self, id: u64, outputs: &mut Vec<BrowserOutput>) {
         if let Some(query) = self.finish_query(id, outputs) {
             self.queue.push_front(QueuedQuery {
-                over_tcp: true,
+                is_tcp: true,
                 ..query
             });
         }
--- a/crates/service-discovery/src/browse/queries.rs
+++ b/crates/service-discovery/src/browse/queries.rs
@@ -1,8 +1,8 @@
 //! The browser's queries: which wait, which are in flight, the budget that paces them, and what follows a failure.
 
-use super::types::{DnsQuery, Output};
+use super::types::{BrowserOutput, DnsQuery};
 use super::{Browser, RecordKey, TimerEvent};
-use crate::Input;
+use crate::RegistryInput;
 use crate::wheel::TimerHandle;
 use hickory_proto::op::{Edns, Message, Query};
 use hickory_proto::rr::RecordType;
@@ -30,7 +30,7 @@
     pub(super) server: usize,
     /// Servers tried so far, this one included.
     pub(super) attempt: usize,
-    pub(super) over_tcp: bool,
+    pub(super) is_tcp: bool,
 }
 
 /// A query in flight.
@@ -61,7 +61,7 @@
                 key,
                 server: 0,
                 attempt: 1,
-                over_tcp: false,
+                is_tcp: false,
             });
         }
     }
@@ -70,16 +70,21 @@
     pub(super) fn finish_query(
         &mut self,
         id: u64,
-        outputs: &mut Vec<Output>,
+        outputs: &mut Vec<BrowserOutput>,
     ) -> Option<QueuedQuery> {
         let pending = self.pending.remove(&id)?;
         self.wheel.cancel(pending.timer);
-        outputs.push(Output::CancelQuery(id));
+        outputs.push(BrowserOutput::CancelQuery(id));
         Some(pending.query)
     }
 
     /// Queues a query that failed for the next server, or gives up for now.
-    pub(super) fn try_next_server(&mut self, now: Timestamp, id: u64, outputs: &mut Vec<Output>) {
+    pub(super) fn try_next_server(
+        &mut self,
+        now: Timestamp,
+        id: u64,
+        outputs: &mut Vec<BrowserOutput>,
+    ) {
         let Some(pending) = self.pending.remove(&id) else {
             return;
         };
@@ -89,7 +94,7 @@
             self.queue.push_back(QueuedQuery {
                 server: (failed.server + 1) % self.config.servers.len(),
                 attempt: failed.attempt + 1,
-                over_tcp: false,
+                is_tcp: false,
                 ..failed
             });
             return;
@@ -99,11 +104,16 @@
     }
 
     /// Nothing new could be learnt; the records are requested again after a pause that grows.
-    pub(super) fn back_off(&mut self, now: Timestamp, key: RecordKey, outputs: &mut Vec<Output>) {
-        outputs.push(Output::UpdateRegistry(Input::SourceFailed {
+    pub(super) fn back_off(
+        &mut self,
+        now: Timestamp,
+        key: RecordKey,
+        outputs: &mut Vec<BrowserOutput>,
+    ) {
+        outputs.push(BrowserOutput::UpdateRegistry(RegistryInput::SourceFailed {
             source: self.source,
         }));
-        let (min_ttl, _) = self.config.ttl;
+        let (min_ttl, _) = self.config.ttl_range;
         let doublings = self.failures.min(MAX_BACKOFF_DOUBLINGS);
         let longest = (min_ttl.max(MIN_BACKOFF) << doublings).min(MAX_BACKOFF);
         self.failures += 1;
@@ -113,8 +123,8 @@
     }
 
     /// Sends what is queued, as far as the budget goes.
-    pub(super) fn send_queued(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
-        let budget = self.config.budget.max(1.0);
+    pub(super) fn send_queued(&mut self, now: Timestamp, outputs: &mut Vec<BrowserOutput>) {
+        let budget = self.config.max_queries_per_second.max(1.0);
         let elapsed = now.saturating_sub(self.tokens_updated_at) as f64 / NANOS_PER_SECOND;
         self.tokens = (self.tokens + elapsed * budget).min(budget);
         self.tokens_updated_at = now;
@@ -134,22 +144,22 @@
         }
     }
 
-    fn send(&mut self, now: Timestamp, query: QueuedQuery, outputs: &mut Vec<Output>) {
+    fn send(&mut self, now: Timestamp, query: QueuedQuery, outputs: &mut Vec<BrowserOutput>) {
         self.tokens -= 1.0;
-        self.counts.queries += 1;
-        self.counts.over_tcp += u64::from(query.over_tcp);
+        self.counters.queries_sent += 1;
+        self.counters.tcp_queries += u64::from(query.is_tcp);
         let message_id = self.random.random();
         let Ok(message) = message_for(&query.key, message_id).to_vec() else {
             return;
         };
         self.last_query_id += 1;
         let id = self.last_query_id;
-        let timeout_at = now.saturating_add(self.config.timeout);
+        let timeout_at = now.saturating_add(self.config.query_timeout);
         let timer = self.wheel.insert(timeout_at, TimerEvent::QueryTimedOut(id));
-        outputs.push(Output::SendQuery(DnsQuery {
+        outputs.push(BrowserOutput::SendQuery(DnsQuery {
             id,
             server: self.config.servers[query.server],
-            over_tcp: query.over_tcp,
+            is_tcp: query.is_tcp,
             message,
         }));
         let pending = PendingQuery {
--- a/crates/service-discovery/src/browse/responses.rs
+++ b/crates/service-discovery/src/browse/responses.rs
@@ -1,8 +1,8 @@
 //! Responses: whether a message answers a query, which of its records are kept, and for how long.
 
 use super::queries::PendingQuery;
-use super::types::Output;
-use super::{Browser, EMPTY_LISTS_BELIEVED, RecordKey};
+use super::types::BrowserOutput;
+use super::{Browser, EMPTY_LIST_THRESHOLD, RecordKey};
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
 use rand::RngExt as _;
@@ -83,7 +83,7 @@
         now: Timestamp,
         key: RecordKey,
         message: &Message,
-        outputs: &mut Vec<Output>,
+        outputs: &mut Vec<BrowserOutput>,
     ) {
         let Found { records, mut ttl } = find(&message.answers, &key);
         if records.is_empty() {
@@ -122,14 +122,14 @@
             return true;
         }
         self.empty_lists += 1;
-        self.empty_lists >= EMPTY_LISTS_BELIEVED || self.claimed.is_empty()
+        self.empty_lists >= EMPTY_LIST_THRESHOLD || self.claimed.is_empty()
     }
 
     /// Takes in the list of endpoints: withdraws those that are gone, and returns those that are there.
-    fn take_list(&mut self, records: &[RData], outputs: &mut Vec<Output>) -> HashSet<Name> {
+    fn take_list(&mut self, records: &[RData], outputs: &mut Vec<BrowserOutput>) -> HashSet<Name> {
         let in_domain = |name: &&Name| self.config.domain.zone_of(name);
         let names: HashSet<Name> = endpoints_in(records).filter(in_domain).cloned().collect();
-        self.counts.foreign += (records.len() - names.len()) as u64;
+        self.counters.unrelated_records += (records.len() - names.len()) as u64;
         let is_gone = |name: &&Name| !names.contains(*name);
         let gone: Vec<Name> = self.claimed.keys().filter(is_gone).cloned().collect();
         for name in gone {
@@ -159,7 +159,7 @@
         for host in hosts {
             used += self.keep_additionals_of(now, message, &host, ADDRESS_KINDS);
         }
-        self.counts.foreign += message.additionals.len().saturating_sub(used) as u64;
+        self.counters.unrelated_records += message.additionals.len().saturating_sub(used) as u64;
     }
 
     /// Keeps the additional records of one name; returns how many there are.
@@ -186,7 +186,7 @@
 
     /// Keeps a set of records, and sets when it is to be requested again.
     fn keep(&mut self, now: Timestamp, key: RecordKey, records: Vec<RData>, ttl_seconds: u32) {
-        let (min_ttl, max_ttl) = self.config.ttl;
+        let (min_ttl, max_ttl) = self.config.ttl_range;
         let ttl = (u64::from(ttl_seconds) * NANOS_PER_SECOND).clamp(min_ttl, max_ttl);
         let extra = match key.kind {
             RecordType::PTR => 0.0,
--- a/crates/service-discovery/src/browse/types.rs
+++ b/crates/service-discovery/src/browse/types.rs
@@ -1,6 +1,6 @@
 //! What the browser takes from its host and gives out.
 
-use crate::Input;
+use crate::RegistryInput;
 use hickory_proto::rr::Name;
 use reelrill_routing::Nanos;
 use std::net::SocketAddr;
@@ -15,11 +15,11 @@
     /// Names outside of this domain are not believed.
     pub domain: Name,
     /// The least and the most that a TTL counts for, in nanoseconds.
-    pub ttl: (Nanos, Nanos),
+    pub ttl_range: (Nanos, Nanos),
     /// How long one query may take, in nanoseconds.
-    pub timeout: Nanos,
+    pub query_timeout: Nanos,
     /// The most queries a second.
-    pub budget: f64,
+    pub max_queries_per_second: f64,
     /// The zones' names, in the order that [`crate::Claim::zone`] counts.
     pub zones: Vec<String>,
 }
@@ -32,37 +32,37 @@
     /// Where it is sent.
     pub server: SocketAddr,
     /// It is sent over TCP, with the length in front.
-    pub over_tcp: bool,
+    pub is_tcp: bool,
     /// The message.
     pub message: Vec<u8>,
 }
 
 /// What the host is to do.
 #[derive(Debug, Clone)]
-pub enum Output {
+pub enum BrowserOutput {
     /// Send a query, and give back all that comes until it is cancelled.
     SendQuery(DnsQuery),
     /// Wait for the query of this number no longer.
     CancelQuery(u64),
     /// Give this to the endpoint registry.
-    UpdateRegistry(Input),
+    UpdateRegistry(RegistryInput),
 }
 
 /// What has been counted since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct BrowserCounts {
+pub struct BrowserCounters {
     /// Queries sent.
-    pub queries: u64,
+    pub queries_sent: u64,
     /// Those of them that were sent over TCP.
-    pub over_tcp: u64,
+    pub tcp_queries: u64,
     /// Those of them without a response in time.
-    pub timed_out: u64,
+    pub queries_timed_out: u64,
     /// Queries that could not be sent, and responses by which the server failed.
-    pub failed: u64,
+    pub queries_failed: u64,
     /// Messages that are no response to the query: another id, question or kind, or unreadable.
-    pub forged: u64,
+    pub mismatched_messages: u64,
     /// Records in a response that do not belong to the question.
-    pub foreign: u64,
+    pub unrelated_records: u64,
     /// Endpoints whose records state no replica set.
-    pub incomplete: u64,
+    pub incomplete_endpoints: u64,
 }
--- a/crates/service-discovery/src/lib.rs
+++ b/crates/service-discovery/src/lib.rs
@@ -3,12 +3,12 @@
 //! come out.
 //!
 //! ```
-//! use reelrill_service_discovery::{Claim, EndpointRegistry, Input, RegistrySettings, SourceKind};
+//! use reelrill_service_discovery::{Claim, EndpointRegistry, RegistryInput, RegistrySettings, SourceKind};
 //! let mut endpoints = EndpointRegistry::new(RegistrySettings::default(), 0);
-//! endpoints.handle(0, Input::SourceAdded { source: 0, kind: SourceKind::EndpointList }, &mut Vec::new());
+//! endpoints.handle(0, RegistryInput::SourceAdded { source: 0, kind: SourceKind::EndpointList }, &mut Vec::new());
 //! let claim = Claim::new("s-1", "127.0.0.1:7001".parse().unwrap(), 1);
 //! let mut changes = Vec::new();
-//! endpoints.handle(0, Input::Claimed { source: 0, name: "s-1".into(), claim }, &mut changes);
+//! endpoints.handle(0, RegistryInput::Claimed { source: 0, name: "s-1".into(), claim }, &mut changes);
 //! assert_eq!(changes[0].endpoint(), "s-1");
 //! ```
 //!
@@ -21,6 +21,7 @@
 pub mod wheel;
 
 pub use registry::{
-    Change, Claim, ClaimedState, EndpointRegistry, EndpointStatus, EndpointView, HeldClaim, Input,
-    ListingRule, RegistryCounts, RegistrySettings, SourceId, SourceKind, StateMarker, Withdrawal,
+    Claim, ClaimedState, EndpointRegistry, EndpointStatus, EndpointView, ListChange, ListingRule,
+    RegistryCounters, RegistryInput, RegistrySettings, SourceId, SourceKind, StateMarker,
+    StoredClaim, Withdrawal,
 };
--- a/crates/service-discovery/src/registry/claim.rs
+++ b/crates/service-discovery/src/registry/claim.rs
@@ -39,7 +39,7 @@
     /// Its state.
     pub state: ClaimedState,
     /// When it last started, in Unix nanoseconds; 0: not stated, or long past.
-    pub started: Timestamp,
+    pub started_at: Timestamp,
     /// The source's version of this claim; 0 where it has none.
     pub version: u64,
     /// Its capacity relative to others; 1 is usual.
@@ -47,7 +47,7 @@
     /// Endpoints of a higher tier are used only while their replica set has none in service in a lower one.
     pub tier: u16,
     /// When the claim gets stale unless it is renewed; none: never.
-    pub until: Option<Timestamp>,
+    pub expires_at: Option<Timestamp>,
 }
 
 impl Claim {
@@ -59,11 +59,11 @@
             replica_set,
             zone: 0,
             state: ClaimedState::Ready,
-            started: 0,
+            started_at: 0,
             version: 0,
             weight: 1.0,
             tier: 0,
-            until: None,
+            expires_at: None,
         }
     }
 
@@ -80,7 +80,7 @@
     pub(super) fn states_same_as(&self, other: &Claim) -> bool {
         let renewed = Claim {
             version: other.version,
-            until: other.until,
+            expires_at: other.expires_at,
             ..self.clone()
         };
         renewed == *other
@@ -98,7 +98,7 @@
 
 /// A claim as it is kept.
 #[derive(Debug, Clone, PartialEq)]
-pub struct HeldClaim {
+pub struct StoredClaim {
     /// Who states it.
     pub source: SourceId,
     /// The endpoint's name at the source.
@@ -106,9 +106,9 @@
     /// What is stated.
     pub claim: Claim,
     /// When it was last renewed.
-    pub told: Timestamp,
+    pub renewed_at: Timestamp,
     /// Since when it states the same.
-    pub since: Timestamp,
+    pub unchanged_since: Timestamp,
     /// It was not renewed in time: it counts for less than a fresh one.
     pub is_stale: bool,
 }
@@ -117,26 +117,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct StateMarker {
     /// The source that stated it.
-    pub by: SourceId,
+    pub source: SourceId,
     /// What that source is.
-    pub kind: SourceKind,
+    pub source_kind: SourceKind,
     /// The start of the endpoint's process about which it was stated, in Unix nanoseconds.
-    pub started: Timestamp,
+    pub started_at: Timestamp,
     /// The source's version of the claim.
     pub version: u64,
     /// When it was stated.
-    pub at: Timestamp,
+    pub set_at: Timestamp,
 }
 
-impl HeldClaim {
+impl StoredClaim {
     /// A marker that this claim sets at `at`.
     pub(super) fn marker(&self, kind: SourceKind, at: Timestamp) -> StateMarker {
         StateMarker {
-            by: self.source,
-            kind,
-            started: self.claim.started,
+            source: self.source,
+            source_kind: kind,
+            started_at: self.claim.started_at,
             version: self.claim.version,
-            at,
+            set_at: at,
         }
     }
 }
--- a/crates/service-discovery/src/registry/claims.rs
+++ b/crates/service-discovery/src/registry/claims.rs
@@ -1,9 +1,9 @@
 //! Taking claims in and out, and the reachability of their sources.
 
 use super::EndpointRegistry;
-use super::claim::{Claim, HeldClaim, SourceId, Withdrawal};
+use super::claim::{Claim, SourceId, StoredClaim, Withdrawal};
 use super::record::EndpointRecord;
-use super::view::Change;
+use super::view::ListChange;
 use reelrill_routing::Timestamp;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,10 +19,10 @@
         let Some(state) = self.sources.get_mut(&source) else {
             return false;
         };
-        if state.silent_since.is_none() == is_reachable {
+        if state.unreachable_since.is_none() == is_reachable {
             return false;
         }
-        state.silent_since = (!is_reachable).then_some(now);
+        state.unreachable_since = (!is_reachable).then_some(now);
         true
     }
 
@@ -31,7 +31,7 @@
         &mut self,
         now: Timestamp,
         source: SourceId,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         self.withdraw_all(now, source, changes);
         self.sources.remove(&source);
@@ -56,7 +56,7 @@
         source: SourceId,
         name: Arc<str>,
         claim: Claim,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         if !self.sources.contains_key(&source) {
             return;
@@ -65,7 +65,7 @@
         let id = self.resolve_endpoint(source, &name, &claim);
         let is_full = self.endpoints.len() >= self.settings.max_endpoints;
         if is_full && !self.endpoints.contains_key(&id) {
-            self.counts.rejected_claims += 1;
+            self.counters.rejected_claims += 1;
             return;
         }
         // The source may give the name to another endpoint; the earlier one is evaluated once the new one has it.
@@ -123,19 +123,19 @@
             }
         });
         if record.is_contradicted_by(source, &name, &claim) {
-            self.counts.contradictions += 1;
-            self.contradicted = Some(id.clone());
+            self.counters.state_conflicts += 1;
+            self.last_conflicting_endpoint = Some(id.clone());
         }
         if record.is_restarted_by(&claim) {
-            record.draining_since = None;
+            record.drain_reported_at = None;
         }
-        let held = HeldClaim {
+        let held = StoredClaim {
             source,
             name,
-            is_stale: claim.until.is_some_and(|until| until <= now),
+            is_stale: claim.expires_at.is_some_and(|expires_at| expires_at <= now),
             claim,
-            told: now,
-            since: now,
+            renewed_at: now,
+            unchanged_since: now,
         };
         record.apply_markers(&held, kind, self.settings.has_sticky_drains);
         record.store_claim(held)
@@ -146,7 +146,7 @@
         &mut self,
         now: Timestamp,
         source: SourceId,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         self.withdraw_unless(now, source, |_| false, changes);
     }
@@ -157,7 +157,7 @@
         now: Timestamp,
         source: SourceId,
         is_listed: impl Fn(&Arc<str>) -> bool,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         let is_absent = |key: &&(SourceId, Arc<str>)| key.0 == source && !is_listed(&key.1);
         let absent: Vec<Arc<str>> = self
@@ -175,13 +175,13 @@
         now: Timestamp,
         source: SourceId,
         mut names: Vec<Arc<str>>,
-        how: Withdrawal,
-        changes: &mut Vec<Change>,
+        withdrawal: Withdrawal,
+        changes: &mut Vec<ListChange>,
     ) {
         names.sort_unstable();
         let mut touched = Vec::with_capacity(names.len());
         for name in names {
-            touched.extend(self.withdraw_one(now, source, name, how));
+            touched.extend(self.withdraw_one(now, source, name, withdrawal));
         }
         for (id, address) in &touched {
             self.release_address(*address, id, now, changes);
@@ -197,14 +197,16 @@
         now: Timestamp,
         source: SourceId,
         name: Arc<str>,
-        how: Withdrawal,
+        withdrawal: Withdrawal,
     ) -> Option<(Arc<str>, SocketAddr)> {
         let kind = self.sources.get(&source)?.kind;
         let key = (source, name);
         let id = self.names.remove(&key)?;
         let record = self.endpoints.get_mut(&id)?;
         let removed = record.remove_claim(source, &key.1)?;
-        if how == Withdrawal::Removed || !self.settings.requires_all_sources_for_removal {
+        if withdrawal == Withdrawal::Removed
+            || !self.settings.should_require_all_sources_for_removal
+        {
             record.tombstone = Some(removed.marker(kind, now));
         }
         Some((id, removed.claim.address))
--- a/crates/service-discovery/src/registry/expiry.rs
+++ b/crates/service-discovery/src/registry/expiry.rs
@@ -3,7 +3,7 @@
 use super::EndpointRegistry;
 use super::record::EndpointRecord;
 use super::settings::RegistrySettings;
-use super::view::Change;
+use super::view::ListChange;
 use reelrill_routing::Timestamp;
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 
 impl EndpointRegistry {
     /// Applies what has expired by `now`, and appends what that changes in the list.
-    pub fn on_due(&mut self, now: Timestamp, changes: &mut Vec<Change>) {
+    pub fn on_due(&mut self, now: Timestamp, changes: &mut Vec<ListChange>) {
         let mut due = Vec::new();
         self.wheel.expire(now, &mut due);
         let heartbeat_ttl = self.settings.heartbeat_ttl;
@@ -26,11 +26,14 @@
                 continue;
             };
             record.timer = None;
-            record.draining_since = record
-                .draining_since
+            record.drain_reported_at = record
+                .drain_reported_at
                 .filter(|at| now < at.saturating_add(heartbeat_ttl));
             for held in &mut record.claims {
-                held.is_stale |= held.claim.until.is_some_and(|until| until <= now);
+                held.is_stale |= held
+                    .claim
+                    .expires_at
+                    .is_some_and(|expires_at| expires_at <= now);
             }
             self.reevaluate(now, &id, changes);
         }
@@ -73,9 +76,9 @@
             return Expiry::Forget(self.last_news_at().saturating_add(settings.retention));
         }
         let fresh_claims = self.claims.iter().filter(|held| !held.is_stale);
-        let stale_at = fresh_claims.filter_map(|held| held.claim.until).min();
+        let stale_at = fresh_claims.filter_map(|held| held.claim.expires_at).min();
         let drain_end = self
-            .draining_since
+            .drain_reported_at
             .map(|at| at.saturating_add(settings.heartbeat_ttl));
         let ends = [stale_at, heartbeat_end, drain_end];
         Expiry::Reevaluate(ends.into_iter().flatten().min())
@@ -83,8 +86,8 @@
 
     /// When something was last heard of an endpoint that nobody names.
     fn last_news_at(&self) -> Timestamp {
-        let removed_at = self.tombstone.map(|marker| marker.at);
-        let drained_at = self.drain_marker.map(|marker| marker.at);
+        let removed_at = self.tombstone.map(|marker| marker.set_at);
+        let drained_at = self.drain_marker.map(|marker| marker.set_at);
         let latest = self.responded_at.max(removed_at).max(drained_at);
         latest.unwrap_or(0)
     }
--- a/crates/service-discovery/src/registry/identity.rs
+++ b/crates/service-discovery/src/registry/identity.rs
@@ -6,7 +6,7 @@
 
 use super::EndpointRegistry;
 use super::claim::{Claim, SourceId};
-use super::view::Change;
+use super::view::ListChange;
 use reelrill_routing::Timestamp;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
         match (named.next(), named.next()) {
             (Some(only), None) => return only.clone(),
             (Some(_), Some(_)) if !self.names.contains_key(&(source, name.clone())) => {
-                self.counts.ambiguous_names += 1;
+                self.counters.ambiguous_names += 1;
             }
             _ => {}
         }
@@ -64,7 +64,7 @@
         address: SocketAddr,
         id: &Arc<str>,
         now: Timestamp,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         let indexed = self
             .addresses
@@ -121,7 +121,7 @@
         address: SocketAddr,
         id: &Arc<str>,
         now: Timestamp,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         let record = self.endpoints.get(id);
         if record.is_some_and(|record| record.has_claim_at(address)) {
@@ -153,7 +153,7 @@
         now: Timestamp,
         address: SocketAddr,
         id: &Arc<str>,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         for other in self.others_at(address, id) {
             self.reevaluate(now, &other, changes);
--- a/crates/service-discovery/src/registry/input.rs
+++ b/crates/service-discovery/src/registry/input.rs
@@ -6,7 +6,7 @@
 
 /// One input of the registry.
 #[derive(Debug, Clone)]
-pub enum Input {
+pub enum RegistryInput {
     /// A source is there from now on.
     SourceAdded {
         /// Its number.
@@ -35,7 +35,7 @@
         /// The endpoint, as the source names it.
         name: Arc<str>,
         /// How.
-        how: Withdrawal,
+        withdrawal: Withdrawal,
     },
     /// These are all that the source names.
     Snapshot {
--- a/crates/service-discovery/src/registry/listing.rs
+++ b/crates/service-discovery/src/registry/listing.rs
@@ -1,17 +1,22 @@
 //! Evaluating endpoints anew, and publishing what that changes in the list.
 
 use super::EndpointRegistry;
-use super::claim::{ClaimedState, HeldClaim};
+use super::claim::{ClaimedState, StoredClaim};
 use super::record::TierKey;
 use super::rules::Evaluation;
-use super::view::{Change, EndpointView, ListingRule};
+use super::view::{EndpointView, ListChange, ListingRule};
 use reelrill_routing::Timestamp;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 impl EndpointRegistry {
     /// Evaluates an endpoint anew and publishes what that changes, for it and for those that depend on it.
-    pub(super) fn reevaluate(&mut self, now: Timestamp, id: &Arc<str>, changes: &mut Vec<Change>) {
+    pub(super) fn reevaluate(
+        &mut self,
+        now: Timestamp,
+        id: &Arc<str>,
+        changes: &mut Vec<ListChange>,
+    ) {
         let Some(evaluation) = self.evaluate(now, id) else {
             return;
         };
@@ -47,7 +52,7 @@
         evaluation: &Evaluation,
         id: &Arc<str>,
         now: Timestamp,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         let in_service = evaluation
             .view
@@ -78,7 +83,7 @@
         let address = self.claimed_address_of(self.endpoints.get(id)?);
         let record = self.endpoints.get_mut(id)?;
         record.claimed_address = address;
-        let differs = |held: &HeldClaim| !held.claim.is_listed_like(&record.claims[0].claim);
+        let differs = |held: &StoredClaim| !held.claim.is_listed_like(&record.claims[0].claim);
         if record.claims.iter().any(differs) {
             self.disputed.insert(id.clone());
         } else if !self.disputed.is_empty() {
@@ -94,7 +99,7 @@
         now: Timestamp,
         address: SocketAddr,
         id: &Arc<str>,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         for other in self.others_at(address, id) {
             let rule = self.evaluate(now, &other).map(|evaluation| evaluation.rule);
@@ -113,7 +118,7 @@
         &mut self,
         now: Timestamp,
         is_reachability_new: bool,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         if !is_reachability_new {
             return;
@@ -130,7 +135,7 @@
         &mut self,
         id: &Arc<str>,
         evaluation: Evaluation,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         let is_standby = self.is_standby(&evaluation);
         let Some(record) = self.endpoints.get_mut(id) else {
@@ -148,16 +153,16 @@
         let endpoint = id.clone();
         changes.push(match view {
             Some(view) => {
-                self.counts.added += u64::from(is_new);
-                Change::Listed {
+                self.counters.endpoints_added += u64::from(is_new);
+                ListChange::Listed {
                     endpoint,
                     view,
                     is_new,
                 }
             }
             None => {
-                self.counts.removed += 1;
-                Change::Gone { endpoint }
+                self.counters.endpoints_removed += 1;
+                ListChange::Removed { endpoint }
             }
         });
     }
--- a/crates/service-discovery/src/registry/mod.rs
+++ b/crates/service-discovery/src/registry/mod.rs
@@ -17,10 +17,10 @@
 mod tiers;
 mod view;
 
-pub use claim::{Claim, ClaimedState, HeldClaim, SourceId, SourceKind, StateMarker, Withdrawal};
-pub use input::Input;
+pub use claim::{Claim, ClaimedState, SourceId, SourceKind, StateMarker, StoredClaim, Withdrawal};
+pub use input::RegistryInput;
 pub use settings::RegistrySettings;
-pub use view::{Change, EndpointStatus, EndpointView, ListingRule, RegistryCounts};
+pub use view::{EndpointStatus, EndpointView, ListChange, ListingRule, RegistryCounters};
 
 use crate::wheel::TimerWheel;
 use record::EndpointRecord;
@@ -33,7 +33,7 @@
 struct SourceState {
     kind: SourceKind,
     /// Since when the source cannot be reached; none: it can.
-    silent_since: Option<Timestamp>,
+    unreachable_since: Option<Timestamp>,
 }
 
 /// All endpoints, the claims about them, and the list that comes of it. See the module.
@@ -54,8 +54,8 @@
     /// Endpoints whose claims differ in what the list would show.
     disputed: HashSet<Arc<str>>,
     /// The endpoint of the latest contradiction.
-    contradicted: Option<Arc<str>>,
-    counts: RegistryCounts,
+    last_conflicting_endpoint: Option<Arc<str>>,
+    counters: RegistryCounters,
 }
 
 impl EndpointRegistry {
@@ -71,19 +71,19 @@
             serial: 0,
             wheel: TimerWheel::new(now),
             disputed: HashSet::new(),
-            contradicted: None,
-            counts: RegistryCounts::default(),
+            last_conflicting_endpoint: None,
+            counters: RegistryCounters::default(),
         }
     }
 
     /// What has been counted since the start.
-    pub fn counts(&self) -> RegistryCounts {
-        self.counts
+    pub fn counters(&self) -> RegistryCounters {
+        self.counters
     }
 
     /// The endpoint of which two sources last contradicted each other.
-    pub fn contradicted(&self) -> Option<&Arc<str>> {
-        self.contradicted.as_ref()
+    pub fn last_conflicting_endpoint(&self) -> Option<&Arc<str>> {
+        self.last_conflicting_endpoint.as_ref()
     }
 
     /// How many endpoints are known, listed or not.
@@ -97,16 +97,16 @@
     }
 
     /// All known endpoints, in the order of their ids.
-    pub fn status(&self) -> Vec<EndpointStatus> {
+    pub fn endpoint_statuses(&self) -> Vec<EndpointStatus> {
         let status = |(id, record): (&Arc<str>, &EndpointRecord)| EndpointStatus {
             endpoint: id.clone(),
             listed: record.listed.clone(),
             rule: record.rule.unwrap_or(ListingRule::Unnamed),
             claims: record.claims.clone(),
-            drain: record.drain_marker,
-            draining_since: record.draining_since,
-            gone: record.tombstone,
-            answered: record.responded_at,
+            drain_marker: record.drain_marker,
+            drain_reported_at: record.drain_reported_at,
+            removal_marker: record.tombstone,
+            last_response_at: record.responded_at,
         };
         let mut all: Vec<EndpointStatus> = self.endpoints.iter().map(status).collect();
         all.sort_by(|a, b| a.endpoint.cmp(&b.endpoint));
@@ -119,8 +119,8 @@
     }
 
     /// Since when a source cannot be reached; none: it can, or is not known.
-    pub fn silent_since(&self, source: SourceId) -> Option<Timestamp> {
-        self.sources.get(&source)?.silent_since
+    pub fn unreachable_since(&self, source: SourceId) -> Option<Timestamp> {
+        self.sources.get(&source)?.unreachable_since
     }
 
     /// When [`EndpointRegistry::on_due`] is to be called at the latest.
@@ -129,39 +129,43 @@
     }
 
     /// Takes one input, and appends what it changes in the list to `changes`.
-    pub fn handle(&mut self, now: Timestamp, input: Input, changes: &mut Vec<Change>) {
+    pub fn handle(&mut self, now: Timestamp, input: RegistryInput, changes: &mut Vec<ListChange>) {
         match input {
-            Input::SourceAdded { source, kind } => {
+            RegistryInput::SourceAdded { source, kind } => {
                 let state = SourceState {
                     kind,
-                    silent_since: None,
+                    unreachable_since: None,
                 };
                 self.sources.insert(source, state);
             }
-            Input::SourceRemoved { source } => self.on_source_removed(now, source, changes),
-            Input::Claimed {
+            RegistryInput::SourceRemoved { source } => self.on_source_removed(now, source, changes),
+            RegistryInput::Claimed {
                 source,
                 name,
                 claim,
             } => self.on_claim(now, source, name, claim, changes),
-            Input::Withdrawn { source, name, how } => {
+            RegistryInput::Withdrawn {
+                source,
+                name,
+                withdrawal,
+            } => {
                 let is_new = self.set_reachable(now, source, true);
-                self.withdraw(now, source, vec![name], how, changes);
+                self.withdraw(now, source, vec![name], withdrawal, changes);
                 self.reevaluate_disputed(now, is_new, changes);
             }
-            Input::Snapshot { source, names } => {
+            RegistryInput::Snapshot { source, names } => {
                 let is_new = self.set_reachable(now, source, true);
                 self.withdraw_unless(now, source, |name| names.contains(name), changes);
                 self.reevaluate_disputed(now, is_new, changes);
             }
-            Input::SourceFailed { source } => {
+            RegistryInput::SourceFailed { source } => {
                 let is_new = self.set_reachable(now, source, false);
-                if !self.settings.keeps_claims_of_failed_sources {
+                if !self.settings.should_keep_claims_of_failed_sources {
                     self.withdraw_all(now, source, changes);
                 }
                 self.reevaluate_disputed(now, is_new, changes);
             }
-            Input::EndpointResponded {
+            RegistryInput::EndpointResponded {
                 endpoint,
                 is_draining,
             } => self.on_endpoint_response(now, &endpoint, is_draining, changes),
@@ -174,7 +178,7 @@
         now: Timestamp,
         id: &Arc<str>,
         is_draining: bool,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         let Some(record) = self.endpoints.get_mut(id) else {
             return;
@@ -182,7 +186,7 @@
         record.responded_at = Some(now);
         // A draining endpoint still answers what it has begun, as ever: such a response does not end the drain.
         if is_draining {
-            record.draining_since = Some(now);
+            record.drain_reported_at = Some(now);
         }
         if is_draining || record.rule == Some(ListingRule::Unnamed) {
             self.reevaluate(now, id, changes);
--- a/crates/service-discovery/src/registry/record.rs
+++ b/crates/service-discovery/src/registry/record.rs
@@ -1,6 +1,6 @@
 //! What is kept of one endpoint: its claims, the markers that bind its state, and what was last published of it.
 
-use super::claim::{Claim, ClaimedState, HeldClaim, SourceId, SourceKind, StateMarker};
+use super::claim::{Claim, ClaimedState, SourceId, SourceKind, StateMarker, StoredClaim};
 use super::view::{EndpointView, ListingRule};
 use crate::wheel::{TimerHandle, TimerWheel};
 use reelrill_routing::{Nanos, Timestamp};
@@ -19,12 +19,12 @@
 pub(super) struct EndpointRecord {
     /// Its number among all that ever were: shorter to compare than its name.
     pub(super) serial: u64,
-    pub(super) claims: Vec<HeldClaim>,
+    pub(super) claims: Vec<StoredClaim>,
     pub(super) drain_marker: Option<StateMarker>,
     /// A source stated that the endpoint is gone.
     pub(super) tombstone: Option<StateMarker>,
     /// When the endpoint last stated itself that it is draining.
-    pub(super) draining_since: Option<Timestamp>,
+    pub(super) drain_reported_at: Option<Timestamp>,
     /// When the endpoint last responded.
     pub(super) responded_at: Option<Timestamp>,
     /// The view that the claims last gave: how the endpoint is listed by its heartbeat alone.
@@ -50,7 +50,7 @@
 
     /// The newest start that any claim states; 0 without claims.
     pub(super) fn newest_start(&self) -> Timestamp {
-        let starts = self.claims.iter().map(|held| held.claim.started);
+        let starts = self.claims.iter().map(|held| held.claim.started_at);
         starts.max().unwrap_or(0)
     }
 
@@ -65,12 +65,12 @@
         markers
             .into_iter()
             .flatten()
-            .any(|marker| marker.by == source)
+            .any(|marker| marker.source == source)
     }
 
     pub(super) fn remove_markers_of(&mut self, source: SourceId) {
-        self.drain_marker = self.drain_marker.filter(|marker| marker.by != source);
-        self.tombstone = self.tombstone.filter(|marker| marker.by != source);
+        self.drain_marker = self.drain_marker.filter(|marker| marker.source != source);
+        self.tombstone = self.tombstone.filter(|marker| marker.source != source);
     }
 
     /// Whether the claim changes what its source said of the state, against a fresh claim of another source.
@@ -78,7 +78,7 @@
         let is_repeated = self.claims.iter().any(|held| {
             held.source == source && *held.name == *name && held.claim.state == claim.state
         });
-        let contradicts = |held: &HeldClaim| {
+        let contradicts = |held: &StoredClaim| {
             held.source != source && !held.is_stale && held.claim.state != claim.state
         };
         !is_repeated && self.claims.iter().any(contradicts)
@@ -86,15 +86,16 @@
 
     /// Whether the claim tells of a start that no claim has told of: another process is there now.
     pub(super) fn is_restarted_by(&self, claim: &Claim) -> bool {
-        let last_started = self.last_view.as_ref().map_or(0, |view| view.started);
-        let is_newest = |held: &HeldClaim| held.claim.started < claim.started;
-        claim.started > last_started && self.claims.iter().all(is_newest)
+        let last_started = self.last_view.as_ref().map_or(0, |view| view.started_at);
+        let is_newest = |held: &StoredClaim| held.claim.started_at < claim.started_at;
+        claim.started_at > last_started && self.claims.iter().all(is_newest)
     }
 
     /// Keeps a claim in place of its source's earlier one of the same name. Returns the address that this one named,
     /// if it is another.
-    pub(super) fn store_claim(&mut self, mut new: HeldClaim) -> Option<SocketAddr> {
-        let is_earlier = |held: &&mut HeldClaim| held.source == new.source && held.name == new.name;
+    pub(super) fn store_claim(&mut self, mut new: StoredClaim) -> Option<SocketAddr> {
+        let is_earlier =
+            |held: &&mut StoredClaim| held.source == new.source && held.name == new.name;
         let Some(earlier) = self.claims.iter_mut().find(is_earlier) else {
             // Most endpoints have one claim of each source: room for more would be their largest part.
             self.claims.reserve_exact(1);
@@ -102,7 +103,7 @@
             return None;
         };
         if earlier.claim.states_same_as(&new.claim) {
-            new.since = earlier.since;
+            new.unchanged_since = earlier.unchanged_since;
         }
         let earlier_address = earlier.claim.address;
         let has_moved = earlier_address != new.claim.address;
@@ -111,8 +112,8 @@
     }
 
     /// Takes out a source's claim.
-    pub(super) fn remove_claim(&mut self, source: SourceId, name: &str) -> Option<HeldClaim> {
-        let is_wanted = |held: &HeldClaim| held.source == source && *held.name == *name;
+    pub(super) fn remove_claim(&mut self, source: SourceId, name: &str) -> Option<StoredClaim> {
+        let is_wanted = |held: &StoredClaim| held.source == source && *held.name == *name;
         let index = self.claims.iter().position(is_wanted)?;
         Some(self.claims.swap_remove(index))
     }
@@ -124,25 +125,27 @@
     /// start from any source: another process is there now.
     pub(super) fn apply_markers(
         &mut self,
-        new: &HeldClaim,
+        new: &StoredClaim,
         kind: SourceKind,
         has_sticky_drains: bool,
     ) {
         let claim = &new.claim;
         let has_newer_version = |marker: &StateMarker| {
-            let is_same_list = new.source == marker.by && kind == SourceKind::EndpointList;
+            let is_same_list = new.source == marker.source && kind == SourceKind::EndpointList;
             is_same_list && claim.version > marker.version
         };
         self.tombstone = self.tombstone.filter(|tombstone| {
-            claim.started <= tombstone.started && !has_newer_version(tombstone)
+            claim.started_at <= tombstone.started_at && !has_newer_version(tombstone)
         });
         let lifts_drain = |marker: &StateMarker| {
-            let has_newer_start = claim.started > marker.started && kind >= marker.kind;
+            let has_newer_start =
+                claim.started_at > marker.started_at && kind >= marker.source_kind;
             has_newer_start || has_newer_version(marker)
         };
         // Of two sources that state a drain, the better one's marker is the one that must be lifted.
-        let outranks_new =
-            |marker: &StateMarker| marker.kind > kind && marker.started >= claim.started;
+        let outranks_new = |marker: &StateMarker| {
+            marker.source_kind > kind && marker.started_at >= claim.started_at
+        };
         self.drain_marker = match claim.state {
             ClaimedState::Ready => self
                 .drain_marker
@@ -150,7 +153,7 @@
             ClaimedState::Draining => self
                 .drain_marker
                 .filter(outranks_new)
-                .or_else(|| Some(new.marker(kind, new.told))),
+                .or_else(|| Some(new.marker(kind, new.renewed_at))),
         };
     }
 
--- a/crates/service-discovery/src/registry/rules.rs
+++ b/crates/service-discovery/src/registry/rules.rs
@@ -3,7 +3,7 @@
 //! The rules read the registry's state and never change it. `docs/design/membership.md` has them as a table.
 
 use super::EndpointRegistry;
-use super::claim::{Claim, ClaimedState, HeldClaim};
+use super::claim::{Claim, ClaimedState, StoredClaim};
 use super::identity::is_named;
 use super::record::EndpointRecord;
 use super::view::{EndpointView, ListingRule};
@@ -32,7 +32,7 @@
 }
 
 fn address_precedence<'a>(record: &EndpointRecord, id: &'a Arc<str>) -> AddressPrecedence<'a> {
-    let statements = record.claims.iter().map(|held| held.since);
+    let statements = record.claims.iter().map(|held| held.unchanged_since);
     AddressPrecedence {
         is_named: is_named(id),
         newest_start: record.newest_start(),
@@ -42,13 +42,13 @@
 }
 
 /// How the list shows an endpoint in service with this claim.
-fn view_of(claim: &Claim, started: Timestamp) -> EndpointView {
+fn view_of(claim: &Claim, started_at: Timestamp) -> EndpointView {
     EndpointView {
         address: claim.address,
         replica_set: claim.replica_set,
         zone: claim.zone,
         state: ClaimedState::Ready,
-        started,
+        started_at,
         weight: claim.weight,
     }
 }
@@ -74,7 +74,7 @@
         view.state = ClaimedState::Draining;
         if record.drain_marker.is_some() {
             rule = ListingRule::Drain;
-        } else if record.draining_since.is_some() {
+        } else if record.drain_reported_at.is_some() {
             rule = ListingRule::OwnDrain;
         } else {
             view.state = ClaimedState::Ready;
@@ -123,23 +123,23 @@
         self.best_claim(record).map(|held| held.claim.address)
     }
 
-    fn best_claim<'a>(&self, record: &'a EndpointRecord) -> Option<&'a HeldClaim> {
+    fn best_claim<'a>(&self, record: &'a EndpointRecord) -> Option<&'a StoredClaim> {
         let claims = record.claims.iter();
         claims.max_by(|a, b| self.compare_claims(a, b))
     }
 
     /// Which of two claims about one endpoint counts: the newer start; a fresh one; one of a source that can be
     /// reached; the better source; the newer statement, which is not the one that was repeated last.
-    fn compare_claims(&self, a: &HeldClaim, b: &HeldClaim) -> Ordering {
-        let precedence = |held: &HeldClaim| {
+    fn compare_claims(&self, a: &StoredClaim, b: &StoredClaim) -> Ordering {
+        let precedence = |held: &StoredClaim| {
             let source = self.sources.get(&held.source);
-            let is_reachable = source.is_some_and(|source| source.silent_since.is_none());
+            let is_reachable = source.is_some_and(|source| source.unreachable_since.is_none());
             (
-                held.claim.started,
+                held.claim.started_at,
                 !held.is_stale,
                 is_reachable,
                 source.map(|source| source.kind),
-                held.since,
+                held.unchanged_since,
                 held.source,
             )
         };
--- a/crates/service-discovery/src/registry/settings.rs
+++ b/crates/service-discovery/src/registry/settings.rs
@@ -16,10 +16,10 @@
     /// Only a newer claim lifts a drain. Off only to show that a check finds it.
     pub has_sticky_drains: bool,
     /// A failure of a source takes nothing away. Off only to show that a check finds it.
-    pub keeps_claims_of_failed_sources: bool,
+    pub should_keep_claims_of_failed_sources: bool,
     /// An endpoint that one source no longer names stays as long as others name it or it responds. Off only to show
     /// that a check finds it.
-    pub requires_all_sources_for_removal: bool,
+    pub should_require_all_sources_for_removal: bool,
 }
 
 impl Default for RegistrySettings {
@@ -29,8 +29,8 @@
             retention: 600 * SECOND,
             max_endpoints: 65_536,
             has_sticky_drains: true,
-            keeps_claims_of_failed_sources: true,
-            requires_all_sources_for_removal: true,
+            should_keep_claims_of_failed_sources: true,
+            should_require_all_sources_for_removal: true,
         }
     }
 }
--- a/crates/service-discovery/src/registry/tiers.rs
+++ b/crates/service-discovery/src/registry/tiers.rs
@@ -4,7 +4,7 @@
 use super::claim::ClaimedState;
 use super::record::TierKey;
 use super::rules::Evaluation;
-use super::view::Change;
+use super::view::ListChange;
 use reelrill_routing::Timestamp;
 use std::sync::Arc;
 
@@ -35,7 +35,7 @@
         key: TierKey,
         id: &Arc<str>,
         now: Timestamp,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         let earlier_lowest = self.lowest_tier(key.replica_set);
         let serial = self.serial_of(id);
@@ -50,7 +50,7 @@
         key: TierKey,
         id: &Arc<str>,
         now: Timestamp,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         let earlier_lowest = self.lowest_tier(key.replica_set);
         let serial = self.serial_of(id);
@@ -69,7 +69,7 @@
         replica_set: u32,
         earlier_lowest: Option<u16>,
         now: Timestamp,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) {
         let lowest = self.lowest_tier(replica_set);
         if lowest == earlier_lowest {
--- a/crates/service-discovery/src/registry/view.rs
+++ b/crates/service-discovery/src/registry/view.rs
@@ -1,6 +1,6 @@
 //! What the registry gives out: the list's entries and their changes, and the status shown to operators.
 
-use super::claim::{ClaimedState, HeldClaim, StateMarker};
+use super::claim::{ClaimedState, StateMarker, StoredClaim};
 use reelrill_routing::Timestamp;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,14 +17,14 @@
     /// Its state.
     pub state: ClaimedState,
     /// When it last started.
-    pub started: Timestamp,
+    pub started_at: Timestamp,
     /// Its capacity relative to others; 1 is usual.
     pub weight: f64,
 }
 
 /// A change of the list.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Change {
+pub enum ListChange {
     /// The list shows the endpoint like this.
     Listed {
         /// The endpoint.
@@ -35,17 +35,17 @@
         is_new: bool,
     },
     /// The endpoint is not in the list any more.
-    Gone {
+    Removed {
         /// The endpoint.
         endpoint: Arc<str>,
     },
 }
 
-impl Change {
+impl ListChange {
     /// The endpoint that it is about.
     pub fn endpoint(&self) -> &str {
         match self {
-            Change::Listed { endpoint, .. } | Change::Gone { endpoint } => endpoint,
+            ListChange::Listed { endpoint, .. } | ListChange::Removed { endpoint } => endpoint,
         }
     }
 }
@@ -81,26 +81,26 @@
     /// Why.
     pub rule: ListingRule,
     /// Who states what.
-    pub claims: Vec<HeldClaim>,
+    pub claims: Vec<StoredClaim>,
     /// A drain that was stated and not lifted.
-    pub drain: Option<StateMarker>,
+    pub drain_marker: Option<StateMarker>,
     /// When it last stated itself that it is draining.
-    pub draining_since: Option<Timestamp>,
+    pub drain_reported_at: Option<Timestamp>,
     /// A removal that was stated and not lifted.
-    pub gone: Option<StateMarker>,
+    pub removal_marker: Option<StateMarker>,
     /// When it last responded.
-    pub answered: Option<Timestamp>,
+    pub last_response_at: Option<Timestamp>,
 }
 
 /// What has been counted since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct RegistryCounts {
+pub struct RegistryCounters {
     /// Endpoints added to the list.
-    pub added: u64,
+    pub endpoints_added: u64,
     /// Endpoints removed from the list.
-    pub removed: u64,
+    pub endpoints_removed: u64,
     /// Claims of a state that another source's claim contradicted when they came.
-    pub contradictions: u64,
+    pub state_conflicts: u64,
     /// Names that could stand for more than one endpoint.
     pub ambiguous_names: u64,
     /// Claims of endpoints beyond the limit, which were not taken in.
--- a/crates/service-discovery/src/watch.rs
+++ b/crates/service-discovery/src/watch.rs
@@ -86,7 +86,7 @@
 
 /// The part of a long poll that waits: for a list newer than the known one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Since {
+pub struct LongPoll {
     /// The known version.
     pub version: u64,
     /// How long the poll may wait for a newer one, in nanoseconds.
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PollRequest {
     /// What the poll waits for; none: it asks for the complete list.
-    pub since: Option<Since>,
+    pub long_poll: Option<LongPoll>,
     /// No response having begun is a failure by then, counted from the sending.
     pub response_timeout: Nanos,
     /// A response that has begun and is incomplete is a failure by then, counted from the sending.
@@ -134,7 +134,7 @@
         /// The delay before it, in nanoseconds.
         delay: Nanos,
         /// The outcome is not reported to the balancer: the watch is only opened anew.
-        suppresses_report: bool,
+        should_suppress_report: bool,
     },
     /// The failure is reported, and the balancer decides when to ask again.
     Idle,
@@ -182,7 +182,7 @@
     }
 
     /// The service was replaced by another one, where versions of the old one mean nothing.
-    pub fn service_replaced(&mut self) {
+    pub fn on_service_replaced(&mut self) {
         self.version = None;
         self.is_open = false;
         self.busy_until = 0;
@@ -197,7 +197,7 @@
     }
 
     /// Records that a poll ended at `now`, and says what follows.
-    pub fn complete(&mut self, now: Timestamp, outcome: PollOutcome) -> NextStep {
+    pub fn complete_poll(&mut self, now: Timestamp, outcome: PollOutcome) -> NextStep {
         let was_open = std::mem::replace(&mut self.is_open, false);
         match outcome {
             PollOutcome::Updated {
@@ -219,14 +219,14 @@
         NextStep::Poll {
             request: self.continue_watch(now + delay),
             delay,
-            suppresses_report: false,
+            should_suppress_report: false,
         }
     }
 
     /// A silent service is polled at once, on a new connection: there is no time for a random delay, and the polls of
     /// different routers are out of step anyway.
     fn after_timeout(&mut self, now: Timestamp, was_open: bool) -> NextStep {
-        let suppresses_report = match self.service {
+        let should_suppress_report = match self.service {
             // The first silence of an open watch is no failure yet.
             ListService::Shared => was_open,
             // An agent that can't be reached learns nothing meanwhile: there is nothing to report.
@@ -235,7 +235,7 @@
         NextStep::Poll {
             request: self.request(now, ListRequest::Changes),
             delay: 0,
-            suppresses_report,
+            should_suppress_report,
         }
     }
 
@@ -250,7 +250,7 @@
             ListService::LocalAgent => NextStep::Poll {
                 request: self.request(now + LOCAL_RETRY_DELAY, ListRequest::Changes),
                 delay: LOCAL_RETRY_DELAY,
-                suppresses_report: true,
+                should_suppress_report: true,
             },
         }
     }
@@ -285,7 +285,7 @@
         };
         let response_timeout = longest_wait + RESPONSE_GRACE;
         PollRequest {
-            since,
+            long_poll: since,
             response_timeout,
             body_timeout: response_timeout,
             connect_timeout: CONNECT_TIMEOUT,
@@ -297,7 +297,7 @@
         let longest_wait = since.map_or(LOCAL_INITIAL_WAIT, |since| since.wait);
         let response_timeout = longest_wait + LOCAL_RESPONSE_GRACE;
         PollRequest {
-            since,
+            long_poll: since,
             response_timeout,
             body_timeout: response_timeout + LOCAL_BODY_TIMEOUT,
             connect_timeout: LOCAL_RESPONSE_GRACE,
@@ -305,9 +305,14 @@
     }
 
     /// Records the beginning of a poll, and says what it waits for.
-    fn begin_poll(&mut self, now: Timestamp, request: ListRequest, wait: Nanos) -> Option<Since> {
+    fn begin_poll(
+        &mut self,
+        now: Timestamp,
+        request: ListRequest,
+        wait: Nanos,
+    ) -> Option<LongPoll> {
         let version = self.version.filter(|_| request == ListRequest::Changes);
-        let since = version.map(|version| Since { version, wait });
+        let since = version.map(|version| LongPoll { version, wait });
         self.poll_started_at = now;
         self.poll_wait = since.map_or(0, |since| since.wait);
         since
--- a/crates/service-discovery/tests/browse.rs
+++ b/crates/service-discovery/tests/browse.rs
@@ -2,9 +2,10 @@
 
 use hickory_proto::rr::Name;
 use proptest::prelude::*;
-use reelrill_service_discovery::browse::{Browser, BrowserConfig, Output};
+use reelrill_service_discovery::browse::{Browser, BrowserConfig, BrowserOutput};
 use reelrill_service_discovery::{
-    Change, ClaimedState, EndpointRegistry, EndpointView, Input, RegistrySettings, SourceKind,
+    ClaimedState, EndpointRegistry, EndpointView, ListChange, RegistryInput, RegistrySettings,
+    SourceKind,
 };
 use reelrill_test_support::dns::{DOMAIN, Instance, Manner, SERVICE, SUBTYPE, Zone};
 use rstest::rstest;
@@ -66,15 +67,15 @@
             servers: servers(zones.len()),
             service: Name::from_ascii(service).unwrap(),
             domain: Name::from_ascii(DOMAIN).unwrap(),
-            ttl: (SECOND, 60 * SECOND),
-            timeout: 500 * MS,
-            budget,
+            ttl_range: (SECOND, 60 * SECOND),
+            query_timeout: 500 * MS,
+            max_queries_per_second: budget,
             zones: vec!["a".into()],
         };
         let mut endpoints = EndpointRegistry::new(RegistrySettings::default(), now);
         endpoints.handle(
             now,
-            Input::SourceAdded {
+            RegistryInput::SourceAdded {
                 source: 1,
                 kind: SourceKind::DnsRecords,
             },
@@ -98,21 +99,21 @@
         world
     }
 
-    fn carry(&mut self, out: Vec<Output>) {
+    fn carry(&mut self, out: Vec<BrowserOutput>) {
         for output in out {
             match output {
-                Output::SendQuery(ask) => {
+                BrowserOutput::SendQuery(ask) => {
                     self.asked += 1;
                     let server = servers(self.zones.len())
                         .iter()
                         .position(|s| *s == ask.server)
                         .unwrap();
-                    if let Some(answer) = self.zones[server].answer(&ask.message, ask.over_tcp) {
+                    if let Some(answer) = self.zones[server].answer(&ask.message, ask.is_tcp) {
                         self.on_way.push((self.now + TRIP, ask.id, answer));
                     }
                 }
-                Output::CancelQuery(query) => self.on_way.retain(|w| w.1 != query),
-                Output::UpdateRegistry(input) => {
+                BrowserOutput::CancelQuery(query) => self.on_way.retain(|w| w.1 != query),
+                BrowserOutput::UpdateRegistry(input) => {
                     let mut changes = Vec::new();
                     self.endpoints.handle(self.now, input, &mut changes);
                     self.apply(changes);
@@ -121,13 +122,13 @@
         }
     }
 
-    fn apply(&mut self, changes: Vec<Change>) {
+    fn apply(&mut self, changes: Vec<ListChange>) {
         for change in changes {
             match change {
-                Change::Listed { endpoint, view, .. } => {
+                ListChange::Listed { endpoint, view, .. } => {
                     self.list.insert(endpoint.to_string(), view);
                 }
-                Change::Gone { endpoint } => {
+                ListChange::Removed { endpoint } => {
                     self.list.remove(&*endpoint);
                 }
             }
@@ -177,7 +178,7 @@
     assert_eq!(world.list.len(), 10);
     assert_eq!(world.list["s-3"].address, address(3));
     if manner != Manner::Truncated {
-        let queries = world.browser.counts().queries;
+        let queries = world.browser.counters().queries_sent;
         assert_eq!(
             queries,
             if manner == Manner::Helpful {
@@ -247,7 +248,7 @@
     let mut watch = |_, list: &BTreeMap<String, EndpointView>| least = least.min(list.len());
     world.zones.iter_mut().for_each(|z| z.manner = manner);
     world.run(3600 * SECOND, &mut watch);
-    assert!(world.endpoints.silent_since(1).is_some());
+    assert!(world.endpoints.unreachable_since(1).is_some());
     // Not at full speed: the pauses grow to half a minute and more.
     assert!(world.asked < 1000, "{} queries", world.asked);
     world.zones.iter_mut().for_each(|z| z.manner = empty);
@@ -261,7 +262,7 @@
         .for_each(|z| z.manner = Manner::Helpful);
     world.run(120 * SECOND, &mut watch);
     assert_eq!((least, world.list.len()), (5, 5));
-    assert!(world.endpoints.silent_since(1).is_none());
+    assert!(world.endpoints.unreachable_since(1).is_none());
 }
 
 /// Guards the other side of it: an empty list that stays is believed.
@@ -286,7 +287,7 @@
         assert!(list.values().all(|v| v.address.port() != 9))
     });
     assert_eq!(world.names(), ["s-0", "s-1"]);
-    assert!(world.browser.counts().foreign > 0);
+    assert!(world.browser.counters().unrelated_records > 0);
 }
 
 /// Hard case 3: TTLs flip between 0, 1 and a day, and a replaced node takes over an address.
--- a/crates/service-discovery/tests/model.rs
+++ b/crates/service-discovery/tests/model.rs
@@ -2,8 +2,8 @@
 //! vanished records, failures and a restart of the router, to a depth.
 
 use reelrill_service_discovery::{
-    Change, Claim, ClaimedState, EndpointRegistry, Input, ListingRule, RegistrySettings,
-    SourceKind, Withdrawal,
+    Claim, ClaimedState, EndpointRegistry, ListChange, ListingRule, RegistryInput,
+    RegistrySettings, SourceKind, Withdrawal,
 };
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
@@ -49,14 +49,14 @@
 impl World {
     /// All that decides what the endpoints do next; times by their order alone.
     fn digest(&self) -> impl Hash + Eq + use<> {
-        let status = self.endpoints.status();
+        let status = self.endpoints.endpoint_statuses();
         let times: BTreeSet<u64> = status
             .iter()
-            .flat_map(|s| s.claims.iter().map(|h| h.since))
+            .flat_map(|s| s.claims.iter().map(|h| h.unchanged_since))
             .collect();
         let order = |at: u64| times.iter().position(|t| *t == at);
         let bound = |b: Option<reelrill_service_discovery::StateMarker>| {
-            b.map(|b| (b.by, b.started, b.version))
+            b.map(|b| (b.source, b.started_at, b.version))
         };
         let endpoint = |s: &reelrill_service_discovery::EndpointStatus| {
             let mut claims: Vec<_> = s
@@ -66,33 +66,33 @@
                     (
                         h.source,
                         h.claim.state,
-                        h.claim.started,
+                        h.claim.started_at,
                         h.claim.version,
-                        order(h.since),
+                        order(h.unchanged_since),
                     )
                 })
                 .collect();
             claims.sort_unstable_by_key(|c| (c.0, c.4));
-            let listed = s.listed.as_ref().map(|v| (v.state, v.started));
-            let own = (s.draining_since.is_some(), s.answered.is_some());
+            let listed = s.listed.as_ref().map(|v| (v.state, v.started_at));
+            let own = (s.drain_reported_at.is_some(), s.last_response_at.is_some());
             (
                 s.endpoint.clone(),
                 s.rule,
                 listed,
                 claims,
-                bound(s.drain),
-                bound(s.gone),
+                bound(s.drain_marker),
+                bound(s.removal_marker),
                 own,
             )
         };
-        let silent = [ROSTER, RECORDS].map(|s| self.endpoints.silent_since(s).is_some());
+        let silent = [ROSTER, RECORDS].map(|s| self.endpoints.unreachable_since(s).is_some());
         let all: Vec<_> = status.iter().map(endpoint).collect();
         (self.truth, self.ghost.clone(), self.version, silent, all)
     }
 
     fn word_of(&self, m: usize) -> Option<ClaimedState> {
         let id = name(m);
-        let all = self.endpoints.status();
+        let all = self.endpoints.endpoint_statuses();
         all.iter()
             .find(|s| s.endpoint == id)
             .and_then(|s| s.listed.as_ref())
@@ -140,7 +140,7 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 7000 + m as u16));
     Claim {
         state,
-        started,
+        started_at: started,
         version,
         ..Claim::new(&name(m), address, 1)
     }
@@ -152,7 +152,11 @@
         (ROSTER, SourceKind::EndpointList),
         (RECORDS, SourceKind::DnsRecords),
     ] {
-        endpoints.handle(now, Input::SourceAdded { source, kind }, &mut Vec::new());
+        endpoints.handle(
+            now,
+            RegistryInput::SourceAdded { source, kind },
+            &mut Vec::new(),
+        );
     }
     endpoints
 }
@@ -168,7 +172,7 @@
             ClaimedState::Ready
         };
         let input = if truth.alive {
-            Input::Claimed {
+            RegistryInput::Claimed {
                 source,
                 name: name(m),
                 claim: claim(m, state, truth.start, version),
@@ -179,10 +183,10 @@
             } else {
                 Withdrawal::Absent
             };
-            Input::Withdrawn {
+            RegistryInput::Withdrawn {
                 source,
                 name: name(m),
-                how,
+                withdrawal: how,
             }
         };
         w.ghost.named[source as usize][m] = truth.alive;
@@ -193,11 +197,11 @@
         self.feed(w, input);
     }
 
-    fn feed(&self, w: &mut World, input: Input) {
+    fn feed(&self, w: &mut World, input: RegistryInput) {
         let mut changes = Vec::new();
         w.endpoints.handle(w.now, input, &mut changes);
         for change in changes {
-            if let Change::Listed { endpoint, .. } = change {
+            if let ListChange::Listed { endpoint, .. } = change {
                 let m = endpoint.trim_start_matches("s-").parse::<usize>().unwrap();
                 w.ghost.seen[m] = true;
             }
@@ -278,7 +282,7 @@
                 w.ghost.synced[RECORDS as usize][m] = false;
                 self.feed(
                     &mut w,
-                    Input::Claimed {
+                    RegistryInput::Claimed {
                         source: RECORDS,
                         name: name(m),
                         claim,
@@ -290,16 +294,20 @@
                 w.ghost.synced[RECORDS as usize][m] = false;
                 self.feed(
                     &mut w,
-                    Input::Withdrawn {
+                    RegistryInput::Withdrawn {
                         source: RECORDS,
                         name: name(m),
-                        how: Withdrawal::Absent,
+                        withdrawal: Withdrawal::Absent,
                     },
                 );
             }
             Act::Answers(m) => {
                 let leaving = w.truth[m].leaving;
-                if w.endpoints.status().iter().any(|s| s.endpoint == name(m)) {
+                if w.endpoints
+                    .endpoint_statuses()
+                    .iter()
+                    .any(|s| s.endpoint == name(m))
+                {
                     w.ghost.answered[m] = true;
                     if leaving {
                         w.ghost.told_leaving[m] = w.truth[m].start;
@@ -307,14 +315,14 @@
                 }
                 self.feed(
                     &mut w,
-                    Input::EndpointResponded {
+                    RegistryInput::EndpointResponded {
                         endpoint: name(m),
                         is_draining: leaving,
                     },
                 );
             }
-            Act::RosterFails => self.feed(&mut w, Input::SourceFailed { source: ROSTER }),
-            Act::RecordsFail => self.feed(&mut w, Input::SourceFailed { source: RECORDS }),
+            Act::RosterFails => self.feed(&mut w, RegistryInput::SourceFailed { source: ROSTER }),
+            Act::RecordsFail => self.feed(&mut w, RegistryInput::SourceFailed { source: RECORDS }),
             Act::RouterRestarts => {
                 w.endpoints = fresh(self.0, w.now);
                 w.ghost = Ghost::default();
@@ -347,7 +355,7 @@
                     // What the roster said of the start before holds until the next start is told.
                     let gone = w
                         .endpoints
-                        .status()
+                        .endpoint_statuses()
                         .iter()
                         .any(|s| s.endpoint == name(m) && s.rule == ListingRule::Gone);
                     let told = w.ghost.synced.iter().any(|s| s[m]);
@@ -401,8 +409,8 @@
 /// The model is worth something only if it sees what goes wrong without a rule.
 #[rstest]
 #[case(RegistrySettings { has_sticky_drains: false, ..RegistrySettings::default() }, "a drain that was told binds")]
-#[case(RegistrySettings { keeps_claims_of_failed_sources: false, ..RegistrySettings::default() }, "no healthy member is forgotten")]
-#[case(RegistrySettings { requires_all_sources_for_removal: false, ..RegistrySettings::default() }, "no healthy member is forgotten")]
+#[case(RegistrySettings { should_keep_claims_of_failed_sources: false, ..RegistrySettings::default() }, "no healthy member is forgotten")]
+#[case(RegistrySettings { should_require_all_sources_for_removal: false, ..RegistrySettings::default() }, "no healthy member is forgotten")]
 fn a_rule_that_is_taken_out_is_missed(
     #[case] settings: RegistrySettings,
     #[case] property: &'static str,
--- a/crates/service-discovery/tests/reference.rs
+++ b/crates/service-discovery/tests/reference.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use reelrill_service_discovery::{
-    Change, Claim, ClaimedState, EndpointRegistry, EndpointView, HeldClaim, Input,
-    RegistrySettings, SourceKind, Withdrawal,
+    Claim, ClaimedState, EndpointRegistry, EndpointView, ListChange, RegistryInput,
+    RegistrySettings, SourceKind, StoredClaim, Withdrawal,
 };
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 #[derive(Default)]
 struct Plain {
     sources: BTreeMap<u16, (SourceKind, bool)>,
-    claims: Vec<(Uid, HeldClaim)>,
+    claims: Vec<(Uid, StoredClaim)>,
     drains: BTreeMap<Uid, Bound>,
     gone: BTreeMap<Uid, Bound>,
     own: BTreeMap<Uid, u64>,
@@ -36,23 +36,23 @@
 }
 
 impl Plain {
-    fn of<'a>(&'a self, uid: &'a str) -> impl Iterator<Item = &'a HeldClaim> {
+    fn of<'a>(&'a self, uid: &'a str) -> impl Iterator<Item = &'a StoredClaim> {
         self.claims
             .iter()
             .filter(move |(u, _)| **u == *uid)
             .map(|(_, h)| h)
     }
 
-    fn best<'a>(&'a self, uid: &'a str) -> Option<&'a HeldClaim> {
-        let order = |h: &HeldClaim| {
+    fn best<'a>(&'a self, uid: &'a str) -> Option<&'a StoredClaim> {
+        let order = |h: &StoredClaim| {
             let source = self.sources.get(&h.source);
             let (heard, kind) = (source.is_some_and(|s| !s.1), source.map(|s| s.0));
             (
-                h.claim.started,
+                h.claim.started_at,
                 !h.is_stale,
                 heard,
                 kind,
-                h.since,
+                h.unchanged_since,
                 h.source,
                 h.name.clone(),
             )
@@ -68,7 +68,7 @@
             .collect()
     }
 
-    fn remove(&mut self, source: u16, name: &str) -> Option<(Uid, HeldClaim)> {
+    fn remove(&mut self, source: u16, name: &str) -> Option<(Uid, StoredClaim)> {
         let at = self
             .claims
             .iter()
@@ -92,45 +92,45 @@
             (None, [only]) => only.clone(),
             _ => format!("name:{source}:{name}").into(),
         };
-        let last = self.last.get(&uid).map_or(0, |(v, _)| v.started);
-        if claim.started > last && self.of(&uid).all(|h| h.claim.started < claim.started) {
+        let last = self.last.get(&uid).map_or(0, |(v, _)| v.started_at);
+        if claim.started_at > last && self.of(&uid).all(|h| h.claim.started_at < claim.started_at) {
             self.own.remove(&uid);
         }
         let old = self.remove(source, name).filter(|(u, _)| *u == uid);
         let same = old.filter(|(_, h)| {
             Claim {
                 version: 0,
-                until: None,
+                expires_at: None,
                 ..h.claim.clone()
             } == Claim {
                 version: 0,
-                until: None,
+                expires_at: None,
                 ..claim.clone()
             }
         });
-        let since = same.map_or(now, |(_, h)| h.since);
+        let since = same.map_or(now, |(_, h)| h.unchanged_since);
         let lifts = |b: &(u16, SourceKind, u64, u64)| {
-            (claim.started > b.2 && kind >= b.1)
+            (claim.started_at > b.2 && kind >= b.1)
                 || (source == b.0 && kind == SourceKind::EndpointList && claim.version > b.3)
         };
         let gone = self.gone.entry(uid.clone()).or_default();
         *gone = gone.filter(|b| {
-            claim.started <= b.2
+            claim.started_at <= b.2
                 && !(source == b.0 && kind == SourceKind::EndpointList && claim.version > b.3)
         });
         let drain = self.drains.entry(uid.clone()).or_default();
         *drain = match claim.state {
             ClaimedState::Ready => drain.filter(|b| !lifts(b)),
             ClaimedState::Draining => drain
-                .filter(|b| b.1 > kind && b.2 >= claim.started)
-                .or(Some((source, kind, claim.started, claim.version))),
+                .filter(|b| b.1 > kind && b.2 >= claim.started_at)
+                .or(Some((source, kind, claim.started_at, claim.version))),
         };
-        let held = HeldClaim {
+        let held = StoredClaim {
             source,
             name: name.clone(),
             claim: claim.clone(),
-            told: now,
-            since,
+            renewed_at: now,
+            unchanged_since: since,
             is_stale: false,
         };
         self.claims.push((uid.clone(), held));
@@ -167,47 +167,51 @@
             let kind = self.sources[&source].0;
             self.gone.insert(
                 uid,
-                Some((source, kind, held.claim.started, held.claim.version)),
+                Some((source, kind, held.claim.started_at, held.claim.version)),
             );
         }
     }
 
-    fn handle(&mut self, now: u64, input: &Input) {
+    fn handle(&mut self, now: u64, input: &RegistryInput) {
         match input {
-            Input::SourceAdded { source, kind } => {
+            RegistryInput::SourceAdded { source, kind } => {
                 self.sources.insert(*source, (*kind, false));
             }
-            Input::SourceRemoved { source } => {
+            RegistryInput::SourceRemoved { source } => {
                 self.claims.retain(|(_, h)| h.source != *source);
                 self.sources.remove(source);
                 for bound in self.drains.values_mut().chain(self.gone.values_mut()) {
                     *bound = bound.filter(|b| b.0 != *source);
                 }
             }
-            Input::Claimed {
+            RegistryInput::Claimed {
                 source,
                 name,
                 claim,
             } => self.told(now, *source, name, claim),
-            Input::Withdrawn { source, name, how } => {
+            RegistryInput::Withdrawn {
+                source,
+                name,
+                withdrawal: how,
+            } => {
                 if let Some(s) = self.sources.get_mut(source) {
                     s.1 = false;
                     self.removed(*source, name, *how);
                 }
             }
-            Input::Snapshot { source, names } => {
+            RegistryInput::Snapshot { source, names } => {
                 if let Some(s) = self.sources.get_mut(source) {
                     s.1 = false;
                 }
                 self.claims
                     .retain(|(_, h)| h.source != *source || names.contains(&h.name));
             }
-            Input::SourceFailed { source } => {
+            RegistryInput::SourceFailed { source } => {
                 if let Some(s) = self.sources.get_mut(source) {
                     s.1 = true;
                 }
             }
-            Input::EndpointResponded {
+            RegistryInput::EndpointResponded {
                 endpoint,
                 is_draining,
             } => {
@@ -225,13 +229,13 @@
     fn list(&mut self, now: u64) -> BTreeMap<Uid, EndpointView> {
         self.own.retain(|_, at| now < *at + VOUCH);
         for (_, h) in &mut self.claims {
-            h.is_stale |= h.claim.until.is_some_and(|u| u <= now);
+            h.is_stale |= h.claim.expires_at.is_some_and(|u| u <= now);
         }
         let mut uids: BTreeSet<Uid> = self.claims.iter().map(|(u, _)| u.clone()).collect();
         uids.extend(self.last.keys().cloned());
         let hold = |p: &Plain, uid: &Uid| {
-            let started = p.of(uid).map(|h| h.claim.started).max().unwrap_or(0);
-            let since = p.of(uid).map(|h| h.since).max().unwrap_or(0);
+            let started = p.of(uid).map(|h| h.claim.started_at).max().unwrap_or(0);
+            let since = p.of(uid).map(|h| h.unchanged_since).max().unwrap_or(0);
             (!is_nameless(uid), started, since, uid.clone())
         };
         let bound =
@@ -245,7 +249,7 @@
             let (mut view, tier) = match (self.best(uid), self.last.get(uid)) {
                 (Some(h), _) => {
                     let c = &h.claim;
-                    let started = self.of(uid).map(|h| h.claim.started).max().unwrap_or(0);
+                    let started = self.of(uid).map(|h| h.claim.started_at).max().unwrap_or(0);
                     let (address, replica_set, zone, weight) =
                         (c.address, c.replica_set, c.zone, c.weight);
                     (
@@ -254,7 +258,7 @@
                             replica_set,
                             zone,
                             state: ClaimedState::Ready,
-                            started,
+                            started_at: started,
                             weight,
                         },
                         c.tier,
@@ -306,7 +310,7 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Input(Input),
+    Input(RegistryInput),
     Wait(u64),
 }
 
@@ -331,8 +335,8 @@
             } else {
                 ClaimedState::Draining
             },
-            started,
-            until,
+            started_at: started,
+            expires_at: until,
             tier: place.2,
             ..Claim::new("", SocketAddr::from(([127, 0, 0, 1], place.0)), place.1)
         },
@@ -344,11 +348,11 @@
     let how = prop_oneof![Just(Withdrawal::Removed), Just(Withdrawal::Absent)];
     let whole = proptest::collection::hash_set(name(), 0..4);
     let input = prop_oneof![
-        8 => (0..3u16, name(), claim()).prop_map(|(source, name, claim)| Input::Claimed { source, name, claim }),
-        3 => (0..3u16, name(), how).prop_map(|(source, name, how)| Input::Withdrawn { source, name, how }),
-        1 => (0..3u16, whole).prop_map(|(source, names)| Input::Snapshot { source, names }),
-        1 => (0..3u16).prop_map(|source| Input::SourceFailed { source }),
-        3 => (uid(), any::<bool>()).prop_map(|(endpoint, is_draining)| Input::EndpointResponded { endpoint, is_draining }),
+        8 => (0..3u16, name(), claim()).prop_map(|(source, name, claim)| RegistryInput::Claimed { source, name, claim }),
+        3 => (0..3u16, name(), how).prop_map(|(source, name, how)| RegistryInput::Withdrawn { source, name, withdrawal: how }),
+        1 => (0..3u16, whole).prop_map(|(source, names)| RegistryInput::Snapshot { source, names }),
+        1 => (0..3u16).prop_map(|source| RegistryInput::SourceFailed { source }),
+        3 => (uid(), any::<bool>()).prop_map(|(endpoint, is_draining)| RegistryInput::EndpointResponded { endpoint, is_draining }),
     ];
     prop_oneof![8 => input.prop_map(Step::Input), 1 => (0..40_000u64).prop_map(|n| Step::Wait(n * TICK))]
 }
@@ -370,7 +374,7 @@
         let (mut now, mut changes, mut version) = (start, Vec::new(), 0);
         let mut list: BTreeMap<Uid, EndpointView> = BTreeMap::new();
         for (source, kind) in [(0, SourceKind::EndpointList), (1, SourceKind::DnsRecords), (2, SourceKind::DnsRecords)] {
-            let input = Input::SourceAdded { source, kind };
+            let input = RegistryInput::SourceAdded { source, kind };
             plain.handle(now, &input);
             endpoints.handle(now, input, &mut changes);
         }
@@ -379,10 +383,10 @@
                 Step::Wait(span) => now += span,
                 Step::Input(mut input) => {
                     now += 2 * TICK;
-                    if let Input::Claimed { source, claim, .. } = &mut input {
+                    if let RegistryInput::Claimed { source, claim, .. } = &mut input {
                         version += 1;
                         claim.version = if *source == 0 { version } else { 0 };
-                        claim.until = claim.until.map(|ttl| now + ttl);
+                        claim.expires_at = claim.expires_at.map(|ttl| now + ttl);
                     }
                     plain.list(now);
                     plain.handle(now, &input);
@@ -393,8 +397,8 @@
             endpoints.on_due(now, &mut changes);
             for change in changes.drain(..) {
                 match change {
-                    Change::Listed { endpoint, view, .. } => drop(list.insert(endpoint, view)),
-                    Change::Gone { endpoint } => drop(list.remove(&endpoint)),
+                    ListChange::Listed { endpoint, view, .. } => drop(list.insert(endpoint, view)),
+                    ListChange::Removed { endpoint } => drop(list.remove(&endpoint)),
                 }
             }
             prop_assert_eq!(&list, &plain.list(now));
@@ -415,7 +419,11 @@
     );
     let mut changes = Vec::new();
     for (source, kind) in [(0, SourceKind::EndpointList), (1, SourceKind::DnsRecords)] {
-        endpoints.handle(SECOND, Input::SourceAdded { source, kind }, &mut changes);
+        endpoints.handle(
+            SECOND,
+            RegistryInput::SourceAdded { source, kind },
+            &mut changes,
+        );
     }
     for n in 0..10u16 {
         let at = SocketAddr::from(([127, 0, 0, 1], 7000 + n));
@@ -423,7 +431,7 @@
         let name: Uid = format!("n{n}").into();
         endpoints.handle(
             SECOND,
-            Input::Claimed {
+            RegistryInput::Claimed {
                 source: n % 2,
                 name: name.clone(),
                 claim: claim.clone(),
@@ -433,7 +441,7 @@
         if n < 4 {
             endpoints.handle(
                 SECOND,
-                Input::Claimed {
+                RegistryInput::Claimed {
                     source: (n + 1) % 2,
                     name,
                     claim,
@@ -443,11 +451,19 @@
         }
     }
     changes.clear();
-    endpoints.handle(2 * SECOND, Input::SourceRemoved { source: 1 }, &mut changes);
-    let gone: HashSet<&str> = changes.iter().map(Change::endpoint).collect();
+    endpoints.handle(
+        2 * SECOND,
+        RegistryInput::SourceRemoved { source: 1 },
+        &mut changes,
+    );
+    let gone: HashSet<&str> = changes.iter().map(ListChange::endpoint).collect();
     assert_eq!(gone, HashSet::from(["s-5", "s-7", "s-9"]));
     assert_eq!(endpoints.len(), 7);
-    endpoints.handle(2 * SECOND, Input::SourceRemoved { source: 0 }, &mut changes);
+    endpoints.handle(
+        2 * SECOND,
+        RegistryInput::SourceRemoved { source: 0 },
+        &mut changes,
+    );
     assert!(endpoints.is_empty() && endpoints.next_due().is_none());
 }
 
@@ -464,7 +480,7 @@
     let mut changes = Vec::new();
     endpoints.handle(
         SECOND,
-        Input::SourceAdded {
+        RegistryInput::SourceAdded {
             source: 1,
             kind: SourceKind::DnsRecords,
         },
@@ -472,20 +488,20 @@
     );
     let told = |started| {
         let claim = Claim {
-            started,
+            started_at: started,
             ..Claim::new("s-1", SocketAddr::from(([127, 0, 0, 1], 1)), 1)
         };
-        Input::Claimed {
+        RegistryInput::Claimed {
             source: 1,
             name: "n1".into(),
             claim,
         }
     };
-    let answered = |is_draining| Input::EndpointResponded {
+    let answered = |is_draining| RegistryInput::EndpointResponded {
         endpoint: "s-1".into(),
         is_draining,
     };
-    let state = |m: &EndpointRegistry| m.status()[0].listed.as_ref().map(|v| v.state);
+    let state = |m: &EndpointRegistry| m.endpoint_statuses()[0].listed.as_ref().map(|v| v.state);
     let steps = [
         (told(1), ClaimedState::Ready),
         (answered(true), ClaimedState::Draining),
--- a/crates/service-discovery/tests/watch.rs
+++ b/crates/service-discovery/tests/watch.rs
@@ -3,8 +3,8 @@
 use reelrill_routing::Timestamp;
 use reelrill_service_discovery::watch::{
     LOCAL_LONG_POLL_WAIT, LOCAL_RESPONSE_GRACE, LOCAL_RETRY_DELAY, ListRequest, ListService,
-    ListWatch, NOTIFICATION_DEADLINE, NOTIFICATION_GRACE_AFTER_WAIT, NextStep, PollOutcome,
-    PollRequest, RESPONSE_GRACE, Since,
+    ListWatch, LongPoll, NOTIFICATION_DEADLINE, NOTIFICATION_GRACE_AFTER_WAIT, NextStep,
+    PollOutcome, PollRequest, RESPONSE_GRACE,
 };
 use rstest::rstest;
 
@@ -13,7 +13,7 @@
 fn open(version: u64) -> (ListWatch, PollRequest) {
     let mut watch = ListWatch::new(ListService::Shared, Some(version));
     watch.request(0, ListRequest::Changes);
-    let NextStep::Poll { request, .. } = watch.complete(
+    let NextStep::Poll { request, .. } = watch.complete_poll(
         0,
         PollOutcome::Updated {
             version,
@@ -30,7 +30,7 @@
 #[test]
 fn a_silent_watch_is_reopened_before_missed_changes_count_as_notified() {
     let (_, request) = open(7);
-    let wait = request.since.expect("a watch").wait;
+    let wait = request.long_poll.expect("a watch").wait;
     for silent_at in (0..wait).step_by(50_000_000) {
         let (mut watch, request) = open(7);
         let notified_by =
@@ -38,12 +38,12 @@
         let NextStep::Poll {
             request: next,
             delay,
-            suppresses_report: true,
-        } = watch.complete(request.response_timeout, PollOutcome::TimedOut)
+            should_suppress_report: true,
+        } = watch.complete_poll(request.response_timeout, PollOutcome::TimedOut)
         else {
             panic!("it is not opened anew")
         };
-        assert_eq!(next.since.map(|since| since.version), Some(7));
+        assert_eq!(next.long_poll.map(|since| since.version), Some(7));
         assert!(
             request.response_timeout + delay + RESPONSE_GRACE < notified_by,
             "silent at {silent_at}"
@@ -58,9 +58,9 @@
     let (mut watch, request) = open(7);
     let mut now = request.response_timeout;
     assert!(matches!(
-        watch.complete(now, PollOutcome::TimedOut),
+        watch.complete_poll(now, PollOutcome::TimedOut),
         NextStep::Poll {
-            suppresses_report: true,
+            should_suppress_report: true,
             ..
         }
     ));
@@ -68,8 +68,8 @@
         let NextStep::Poll {
             request,
             delay: 0,
-            suppresses_report: false,
-        } = watch.complete(now, PollOutcome::TimedOut)
+            should_suppress_report: false,
+        } = watch.complete_poll(now, PollOutcome::TimedOut)
         else {
             panic!()
         };
@@ -89,14 +89,14 @@
     #[case] wanted: ListRequest,
 ) {
     let request = ListWatch::new(ListService::Shared, version).request(0, wanted);
-    let waits = request.since.map_or(0, |since| since.wait);
+    let waits = request.long_poll.map_or(0, |since| since.wait);
     assert!(
         request.response_timeout > waits + 2000 * MILLISECOND
             && request.response_timeout < NOTIFICATION_DEADLINE - 2000 * MILLISECOND,
         "{request:?}"
     );
     assert_eq!(
-        request.since.is_some(),
+        request.long_poll.is_some(),
         version.is_some() && wanted == ListRequest::Changes
     );
 }
@@ -107,12 +107,12 @@
 fn a_service_that_rejected_a_poll_gets_fewer_polls() {
     let (mut watch, usual) = open(7);
     assert_eq!(
-        watch.complete(MILLISECOND, PollOutcome::Rejected),
+        watch.complete_poll(MILLISECOND, PollOutcome::Rejected),
         NextStep::Idle
     );
     let request = watch.request(2 * MILLISECOND, ListRequest::Changes);
-    let wait = request.since.expect("a watch").wait;
-    assert!(wait > 2 * usual.since.expect("a watch").wait);
+    let wait = request.long_poll.expect("a watch").wait;
+    assert!(wait > 2 * usual.long_poll.expect("a watch").wait);
     for silent_at in (0..wait).step_by(50_000_000) {
         assert!(
             request.response_timeout + RESPONSE_GRACE
@@ -120,7 +120,7 @@
             "silent at {silent_at}"
         );
     }
-    let NextStep::Poll { request, .. } = watch.complete(
+    let NextStep::Poll { request, .. } = watch.complete_poll(
         30_000 * MILLISECOND,
         PollOutcome::Updated {
             version: 7,
@@ -137,7 +137,7 @@
 #[test]
 fn an_early_response_without_changes_is_followed_after_a_delay() {
     let (_, request) = open(7);
-    let delay_after = |now, has_changes| match open(7).0.complete(
+    let delay_after = |now, has_changes| match open(7).0.complete_poll(
         now,
         PollOutcome::Updated {
             version: 7,
@@ -149,15 +149,15 @@
     };
     assert_eq!(delay_after(10 * MILLISECOND, false), 100 * MILLISECOND);
     assert_eq!(delay_after(10 * MILLISECOND, true), 0);
-    assert_eq!(delay_after(request.since.unwrap().wait, false), 0);
+    assert_eq!(delay_after(request.long_poll.unwrap().wait, false), 0);
 }
 
 /// Guards against versions of another service: after a move the whole list is asked for.
 #[test]
 fn after_the_service_is_replaced_a_snapshot_is_requested() {
     let (mut watch, _) = open(7);
-    watch.service_replaced();
-    assert_eq!(watch.request(0, ListRequest::Changes).since, None);
+    watch.on_service_replaced();
+    assert_eq!(watch.request(0, ListRequest::Changes).long_poll, None);
 }
 
 /// Guards the owner's own rule for failures: what breaks is told at once.
@@ -165,7 +165,7 @@
 fn a_failed_poll_is_reported_and_ends_the_watch() {
     let (mut watch, _) = open(7);
     assert_eq!(
-        watch.complete(MILLISECOND, PollOutcome::Failed),
+        watch.complete_poll(MILLISECOND, PollOutcome::Failed),
         NextStep::Idle
     );
     assert!(!watch.is_open());
@@ -174,7 +174,7 @@
 fn open_at_agent(version: u64) -> (ListWatch, PollRequest) {
     let mut watch = ListWatch::new(ListService::LocalAgent, Some(version));
     watch.initial_poll(0).expect("a call at the start");
-    let NextStep::Poll { request, .. } = watch.complete(
+    let NextStep::Poll { request, .. } = watch.complete_poll(
         0,
         PollOutcome::Updated {
             version,
@@ -193,7 +193,7 @@
         let request = ListWatch::new(ListService::LocalAgent, version)
             .initial_poll(0)
             .expect("a call");
-        assert_eq!(request.since.map(|since| since.version), version);
+        assert_eq!(request.long_poll.map(|since| since.version), version);
         assert_eq!(
             ListWatch::new(ListService::Shared, version).initial_poll(0),
             None
@@ -212,15 +212,15 @@
 ) {
     let (mut watch, request) = open_at_agent(7);
     assert_eq!(
-        request.since,
-        Some(Since {
+        request.long_poll,
+        Some(LongPoll {
             version: 7,
             wait: LOCAL_LONG_POLL_WAIT
         })
     );
     let mut now = request.response_timeout;
     for _ in 0..100 {
-        let NextStep::Poll { request, delay, .. } = watch.complete(now, outcome) else {
+        let NextStep::Poll { request, delay, .. } = watch.complete_poll(now, outcome) else {
             panic!("it rests")
         };
         assert!(
@@ -228,7 +228,7 @@
                 && request.response_timeout <= 100 * MILLISECOND
                 && request.connect_timeout <= LOCAL_RESPONSE_GRACE
         );
-        assert_eq!(request.since.map(|since| since.version), Some(7));
+        assert_eq!(request.long_poll.map(|since| since.version), Some(7));
         now += delay + request.response_timeout;
     }
 }
@@ -241,7 +241,7 @@
         request: next,
         delay: 0,
         ..
-    } = watch.complete(request.response_timeout, PollOutcome::TimedOut)
+    } = watch.complete_poll(request.response_timeout, PollOutcome::TimedOut)
     else {
         panic!()
     };
