--- a/crates/pg-session/src/lib.rs
+++ b/crates/pg-session/src/lib.rs
@@ -1,16 +1,16 @@
-//! A client's session without I/O: statements and their annotations, prepared statements, portals, and the order
-//! in which pipelined requests may run.
+//! A client's session without I/O: parses statements and their annotations, keeps prepared statements and portals,
+//! and decides the order in which pipelined requests run.
 //!
 //! | module | responsible for |
 //! | --- | --- |
-//! | [`form`] | parsing a statement and the annotations in its comment |
-//! | [`template`] | a prepared statement, its parameters' types and the text that endpoints get; one for all clients |
-//! | [`bound`] | a statement with its values, as a Bind or as a simple query with literals |
-//! | [`admit`] | checking a request against its class, and the typed request that the dispatcher gets |
-//! | [`plan`] | a client's extended queries: names, portals and the pipeline |
-//! | [`queue`] | a client's simple queries: which may start, and the order of answers |
-//! | [`prepared`] | the statements that a connection to an endpoint has prepared |
-//! | [`account`] | the bounds on what clients may hold |
+//! | [`statement`] | parsing a statement and the annotations in its comment |
+//! | [`template`] | prepared statements, shared by all clients: parameter types and the text sent to endpoints |
+//! | [`endpoint_query`] | a statement with its values, sent to an endpoint as a Bind or as a simple query |
+//! | [`request`] | checking a request's fields against its class |
+//! | [`extended`] | a client's extended queries: prepared statements, portals and the pipeline |
+//! | [`queue`] | a client's simple queries: which may start, and the order of responses |
+//! | [`prepared`] | the statements prepared on one connection to an endpoint |
+//! | [`limits`] | limits on the statements, portals, values and commands that clients may hold |
 #![forbid(unsafe_code)]
 
 pub mod endpoint_query;
@@ -24,84 +24,87 @@
 
 use reelrill_pg_protocol::sqlstate;
 
-/// Why a command is refused. The text names the thing at fault; [`SessionError::sqlstate`] is what the client gets with it.
+/// An error in a client's command. Its text is the message of the ErrorResponse that the client receives, and
+/// [`SessionError::sqlstate`] is the code.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SessionError {
-    /// The text is no statement of ours.
+    /// The text is not a supported statement, or an annotation is missing or malformed.
     #[error(transparent)]
     Parse(#[from] statement::ParseError),
-    /// A statement that is known and not supported.
+    /// A known command that the router doesn't support; holds the command's name.
     #[error("{0} is not supported here: each statement stands for itself")]
     Unsupported(String),
-    /// Nothing tells the type of a parameter.
+    /// Neither the Parse nor the parameter's field determines its type; holds the parameter's number.
     #[error("parameter ${0}: neither its place nor the Parse tells its type")]
     UnknownParameterType(u16),
-    /// A declared type that does not go with the parameter's place.
+    /// The declared type of a parameter doesn't fit a field that it is used for.
     #[error("parameter ${param}: type {oid} does not go with '{place}'")]
     ParameterTypeMismatch {
-        /// Counted from 1.
+        /// The parameter's number, from 1.
         param: u16,
-        /// The type as declared.
+        /// The object id of the declared type.
         oid: u32,
-        /// The name in the comment, or the column.
+        /// The name of the annotation or column.
         place: &'static str,
     },
-    /// The waiting time is rewritten for each attempt, so nothing else may read its parameter.
+    /// The timeout's parameter is used for another field, too. The timeout is rewritten for each attempt, so its
+    /// parameter can't be shared; holds the parameter's number.
     #[error("parameter ${0}: the one of 'd' may stand for nothing else")]
     SharedTimeoutParameter(u16),
     /// A Bind with another number of parameters than its statement has.
     #[error("the Bind brings {brought} parameters, the statement takes {takes}")]
     ParameterCountMismatch {
-        /// In the Bind.
+        /// The number of parameters in the Bind.
         brought: usize,
-        /// In the statement.
+        /// The number of parameters in the statement.
         takes: usize,
     },
-    /// More formats than values.
+    /// A Bind whose format codes match neither its parameters nor the one column; holds their number.
     #[error("the Bind brings {0} formats, which fit neither its parameters nor its one column")]
     FormatCountMismatch(usize),
-    /// A value that must be there is null.
+    /// A required value is null; holds the name of the annotation or column.
     #[error("'{0}' is null")]
     NullValue(&'static str),
-    /// A value that makes no sense in its place.
+    /// A value is missing or invalid; holds the name of the annotation or column.
     #[error("'{0}': missing or wrong")]
     InvalidValue(&'static str),
-    /// A value that can't be written as a literal without doubt.
+    /// A value can't be written as a literal that every endpoint parses the same way; holds the name of the
+    /// annotation or column.
     #[error("'{0}': this value can't be written safely as a literal")]
     UnsafeLiteral(&'static str),
-    /// A class that the settings do not name.
+    /// The settings don't define the class; holds its name.
     #[error("unknown class '{0}'")]
     UnknownClass(String),
-    /// A class that reads where the statement writes, or the other way round.
+    /// The statement writes and the class reads, or the reverse; holds the class's name.
     #[error("class '{0}' does not go with this statement")]
     ClassMismatch(String),
-    /// No statement of this name.
+    /// No prepared statement has this name.
     #[error("prepared statement \"{0}\" does not exist")]
     UnknownStatement(String),
-    /// No portal of this name.
+    /// No portal has this name.
     #[error("portal \"{0}\" does not exist")]
     UnknownPortal(String),
-    /// The name is in use.
+    /// A prepared statement with this name exists already.
     #[error("prepared statement \"{0}\" already exists")]
     DuplicateStatement(String),
-    /// The name is in use.
+    /// A portal with this name exists already.
     #[error("portal \"{0}\" already exists")]
     DuplicatePortal(String),
-    /// A write that has run is not run again.
+    /// The portal's write has run; it is never run twice.
     #[error("portal \"{0}\" has run; a Bind makes a new one")]
     PortalAlreadyRun(String),
-    /// A bound is reached.
+    /// A limit is reached.
     #[error("too many {what}: {most} at most")]
     LimitExceeded {
-        /// What there is too much of.
+        /// The limited items, as a plural noun.
         what: &'static str,
-        /// The bound.
+        /// The limit, in the units of `what`.
         most: usize,
     },
 }
 
 impl SessionError {
-    /// The error code that goes with it.
+    /// Returns the SQLSTATE code of the error.
     pub fn sqlstate(&self) -> &'static str {
         match self {
             SessionError::Parse(_)
--- a/crates/pg-session/src/limits.rs
+++ b/crates/pg-session/src/limits.rs
@@ -1,27 +1,27 @@
-//! Bounds on what clients may hold.
+//! Limits on the statements, portals, values and commands that clients may hold.
 //!
-//! Responsible for counting what is in use of the bounds that all clients share. Owns the counts; each holder
-//! owns its share and gives it back on drop. Must never count above a bound.
+//! Responsible for counting what is in use of the limits that all clients share. Owns the counts; each user owns its
+//! reservation, which is released on drop. Must never count above a limit.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A bound, and how much of it is in use.
+/// Counts how much of a shared limit is in use.
 #[derive(Debug)]
 pub struct Budget {
     used: Cell<usize>,
     limit: usize,
 }
 
-/// A part of an [`Budget`] in use; given back when dropped.
+/// An amount reserved from a [`Budget`], released on drop.
 #[derive(Debug)]
 pub struct Reservation {
-    account: Rc<Budget>,
+    budget: Rc<Budget>,
     amount: usize,
 }
 
 impl Budget {
-    /// An account of `limit`, in whatever unit its holders count.
+    /// Creates a budget of `limit` units; the unit is the users' choice.
     pub fn new(limit: usize) -> Rc<Budget> {
         Rc::new(Budget {
             used: Cell::new(0),
@@ -29,7 +29,7 @@
         })
     }
 
-    /// Reserves `amount`; `None` if that much is not left.
+    /// Reserves `amount` units; returns `None` if fewer are left.
     pub fn reserve(self: &Rc<Self>, amount: usize) -> Option<Reservation> {
         let used = self
             .used
@@ -38,17 +38,17 @@
             .filter(|used| *used <= self.limit)?;
         self.used.set(used);
         Some(Reservation {
-            account: self.clone(),
+            budget: self.clone(),
             amount,
         })
     }
 
-    /// How much is in use.
+    /// Returns the number of units in use.
     pub fn used(&self) -> usize {
         self.used.get()
     }
 
-    /// The bound.
+    /// Returns the limit, in units.
     pub fn limit(&self) -> usize {
         self.limit
     }
@@ -56,28 +56,28 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.account.used.set(self.account.used.get() - self.amount);
+        self.budget.used.set(self.budget.used.get() - self.amount);
     }
 }
 
-/// The bounds of prepared statements, portals and pipelines.
+/// Limits on prepared statements, portals and pipelines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// PreparedStatements statements of one client.
+    /// Prepared statements of one client.
     pub statements: usize,
-    /// PreparedStatements statements of all clients, each client's counted.
+    /// Prepared statements of all clients; a statement counts once for each client that has prepared it.
     pub all_statements: usize,
-    /// Bytes of different statement texts, all clients together.
+    /// Bytes of distinct statement texts of all clients.
     pub text_bytes: usize,
     /// Portals of one client.
     pub portals: usize,
     /// Bytes of values bound to the portals of all clients.
     pub value_bytes: usize,
-    /// Commands of one client that wait for their turn or their answer; beyond it no more are read meanwhile.
+    /// Commands of one client that are queued or without a response; at the limit, reading from the client pauses.
     pub commands: usize,
-    /// Commands in one segment, up to its Sync.
+    /// Commands in one segment, which ends with a Sync.
     pub segment: usize,
-    /// Reads of one client that run at once.
+    /// Read requests of one client that run at once.
     pub reads: usize,
     /// Statements prepared on one connection to an endpoint.
     pub prepared: usize,
@@ -99,17 +99,17 @@
     }
 }
 
-/// The budgets behind the bounds that all clients share.
+/// The budgets of the limits that all clients share.
 #[derive(Debug, Clone)]
 pub struct SharedBudgets {
-    /// Of [`Limits::all_statements`].
+    /// Budget of [`Limits::all_statements`].
     pub statements: Rc<Budget>,
-    /// Of [`Limits::value_bytes`].
+    /// Budget of [`Limits::value_bytes`].
     pub value_bytes: Rc<Budget>,
 }
 
 impl SharedBudgets {
-    /// SharedBudgets with nothing in use.
+    /// Creates budgets with nothing in use.
     pub fn new(limits: &Limits) -> SharedBudgets {
         SharedBudgets {
             statements: Budget::new(limits.all_statements),
