--- a/crates/pg-session/src/request.rs
+++ b/crates/pg-session/src/request.rs
@@ -1,7 +1,7 @@
-//! Admission of a request against its class, the same for simple and extended queries.
+//! Validation of a request against its class, the same for simple and extended queries.
 //!
-//! Responsible for checking what a request says of itself, and for the typed request that the dispatcher gets.
-//! Owns the catalog of classes. Must never look at load: whether there is capacity is decided elsewhere.
+//! Responsible for checking a request's fields and for the typed request that the dispatcher receives. Owns the
+//! catalog of classes. Must never consider load: the dispatcher decides whether there is capacity.
 
 use crate::SessionError;
 use crate::statement::{self, Field, ParseError, ParsedStatement};
@@ -12,96 +12,99 @@
 /// Nanoseconds in a millisecond.
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// The longest wait that a client may query for, in milliseconds: an hour.
-const LONGEST_WAIT_MS: u64 = 3_600_000;
+/// The longest timeout that a client may set, in milliseconds: an hour.
+const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
-/// What a request says of itself, borrowed from where it was read.
+/// The fields of a request, borrowed from its statement or values.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestFields<'a> {
-    /// Its id; `None`: the router draws one.
+    /// The request's id; `None` if the router generates one.
     pub id: Option<u64>,
-    /// The class, as the settings name it.
+    /// The class's name in the settings.
     pub class: &'a str,
-    /// The replica set of endpoints.
+    /// The replica set that the request is for.
     pub replica_set: u32,
-    /// How long its client waits, in milliseconds; `None`: as long as its class allows.
+    /// The client's timeout, in milliseconds; `None` for the class's deadline.
     pub timeout_ms: Option<u64>,
-    /// The position that must be seen, a Unix time in milliseconds.
+    /// When the session's last write was committed, a Unix time in milliseconds. The read must see that write.
     pub last_write_ms: Option<u64>,
-    /// Whether the client retries an earlier request.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// Whether there is an idempotency key.
+    /// Whether the request has an idempotency key.
     pub has_key: bool,
-    /// Whether it writes.
+    /// Whether the request writes.
     pub is_write: bool,
-    /// The quoted key of the statement.
+    /// The key in the statement; names the session in classes that have sessions.
     pub key: &'a str,
 }
 
 impl<'a> RequestFields<'a> {
-    /// Parses a simple query, whose `id` and `d` are required; also returns the bytes where the digits of `d` stand.
+    /// Parses a simple query, whose annotations `id` and `d` are required. Also returns the byte range of the digits
+    /// of `d` in the text.
     ///
     /// # Errors
     ///
-    /// Why the text is no statement, or [`ParseError::InvalidField`] with the annotation that is missing or wrong.
+    /// Any [`ParseError`] of the statement, or [`ParseError::InvalidField`] with the name of an annotation that is
+    /// missing or invalid.
     pub fn from_simple_query(
         text: &'a str,
     ) -> Result<(RequestFields<'a>, Range<usize>), ParseError> {
-        let form = ParsedStatement::parse(text, false)?;
-        let field = |place: Field| {
-            form.field_text(place)
-                .ok_or(ParseError::InvalidField(place.name()))
+        let parsed = ParsedStatement::parse(text, false)?;
+        let required = |field: Field| {
+            parsed
+                .field_text(field)
+                .ok_or(ParseError::InvalidField(field.name()))
         };
-        let (_, timeout_digits) = form
+        let (_, timeout_digits) = parsed
             .field(Field::Timeout)
             .ok_or(ParseError::InvalidField("d"))?;
-        let after = form
+        let last_write_ms = parsed
             .field_text(Field::LastWrite)
-            .map(|v| statement::parse_number(v).ok_or(ParseError::InvalidField("after")));
-        let named = RequestFields {
+            .map(|text| statement::parse_number(text).ok_or(ParseError::InvalidField("after")));
+        let fields = RequestFields {
             id: Some(
-                statement::parse_request_id(field(Field::Id)?)
+                statement::parse_request_id(required(Field::Id)?)
                     .ok_or(ParseError::InvalidField("id"))?,
             ),
-            class: field(Field::Class)?,
-            replica_set: statement::parse_number(field(Field::ReplicaSet)?)
+            class: required(Field::Class)?,
+            replica_set: statement::parse_number(required(Field::ReplicaSet)?)
                 .ok_or(ParseError::InvalidField("cluster"))?,
             timeout_ms: Some(
-                statement::parse_number(field(Field::Timeout)?)
+                statement::parse_number(required(Field::Timeout)?)
                     .ok_or(ParseError::InvalidField("d"))?,
             ),
-            last_write_ms: after.transpose()?,
-            is_retry: form.field_text(Field::Retry) == Some("1"),
-            has_key: form.field_text(Field::IdempotencyKey).is_some(),
-            is_write: form.is_write,
-            key: field(Field::Key)?,
+            last_write_ms: last_write_ms.transpose()?,
+            is_retry: parsed.field_text(Field::Retry) == Some("1"),
+            has_key: parsed.field_text(Field::IdempotencyKey).is_some(),
+            is_write: parsed.is_write,
+            key: required(Field::Key)?,
         };
-        Ok((named, timeout_digits))
+        Ok((fields, timeout_digits))
     }
 }
 
-/// A request as the dispatcher takes it, but for its arrival and what goes to endpoints.
+/// A request whose fields fit its class, as passed to the dispatcher.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ValidatedRequest {
-    /// The client's id for it; `None`: the router draws one.
+    /// The client's id of the request; `None` if the router generates one.
     pub id: Option<u64>,
-    /// The index of its class in the settings.
+    /// The index of the request's class in the settings.
     pub class: u32,
-    /// The replica set of endpoints.
+    /// The replica set that the request is for.
     pub replica_set: u32,
-    /// Its session, in classes that have sessions.
+    /// The request's session, in classes that have sessions.
     pub session: Option<Arc<str>>,
-    /// The position that a session's read must see, a Unix time in nanoseconds.
+    /// When the session's last write was committed, a Unix time in nanoseconds. The read must see that write.
     pub last_write_at: Option<Timestamp>,
-    /// Whether the client retries an earlier request.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// How long the client waits, in nanoseconds from when its turn could begin.
+    /// The client's timeout, in nanoseconds from when the request could start.
     pub timeout: Nanos,
-    /// Whether it writes.
+    /// Whether the request writes.
     pub is_write: bool,
 }
 
-/// The classes that the settings name.
+/// The classes defined in the settings.
 #[derive(Debug, Clone)]
 pub struct ClassCatalog {
     names: Vec<String>,
@@ -109,52 +112,53 @@
 }
 
 impl ClassCatalog {
-    /// A catalog of classes and their names, in the same order.
+    /// Creates a catalog from classes and their names, in the same order.
     pub fn new(names: Vec<String>, classes: Vec<Class>) -> ClassCatalog {
         ClassCatalog { names, classes }
     }
 
-    /// Checks a request against its class. No wait means the class's deadline, and none waits longer than that.
+    /// Checks a request against its class. The class's deadline is the default and the maximum of the timeout.
     ///
     /// # Errors
     ///
-    /// [`SessionError::UnknownClass`] for an unknown class, [`SessionError::ClassMismatch`] for a read in a class of writes or the other way
-    /// round, [`SessionError::InvalidValue`] with the annotation that is missing or wrong.
-    pub fn validate(&self, named: &RequestFields) -> Result<ValidatedRequest, SessionError> {
-        let index = self.names.iter().position(|name| name == named.class);
-        let known = index.and_then(|i| Some((i, self.classes.get(i)?)));
+    /// [`SessionError::UnknownClass`] for a class that is not in the catalog, [`SessionError::ClassMismatch`] for a
+    /// read in a write class or the reverse, [`SessionError::InvalidValue`] with the name of an annotation that is
+    /// missing or invalid.
+    pub fn validate(&self, fields: &RequestFields) -> Result<ValidatedRequest, SessionError> {
+        let index = self.names.iter().position(|name| name == fields.class);
+        let found = index.and_then(|index| Some((index, self.classes.get(index)?)));
         let (index, class) =
-            known.ok_or_else(|| SessionError::UnknownClass(named.class.to_owned()))?;
-        if named
+            found.ok_or_else(|| SessionError::UnknownClass(fields.class.to_owned()))?;
+        if fields
             .timeout_ms
-            .is_some_and(|ms| ms == 0 || ms > LONGEST_WAIT_MS)
+            .is_some_and(|ms| ms == 0 || ms > MAX_TIMEOUT_MS)
         {
             return Err(SessionError::InvalidValue("d"));
         }
-        if named.is_write != (class.operation == Operation::Write) {
-            return Err(SessionError::ClassMismatch(named.class.to_owned()));
+        if fields.is_write != (class.operation == Operation::Write) {
+            return Err(SessionError::ClassMismatch(fields.class.to_owned()));
         }
-        if matches!(class.idempotency, Idempotency::IdempotencyKey(_)) && !named.has_key {
+        if matches!(class.idempotency, Idempotency::IdempotencyKey(_)) && !fields.has_key {
             return Err(SessionError::InvalidValue("k"));
         }
         let has_session = matches!(
             class.operation,
             Operation::Read(Consistency::ReadYourWrites) | Operation::Write
         );
-        let after = named.last_write_ms.filter(|ms| {
+        let last_write_ms = fields.last_write_ms.filter(|ms| {
             *ms > 0 && class.operation == Operation::Read(Consistency::ReadYourWrites)
         });
         Ok(ValidatedRequest {
-            id: named.id,
+            id: fields.id,
             class: index as u32,
-            replica_set: named.replica_set,
-            session: has_session.then(|| named.key.into()),
-            last_write_at: after.map(|ms| ms.saturating_mul(NANOS_PER_MILLISECOND)),
-            is_retry: named.is_retry,
-            timeout: named.timeout_ms.map_or(class.deadline, |ms| {
+            replica_set: fields.replica_set,
+            session: has_session.then(|| fields.key.into()),
+            last_write_at: last_write_ms.map(|ms| ms.saturating_mul(NANOS_PER_MILLISECOND)),
+            is_retry: fields.is_retry,
+            timeout: fields.timeout_ms.map_or(class.deadline, |ms| {
                 (ms * NANOS_PER_MILLISECOND).min(class.deadline)
             }),
-            is_write: named.is_write,
+            is_write: fields.is_write,
         })
     }
 }
--- a/crates/pg-session/src/request/tests.rs
+++ b/crates/pg-session/src/request/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `admit`.
+//! Tests of `request`.
 
 use super::*;
 use reelrill_routing::KeyScope;
@@ -37,24 +37,27 @@
     )
 }
 
+/// Guards the path from a simple query's annotations to the dispatcher's request: units, session and the digits of the
+/// timeout.
 #[test]
-fn a_simple_query_names_its_request() {
-    let (named, digits) = RequestFields::from_simple_query(READ).unwrap();
+fn parses_and_validates_the_annotations_of_a_simple_query() {
+    let (fields, timeout_digits) = RequestFields::from_simple_query(READ).unwrap();
     assert_eq!(
-        (named.id, named.replica_set, &READ[digits]),
+        (fields.id, fields.replica_set, &READ[timeout_digits]),
         (Some(0x9b1f_03aa_5c7e_2d41), 2, "480")
     );
-    let admitted = catalog().validate(&named).unwrap();
+    let request = catalog().validate(&fields).unwrap();
     assert_eq!(
-        (admitted.class, admitted.session.as_deref()),
+        (request.class, request.session.as_deref()),
         (1, Some("7f3a"))
     );
     assert_eq!(
-        (admitted.last_write_at, admitted.timeout),
+        (request.last_write_at, request.timeout),
         (Some(1_767_225_600_123_000_000), 480_000_000)
     );
 }
 
+/// Guards against accepting a malformed annotation or naming the wrong one in the error.
 #[rstest]
 #[case("9b1f03aa5c7e2d41", "zz", "id")]
 #[case("9b1f03aa5c7e2d41", "+b1f03aa5c7e2d41", "id")]
@@ -66,61 +69,66 @@
 #[case("cluster=2", "cluster=x", "cluster")]
 #[case("c=own,", "", "c")]
 #[case("after=1", "after=x", "after")]
-fn what_is_wrong_is_named(#[case] part: &str, #[case] other: &str, #[case] wanted: &'static str) {
+fn names_the_annotation_that_is_missing_or_invalid(
+    #[case] part: &str,
+    #[case] replacement: &str,
+    #[case] annotation: &'static str,
+) {
     assert_eq!(
-        RequestFields::from_simple_query(&READ.replacen(part, other, 1)).err(),
-        Some(ParseError::InvalidField(wanted))
+        RequestFields::from_simple_query(&READ.replacen(part, replacement, 1)).err(),
+        Some(ParseError::InvalidField(annotation))
     );
 }
 
+/// Guards against passing on a request that its class doesn't allow, and against a timeout beyond the class's deadline.
 #[test]
-fn a_request_must_fit_its_class() {
-    let (named, _) = RequestFields::from_simple_query(READ).unwrap();
-    let admit = |n: RequestFields| catalog().validate(&n);
+fn rejects_requests_that_do_not_fit_their_class() {
+    let (fields, _) = RequestFields::from_simple_query(READ).unwrap();
+    let validate = |fields: RequestFields| catalog().validate(&fields);
     assert_eq!(
-        admit(RequestFields {
+        validate(RequestFields {
             class: "x",
-            ..named.clone()
+            ..fields.clone()
         }),
         Err(SessionError::UnknownClass("x".into()))
     );
     assert_eq!(
-        admit(RequestFields {
+        validate(RequestFields {
             class: "book",
-            ..named.clone()
+            ..fields.clone()
         }),
         Err(SessionError::ClassMismatch("book".into()))
     );
     assert_eq!(
-        admit(RequestFields {
+        validate(RequestFields {
             class: "book",
             is_write: true,
-            ..named.clone()
+            ..fields.clone()
         }),
         Err(SessionError::InvalidValue("k"))
     );
-    for wrong in [0, LONGEST_WAIT_MS + 1] {
+    for timeout_ms in [0, MAX_TIMEOUT_MS + 1] {
         assert_eq!(
-            admit(RequestFields {
-                timeout_ms: Some(wrong),
-                ..named.clone()
+            validate(RequestFields {
+                timeout_ms: Some(timeout_ms),
+                ..fields.clone()
             }),
             Err(SessionError::InvalidValue("d"))
         );
     }
     assert_eq!(
-        admit(RequestFields {
+        validate(RequestFields {
             timeout_ms: None,
-            ..named.clone()
+            ..fields.clone()
         })
         .unwrap()
         .timeout,
         1_000_000_000
     );
     assert_eq!(
-        admit(RequestFields {
+        validate(RequestFields {
             timeout_ms: Some(9000),
-            ..named
+            ..fields
         })
         .unwrap()
         .timeout,
