--- a/crates/pg-session/src/prepared.rs
+++ b/crates/pg-session/src/prepared.rs
@@ -1,39 +1,39 @@
-//! The statements that one connection to an endpoint has prepared.
+//! The statements prepared on one connection to an endpoint.
 //!
-//! Responsible for what must be prepared or closed before a statement runs there. Owns the ids of the prepared
-//! statements, least recently used first out. Must never exceed its bound. Names are never used again for another
-//! text, so a Close that is lost with its connection leaves nothing behind that could be mistaken.
+//! Responsible for what must be prepared or closed before a statement runs on the connection. Owns the ids of the
+//! prepared statements in the order of their last use. Must never exceed its capacity. A statement name is never reused
+//! for another text, so a Close that is lost with its connection can't leave a name with the wrong statement.
 
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-/// What a run of a statement takes on this connection.
+/// The preparation that a statement needs before it runs on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Preparation {
-    /// It is prepared here.
+    /// The statement is prepared already.
     NotNeeded,
-    /// It must be prepared first, and before it the statement named here must go.
+    /// The statement must be prepared first.
     Needed {
-        /// The one not used for longest.
+        /// The id of the least recently used statement, if it must be closed before.
         evict: Option<u64>,
     },
 }
 
-/// The statements prepared on one connection, by their templates' numbers.
+/// The ids of the statements prepared on one connection, in the order of their last use.
 #[derive(Debug)]
 pub struct PreparedStatements(LruCache<u64, ()>);
 
 impl PreparedStatements {
-    /// Nothing is prepared; at most `most` will be (one, if that is 0).
+    /// Creates an empty set of at most `capacity` statements (one, if that is 0).
     pub fn new(capacity: usize) -> PreparedStatements {
-        // The table is made as it is needed: most connections use few statements.
+        // The table grows on demand: most connections use few statements.
         let mut cache = LruCache::unbounded();
         cache.resize(NonZeroUsize::new(capacity).unwrap_or(NonZeroUsize::MIN));
         PreparedStatements(cache)
     }
 
-    /// What a run of this template takes. One that must go counts as gone from here on: its Close is written
-    /// ahead of all that follows.
+    /// Returns the preparation that a statement needs. A statement to be evicted is removed at once: its Close is
+    /// written before everything that follows.
     pub fn preparation(&mut self, id: u64) -> Preparation {
         if self.0.get(&id).is_some() {
             return Preparation::NotNeeded;
@@ -48,22 +48,22 @@
         }
     }
 
-    /// The endpoint has confirmed it.
+    /// Records that the endpoint has confirmed the preparation of a statement.
     pub fn insert(&mut self, id: u64) {
         self.0.put(id, ());
     }
 
-    /// The endpoint says that it does not have it.
+    /// Removes a statement that the endpoint reported as unknown.
     pub fn remove(&mut self, id: u64) {
         self.0.pop(&id);
     }
 
-    /// How many are prepared.
+    /// Returns the number of prepared statements.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether none is.
+    /// Returns whether no statement is prepared.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/pg-session/src/prepared/tests.rs
+++ b/crates/pg-session/src/prepared/tests.rs
@@ -2,17 +2,27 @@
 
 use super::*;
 
+/// Guards against evicting a statement that is in use: the least recently used one must be evicted.
 #[test]
-fn the_one_not_used_for_longest_goes_first() {
-    let mut p = PreparedStatements::new(2);
+fn evicts_the_least_recently_used_statement_when_full() {
+    let mut prepared = PreparedStatements::new(2);
     for id in [1, 2] {
-        assert_eq!(p.preparation(id), Preparation::Needed { evict: None });
-        p.insert(id);
+        assert_eq!(
+            prepared.preparation(id),
+            Preparation::Needed { evict: None }
+        );
+        prepared.insert(id);
     }
-    assert_eq!(p.preparation(1), Preparation::NotNeeded);
-    assert_eq!(p.preparation(3), Preparation::Needed { evict: Some(2) });
-    p.insert(3);
-    assert_eq!(p.preparation(2), Preparation::Needed { evict: Some(1) });
-    p.remove(3);
-    assert!(p.is_empty());
+    assert_eq!(prepared.preparation(1), Preparation::NotNeeded);
+    assert_eq!(
+        prepared.preparation(3),
+        Preparation::Needed { evict: Some(2) }
+    );
+    prepared.insert(3);
+    assert_eq!(
+        prepared.preparation(2),
+        Preparation::Needed { evict: Some(1) }
+    );
+    prepared.remove(3);
+    assert!(prepared.is_empty());
 }
