--- a/crates/pg-session/src/queue.rs
+++ b/crates/pg-session/src/queue.rs
@@ -1,11 +1,12 @@
-//! The simple queries of one client that have been read and not answered.
+//! The queue of one client's simple queries that have been received and have no response yet.
 //!
-//! Responsible for which may start, and for the order of answers. Owns the queries and their answers until they
-//! are taken. Must never release an answer ahead of an earlier one.
+//! Responsible for which queries may start and for the order of responses. Owns the queries, and their responses until
+//! they are taken. Must never release a response before an earlier one.
 //!
-//! A client may send further queries before the first is answered, and the time that it waits counts from the sending
-//! of each. So they are started as they come, and only their answers keep their order. Two requests of one session keep
-//! theirs where one of them writes: a session's read behind its own write sees it.
+//! A client may send further queries before it receives the first response, and the timeout of each query counts from
+//! when the client sent it. So queries start as they are received, and only their responses are kept in order. Two
+//! requests of one session run one after the other if either of them writes: a session's read that follows its own
+//! write sees that write.
 
 use crate::endpoint_query::EndpointQuery;
 use crate::request::ValidatedRequest;
@@ -13,14 +14,14 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Bounds of one client's queue.
+/// Limits of one client's queue.
 #[derive(Debug, Clone, Copy)]
 pub struct QueueLimits {
-    /// Queries that have been read and not answered.
+    /// Queries that have been received and have no response yet.
     pub queries: usize,
-    /// The bytes of their texts. One query may be larger.
+    /// Bytes of the messages of these queries. A single query may be larger.
     pub bytes: usize,
-    /// Requests that run at once.
+    /// Requests that run position once.
     pub running: usize,
 }
 
@@ -34,82 +35,85 @@
     }
 }
 
-enum State<A> {
+/// The progress of a request.
+enum State<R> {
     Waiting {
         query: Rc<EndpointQuery>,
         received_at: Timestamp,
     },
     Running,
-    Done(A),
+    Done(R),
 }
 
-enum Item<A, S> {
+/// An entry of the queue.
+enum Item<R, L> {
     Request {
-        admitted: ValidatedRequest,
-        state: State<A>,
+        request: ValidatedRequest,
+        state: State<R>,
     },
-    /// Said without an endpoint.
-    Said(S),
+    /// A response that needs no endpoint.
+    LocalResponse(L),
 }
 
-/// A request that is to start now.
+/// A request that the caller starts now.
 #[derive(Debug)]
 pub struct StartedRequest {
-    /// Its number, for [`SimpleQueryQueue::finish`].
+    /// The request's number, for [`SimpleQueryQueue::finish`].
     pub number: u64,
-    /// What the dispatcher is told.
+    /// The request as passed to the dispatcher.
     pub request: ValidatedRequest,
-    /// What endpoints are asked.
+    /// The query that endpoints receive.
     pub query: Rc<EndpointQuery>,
-    /// When it was read.
+    /// When the request was received.
     pub received_at: Timestamp,
 }
 
-/// What a client gets next.
+/// The next response for the client.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Output<A, S> {
-    /// The final answer of a request.
-    Response(A),
-    /// What was put into the queue to be said.
-    LocalResponse(S),
+pub enum Output<R, L> {
+    /// The final response to a request.
+    Response(R),
+    /// A response that was queued with [`SimpleQueryQueue::push_local_response`].
+    LocalResponse(L),
 }
 
-/// Queries in the order in which they came; `A` is a final answer, `S` what is said without an endpoint.
-pub struct SimpleQueryQueue<A, S> {
+/// A client's simple queries, in the order received. `R` is the type of final responses, `L` that of responses that
+/// need no endpoint.
+pub struct SimpleQueryQueue<R, L> {
     limits: QueueLimits,
-    items: VecDeque<(usize, Item<A, S>)>,
+    items: VecDeque<(usize, Item<R, L>)>,
     /// The number of the first item.
-    first: u64,
+    first_number: u64,
     bytes: usize,
     running: usize,
 }
 
-impl<A, S> SimpleQueryQueue<A, S> {
-    /// An empty queue.
-    pub fn new(limits: QueueLimits) -> SimpleQueryQueue<A, S> {
+impl<R, L> SimpleQueryQueue<R, L> {
+    /// Creates an empty queue.
+    pub fn new(limits: QueueLimits) -> SimpleQueryQueue<R, L> {
         SimpleQueryQueue {
             limits,
             items: VecDeque::new(),
-            first: 0,
+            first_number: 0,
             bytes: 0,
             running: 0,
         }
     }
 
-    /// Nothing waits for an answer.
+    /// Returns whether no query lacks a response.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// No further query is to be read now.
+    /// Returns whether a limit is reached, so that no further query should be read now.
     pub fn is_full(&self) -> bool {
         self.items.len() >= self.limits.queries || self.bytes >= self.limits.bytes
     }
 
-    /// A request was read at `received_at`, in so many bytes.
+    /// Appends a request that was received at `received_at` in a message of `bytes` bytes.
     pub fn push_request(
         &mut self,
-        admitted: ValidatedRequest,
+        request: ValidatedRequest,
         query: Rc<EndpointQuery>,
         received_at: Timestamp,
         bytes: usize,
@@ -117,21 +121,21 @@
         self.bytes += bytes;
         let state = State::Waiting { query, received_at };
         self.items
-            .push_back((bytes, Item::Request { admitted, state }));
+            .push_back((bytes, Item::Request { request, state }));
     }
 
-    /// A query was read that needs no endpoint.
-    pub fn push_local_response(&mut self, said: S) {
-        self.items.push_back((0, Item::Said(said)));
+    /// Appends the response to a query that needs no endpoint.
+    pub fn push_local_response(&mut self, response: L) {
+        self.items.push_back((0, Item::LocalResponse(response)));
     }
 
-    /// The next request that may start. Each is given once.
+    /// Returns the next request that may start, and marks it as running. Each request is returned once.
     pub fn start_next(&mut self) -> Option<StartedRequest> {
         if self.running >= self.limits.running {
             return None;
         }
-        let at = (0..self.items.len()).find(|at| self.may_start(*at))?;
-        let Item::Request { admitted, state } = &mut self.items[at].1 else {
+        let position = (0..self.items.len()).find(|position| self.can_start(*position))?;
+        let Item::Request { request, state } = &mut self.items[position].1 else {
             return None;
         };
         let State::Waiting { query, received_at } = std::mem::replace(state, State::Running) else {
@@ -139,43 +143,47 @@
         };
         self.running += 1;
         Some(StartedRequest {
-            number: self.first + at as u64,
-            request: admitted.clone(),
+            number: self.first_number + position as u64,
+            request: request.clone(),
             query,
             received_at,
         })
     }
 
-    fn may_start(&self, at: usize) -> bool {
+    /// Returns whether a request is waiting and no earlier request of its session must complete first.
+    fn can_start(&self, position: usize) -> bool {
         let Item::Request {
-            admitted,
+            request,
             state: State::Waiting { .. },
-        } = &self.items[at].1
+        } = &self.items[position].1
         else {
             return false;
         };
-        let Some(session) = &admitted.session else {
+        let Some(session) = &request.session else {
             return true;
         };
-        let bars = |(_, item): &(usize, Item<A, S>)| match item {
+        let blocks = |(_, item): &(usize, Item<R, L>)| match item {
             Item::Request {
                 state: State::Done(_),
                 ..
             }
-            | Item::Said(_) => false,
+            | Item::LocalResponse(_) => false,
             Item::Request {
-                admitted: ahead, ..
-            } => ahead.session.as_ref() == Some(session) && (ahead.is_write || admitted.is_write),
+                request: earlier, ..
+            } => {
+                earlier.session.as_ref() == Some(session) && (earlier.is_write || request.is_write)
+            }
         };
-        !self.items.iter().take(at).any(bars)
+        !self.items.iter().take(position).any(blocks)
     }
 
-    /// A request has its final answer. One that is not known, or has its answer, keeps what it has.
-    pub fn finish(&mut self, number: u64, answer: A) {
-        let at = number
-            .checked_sub(self.first)
-            .and_then(|at| usize::try_from(at).ok());
-        let Some((_, Item::Request { state, .. })) = at.and_then(|at| self.items.get_mut(at))
+    /// Stores the final response to a request. Does nothing if the number is unknown or the request has a response.
+    pub fn finish(&mut self, number: u64, response: R) {
+        let position = number
+            .checked_sub(self.first_number)
+            .and_then(|position| usize::try_from(position).ok());
+        let Some((_, Item::Request { state, .. })) =
+            position.and_then(|position| self.items.get_mut(position))
         else {
             return;
         };
@@ -184,41 +192,42 @@
             State::Running => self.running -= 1,
             State::Waiting { .. } => {}
         }
-        *state = State::Done(answer);
+        *state = State::Done(response);
     }
 
-    /// The first request without an answer: what a CancelRequest is about.
+    /// Returns the number of the first request without a response, which a CancelRequest cancels.
     pub fn first_pending(&self) -> Option<u64> {
-        let is_open = |(_, i): &(usize, Item<A, S>)| match i {
+        let is_pending = |(_, item): &(usize, Item<R, L>)| match item {
             Item::Request { state, .. } => !matches!(state, State::Done(_)),
-            Item::Said(_) => false,
+            Item::LocalResponse(_) => false,
         };
         self.items
             .iter()
-            .position(is_open)
-            .map(|at| self.first + at as u64)
+            .position(is_pending)
+            .map(|position| self.first_number + position as u64)
     }
 
-    /// What is said next, if it is the turn of something that can be; `may_say`: whether that can be said now.
-    pub fn pop_output(&mut self, may_say: impl Fn(&S) -> bool) -> Option<Output<A, S>> {
+    /// Removes and returns the first response, if it is available. `can_send` decides whether a response that needs no
+    /// endpoint may be sent now.
+    pub fn pop_output(&mut self, can_send: impl Fn(&L) -> bool) -> Option<Output<R, L>> {
         match &self.items.front()?.1 {
             Item::Request {
                 state: State::Done(_),
                 ..
             } => {}
-            Item::Said(said) if may_say(said) => {}
+            Item::LocalResponse(response) if can_send(response) => {}
             _ => return None,
         }
         let (bytes, item) = self.items.pop_front()?;
-        self.first += 1;
+        self.first_number += 1;
         self.bytes -= bytes;
         match item {
             Item::Request {
-                state: State::Done(answer),
+                state: State::Done(response),
                 ..
-            } => Some(Output::Response(answer)),
+            } => Some(Output::Response(response)),
             Item::Request { .. } => None,
-            Item::Said(said) => Some(Output::LocalResponse(said)),
+            Item::LocalResponse(response) => Some(Output::LocalResponse(response)),
         }
     }
 }
