--- a/crates/pg-session/src/statement.rs
+++ b/crates/pg-session/src/statement.rs
@@ -1,8 +1,8 @@
-//! The form of a statement: one read, one write, and a comment that closes it and annotates the request. A word
-//! may be a parameter (`$n`) where the statement is prepared.
+//! Parsing of statements: one read, one write, each with a trailing comment that annotates the request. In a prepared
+//! statement, a value may be a parameter (`$n`).
 //!
-//! Responsible for the words of a statement and for the text forms of numbers, ids and values. Owns no state: a
-//! form borrows from its text. Must never interpret what an annotation means.
+//! Responsible for the values in a statement and for the text formats of numbers, ids and column values. Owns no
+//! state: a parsed statement borrows from its text. Must never interpret what an annotation means.
 
 mod parser;
 
@@ -10,64 +10,65 @@
 use std::ops::Range;
 use std::str::FromStr;
 
-/// The largest value, in bytes.
+/// The maximum length of a column value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 * 1024;
-/// Why a text is no statement of ours.
+
+/// An error in a statement's text.
 #[derive(Debug, Clone, thiserror::Error, PartialEq, Eq)]
 pub enum ParseError {
-    /// Another statement.
+    /// The text is neither the supported read nor the supported write.
     #[error("neither the read nor the write that is spoken here")]
     UnknownStatement,
-    /// Nothing names the request.
+    /// The statement doesn't end with exactly one comment.
     #[error("no comment at the end of the statement")]
     MissingComment,
-    /// A word of the comment.
+    /// An annotation is missing or invalid; holds its name.
     #[error("{0}: missing or wrong")]
     InvalidField(&'static str),
-    /// Words of the comment that are no pairs, or too many.
+    /// The comment holds something other than `name=value` pairs, a name twice, or too many names.
     #[error("a name without a value, or twice")]
     InvalidPair,
-    /// The value of a write.
+    /// The value of a write is malformed or longer than [`MAX_VALUE_BYTES`].
     #[error("a value that is no hexadecimal text, or too large")]
     InvalidValue,
 }
 
-/// A word of a statement: as it stands there, or the number of a parameter, counted from 1.
+/// The value of a field in a statement's text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FieldValue<'a> {
-    /// Between its quotes, where it has them.
+    /// A value written in the text, without its quotes.
     Text(&'a str),
-    /// `$n`.
+    /// The number of a parameter `$n`, from 1.
     Parameter(u16),
 }
 
-/// Where a word stands, as the words that can be parameters go.
+/// A part of a statement whose value can be a parameter: a column or an annotation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Field {
-    /// The quoted key: names the session in classes that have sessions.
+    /// The key, column `code`; names the session in classes that have sessions.
     Key,
-    /// The value that a write writes.
+    /// The value that a write stores, column `data`.
     Value,
-    /// `id`
+    /// Annotation `id`: the request's id.
     Id,
-    /// `c`
+    /// Annotation `c`: the request's class.
     Class,
-    /// `cluster`
+    /// Annotation `cluster`: the replica set.
     ReplicaSet,
-    /// `d`
+    /// Annotation `d`: the client's timeout, in milliseconds.
     Timeout,
-    /// `k`
+    /// Annotation `k`: the idempotency key.
     IdempotencyKey,
-    /// `after`
+    /// Annotation `after`: when the session's last write was committed, a Unix time in milliseconds.
     LastWrite,
-    /// `r`
+    /// Annotation `r`: whether the client retries a request.
     Retry,
-    /// A name that the router passes on and does not read.
+    /// Any other annotation; the router passes it on unread.
     Other,
 }
 
 impl Field {
-    /// Its name in the comment, or its column.
+    /// Returns the name of the annotation or column.
     pub fn name(self) -> &'static str {
         match self {
             Field::Key => "code",
@@ -83,6 +84,7 @@
         }
     }
 
+    /// Returns the field of an annotation's name.
     fn from_name(name: &str) -> Field {
         match name {
             "id" => Field::Id,
@@ -97,49 +99,48 @@
     }
 }
 
-/// A statement's words in the order in which they stand, and where each stands in its text (a literal with its
-/// quotes).
+/// A statement's fields and the byte ranges of their values in its text. The range of a literal includes its quotes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParsedStatement<'a> {
-    /// All words.
+    /// All fields in text order, each with its value and the value's byte range.
     pub fields: Vec<(Field, FieldValue<'a>, Range<usize>)>,
-    /// It writes.
+    /// Whether the statement writes.
     pub is_write: bool,
-    /// Where another pair could be added to the comment.
+    /// The byte offset in the text at which another pair can be appended to the comment.
     pub comment_end: usize,
 }
 
-/// Digits and nothing else: the standard library's own reading also takes a sign.
+/// Parses a number of digits only; the standard library's parser also accepts a sign.
 pub fn parse_number<T: FromStr>(value: &str) -> Option<T> {
     value
         .bytes()
-        .all(|b| b.is_ascii_digit())
+        .all(|byte| byte.is_ascii_digit())
         .then(|| value.parse().ok())?
 }
 
-/// Whether this is a value as text: up to 64 KiB of it, or `\x` and whole bytes in hexadecimal digits.
+/// Returns whether a text is a valid column value: up to 64 KiB of text, or `\x` and whole bytes in hexadecimal digits.
 pub fn is_valid_value(value: &str) -> bool {
     match value.strip_prefix("\\x") {
         Some(digits) => {
-            let all_hex = digits.bytes().all(|b| b.is_ascii_hexdigit());
+            let all_hex = digits.bytes().all(|byte| byte.is_ascii_hexdigit());
             digits.len() % 2 == 0 && digits.len() / 2 <= MAX_VALUE_BYTES && all_hex
         }
         None => value.len() <= MAX_VALUE_BYTES,
     }
 }
 
-/// The name of a request: 16 hexadecimal digits.
+/// Parses a request's id: 16 hexadecimal digits.
 pub fn parse_request_id(value: &str) -> Option<u64> {
-    let is_id = value.len() == 16 && value.bytes().all(|b| b.is_ascii_hexdigit());
+    let is_id = value.len() == 16 && value.bytes().all(|byte| byte.is_ascii_hexdigit());
     is_id.then(|| u64::from_str_radix(value, 16).ok())?
 }
 
 impl<'a> ParsedStatement<'a> {
-    /// Parses a whole statement; `allows_parameters` says that words may be parameters.
+    /// Parses a whole statement. With `allows_parameters`, values may be parameters.
     ///
     /// # Errors
     ///
-    /// Why the text is no statement of this form.
+    /// Any [`ParseError`], if the text is not a supported statement.
     pub fn parse(
         statement: &'a str,
         allows_parameters: bool,
@@ -147,15 +148,15 @@
         Parser::new(statement, allows_parameters).parse()
     }
 
-    /// The word at a place, and where it stands.
+    /// Returns a field's value and the value's byte range, if the statement has the field.
     pub fn field(&self, wanted: Field) -> Option<(FieldValue<'a>, Range<usize>)> {
         self.fields
             .iter()
-            .find(|(place, ..)| *place == wanted)
-            .map(|(_, w, range)| (*w, range.clone()))
+            .find(|(field, ..)| *field == wanted)
+            .map(|(_, value, range)| (*value, range.clone()))
     }
 
-    /// The word at a place, if it stands there as text.
+    /// Returns a field's value, if it is written in the text.
     pub fn field_text(&self, wanted: Field) -> Option<&'a str> {
         match self.field(wanted) {
             Some((FieldValue::Text(text), _)) => Some(text),
--- a/crates/pg-session/src/statement/tests.rs
+++ b/crates/pg-session/src/statement/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `form`.
+//! Tests of `statement`.
 
 use super::*;
 use rstest::rstest;
@@ -6,14 +6,15 @@
 const SIMPLE: &str =
     "SELECT data FROM facts WHERE code = '7f3a' /* id=9b1f03aa5c7e2d41,c=basket,d=480 */";
 
+/// Guards the byte ranges of values: the text sent to endpoints is rewritten at these ranges.
 #[test]
-fn words_are_found_where_they_stand() {
+fn finds_each_field_with_its_byte_range() {
     let text = "INSERT INTO facts (code, data) VALUES ($1, 'a''b') RETURNING data /* id=$2, c=order,d=$13 */;";
-    let form = ParsedStatement::parse(text, true).unwrap();
-    let found: Vec<_> = form
+    let parsed = ParsedStatement::parse(text, true).unwrap();
+    let found: Vec<_> = parsed
         .fields
         .iter()
-        .map(|(p, w, r)| (*p, *w, &text[r.clone()]))
+        .map(|(field, value, range)| (*field, *value, &text[range.clone()]))
         .collect();
     assert_eq!(
         found,
@@ -25,18 +26,22 @@
             (Field::Timeout, FieldValue::Parameter(13), "$13"),
         ]
     );
-    assert!(form.is_write && text[form.comment_end..] == *" */;");
+    assert!(parsed.is_write && text[parsed.comment_end..] == *" */;");
     assert_eq!(
         ParsedStatement::parse(text, false),
         Err(ParseError::UnknownStatement)
     );
 }
 
+/// Guards against parsing `$n` as a parameter in a simple query, which has none.
 #[test]
-fn in_a_simple_query_a_dollar_is_text() {
-    let form = ParsedStatement::parse(SIMPLE, false).unwrap();
+fn a_dollar_is_text_in_a_simple_query() {
+    let parsed = ParsedStatement::parse(SIMPLE, false).unwrap();
     assert_eq!(
-        (form.field_text(Field::Key), form.field_text(Field::Timeout)),
+        (
+            parsed.field_text(Field::Key),
+            parsed.field_text(Field::Timeout)
+        ),
         (Some("7f3a"), Some("480"))
     );
     let dollar = SIMPLE.replace("d=480", "d=$1");
@@ -48,6 +53,7 @@
     );
 }
 
+/// Guards against accepting a text that an endpoint would reject or parse differently.
 #[rstest]
 #[case("'7f3a'", "'a''b /* c=x */'", None)]
 #[case("7f3a'", "7f3a' OR 'a' = 'a'", Some(ParseError::MissingComment))]
@@ -63,17 +69,18 @@
 #[case(" */", " */ /* c=x */", Some(ParseError::MissingComment))]
 #[case("d=480", "d=480,d=480", Some(ParseError::InvalidPair))]
 #[case("d=480", "d=", Some(ParseError::InvalidPair))]
-fn what_is_wrong_is_named(
+fn rejects_malformed_statements_with_the_matching_error(
     #[case] part: &str,
-    #[case] other: &str,
+    #[case] replacement: &str,
     #[case] wanted: Option<ParseError>,
 ) {
     assert_eq!(
-        ParsedStatement::parse(&SIMPLE.replacen(part, other, 1), true).err(),
+        ParsedStatement::parse(&SIMPLE.replacen(part, replacement, 1), true).err(),
         wanted
     );
 }
 
+/// Guards the limit on a value's length and the format of `bytea` values.
 #[rstest]
 #[case("\\x9f03", true)]
 #[case("lane 3", true)]
@@ -81,12 +88,12 @@
 #[case("\\xzz", false)]
 #[case(&format!("\\x{}", "00".repeat(MAX_VALUE_BYTES)), true)]
 #[case(&format!("\\x{}", "00".repeat(MAX_VALUE_BYTES + 1)), false)]
-fn a_value_is_text_or_whole_bytes_of_64_kib_at_most(#[case] value: &str, #[case] good: bool) {
+fn accepts_values_of_text_or_whole_bytes_up_to_64_kib(#[case] value: &str, #[case] is_valid: bool) {
     let text = format!(
         "INSERT INTO facts (code, data) VALUES ('k', '{value}') RETURNING data /* c=order */"
     );
     assert_eq!(
-        ParsedStatement::parse(&text, false).is_ok_and(|f| f.is_write),
-        good
+        ParsedStatement::parse(&text, false).is_ok_and(|parsed| parsed.is_write),
+        is_valid
     );
 }
