--- a/crates/pg-session/src/template/endpoint_text.rs
+++ b/crates/pg-session/src/template/endpoint_text.rs
@@ -1,9 +1,9 @@
-//! The text of a prepared statement as endpoints get it.
+//! The text of a prepared statement as sent to endpoints.
 //!
-//! Responsible for rewriting the client's text so that each Bind can bring the waiting time and the request's
-//! id: a waiting time in digits becomes a parameter, and an id or a waiting time that is missing is appended to
-//! the comment as one. Owns the text only while it is built. Must never change any other byte of the client's
-//! text, nor the numbers of the parameters that clients bring.
+//! Responsible for rewriting the client's text so that each Bind can set the timeout and the request's id: a timeout
+//! written in digits is replaced by a parameter, and an id or a timeout that is missing is appended to the comment as
+//! one. Owns the text only while it is built. Must never change any other byte of the client's text, nor the numbers
+//! of the client's parameters.
 
 use super::{RequestTemplate, TemplateValue};
 use crate::SessionError;
@@ -11,28 +11,28 @@
 use reelrill_pg_protocol::oid;
 use std::ops::Range;
 
-/// Room for the parameters that the router appends, in bytes.
+/// Bytes reserved for the parameters that the router appends.
 const APPENDED_BYTES: usize = 24;
 
-/// Rewrites a statement for endpoints. `types` are those of the parameters that clients bring.
+/// Rewrites a statement for endpoints. `types` holds the object ids of the types of the client's parameters.
 ///
 /// # Errors
 ///
-/// [`SessionError::Parse`] if the statement has no waiting time in the end.
+/// [`SessionError::Parse`] if the rewritten statement has no timeout.
 pub(super) fn rewrite(
     text: &str,
-    form: &ParsedStatement,
+    parsed: &ParsedStatement,
     types: Vec<u32>,
 ) -> Result<RequestTemplate, SessionError> {
     let client_parameter_count = types.len();
     let mut rewriter = Rewriter::new(text, types);
-    for (place, word, range) in &form.fields {
-        rewriter.add_word(*place, *word, range);
+    for (field, value, range) in &parsed.fields {
+        rewriter.add_field(*field, *value, range);
     }
-    rewriter.copy_until(form.comment_end);
-    for (place, type_oid) in [(Field::Id, oid::TEXT), (Field::Timeout, oid::INT4)] {
-        if form.field(place).is_none() {
-            rewriter.append_pair(place, type_oid);
+    rewriter.copy_until(parsed.comment_end);
+    for (field, type_oid) in [(Field::Id, oid::TEXT), (Field::Timeout, oid::INT4)] {
+        if parsed.field(field).is_none() {
+            rewriter.append_pair(field, type_oid);
         }
     }
     rewriter.copy_until(text.len());
@@ -42,23 +42,23 @@
         client_parameter_count,
         fields: rewriter.fields,
         parameter_references: rewriter.parameter_references,
-        is_write: form.is_write,
+        is_write: parsed.is_write,
         timeout_index: rewriter
-            .wait
+            .timeout_index
             .ok_or(ParseError::InvalidField(Field::Timeout.name()))?,
     })
 }
 
-/// A statement's text being copied, with some words replaced by parameters.
+/// Copies a statement's text and replaces some values by parameters.
 struct Rewriter<'a> {
     source: &'a str,
-    /// How much of `source` has been copied or replaced, in bytes.
+    /// The number of bytes of `source` that have been copied or replaced.
     copied: usize,
     text: String,
     types: Vec<u32>,
     fields: Vec<(Field, TemplateValue)>,
     parameter_references: Vec<(Range<usize>, Field, usize)>,
-    wait: Option<usize>,
+    timeout_index: Option<usize>,
 }
 
 impl<'a> Rewriter<'a> {
@@ -70,63 +70,64 @@
             types,
             fields: Vec::new(),
             parameter_references: Vec::new(),
-            wait: None,
+            timeout_index: None,
         }
     }
 
-    /// Takes the next word of the client's text, which stands at `range`.
-    fn add_word(&mut self, place: Field, word: FieldValue, range: &Range<usize>) {
-        match word {
+    /// Processes the next field of the client's text, whose value is at `range`.
+    fn add_field(&mut self, field: Field, value: FieldValue, range: &Range<usize>) {
+        match value {
             FieldValue::Parameter(number) => {
                 let index = usize::from(number) - 1;
-                self.replace(range, place, index);
-                self.fields.push((place, TemplateValue::Parameter(index)));
+                self.replace(range, field, index);
+                self.fields.push((field, TemplateValue::Parameter(index)));
             }
             FieldValue::Text(fixed) => {
-                if place == Field::Timeout {
-                    let index = self.add_type(oid::INT4);
-                    self.replace(range, place, index);
+                if field == Field::Timeout {
+                    let index = self.add_parameter(oid::INT4);
+                    self.replace(range, field, index);
                 }
-                self.fields.push((place, TemplateValue::Text(fixed.into())));
+                self.fields.push((field, TemplateValue::Text(fixed.into())));
             }
         }
     }
 
-    /// Copies the client's text up to this offset, in bytes.
+    /// Copies the client's text up to the byte offset `end`.
     fn copy_until(&mut self, end: usize) {
         self.text.push_str(&self.source[self.copied..end]);
         self.copied = end;
     }
 
-    /// Puts a parameter in the place of a word of the client's text.
-    fn replace(&mut self, range: &Range<usize>, place: Field, index: usize) {
+    /// Replaces a value in the client's text by a parameter.
+    fn replace(&mut self, range: &Range<usize>, field: Field, index: usize) {
         self.copy_until(range.start);
-        self.put_parameter(place, index);
+        self.put_parameter(field, index);
         self.copied = range.end;
     }
 
-    /// Appends a name to the comment with a parameter of its own.
-    fn append_pair(&mut self, place: Field, type_oid: u32) {
-        let index = self.add_type(type_oid);
+    /// Appends an annotation to the comment, with a new parameter as its value.
+    fn append_pair(&mut self, field: Field, type_oid: u32) {
+        let index = self.add_parameter(type_oid);
         self.text.push(',');
-        self.text.push_str(place.name());
+        self.text.push_str(field.name());
         self.text.push('=');
-        self.put_parameter(place, index);
+        self.put_parameter(field, index);
     }
 
-    /// Adds a parameter that the router brings, and returns its index.
-    fn add_type(&mut self, type_oid: u32) -> usize {
+    /// Adds a parameter whose value the router sets, and returns its index.
+    fn add_parameter(&mut self, type_oid: u32) -> usize {
         self.types.push(type_oid);
         self.types.len() - 1
     }
 
-    fn put_parameter(&mut self, place: Field, index: usize) {
+    /// Appends a parameter to the text and records its byte range.
+    fn put_parameter(&mut self, field: Field, index: usize) {
         let start = self.text.len();
         self.text.push_str(&format!("${}", index + 1));
         self.parameter_references
-            .push((start..self.text.len(), place, index));
-        if place == Field::Timeout {
-            self.wait = Some(index);
+            .push((start..self.text.len(), field, index));
+        if field == Field::Timeout {
+            self.timeout_index = Some(index);
         }
     }
 }
--- a/crates/pg-session/src/template/parameter_types.rs
+++ b/crates/pg-session/src/template/parameter_types.rs
@@ -1,31 +1,32 @@
 //! The types of a prepared statement's parameters.
 //!
-//! Responsible for giving each parameter that clients bring one type, declared or inferred from its place, and
-//! for refusing types that do not fit. Owns no state. Must never leave a type unspecified: endpoints get every
-//! type in the Parse.
+//! Responsible for determining the type of each of the client's parameters, declared or inferred from its field, and
+//! for rejecting types that don't fit. Owns no state. Must never leave a type unspecified: the Parse sent to endpoints
+//! declares every type.
 
 use crate::SessionError;
 use crate::statement::{Field, FieldValue, ParsedStatement};
 use reelrill_pg_protocol::frontend::MOST_PARAMETERS;
 use reelrill_pg_protocol::oid;
 
-/// The most parameters that the router adds to a statement: the request's id and the waiting time.
+/// The maximum number of parameters that the router adds to a statement: the request's id and the timeout.
 pub(super) const MAX_ADDED_PARAMETERS: usize = 2;
 
-/// The types of the parameters that clients bring, as object ids in parameter order.
+/// Returns the object ids of the types of the client's parameters, in parameter order.
 ///
-/// `declared` are the types of the Parse (0: unspecified), `value_type` that of the value column.
+/// `declared` holds the object ids of the types in the Parse (0: unspecified), `value_type` is that of the value
+/// column's type.
 ///
 /// # Errors
 ///
-/// [`SessionError::LimitExceeded`] for too many parameters, [`SessionError::UnknownParameterType`], [`SessionError::ParameterTypeMismatch`] and [`SessionError::SharedTimeoutParameter`] for one
-/// parameter.
+/// [`SessionError::LimitExceeded`] for too many parameters; [`SessionError::UnknownParameterType`],
+/// [`SessionError::ParameterTypeMismatch`] and [`SessionError::SharedTimeoutParameter`] for a single parameter.
 pub(super) fn resolve(
-    form: &ParsedStatement,
+    parsed: &ParsedStatement,
     declared: &[u32],
     value_type: u32,
 ) -> Result<Vec<u32>, SessionError> {
-    let count = count_parameters(form).max(declared.len());
+    let count = count_parameters(parsed).max(declared.len());
     let max_count = MOST_PARAMETERS - MAX_ADDED_PARAMETERS;
     if count > max_count {
         return Err(SessionError::LimitExceeded {
@@ -37,62 +38,63 @@
     for index in 0..count {
         let number = (index + 1) as u16;
         let declared = declared.get(index).copied();
-        types.push(resolve_one(form, number, declared, value_type)?);
+        types.push(resolve_parameter(parsed, number, declared, value_type)?);
     }
     Ok(types)
 }
 
-/// The highest parameter number in a statement.
-fn count_parameters(form: &ParsedStatement) -> usize {
-    let numbers = form.fields.iter().map(|(_, word, _)| match word {
+/// Returns the highest parameter number in a statement.
+fn count_parameters(parsed: &ParsedStatement) -> usize {
+    let numbers = parsed.fields.iter().map(|(_, value, _)| match value {
         FieldValue::Parameter(number) => usize::from(*number),
         FieldValue::Text(_) => 0,
     });
     numbers.max().unwrap_or(0)
 }
 
-/// The type of one parameter, counted from 1.
-fn resolve_one(
-    form: &ParsedStatement,
+/// Returns the type of the parameter with the number `number`, from 1.
+fn resolve_parameter(
+    parsed: &ParsedStatement,
     number: u16,
     declared: Option<u32>,
     value_type: u32,
 ) -> Result<u32, SessionError> {
-    let places = places_of(form, number);
+    let fields = fields_of(parsed, number);
     let specified = declared.filter(|oid| *oid != oid::UNSPECIFIED);
     let inferred = || {
-        places
+        fields
             .iter()
-            .find_map(|place| default_type(*place, value_type))
+            .find_map(|field| default_type(*field, value_type))
     };
     let resolved = specified
         .or_else(inferred)
         .ok_or(SessionError::UnknownParameterType(number))?;
-    if let Some(place) = places.iter().find(|place| !accepts(**place, resolved)) {
+    if let Some(field) = fields.iter().find(|field| !allows_type(**field, resolved)) {
         return Err(SessionError::ParameterTypeMismatch {
             param: number,
             oid: resolved,
-            place: place.name(),
+            place: field.name(),
         });
     }
-    if places.len() > 1 && places.contains(&Field::Timeout) {
+    if fields.len() > 1 && fields.contains(&Field::Timeout) {
         return Err(SessionError::SharedTimeoutParameter(number));
     }
     Ok(resolved)
 }
 
-/// All places that a parameter stands in.
-fn places_of(form: &ParsedStatement, number: u16) -> Vec<Field> {
-    form.fields
+/// Returns all fields whose value is the parameter with the number `number`.
+fn fields_of(parsed: &ParsedStatement, number: u16) -> Vec<Field> {
+    parsed
+        .fields
         .iter()
-        .filter(|(_, word, _)| *word == FieldValue::Parameter(number))
-        .map(|(place, ..)| *place)
+        .filter(|(_, value, _)| *value == FieldValue::Parameter(number))
+        .map(|(field, ..)| *field)
         .collect()
 }
 
-/// The type of a parameter whose type is unspecified; `None` if its place tells none.
-fn default_type(place: Field, value_type: u32) -> Option<u32> {
-    match place {
+/// Returns the type of a parameter without a declared type; `None` if the field doesn't determine one.
+fn default_type(field: Field, value_type: u32) -> Option<u32> {
+    match field {
         Field::Value => Some(value_type),
         Field::Key | Field::Id | Field::Class | Field::IdempotencyKey | Field::Retry => {
             Some(oid::TEXT)
@@ -103,13 +105,13 @@
     }
 }
 
-/// Whether a parameter of this type may stand in a place.
-fn accepts(place: Field, type_oid: u32) -> bool {
+/// Returns whether a parameter of this type may be the value of a field.
+fn allows_type(field: Field, type_oid: u32) -> bool {
     if oid::is_text(type_oid) {
         return true;
     }
     let is_integer = oid::integer_width(type_oid).is_some();
-    match place {
+    match field {
         Field::Key | Field::Class => false,
         Field::Value => type_oid == oid::BYTEA,
         Field::Id | Field::IdempotencyKey => type_oid == oid::INT8,
--- a/crates/pg-session/src/template/store.rs
+++ b/crates/pg-session/src/template/store.rs
@@ -1,9 +1,9 @@
-//! The store of prepared statements that all clients share.
+//! The store of prepared statements, shared by all clients.
 //!
-//! Responsible for keeping each pair of text and declared parameter types once, and for the bound on their
-//! bytes. Owns the index, the byte count and the next id; the statements themselves are owned by those that have
-//! prepared them, and leave the index when the last of them drops its reference. Must never give an id twice,
-//! nor keep a statement alive that nobody has prepared.
+//! Responsible for keeping each pair of text and declared parameter types once, and for the limit on their bytes. Owns
+//! the index, the byte count and the next id. The statements themselves are owned by the clients that have prepared
+//! them, and are removed from the index when the last reference is dropped. Must never reuse an id, nor keep a
+//! statement that no client has prepared.
 
 use super::{StatementKind, Template, parse};
 use crate::SessionError;
@@ -12,26 +12,27 @@
 use std::hash::{BuildHasher, RandomState};
 use std::rc::{Rc, Weak};
 
-/// What a template is counted for besides its texts, in bytes.
+/// Bytes counted for a template besides its texts.
 pub(super) const TEMPLATE_OVERHEAD_BYTES: usize = 512;
 
+/// The state shared by all clones of a [`TemplateStore`].
 #[derive(Debug)]
 struct Store {
-    /// By the hash of text and declared types.
+    /// The templates by the hash of text and declared types.
     buckets: HashMap<u64, Vec<Weak<Template>>>,
     hasher: RandomState,
     used_bytes: usize,
     max_bytes: usize,
     next_id: u64,
-    /// The type of the value column, as an object id.
+    /// The object id of the value column's type.
     value_type: u32,
 }
 
-/// All prepared statements of a router, each kept once. Clones share one store.
+/// Stores each prepared statement of the router once. Clones share one store.
 #[derive(Debug, Clone)]
 pub struct TemplateStore(Rc<RefCell<Store>>);
 
-/// A template's entry in its store: gives its bytes back when the template is dropped.
+/// A template's entry in its store. On drop, it is removed from the index and its bytes are released.
 #[derive(Debug)]
 pub(super) struct StoreEntry {
     store: Weak<RefCell<Store>>,
@@ -40,7 +41,7 @@
 }
 
 impl TemplateStore {
-    /// A store for at most `max_bytes` bytes; `value_type` is the object id of the value column's type.
+    /// Creates a store of at most `max_bytes` bytes. `value_type` is the object id of the value column's type.
     pub fn new(max_bytes: usize, value_type: u32) -> TemplateStore {
         TemplateStore(Rc::new(RefCell::new(Store {
             buckets: HashMap::new(),
@@ -52,19 +53,20 @@
         })))
     }
 
-    /// The one template for a text and the parameter types that its Parse declares (0: unspecified).
+    /// Returns the template of a text and the object ids of its declared parameter types (0: unspecified). Parses the
+    /// text if there is no such template yet.
     ///
     /// # Errors
     ///
-    /// What is wrong with the text or its types, or [`SessionError::LimitExceeded`] if the store is full.
+    /// Any [`SessionError`] in the text or its types, or [`SessionError::LimitExceeded`] if the store is full.
     pub fn get_or_insert(
         &self,
         text: &str,
         declared: &[u32],
     ) -> Result<Rc<Template>, SessionError> {
         let hash = self.0.borrow().hasher.hash_one((text, declared));
-        if let Some(known) = self.find(hash, text, declared) {
-            return Ok(known);
+        if let Some(template) = self.find(hash, text, declared) {
+            return Ok(template);
         }
         let kind = parse(text, declared, self.0.borrow().value_type)?;
         let cost_bytes = cost_bytes(text, &kind);
@@ -86,7 +88,7 @@
         Ok(template)
     }
 
-    /// How many templates there are, and the bytes that they are counted for.
+    /// Returns the number of templates and the bytes counted for them.
     pub fn usage(&self) -> (usize, usize) {
         let store = self.0.borrow();
         let count = store.buckets.values().map(Vec::len).sum();
@@ -104,7 +106,7 @@
 }
 
 impl Store {
-    /// Counts a new template against the bound and gives it an id.
+    /// Reserves the bytes of a new template and returns its id.
     fn reserve(&mut self, cost_bytes: usize) -> Result<u64, SessionError> {
         if self.used_bytes + cost_bytes > self.max_bytes {
             return Err(SessionError::LimitExceeded {
@@ -119,7 +121,7 @@
     }
 }
 
-/// What a template is counted for, in bytes: the client's text, the endpoints' text and the overhead.
+/// Returns the bytes counted for a template: the client's text, the text sent to endpoints and the overhead.
 fn cost_bytes(text: &str, kind: &StatementKind) -> usize {
     let endpoint_text_bytes = match kind {
         StatementKind::Request(request) => request.text.len(),
--- a/crates/pg-session/src/template/tests.rs
+++ b/crates/pg-session/src/template/tests.rs
@@ -10,11 +10,12 @@
 
 fn request(text: &str, declared: &[u32]) -> Result<RequestTemplate, SessionError> {
     match parse(text, declared, oid::BYTEA)? {
-        StatementKind::Request(r) => Ok(r),
+        StatementKind::Request(request) => Ok(request),
         other => panic!("{other:?}"),
     }
 }
 
+/// Guards the rewriting of statements: timeout and id must be parameters, and the client's parameter numbers unchanged.
 #[rstest]
 #[case(READ, READ, &[oid::TEXT, oid::TEXT, oid::INT4])]
 #[case(
@@ -27,23 +28,25 @@
     "INSERT INTO facts (code, data) VALUES ($2, $1) RETURNING data /* d=$4,c=book,cluster=2,k=$3,id=$5 */",
     &[oid::BYTEA, oid::TEXT, oid::TEXT, oid::INT4, oid::TEXT]
 )]
-fn instances_get_the_text_with_its_wait_and_name_as_parameters(
+fn text_for_endpoints_has_timeout_and_id_as_parameters(
     #[case] text: &str,
-    #[case] sent: &str,
+    #[case] endpoint_text: &str,
     #[case] types: &[u32],
 ) {
-    let r = request(text, &[]).unwrap();
-    assert_eq!((&*r.text, &r.types[..]), (sent, types));
-    for (range, _, index) in &r.parameter_references {
-        assert_eq!(r.text[range.clone()], format!("${}", index + 1));
+    let request = request(text, &[]).unwrap();
+    assert_eq!((&*request.text, &request.types[..]), (endpoint_text, types));
+    for (range, _, index) in &request.parameter_references {
+        assert_eq!(request.text[range.clone()], format!("${}", index + 1));
     }
     assert!(
-        r.parameter_references
+        request
+            .parameter_references
             .iter()
-            .any(|(_, place, index)| *place == Field::Timeout && *index == r.timeout_index)
+            .any(|(_, field, index)| *field == Field::Timeout && *index == request.timeout_index)
     );
 }
 
+/// Guards against preparing a statement that no endpoint would run, and against an error that names another fault.
 #[rstest]
 #[case(READ, &[oid::BYTEA], SessionError::ParameterTypeMismatch { param: 1, oid: oid::BYTEA, place: "code" })]
 #[case(READ, &[0, 0, oid::BOOL], SessionError::ParameterTypeMismatch { param: 3, oid: oid::BOOL, place: "d" })]
@@ -54,34 +57,37 @@
 #[case("begin", &[], SessionError::Unsupported("BEGIN".into()))]
 #[case("COPY facts FROM STDIN", &[], SessionError::Unsupported("COPY".into()))]
 #[case("SELECT 1", &[], ParseError::UnknownStatement.into())]
-fn what_can_not_be_prepared_is_named(
+fn rejects_statements_that_can_not_be_prepared_with_the_matching_error(
     #[case] text: &str,
     #[case] declared: &[u32],
-    #[case] wanted: SessionError,
+    #[case] expected: SessionError,
 ) {
-    assert_eq!(parse(text, declared, oid::BYTEA).err(), Some(wanted));
+    assert_eq!(parse(text, declared, oid::BYTEA).err(), Some(expected));
 }
 
+/// Guards the store's memory: clients share one template for each text and types, the limit holds, and the bytes are
+/// released when the last client drops the template.
 #[test]
-fn a_text_is_kept_once_and_as_long_as_somebody_has_it() {
+fn store_keeps_a_template_once_and_until_the_last_reference_is_dropped() {
     let store = TemplateStore::new(
         4 * (store::TEMPLATE_OVERHEAD_BYTES + 2 * READ.len()),
         oid::BYTEA,
     );
-    let one = store.get_or_insert(READ, &[]).unwrap();
+    let first = store.get_or_insert(READ, &[]).unwrap();
     let same = store.get_or_insert(READ, &[]).unwrap();
     let other = store.get_or_insert(READ, &[oid::VARCHAR]).unwrap();
-    assert!(Rc::ptr_eq(&one, &same) && !Rc::ptr_eq(&one, &other) && one.id != other.id);
+    assert!(Rc::ptr_eq(&first, &same) && !Rc::ptr_eq(&first, &other) && first.id != other.id);
     assert_eq!(store.usage().0, 2);
-    let many: Vec<_> = (0..9)
-        .map(|i| store.get_or_insert(&READ.replace("board", &format!("b{i}")), &[]))
+    let results: Vec<_> = (0..9)
+        .map(|number| store.get_or_insert(&READ.replace("board", &format!("b{number}")), &[]))
         .collect();
-    assert_eq!(many.iter().filter(|t| t.is_ok()).count(), 2);
-    drop((one, same, other, many));
+    assert_eq!(results.iter().filter(|result| result.is_ok()).count(), 2);
+    drop((first, same, other, results));
     assert_eq!(store.usage(), (0, 0));
     assert!(store.get_or_insert(READ, &[]).is_ok());
 }
 
+/// Guards the boundary between utility statements, which the router executes, and all other texts.
 #[rstest]
 #[case("set application_name = 'x'", Some(UtilityStatement::Setting("SET")))]
 #[case("RESET ALL;", Some(UtilityStatement::Setting("RESET")))]
@@ -91,6 +97,9 @@
 #[case("deallocate all", Some(UtilityStatement::Deallocate(None)))]
 #[case("deallocate", None)]
 #[case("SELECT 1", None)]
-fn utilities_are_told_apart(#[case] text: &str, #[case] wanted: Option<UtilityStatement>) {
-    assert_eq!(UtilityStatement::parse(text).and_then(Result::ok), wanted);
+fn parses_utility_statements_and_no_others(
+    #[case] text: &str,
+    #[case] expected: Option<UtilityStatement>,
+) {
+    assert_eq!(UtilityStatement::parse(text).and_then(Result::ok), expected);
 }
--- a/crates/pg-session/src/template/utility.rs
+++ b/crates/pg-session/src/template/utility.rs
@@ -1,11 +1,11 @@
-//! UtilityStatement statements: session settings and the removal of prepared statements, which never reach an endpoint.
+//! Utility statements: session settings and the removal of prepared statements, which are never sent to an endpoint.
 //!
-//! Responsible for recognizing such a statement and naming its command tag. Owns no state: the client's session
-//! carries the statement out. Must never accept a statement that would have an effect on an endpoint.
+//! Responsible for recognizing such a statement and for its command tag. Owns no state: the client's session executes
+//! the statement. Must never accept a statement that would have an effect on an endpoint.
 
 use crate::SessionError;
 
-/// Commands that are recognized and refused: each needs state that is kept between statements on one connection.
+/// Commands that are recognized and rejected: each needs state that one connection keeps between statements.
 const UNSUPPORTED: [&str; 18] = [
     "BEGIN",
     "START",
@@ -30,20 +30,20 @@
 /// A statement that has no effect on endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UtilityStatement {
-    /// `SET` or `RESET`: accepted, without effect.
+    /// `SET` or `RESET`: accepted, without effect; holds the command tag.
     Setting(&'static str),
     /// `DISCARD ALL`: removes all prepared statements of the client.
     DiscardAll,
-    /// `DEALLOCATE` of one prepared statement by name, or of all.
+    /// `DEALLOCATE`: removes the named prepared statement, or all if `None`.
     Deallocate(Option<Box<str>>),
 }
 
 impl UtilityStatement {
-    /// Parses a utility statement; `None` if the text is another statement.
+    /// Parses a utility statement; returns `None` if the text is another statement.
     ///
     /// # Errors
     ///
-    /// [`SessionError::Unsupported`] with the command's name for a command that is known and not supported.
+    /// [`SessionError::Unsupported`] with the command's name for a known command that is not supported.
     pub fn parse(text: &str) -> Option<Result<UtilityStatement, SessionError>> {
         let mut words = trim_statement(text).split_whitespace();
         let command = words.next()?.to_ascii_uppercase();
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The command tag of its CommandComplete message.
+    /// Returns the command tag for the CommandComplete message.
     pub fn command_tag(&self) -> &'static str {
         match self {
             UtilityStatement::Setting(tag) => tag,
@@ -92,8 +92,7 @@
     }
 }
 
-/// An identifier as PostgreSQL compares it: folded to lower case unless quoted. `None` if the closing quote is
-/// missing.
+/// Folds an identifier as PostgreSQL does: to lower case unless quoted. Returns `None` if the closing quote is missing.
 fn fold_identifier(identifier: &str) -> Option<Box<str>> {
     let Some(quoted) = identifier.strip_prefix('"') else {
         return Some(identifier.to_ascii_lowercase().into());
