--- a/crates/pg-session/src/endpoint_query.rs
+++ b/crates/pg-session/src/endpoint_query.rs
@@ -1,16 +1,15 @@
-//! A statement with its values, as endpoints are asked.
+//! The query that an endpoint receives for a request: a statement with its values.
 //!
-//! Responsible for a statement's values between the client's Bind and the endpoint's, which it writes with the
-//! router's own waiting time. Independent of the protocol by which the client asked. Owns the values. Must never
-//! do I/O.
+//! Responsible for the values between the client's Bind and the endpoint's, which carries the router's own timeout.
+//! Independent of the protocol in which the client sent the request. Owns the values. Must never do I/O.
 //!
 //! | module | responsible for |
 //! | --- | --- |
 //! | `values` | keeping the values of a Bind |
-//! | `annotations` | what a request says of itself |
+//! | `annotations` | reading the fields of a request |
 //! | `simple` | a statement as the text of a simple query |
-//! | `literal` | making such a text of a bound statement |
-//! | `value_format` | values in text and binary format |
+//! | `literal` | converting a bound statement to such a text |
+//! | `value_format` | converting values between text and binary format |
 
 mod annotations;
 mod literal;
@@ -33,32 +32,32 @@
 use value_format::{encode_id, encode_number};
 use values::Values;
 
-/// What an endpoint is to be asked.
+/// The query that endpoints receive for a request.
 #[derive(Debug)]
 pub enum EndpointQuery {
     /// A statement as text, sent as a simple query.
     Simple(SimpleQuery),
-    /// A prepared statement and its values.
+    /// A prepared statement and its values, sent as an extended query.
     Bound(BoundStatement),
 }
 
-/// A prepared statement and its values.
+/// A prepared statement with the values of a Bind.
 #[derive(Debug)]
 pub struct BoundStatement {
     template: Rc<Template>,
     values: Values,
-    result: Format,
-    /// The request's id where the client brought none.
+    result_format: Format,
+    /// The request's id if the client sent none.
     generated_id: u64,
 }
 
 impl BoundStatement {
-    /// Takes a statement's values from a Bind. `generated_id` is the request's id where the client brings none.
+    /// Copies a statement's values from a Bind. `generated_id` is the request's id if the client sent none.
     ///
     /// # Errors
     ///
-    /// [`SessionError::ParameterCountMismatch`] or [`SessionError::FormatCountMismatch`] if the Bind does not fit the statement, [`SessionError::LimitExceeded`] if the
-    /// bound on values is reached.
+    /// [`SessionError::ParameterCountMismatch`] or [`SessionError::FormatCountMismatch`] if the Bind doesn't fit the
+    /// statement, [`SessionError::LimitExceeded`] if the limit on the bytes of values is reached.
     pub fn new(
         template: &Rc<Template>,
         bind: &Bind,
@@ -69,21 +68,22 @@
         Ok(BoundStatement {
             template: template.clone(),
             values: Values::copy(bind, &budgets.value_bytes)?,
-            result: bind.result_format(0),
+            result_format: bind.result_format(0),
             generated_id,
         })
     }
 
-    /// The statement.
+    /// Returns the statement's template.
     pub fn template(&self) -> &Template {
         &self.template
     }
 
-    /// The format that the client wants its value in.
+    /// Returns the format of the result column that the client requested.
     pub fn result_format(&self) -> Format {
-        self.result
+        self.result_format
     }
 
+    /// Returns the statement, if it is a request.
     fn request(&self) -> Option<&RequestTemplate> {
         match &self.template.kind {
             StatementKind::Request(request) => Some(request),
@@ -99,26 +99,26 @@
         self.values.format(index)
     }
 
-    /// Appends the Bind of the unnamed portal, with the time that the router will wait, in nanoseconds. Appends
-    /// nothing if the statement is no request.
-    pub fn put_bind(&self, out: &mut Vec<u8>, wait: Nanos) {
+    /// Appends the Bind of the unnamed portal. `timeout` is the time that the router will wait for the response, in
+    /// nanoseconds. Appends nothing if the statement is not a request.
+    pub fn put_bind(&self, out: &mut Vec<u8>, timeout: Nanos) {
         let Some(request) = self.request() else {
             return;
         };
-        let wait_type = request.types[request.timeout_index];
-        let wait_value = encode_number(
-            wait_type,
+        let timeout_type = request.types[request.timeout_index];
+        let timeout_value = encode_number(
+            timeout_type,
             self.format(request.timeout_index),
-            timeout_ms(wait),
+            timeout_ms(timeout),
         );
         let id_index = id_index(request);
         let id_value = id_index
             .map(|index| encode_id(request.types[index], self.format(index), self.generated_id));
         let values = (0..request.types.len()).map(|index| {
             let value = match self.value(index) {
-                _ if index == request.timeout_index => Some(&wait_value[..]),
+                _ if index == request.timeout_index => Some(&timeout_value[..]),
                 None if Some(index) == id_index => id_value.as_deref(),
-                from_client => from_client,
+                value_from_client => value_from_client,
             };
             (self.format(index), value)
         });
@@ -127,17 +127,17 @@
             "",
             &self.template.statement_name(),
             values,
-            self.result,
+            self.result_format,
         );
     }
 }
 
-/// The index of the parameter that brings the request's id, counted from 0.
+/// Returns the index of the parameter of the request's id, from 0.
 fn id_index(request: &RequestTemplate) -> Option<usize> {
     request
         .parameter_references
         .iter()
-        .find(|(_, place, _)| *place == Field::Id)
+        .find(|(_, field, _)| *field == Field::Id)
         .map(|(_, _, index)| *index)
 }
 
--- a/crates/pg-session/src/endpoint_query/annotations.rs
+++ b/crates/pg-session/src/endpoint_query/annotations.rs
@@ -1,10 +1,10 @@
-//! What a bound request says of itself: the key, the value and the annotations in its comment.
+//! The fields of a bound request: its key, its value and the annotations in its comment.
 //!
-//! Responsible for reading them from the text or from the values. Owns no state. Must never decide whether the
-//! request is served: that is `admit`'s.
+//! Responsible for reading them from the text or from the values. Owns no state. Must never decide whether the request
+//! is valid: the module `request` does.
 
 use super::BoundStatement;
-use super::value_format::decode_word;
+use super::value_format::decode_text;
 use crate::SessionError;
 use crate::request::RequestFields;
 use crate::statement::{self, Field};
@@ -13,50 +13,51 @@
 use std::borrow::Cow;
 use std::str::FromStr;
 
-/// The words that mark a retry.
-const TRUE_WORDS: [&str; 3] = ["1", "t", "true"];
+/// The values of the annotation `r` that mark a retry.
+const TRUE_VALUES: [&str; 3] = ["1", "t", "true"];
 
 impl BoundStatement {
-    /// Reads what the request says of itself and passes it to `use_it`.
+    /// Reads the request's fields and passes them to `use_fields`.
     ///
     /// # Errors
     ///
-    /// [`SessionError::NullValue`] or [`SessionError::InvalidValue`] with the name of the annotation or column, or what `use_it` returns.
+    /// [`SessionError::NullValue`] or [`SessionError::InvalidValue`] with the name of the annotation or column, or the
+    /// error of `use_fields`.
     pub fn with_fields<T>(
         &self,
-        use_it: impl FnOnce(&RequestFields) -> Result<T, SessionError>,
+        use_fields: impl FnOnce(&RequestFields) -> Result<T, SessionError>,
     ) -> Result<T, SessionError> {
         let Some(request) = self.request() else {
             return Err(SessionError::InvalidValue("statement"));
         };
-        let class = self.required_word(request, Field::Class)?;
-        let key = self.required_word(request, Field::Key)?;
+        let class = self.required_text(request, Field::Class)?;
+        let key = self.required_text(request, Field::Key)?;
         if request.is_write {
             self.check_written_value(request)?;
         }
-        let retry = self.word(request, Field::Retry)?;
+        let retry = self.field_text(request, Field::Retry)?;
         let id = self.id(request)?.unwrap_or(self.generated_id);
         let replica_set = self.number(request, Field::ReplicaSet)?;
         let replica_set = replica_set.ok_or(SessionError::NullValue(Field::ReplicaSet.name()))?;
         let timeout_ms = self.number(request, Field::Timeout)?;
         let last_write_ms = self.number(request, Field::LastWrite)?;
-        let idempotency_key = self.word(request, Field::IdempotencyKey)?;
-        use_it(&RequestFields {
+        let idempotency_key = self.field_text(request, Field::IdempotencyKey)?;
+        use_fields(&RequestFields {
             id: Some(id),
             class: &class,
             replica_set,
             timeout_ms,
             last_write_ms,
-            is_retry: retry.is_some_and(|word| TRUE_WORDS.contains(&&*word)),
+            is_retry: retry.is_some_and(|text| TRUE_VALUES.contains(&&*text)),
             has_key: idempotency_key.is_some_and(|key| !key.is_empty()),
             is_write: request.is_write,
             key: &key,
         })
     }
 
-    /// The request's id as the client brought it; `None` if it did not.
+    /// Returns the client's id of the request; `None` if the client sent none.
     pub(super) fn id(&self, request: &RequestTemplate) -> Result<Option<u64>, SessionError> {
-        let Some(word) = self.word(request, Field::Id)? else {
+        let Some(text) = self.field_text(request, Field::Id)? else {
             return Ok(None);
         };
         let is_integer = match find_field(request, Field::Id) {
@@ -64,21 +65,21 @@
             Some(TemplateValue::Text(_)) | None => false,
         };
         let id = if is_integer {
-            word.parse::<i64>().ok().map(|id| id as u64)
+            text.parse::<i64>().ok().map(|id| id as u64)
         } else {
-            statement::parse_request_id(&word)
+            statement::parse_request_id(&text)
         };
         id.map(Some)
             .ok_or(SessionError::InvalidValue(Field::Id.name()))
     }
 
-    /// The word at a place; `None` if it is missing or null.
-    fn word<'a>(
+    /// Returns a field as text; `None` if it is missing or null.
+    fn field_text<'a>(
         &'a self,
         request: &'a RequestTemplate,
-        place: Field,
+        field: Field,
     ) -> Result<Option<Cow<'a, str>>, SessionError> {
-        let index = match find_field(request, place) {
+        let index = match find_field(request, field) {
             None => return Ok(None),
             Some(TemplateValue::Text(text)) => return Ok(Some(Cow::Borrowed(text))),
             Some(TemplateValue::Parameter(index)) => *index,
@@ -86,34 +87,36 @@
         let Some(value) = self.value(index) else {
             return Ok(None);
         };
-        decode_word(request.types[index], self.format(index), value)
+        decode_text(request.types[index], self.format(index), value)
             .map(Some)
-            .ok_or(SessionError::InvalidValue(place.name()))
+            .ok_or(SessionError::InvalidValue(field.name()))
     }
 
-    fn required_word<'a>(
+    /// Returns a field as text; a null is an error.
+    fn required_text<'a>(
         &'a self,
         request: &'a RequestTemplate,
-        place: Field,
+        field: Field,
     ) -> Result<Cow<'a, str>, SessionError> {
-        self.word(request, place)?
-            .ok_or(SessionError::NullValue(place.name()))
+        self.field_text(request, field)?
+            .ok_or(SessionError::NullValue(field.name()))
     }
 
+    /// Returns a field as a number; `None` if it is missing or null.
     fn number<T: FromStr>(
         &self,
         request: &RequestTemplate,
-        place: Field,
+        field: Field,
     ) -> Result<Option<T>, SessionError> {
-        let Some(word) = self.word(request, place)? else {
+        let Some(text) = self.field_text(request, field)? else {
             return Ok(None);
         };
-        statement::parse_number(&word)
+        statement::parse_number(&text)
             .map(Some)
-            .ok_or(SessionError::InvalidValue(place.name()))
+            .ok_or(SessionError::InvalidValue(field.name()))
     }
 
-    /// Checks the value of a write if a parameter brings it; one in the text was checked with the text.
+    /// Checks the value of a write if it is a parameter. A value in the text has been checked by the parser.
     fn check_written_value(&self, request: &RequestTemplate) -> Result<(), SessionError> {
         let Some(TemplateValue::Parameter(index)) = find_field(request, Field::Value) else {
             return Ok(());
@@ -135,10 +138,11 @@
     }
 }
 
-fn find_field(request: &RequestTemplate, place: Field) -> Option<&TemplateValue> {
+/// Returns the value of a field in the statement.
+fn find_field(request: &RequestTemplate, field: Field) -> Option<&TemplateValue> {
     request
         .fields
         .iter()
-        .find(|(of_slot, _)| *of_slot == place)
-        .map(|(_, slot)| slot)
+        .find(|(candidate, _)| *candidate == field)
+        .map(|(_, value)| value)
 }
--- a/crates/pg-session/src/endpoint_query/value_format.rs
+++ b/crates/pg-session/src/endpoint_query/value_format.rs
@@ -1,14 +1,14 @@
 //! Values in PostgreSQL's text and binary formats.
 //!
-//! Responsible for decoding parameters, encoding those that the router brings, and converting a result between
-//! formats. Owns no state. Must never guess: a value that can't be converted exactly is none.
+//! Responsible for decoding parameters, encoding those that the router adds, and converting a result between formats.
+//! Owns no state. Must never guess: the conversion of a value that can't be converted exactly returns `None`.
 
 use reelrill_pg_protocol::{Format, oid};
 use std::borrow::Cow;
 use std::fmt::Write as _;
 
-/// A parameter as text that can be read as a number or a word; `None` if it is no such thing.
-pub(super) fn decode_word(type_oid: u32, format: Format, value: &[u8]) -> Option<Cow<'_, str>> {
+/// Decodes a parameter to text; returns `None` if it is not valid text, or not a boolean or an integer of its type.
+pub(super) fn decode_text(type_oid: u32, format: Format, value: &[u8]) -> Option<Cow<'_, str>> {
     if format == Format::Text || oid::is_text(type_oid) {
         return std::str::from_utf8(value).ok().map(Cow::Borrowed);
     }
@@ -22,7 +22,7 @@
     Some(Cow::Owned(number.to_string()))
 }
 
-/// A whole number in a parameter's type and format; one that does not fit becomes the largest that does.
+/// Encodes a whole number in a parameter's type and format; a number out of range becomes the type's maximum.
 pub(super) fn encode_number(type_oid: u32, format: Format, number: u64) -> Vec<u8> {
     match (type_oid, format) {
         (oid::INT2, Format::Binary) => i16::try_from(number)
@@ -42,7 +42,7 @@
     }
 }
 
-/// A request's id in a parameter's type and format: as an integer it is the same 64 bits.
+/// Encodes a request's id in a parameter's type and format; an integer has the same 64 bits.
 pub(super) fn encode_id(type_oid: u32, format: Format, id: u64) -> Vec<u8> {
     match (type_oid, format) {
         (oid::INT8, Format::Binary) => id.to_be_bytes().into(),
@@ -59,8 +59,7 @@
     }
 }
 
-/// A value that an endpoint returned in one format, in the format that the client asked for; `None` if it can't
-/// be converted.
+/// Converts a value between formats; returns `None` if it can't be converted. `oid` is the object id of its type.
 pub fn convert_format(value: &[u8], oid: u32, from: Format, to: Format) -> Option<Cow<'_, [u8]>> {
     if from == to || oid::is_text(oid) {
         return Some(Cow::Borrowed(value));
@@ -79,6 +78,7 @@
     }
 }
 
+/// Decodes pairs of hexadecimal digits.
 fn decode_hex(digits: &[u8]) -> Option<Vec<u8>> {
     let (pairs, []) = digits.as_chunks::<2>() else {
         return None;
@@ -90,16 +90,16 @@
         .collect()
 }
 
-/// Bytes in the escape format of the type `bytea`: as they are, but for `\\` and `\ooo`.
+/// Decodes bytes in the escape format of the type `bytea`, in which only `\\` and `\ooo` are escapes.
 fn decode_escape(value: &[u8]) -> Option<Cow<'_, [u8]>> {
     if !value.contains(&b'\\') {
         return Some(Cow::Borrowed(value));
     }
     let mut out = Vec::with_capacity(value.len());
     let mut rest = value;
-    while let Some((&byte, behind)) = rest.split_first() {
-        rest = behind;
-        out.push(match (byte, behind) {
+    while let Some((&byte, after)) = rest.split_first() {
+        rest = after;
+        out.push(match (byte, after) {
             (b'\\', [b'\\', more @ ..]) => {
                 rest = more;
                 b'\\'
--- a/crates/pg-session/src/endpoint_query/values.rs
+++ b/crates/pg-session/src/endpoint_query/values.rs
@@ -1,7 +1,7 @@
 //! The parameter values of one Bind.
 //!
-//! Responsible for checking a Bind's counts and keeping its values. Owns a copy of them in one buffer, with its
-//! share of the bound of all clients. Must never interpret a value.
+//! Responsible for checking a Bind's counts and keeping its values. Owns a copy of them in one buffer, with the
+//! reservation of its bytes from the limit of all clients. Must never interpret a value.
 
 use crate::SessionError;
 use crate::limits::{Budget, Reservation};
@@ -10,21 +10,21 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-/// Where a value stands in the buffer, and its format.
+/// A value's format and byte range in the buffer.
 #[derive(Debug)]
 struct Value {
     format: Format,
-    /// `None` for a null.
+    /// `None` if the value is null.
     range: Option<Range<usize>>,
 }
 
-/// The values that a client brought, in parameter order.
+/// The values of a client's Bind, in parameter order.
 #[derive(Debug)]
 pub(super) struct Values {
     bytes: Vec<u8>,
     values: Vec<Value>,
-    /// Given back on drop.
-    _share: Reservation,
+    /// Released on drop.
+    _reservation: Reservation,
 }
 
 impl Values {
@@ -32,10 +32,10 @@
     ///
     /// # Errors
     ///
-    /// [`SessionError::LimitExceeded`] if `budget`, in bytes, has no room for them.
+    /// [`SessionError::LimitExceeded`] if fewer bytes are left in `budget`.
     pub(super) fn copy(bind: &Bind, budget: &Rc<Budget>) -> Result<Values, SessionError> {
         let total_bytes = bind.values.iter().flatten().map(|value| value.len()).sum();
-        let share = reserve_value_bytes(budget, total_bytes)?;
+        let reservation = reserve_value_bytes(budget, total_bytes)?;
         let mut bytes = Vec::with_capacity(total_bytes);
         let mut values = Vec::with_capacity(bind.values.len());
         for (index, value) in bind.values.iter().enumerate() {
@@ -52,17 +52,17 @@
         Ok(Values {
             bytes,
             values,
-            _share: share,
+            _reservation: reservation,
         })
     }
 
-    /// A parameter's value; `None` if it is null or the client brings no such parameter.
+    /// Returns a parameter's value; `None` if it is null or the Bind has no such parameter.
     pub(super) fn get(&self, index: usize) -> Option<&[u8]> {
         let range = self.values.get(index)?.range.clone()?;
         self.bytes.get(range)
     }
 
-    /// A parameter's format; text for those that the router brings.
+    /// Returns a parameter's format; text for the parameters that the router adds.
     pub(super) fn format(&self, index: usize) -> Format {
         self.values
             .get(index)
@@ -70,7 +70,7 @@
     }
 }
 
-/// Takes a share of the bound on values, in bytes.
+/// Reserves bytes from the limit on the bytes of values.
 pub(super) fn reserve_value_bytes(
     budget: &Rc<Budget>,
     bytes: usize,
@@ -83,7 +83,7 @@
         })
 }
 
-/// Checks the counts of a Bind against its statement, which takes `takes` parameters and returns one column.
+/// Checks the counts of a Bind against its statement, which has `takes` parameters and returns one column.
 ///
 /// # Errors
 ///
