--- a/crates/pg-session/src/extended.rs
+++ b/crates/pg-session/src/extended.rs
@@ -1,19 +1,18 @@
 //! A client's session in the extended query protocol: its prepared statements, portals and pipeline.
 //!
-//! Responsible for what each command does, what may start and what is answered or skipped. Composes `statements`
-//! (names, with undo), `portal` (what an Execute does) and `pipeline` (order) and
-//! `segment` (what a Sync ends), and owns those of one client.
-//! Must never do I/O, nor answer out of order.
+//! Responsible for the effect of each command, for which requests may start, and for which commands are skipped. Owns
+//! one client's `statements` (names, with rollback), portals (`portal`: the effect of an Execute), `pipeline` (order of
+//! responses) and `segment` (the commands up to a Sync). Must never do I/O, nor release responses out of order.
 //!
-//! Commands are taken in as they come and answered in their order. Each Execute of a request is a part with one
-//! final answer. Parts behind one without an answer are planned as if it were served; if it fails, what was
-//! planned behind it in its segment is undone, as if those commands had never been read:
+//! Commands are processed as they are received, and their responses are released in the same order. Each Execute of a
+//! request has one final response. Commands after a request without a response are processed as if it succeeds. If it
+//! fails, the commands after it in its segment are rolled back, as if they had never been received:
 //!
-//! - a read may start while others are running, but not while a write ahead of it has no answer;
-//! - a write starts only when all parts ahead of it have ended, and those of its segment have been served;
-//! - a statement that was prepared or closed behind a part that then failed is as it was before.
+//! - a read may start while other reads run, but not while an earlier write has no response;
+//! - a write starts only when all earlier requests have a response, and those of its segment have succeeded;
+//! - a statement that was prepared or closed after a request that fails is restored to its previous state.
 //!
-//! Commands of the next segment are not taken while such a change could still be undone.
+//! Commands of the next segment are not accepted while such a change could still be rolled back.
 
 mod pipeline;
 mod portal;
@@ -34,24 +33,24 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// What all clients' sessions share.
+/// The resources shared by the sessions of all clients.
 #[derive(Debug)]
 pub struct SharedResources {
-    /// The prepared statements.
+    /// The prepared statements of all clients.
     pub templates: TemplateStore,
-    /// The bounds, in the units that [`Limits`] names.
+    /// The limits.
     pub limits: Limits,
-    /// What is in use of the bounds that all clients share.
+    /// The usage of the limits that all clients share.
     pub budgets: SharedBudgets,
-    /// The classes of requests that are served.
+    /// The classes of requests.
     pub classes: ClassCatalog,
-    /// Whether endpoints get simple queries only: values become literals.
+    /// Whether bound statements are sent to endpoints as simple queries, with values as literals.
     pub should_translate: bool,
 }
 
-/// What a client gets next.
+/// The next message for a client, or a request to flush.
 #[derive(Debug, PartialEq)]
-pub enum Output<A> {
+pub enum Output<R> {
     /// ParseComplete.
     ParseComplete,
     /// BindComplete.
@@ -60,56 +59,56 @@
     CloseComplete,
     /// ParameterDescription of a statement.
     ParameterDescription(Vec<u32>),
-    /// RowDescription of the one column, in this format.
+    /// RowDescription of the one column, whose values have this format.
     RowDescription(Format),
     /// NoData.
     NoData,
     /// EmptyQueryResponse.
     EmptyQueryResponse,
-    /// CommandComplete of something that went to no endpoint.
+    /// CommandComplete, with its command tag, of a statement that was not sent to an endpoint.
     CommandComplete(&'static str),
-    /// The final answer of a part.
+    /// The final response to a request.
     Response {
-        /// As it was given to [`ExtendedSession::finish`].
-        response: A,
-        /// The portal had a row limit and is not done: a served answer ends with PortalSuspended.
+        /// The response as passed to [`ExtendedSession::finish`].
+        response: R,
+        /// Whether the Execute's row limit suspended the portal: a served response then ends with PortalSuspended.
         is_suspended: bool,
     },
-    /// An error: all that follows is skipped up to the Sync.
+    /// An error. All later commands up to the Sync are skipped.
     Error(SessionError),
-    /// What has been said so far is to reach the client now.
+    /// The messages so far must be sent to the client now.
     Flush,
     /// ReadyForQuery.
     ReadyForQuery,
 }
 
-/// A part that is to start now.
+/// A request that the caller starts now.
 #[derive(Debug)]
 pub struct StartedRequest {
-    /// Its number, for [`ExtendedSession::finish`].
+    /// The request's number, for [`ExtendedSession::finish`].
     pub number: u64,
-    /// What the dispatcher is told.
+    /// The request as passed to the dispatcher.
     pub request: Rc<ValidatedRequest>,
-    /// What endpoints are asked.
+    /// The query that endpoints receive.
     pub query: Rc<EndpointQuery>,
-    /// The format that the client wants its value in.
+    /// The format of the result column that the client requested.
     pub result_format: Format,
 }
 
-/// One client's session; `A` is the type of its host's final answers.
-pub struct ExtendedSession<A> {
-    common: Rc<SharedResources>,
+/// One client's session. `R` is the type of final responses.
+pub struct ExtendedSession<R> {
+    shared: Rc<SharedResources>,
     statements: Statements,
     portals: HashMap<Box<str>, Portal>,
-    pipeline: Pipeline<A>,
+    pipeline: Pipeline<R>,
     segment: Segment,
 }
 
-impl<A> ExtendedSession<A> {
-    /// The session of a client that has sent nothing yet.
-    pub fn new(common: Rc<SharedResources>) -> ExtendedSession<A> {
+impl<R> ExtendedSession<R> {
+    /// Creates the session of a client that has sent nothing yet.
+    pub fn new(shared: Rc<SharedResources>) -> ExtendedSession<R> {
         ExtendedSession {
-            common,
+            shared,
             statements: Statements::default(),
             portals: HashMap::new(),
             pipeline: Pipeline::new(),
@@ -117,29 +116,30 @@
         }
     }
 
-    /// Whether nothing waits for its turn or its answer.
+    /// Returns whether no command is queued and no response is outstanding.
     pub fn is_idle(&self) -> bool {
         self.pipeline.is_empty()
     }
 
-    /// Whether a segment is open: a simple query would end it.
+    /// Returns whether a command has been received since the last Sync.
     pub fn has_open_segment(&self) -> bool {
         !self.segment.is_closed
     }
 
-    /// Whether no further command may be given now: too many wait, or a change could still be undone.
+    /// Returns whether no further command may be passed now: too many are queued, or a change of the last segment could
+    /// still be rolled back.
     pub fn is_full(&self) -> bool {
-        let is_pipeline_full = self.pipeline.len() >= self.common.limits.commands;
+        let is_pipeline_full = self.pipeline.len() >= self.shared.limits.commands;
         is_pipeline_full || (self.segment.is_closed && self.statements.has_uncommitted())
     }
 
-    /// How many statements this client has prepared.
+    /// Returns the number of statements that the client has prepared.
     pub fn statement_count(&self) -> usize {
         self.statements.len()
     }
 
-    /// Takes a command of an extended query. `generated_id` is its request's id where the client brings none. What is
-    /// wrong with it is an [`Output::Error`].
+    /// Processes a command of an extended query. `generated_id` is its request's id if the client sends none. An error
+    /// in the command becomes an [`Output::Error`].
     pub fn on_command(&mut self, command: &Command, generated_id: u64) {
         if let Command::Sync = command {
             self.sync();
@@ -149,33 +149,34 @@
         if self.segment.is_skipping {
             return;
         }
-        let most = self.common.limits.segment;
-        let done = self
+        let limit = self.shared.limits.segment;
+        let result = self
             .segment
-            .count_command(most)
-            .and_then(|()| self.take(command, generated_id));
-        if let Err(wrong) = done {
-            self.pipeline.push_response(Output::Error(wrong));
+            .count_command(limit)
+            .and_then(|()| self.process(command, generated_id));
+        if let Err(error) = result {
+            self.pipeline.push_response(Output::Error(error));
             self.segment.is_skipping = true;
         }
     }
 
-    /// Ends the segment and its portals.
+    /// Ends the segment and closes its portals.
     fn sync(&mut self) {
         self.portals.clear();
         self.pipeline.push_response(Output::ReadyForQuery);
         self.segment = Segment::new(self.pipeline.next_number());
-        self.commit_if_answered();
+        self.commit_if_complete();
     }
 
-    /// Makes the changes of statements final if no request could still fail ahead of them.
-    fn commit_if_answered(&mut self) {
-        if !self.pipeline.has_open_part() {
+    /// Commits the changes of statements if no earlier request could still fail.
+    fn commit_if_complete(&mut self) {
+        if !self.pipeline.has_pending_request() {
             self.statements.commit();
         }
     }
 
-    fn take(&mut self, command: &Command, generated_id: u64) -> Result<(), SessionError> {
+    /// Processes one command and queues its response.
+    fn process(&mut self, command: &Command, generated_id: u64) -> Result<(), SessionError> {
         let response = match command {
             Command::Parse { name, text, types } => {
                 self.parse(name, text, types)?;
@@ -203,32 +204,34 @@
         Ok(())
     }
 
-    /// Changes what a name stands for, so that it can be undone if a part ahead of it fails.
+    /// Sets or removes the statement of a name. The change can be rolled back if an earlier request of the segment fails.
     fn set_statement(&mut self, name: &str, statement: Option<PreparedStatement>) {
-        let may_fail = self.pipeline.has_open_part_since(self.segment.first_item);
-        let undo_item = may_fail.then(|| self.pipeline.next_number());
-        self.statements.set(name, statement, undo_item);
+        let may_fail = self
+            .pipeline
+            .has_pending_request_since(self.segment.first_item);
+        let rollback_item = may_fail.then(|| self.pipeline.next_number());
+        self.statements.set(name, statement, rollback_item);
     }
 
     fn parse(&mut self, name: &str, text: &str, types: &[u32]) -> Result<(), SessionError> {
-        let is_known = self.statements.contains(name);
-        if is_known && !name.is_empty() {
+        let exists = self.statements.contains(name);
+        if exists && !name.is_empty() {
             return Err(SessionError::DuplicateStatement(name.to_owned()));
         }
-        let limits = &self.common.limits;
-        if !is_known && self.statements.kept() >= limits.statements {
+        let limits = &self.shared.limits;
+        if !exists && self.statements.retained() >= limits.statements {
             return Err(SessionError::LimitExceeded {
                 what: "prepared statements of one client",
                 most: limits.statements,
             });
         }
-        let share = self.common.budgets.statements.reserve(1);
+        let reservation = self.shared.budgets.statements.reserve(1);
         let statement = PreparedStatement {
-            _share: share.ok_or(SessionError::LimitExceeded {
+            _reservation: reservation.ok_or(SessionError::LimitExceeded {
                 what: "prepared statements of all clients",
                 most: limits.all_statements,
             })?,
-            template: self.common.templates.get_or_insert(text, types)?,
+            template: self.shared.templates.get_or_insert(text, types)?,
         };
         self.set_statement(name, Some(statement));
         Ok(())
@@ -240,19 +243,19 @@
             .template(bind.statement)
             .ok_or_else(|| SessionError::UnknownStatement(bind.statement.to_owned()))?;
         self.check_portal_name(bind.portal)?;
-        let portal = Portal::new(template, bind, generated_id, &self.common)?;
+        let portal = Portal::new(template, bind, generated_id, &self.shared)?;
         self.portals.insert(bind.portal.into(), portal);
         Ok(())
     }
 
-    /// Whether a Bind may make a portal of this name; the unnamed one is replaced.
+    /// Checks whether a Bind may create a portal of this name. The unnamed portal is replaced.
     fn check_portal_name(&self, name: &str) -> Result<(), SessionError> {
-        let is_known = self.portals.contains_key(name);
-        if is_known && !name.is_empty() {
+        let exists = self.portals.contains_key(name);
+        if exists && !name.is_empty() {
             return Err(SessionError::DuplicatePortal(name.to_owned()));
         }
-        let most = self.common.limits.portals;
-        if !is_known && self.portals.len() >= most {
+        let most = self.shared.limits.portals;
+        if !exists && self.portals.len() >= most {
             return Err(SessionError::LimitExceeded {
                 what: "portals of one client",
                 most,
@@ -261,8 +264,8 @@
         Ok(())
     }
 
-    /// Answers with the parameters, and returns the description of the rows.
-    fn describe_statement(&mut self, name: &str) -> Result<Output<A>, SessionError> {
+    /// Queues the ParameterDescription and returns the description of the rows.
+    fn describe_statement(&mut self, name: &str) -> Result<Output<R>, SessionError> {
         let template = self
             .statements
             .template(name)
@@ -275,7 +278,7 @@
         })
     }
 
-    fn describe_portal(&self, name: &str) -> Result<Output<A>, SessionError> {
+    fn describe_portal(&self, name: &str) -> Result<Output<R>, SessionError> {
         let portal = self
             .portals
             .get(name)
@@ -327,21 +330,23 @@
         Ok(())
     }
 
-    /// Runs a simple query that is a utility statement, while nothing else waits, and returns its command tag;
-    /// `None` if it is another statement.
+    /// Executes a simple query that is a utility statement and returns its command tag; returns `None` if it is another
+    /// statement. Must only be called while the session is idle.
     ///
     /// # Errors
     ///
-    /// [`SessionError::Unsupported`], or [`SessionError::UnknownStatement`] for a statement that the client has not prepared.
+    /// [`SessionError::Unsupported`], or [`SessionError::UnknownStatement`] for a statement that the client has not
+    /// prepared.
     pub fn run_utility_query(&mut self, text: &str) -> Option<Result<&'static str, SessionError>> {
         let utility = match UtilityStatement::parse(text)? {
             Ok(utility) => utility,
-            Err(wrong) => return Some(Err(wrong)),
+            Err(error) => return Some(Err(error)),
         };
         Some(self.run_utility(&utility).map(|()| utility.command_tag()))
     }
 
-    /// A simple query removes the unnamed statement and all portals, and ends the skipping of commands.
+    /// Handles the receipt of a simple query: it removes the unnamed statement and all portals, and ends the skipping of
+    /// commands.
     pub fn on_simple_query(&mut self) {
         self.portals.clear();
         self.statements.set("", None, None);
@@ -349,42 +354,44 @@
         self.statements.commit();
     }
 
-    /// The next part that may start now; it counts as started.
+    /// Returns the next request that may start, and marks it as running.
     pub fn start_next(&mut self) -> Option<StartedRequest> {
-        self.pipeline.start(self.common.limits.reads.max(1))
+        self.pipeline.start(self.shared.limits.reads.max(1))
     }
 
-    /// A part has its final answer. Returns the numbers of the parts behind it that were running and whose answers
-    /// are not wanted any more. A part that is not known, because it was undone, changes nothing.
-    pub fn finish(&mut self, number: u64, response: A, is_served: bool) -> Vec<u64> {
-        let Some(position) = self.pipeline.answer(number, response) else {
+    /// Stores the final response to a request. Returns the numbers of the later requests that were running and are
+    /// cancelled. Does nothing if the number is unknown, as that of a request that was rolled back.
+    pub fn finish(&mut self, number: u64, response: R, is_served: bool) -> Vec<u64> {
+        let Some(position) = self.pipeline.complete(number, response) else {
             return Vec::new();
         };
         let cancelled = if is_served {
             Vec::new()
         } else {
-            self.undo_behind(number, position)
+            self.roll_back_after(number, position)
         };
-        self.commit_if_answered();
+        self.commit_if_complete();
         cancelled
     }
 
-    /// Undoes what was planned behind a failed part in its segment; returns the parts that were running.
-    fn undo_behind(&mut self, number: u64, position: usize) -> Vec<u64> {
-        let discarded = self.pipeline.discard_behind(position);
+    /// Rolls back the commands after a failed request in its segment. Returns the numbers of the requests that were
+    /// running.
+    fn roll_back_after(&mut self, number: u64, position: usize) -> Vec<u64> {
+        let discarded = self.pipeline.discard_after(position);
         self.segment.is_skipping |= discarded.sync.is_none();
         self.statements
             .roll_back(number, discarded.sync.unwrap_or(u64::MAX));
         discarded.cancelled
     }
 
-    /// The first part without an answer, and whether it has been started: what a CancelRequest is about.
+    /// Returns the number of the first request without a response, which a CancelRequest cancels, and whether it is
+    /// running.
     pub fn first_pending(&self) -> Option<(u64, bool)> {
         self.pipeline.first_pending()
     }
 
-    /// What the client gets next, if it can be said already.
-    pub fn pop_output(&mut self) -> Option<Output<A>> {
+    /// Removes and returns the next output, if it is available.
+    pub fn pop_output(&mut self) -> Option<Output<R>> {
         self.pipeline.pop_ready()
     }
 }
--- a/crates/pg-session/src/extended/portal.rs
+++ b/crates/pg-session/src/extended/portal.rs
@@ -1,6 +1,6 @@
-//! A portal: a prepared statement bound to its values, and how far it has run.
+//! A portal: a prepared statement bound to its values, with its progress.
 //!
-//! Responsible for what an Execute of it does. Owns the bound request. Must never run a write twice.
+//! Responsible for the effect of an Execute. Owns the bound request. Must never run a write twice.
 
 use super::SharedResources;
 use super::pipeline::PlannedRequest;
@@ -12,85 +12,86 @@
 use reelrill_pg_protocol::frontend::Bind;
 use std::rc::Rc;
 
-/// The row limit that is reached with the one row that each request returns.
-const ROWS_OF_A_REQUEST: u32 = 1;
+/// The number of rows that each request returns. An Execute with this row limit suspends the portal.
+const ROWS_PER_REQUEST: u32 = 1;
 
-/// What a portal runs.
+/// The statement that a portal executes.
 enum Content {
     Request {
         query: Rc<EndpointQuery>,
-        admitted: Rc<ValidatedRequest>,
+        validated: Rc<ValidatedRequest>,
     },
     Utility(Rc<Template>),
     Empty,
 }
 
+/// The progress of a portal.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Progress {
     NotRun,
-    /// It has returned its row, and a row limit kept it open.
+    /// The portal has returned its row and is suspended by a row limit.
     Suspended,
     Complete,
 }
 
-/// What an Execute does.
+/// The effect of an Execute.
 pub(super) enum Execution {
     /// Sends a request to an endpoint.
     Request(PlannedRequest),
-    /// Runs the utility statement of this template.
+    /// Executes the utility statement of this template.
     Utility(Rc<Template>),
-    /// Returns no further row, with this command tag.
+    /// Returns no further row; holds the command tag.
     Exhausted(&'static str),
-    /// Runs an empty statement.
+    /// Executes an empty statement.
     Empty,
 }
 
 /// A portal of one client.
 pub(super) struct Portal {
     content: Content,
-    result: Format,
+    result_format: Format,
     progress: Progress,
 }
 
 impl Portal {
-    /// Binds a prepared statement. `generated_id` names the request where the client does not.
+    /// Binds a prepared statement. `generated_id` is the request's id if the client sent none.
     pub(super) fn new(
         template: &Rc<Template>,
         bind: &Bind,
         generated_id: u64,
-        common: &SharedResources,
+        shared: &SharedResources,
     ) -> Result<Portal, SessionError> {
-        let bound = BoundStatement::new(template, bind, generated_id, &common.budgets)?;
+        let bound = BoundStatement::new(template, bind, generated_id, &shared.budgets)?;
         let content = match &template.kind {
-            StatementKind::Request(_) => Content::request(bound, common)?,
+            StatementKind::Request(_) => Content::request(bound, shared)?,
             StatementKind::Utility(_) => Content::Utility(template.clone()),
             StatementKind::Empty => Content::Empty,
         };
         Ok(Portal {
             content,
-            result: bind.result_format(0),
+            result_format: bind.result_format(0),
             progress: Progress::NotRun,
         })
     }
 
-    /// The format of the one column; `None` if the portal returns no rows.
+    /// Returns the format of the one column; `None` if the portal returns no rows.
     pub(super) fn column(&self) -> Option<Format> {
         match self.content {
-            Content::Request { .. } => Some(self.result),
+            Content::Request { .. } => Some(self.result_format),
             Content::Utility(_) | Content::Empty => None,
         }
     }
 
-    /// Counts an Execute with a row limit (0: none) and says what it does; `name` is the portal's.
+    /// Executes the portal with a row limit (0: none) and returns the effect. `name` is the portal's name.
     pub(super) fn execute(
         &mut self,
         name: &str,
         row_limit: u32,
     ) -> Result<Execution, SessionError> {
-        let before = self.progress;
-        // Only the Execute after a limit of one row finds that there is no further row.
-        let is_suspended = row_limit == ROWS_OF_A_REQUEST;
-        self.progress = if is_suspended && before == Progress::NotRun {
+        let previous = self.progress;
+        // A portal suspended after its one row reports the end of the rows on the next Execute.
+        let is_suspended = row_limit == ROWS_PER_REQUEST;
+        self.progress = if is_suspended && previous == Progress::NotRun {
             Progress::Suspended
         } else {
             Progress::Complete
@@ -98,13 +99,13 @@
         match &self.content {
             Content::Empty => Ok(Execution::Empty),
             Content::Utility(template) => Ok(Execution::Utility(template.clone())),
-            Content::Request { admitted, .. } if before != Progress::NotRun => {
-                execute_again(name, admitted.is_write, before)
+            Content::Request { validated, .. } if previous != Progress::NotRun => {
+                execute_again(name, validated.is_write, previous)
             }
-            Content::Request { query, admitted } => Ok(Execution::Request(PlannedRequest {
+            Content::Request { query, validated } => Ok(Execution::Request(PlannedRequest {
                 query: query.clone(),
-                admitted: admitted.clone(),
-                result: self.result,
+                validated: validated.clone(),
+                result_format: self.result_format,
                 is_suspended,
             })),
         }
@@ -112,23 +113,28 @@
 }
 
 impl Content {
-    fn request(bound: BoundStatement, common: &SharedResources) -> Result<Content, SessionError> {
-        let admitted = bound.with_fields(|named| common.classes.validate(named))?;
-        let query = if common.should_translate {
-            EndpointQuery::Simple(bound.to_simple_query(&common.budgets)?)
+    fn request(bound: BoundStatement, shared: &SharedResources) -> Result<Content, SessionError> {
+        let validated = bound.with_fields(|fields| shared.classes.validate(fields))?;
+        let query = if shared.should_translate {
+            EndpointQuery::Simple(bound.to_simple_query(&shared.budgets)?)
         } else {
             EndpointQuery::Bound(bound)
         };
         Ok(Content::Request {
             query: Rc::new(query),
-            admitted: Rc::new(admitted),
+            validated: Rc::new(validated),
         })
     }
 }
 
-/// An Execute of a request that has run: there is no further row, and a complete write is refused.
-fn execute_again(name: &str, is_write: bool, before: Progress) -> Result<Execution, SessionError> {
-    match (is_write, before) {
+/// Returns the effect of an Execute of a request that has run: there is no further row, and a completed write is an
+/// error.
+fn execute_again(
+    name: &str,
+    is_write: bool,
+    previous: Progress,
+) -> Result<Execution, SessionError> {
+    match (is_write, previous) {
         (false, _) => Ok(Execution::Exhausted("SELECT 0")),
         (true, Progress::Suspended) => Ok(Execution::Exhausted("INSERT 0 1")),
         (true, _) => Err(SessionError::PortalAlreadyRun(name.to_owned())),
--- a/crates/pg-session/src/extended/segment.rs
+++ b/crates/pg-session/src/extended/segment.rs
@@ -1,23 +1,23 @@
 //! A segment: the commands between two Sync messages.
 //!
-//! Responsible for the bound on a segment's commands. Owns the state of the segment that is being read. Must
-//! never outlive its Sync: each starts with a new value.
+//! Responsible for the limit on a segment's commands. Owns the state of the segment that is being received. Must never
+//! be kept past its Sync: each segment starts with a new value.
 
 use crate::SessionError;
 
-/// The commands since the last Sync.
+/// The state of the commands since the last Sync.
 pub(super) struct Segment {
     commands: usize,
-    /// The number of its first item in the pipeline.
+    /// The number of the segment's first item in the pipeline.
     pub first_item: u64,
-    /// No command has come since the last Sync.
+    /// Whether no command has been received since the last Sync.
     pub is_closed: bool,
-    /// An error was answered: commands are skipped up to the Sync.
+    /// Whether commands are skipped up to the Sync, after an error.
     pub is_skipping: bool,
 }
 
 impl Segment {
-    /// A segment without commands, whose first item will have this number.
+    /// Creates a segment without commands, whose first item will have this number.
     pub(super) fn new(first_item: u64) -> Segment {
         Segment {
             commands: 0,
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     ///
-    /// [`SessionError::LimitExceeded`] for the command after the first `most`.
+    /// [`SessionError::LimitExceeded`] for each command after the first `most`.
     pub(super) fn count_command(&mut self, most: usize) -> Result<(), SessionError> {
         self.commands += 1;
         if self.commands > most {
--- a/crates/pg-session/src/extended/statements.rs
+++ b/crates/pg-session/src/extended/statements.rs
@@ -1,7 +1,8 @@
-//! A client's names of prepared statements, with the changes that may have to be undone.
+//! A client's prepared statements by name, with the changes that may have to be rolled back.
 //!
-//! Responsible for what a name stands for. Owns the names, each with its share of the bound of all clients, and
-//! a log of the changes made behind a request without an answer. Must never undo a change out of order.
+//! Responsible for the statement of each name. Owns the statements, each with its reservation from the limit of all
+//! clients, and a log of the changes made after a request without a response. Must never roll back a change out of
+//! order.
 
 use crate::limits::Reservation;
 use crate::template::Template;
@@ -11,19 +12,19 @@
 /// A prepared statement of one client.
 pub(super) struct PreparedStatement {
     pub template: Rc<Template>,
-    /// Its share of the bound of all clients, given back on drop.
-    pub _share: Reservation,
+    /// The reservation from the limit of all clients, released on drop.
+    pub _reservation: Reservation,
 }
 
-/// A change of a name that may have to be undone.
+/// A change of a name's statement that may have to be rolled back.
 struct Change {
-    /// The number of the pipeline's item that the change belongs to.
+    /// The number of the pipeline item that made the change.
     item: u64,
     name: Box<str>,
-    before: Option<PreparedStatement>,
+    previous: Option<PreparedStatement>,
 }
 
-/// The names of one client.
+/// The prepared statements of one client.
 #[derive(Default)]
 pub(super) struct Statements {
     by_name: HashMap<Box<str>, PreparedStatement>,
@@ -35,8 +36,8 @@
         self.by_name.len()
     }
 
-    /// How many statements are kept: those with a name, and those that a name may get back.
-    pub(super) fn kept(&self) -> usize {
+    /// Returns the number of statements in memory: the named ones, and those that a rollback may restore.
+    pub(super) fn retained(&self) -> usize {
         self.by_name.len() + self.changes.len()
     }
 
@@ -52,38 +53,38 @@
         self.by_name.keys().cloned().collect()
     }
 
-    /// Whether a change could still be undone.
+    /// Returns whether a change could still be rolled back.
     pub(super) fn has_uncommitted(&self) -> bool {
         !self.changes.is_empty()
     }
 
-    /// Sets or removes what a name stands for. With `undo_item`, the change is logged under this item's number.
+    /// Sets or removes the statement of a name. With `rollback_item`, the change is logged under this item's number.
     pub(super) fn set(
         &mut self,
         name: &str,
         statement: Option<PreparedStatement>,
-        undo_item: Option<u64>,
+        rollback_item: Option<u64>,
     ) {
-        let before = self.replace(name.into(), statement);
-        if let Some(item) = undo_item {
+        let previous = self.replace(name.into(), statement);
+        if let Some(item) = rollback_item {
             self.changes.push(Change {
                 item,
                 name: name.into(),
-                before,
+                previous,
             });
         }
     }
 
-    /// Makes all changes final.
+    /// Commits all changes: they can't be rolled back any more.
     pub(super) fn commit(&mut self) {
         self.changes.clear();
     }
 
-    /// Undoes the changes of the items behind `part` and ahead of `sync`, the last one first.
-    pub(super) fn roll_back(&mut self, part: u64, sync: u64) {
-        let is_undone = |change: &mut Change| change.item > part && change.item < sync;
-        while let Some(change) = self.changes.pop_if(is_undone) {
-            self.replace(change.name, change.before);
+    /// Rolls back the changes of the items after `request` and before `sync`, the last one first.
+    pub(super) fn roll_back(&mut self, request: u64, sync: u64) {
+        let is_rolled_back = |change: &mut Change| change.item > request && change.item < sync;
+        while let Some(change) = self.changes.pop_if(is_rolled_back) {
+            self.replace(change.name, change.previous);
         }
     }
 
