--- a/crates/pg-session/src/statement/tests.rs
+++ b/crates/pg-session/src/statement/tests.rs
@@ -72,11 +72,11 @@
 fn rejects_malformed_statements_with_the_matching_error(
     #[case] part: &str,
     #[case] replacement: &str,
-    #[case] wanted: Option<ParseError>,
+    #[case] expected: Option<ParseError>,
 ) {
     assert_eq!(
         ParsedStatement::parse(&SIMPLE.replacen(part, replacement, 1), true).err(),
-        wanted
+        expected
     );
 }
 
