--- a/crates/service-discovery/src/registry/claim.rs
+++ b/crates/service-discovery/src/registry/claim.rs
@@ -68,7 +68,7 @@
     }
 
     /// Whether the list would describe the endpoint alike.
-    pub(super) fn is_listed_like(&self, other: &Claim) -> bool {
+    pub(super) fn has_same_listing_as(&self, other: &Claim) -> bool {
         self.address == other.address
             && self.replica_set == other.replica_set
             && self.zone == other.zone
@@ -77,7 +77,7 @@
     }
 
     /// Whether another claim states the same of the endpoint, whatever its version and expiry.
-    pub(super) fn states_same_as(&self, other: &Claim) -> bool {
+    pub(super) fn has_same_content_as(&self, other: &Claim) -> bool {
         let renewed = Claim {
             version: other.version,
             expires_at: other.expires_at,
--- a/crates/service-discovery/src/registry/claims.rs
+++ b/crates/service-discovery/src/registry/claims.rs
@@ -35,13 +35,13 @@
     ) {
         self.withdraw_all(now, source, changes);
         self.sources.remove(&source);
-        let bound: Vec<Arc<str>> = self
+        let marked: Vec<Arc<str>> = self
             .endpoints
             .iter()
-            .filter(|(_, record)| record.is_bound_by(source))
+            .filter(|(_, record)| record.has_marker_of(source))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in bound {
+        for id in marked {
             if let Some(record) = self.endpoints.get_mut(&id) {
                 record.remove_markers_of(source);
             }
@@ -61,7 +61,7 @@
         if !self.sources.contains_key(&source) {
             return;
         }
-        let is_reachability_new = self.set_reachable(now, source, true);
+        let has_reachability_changed = self.set_reachable(now, source, true);
         let id = self.resolve_endpoint(source, &name, &claim);
         let is_full = self.endpoints.len() >= self.settings.max_endpoints;
         if is_full && !self.endpoints.contains_key(&id) {
@@ -69,20 +69,20 @@
             return;
         }
         // The source may give the name to another endpoint; the earlier one is evaluated once the new one has it.
-        let renamed = self.reassign_name(source, &name, &id);
+        let reassigned = self.reassign_name(source, &name, &id);
         let address = claim.address;
         let earlier_address = self.store_claim(now, source, name, claim, &id);
-        self.claim_address(address, &id, now, changes);
+        self.index_address(address, &id, now, changes);
         if let Some(earlier_address) = earlier_address {
             self.release_address(earlier_address, &id, now, changes);
         }
         self.reevaluate(now, &id, changes);
-        if let Some((address, earlier_id)) = renamed {
+        if let Some((address, earlier_id)) = reassigned {
             self.release_address(address, &earlier_id, now, changes);
             self.reevaluate(now, &earlier_id, changes);
         }
         self.reevaluate_others_at(now, address, &id, changes);
-        self.reevaluate_disputed(now, is_reachability_new, changes);
+        self.reevaluate_disputed(now, has_reachability_changed, changes);
     }
 
     /// Lets a source's name stand for `id`. If it stood for another endpoint, that one loses the claim; returns the
@@ -93,7 +93,9 @@
         name: &Arc<str>,
         id: &Arc<str>,
     ) -> Option<(SocketAddr, Arc<str>)> {
-        let earlier_id = self.names.insert((source, name.clone()), id.clone())?;
+        let earlier_id = self
+            .endpoints_by_source_name
+            .insert((source, name.clone()), id.clone())?;
         if earlier_id == *id {
             return None;
         }
@@ -114,7 +116,7 @@
         id: &Arc<str>,
     ) -> Option<SocketAddr> {
         let kind = self.sources.get(&source)?.kind;
-        let last_serial = &mut self.serial;
+        let last_serial = &mut self.last_serial;
         let record = self.endpoints.entry(id.clone()).or_insert_with(|| {
             *last_serial += 1;
             EndpointRecord {
@@ -122,14 +124,14 @@
                 ..EndpointRecord::default()
             }
         });
-        if record.is_contradicted_by(source, &name, &claim) {
+        if record.has_state_conflict_with(source, &name, &claim) {
             self.counters.state_conflicts += 1;
             self.last_conflicting_endpoint = Some(id.clone());
         }
-        if record.is_restarted_by(&claim) {
+        if record.is_restart(&claim) {
             record.drain_reported_at = None;
         }
-        let held = StoredClaim {
+        let stored = StoredClaim {
             source,
             name,
             is_stale: claim.expires_at.is_some_and(|expires_at| expires_at <= now),
@@ -137,8 +139,8 @@
             renewed_at: now,
             unchanged_since: now,
         };
-        record.apply_markers(&held, kind, self.settings.has_sticky_drains);
-        record.store_claim(held)
+        record.apply_markers(&stored, kind, self.settings.has_sticky_drains);
+        record.store_claim(stored)
     }
 
     /// Takes out all claims of a source, as names that it does not list any more.
@@ -161,7 +163,7 @@
     ) {
         let is_absent = |key: &&(SourceId, Arc<str>)| key.0 == source && !is_listed(&key.1);
         let absent: Vec<Arc<str>> = self
-            .names
+            .endpoints_by_source_name
             .keys()
             .filter(is_absent)
             .map(|key| key.1.clone())
@@ -179,14 +181,14 @@
         changes: &mut Vec<ListChange>,
     ) {
         names.sort_unstable();
-        let mut touched = Vec::with_capacity(names.len());
+        let mut withdrawn = Vec::with_capacity(names.len());
         for name in names {
-            touched.extend(self.withdraw_one(now, source, name, withdrawal));
+            withdrawn.extend(self.withdraw_one(now, source, name, withdrawal));
         }
-        for (id, address) in &touched {
+        for (id, address) in &withdrawn {
             self.release_address(*address, id, now, changes);
         }
-        for (id, _) in &touched {
+        for (id, _) in &withdrawn {
             self.reevaluate(now, id, changes);
         }
     }
@@ -201,13 +203,13 @@
     ) -> Option<(Arc<str>, SocketAddr)> {
         let kind = self.sources.get(&source)?.kind;
         let key = (source, name);
-        let id = self.names.remove(&key)?;
+        let id = self.endpoints_by_source_name.remove(&key)?;
         let record = self.endpoints.get_mut(&id)?;
         let removed = record.remove_claim(source, &key.1)?;
         if withdrawal == Withdrawal::Removed
             || !self.settings.should_require_all_sources_for_removal
         {
-            record.tombstone = Some(removed.marker(kind, now));
+            record.removal_marker = Some(removed.marker(kind, now));
         }
         Some((id, removed.claim.address))
     }
--- a/crates/service-discovery/src/registry/expiry.rs
+++ b/crates/service-discovery/src/registry/expiry.rs
@@ -29,8 +29,8 @@
             record.drain_reported_at = record
                 .drain_reported_at
                 .filter(|at| now < at.saturating_add(heartbeat_ttl));
-            for held in &mut record.claims {
-                held.is_stale |= held
+            for stored in &mut record.claims {
+                stored.is_stale |= stored
                     .claim
                     .expires_at
                     .is_some_and(|expires_at| expires_at <= now);
@@ -69,14 +69,16 @@
     fn next_expiry(&self, now: Timestamp, settings: &RegistrySettings) -> Expiry {
         let is_unnamed = self.claims.is_empty();
         let heartbeat_end = self
-            .responded_at
+            .last_response_at
             .map(|at| at.saturating_add(settings.heartbeat_ttl))
             .filter(|end| is_unnamed && *end > now);
         if is_unnamed && self.listed.is_none() && heartbeat_end.is_none() {
-            return Expiry::Forget(self.last_news_at().saturating_add(settings.retention));
+            return Expiry::Forget(self.last_activity_at().saturating_add(settings.retention));
         }
-        let fresh_claims = self.claims.iter().filter(|held| !held.is_stale);
-        let stale_at = fresh_claims.filter_map(|held| held.claim.expires_at).min();
+        let fresh_claims = self.claims.iter().filter(|stored| !stored.is_stale);
+        let stale_at = fresh_claims
+            .filter_map(|stored| stored.claim.expires_at)
+            .min();
         let drain_end = self
             .drain_reported_at
             .map(|at| at.saturating_add(settings.heartbeat_ttl));
@@ -85,10 +87,10 @@
     }
 
     /// When something was last heard of an endpoint that nobody names.
-    fn last_news_at(&self) -> Timestamp {
-        let removed_at = self.tombstone.map(|marker| marker.set_at);
+    fn last_activity_at(&self) -> Timestamp {
+        let removed_at = self.removal_marker.map(|marker| marker.set_at);
         let drained_at = self.drain_marker.map(|marker| marker.set_at);
-        let latest = self.responded_at.max(removed_at).max(drained_at);
+        let latest = self.last_response_at.max(removed_at).max(drained_at);
         latest.unwrap_or(0)
     }
 }
--- a/crates/service-discovery/src/registry/identity.rs
+++ b/crates/service-discovery/src/registry/identity.rs
@@ -12,11 +12,11 @@
 use std::sync::Arc;
 
 /// What stands before the id of an endpoint whose own name no source states.
-const NAMELESS_PREFIX: &str = "name:";
+const PROVISIONAL_ID_PREFIX: &str = "name:";
 
 /// Whether the id is the endpoint's own name.
-pub(super) fn is_named(id: &str) -> bool {
-    !id.starts_with(NAMELESS_PREFIX)
+pub(super) fn is_uid(id: &str) -> bool {
+    !id.starts_with(PROVISIONAL_ID_PREFIX)
 }
 
 impl EndpointRegistry {
@@ -30,36 +30,48 @@
         if let Some(uid) = &claim.uid {
             return uid.clone();
         }
-        let claimants = self.claimants_at(claim.address);
-        let mut named = claimants.iter().filter(|id| is_named(id));
-        match (named.next(), named.next()) {
+        let claiming = self.endpoints_claiming(claim.address);
+        let mut with_uid = claiming.iter().filter(|id| is_uid(id));
+        match (with_uid.next(), with_uid.next()) {
             (Some(only), None) => return only.clone(),
-            (Some(_), Some(_)) if !self.names.contains_key(&(source, name.clone())) => {
+            (Some(_), Some(_))
+                if !self
+                    .endpoints_by_source_name
+                    .contains_key(&(source, name.clone())) =>
+            {
                 self.counters.ambiguous_names += 1;
             }
             _ => {}
         }
-        format!("{NAMELESS_PREFIX}{source}:{name}").into()
+        format!("{PROVISIONAL_ID_PREFIX}{source}:{name}").into()
     }
 
     /// The endpoints with a claim of an address.
-    fn claimants_at(&self, address: SocketAddr) -> Vec<Arc<str>> {
+    fn endpoints_claiming(&self, address: SocketAddr) -> Vec<Arc<str>> {
         let has_claim = |id: &&Arc<str>| {
             let record = self.endpoints.get(*id);
             record.is_some_and(|record| record.has_claim_at(address))
         };
-        let indexed = self.addresses.get(&address).into_iter().flatten();
+        let indexed = self
+            .endpoints_by_address
+            .get(&address)
+            .into_iter()
+            .flatten();
         indexed.filter(has_claim).cloned().collect()
     }
 
     /// The endpoints indexed at an address, but for one. Nearly always an endpoint is alone at its address.
-    pub(super) fn others_at(&self, address: SocketAddr, id: &Arc<str>) -> Vec<Arc<str>> {
-        let indexed = self.addresses.get(&address).into_iter().flatten();
+    pub(super) fn other_endpoints_at(&self, address: SocketAddr, id: &Arc<str>) -> Vec<Arc<str>> {
+        let indexed = self
+            .endpoints_by_address
+            .get(&address)
+            .into_iter()
+            .flatten();
         indexed.filter(|other| *other != id).cloned().collect()
     }
 
     /// An endpoint has a claim of an address. Nameless ones that stood for it are the same endpoint.
-    pub(super) fn claim_address(
+    pub(super) fn index_address(
         &mut self,
         address: SocketAddr,
         id: &Arc<str>,
@@ -67,23 +79,23 @@
         changes: &mut Vec<ListChange>,
     ) {
         let indexed = self
-            .addresses
+            .endpoints_by_address
             .entry(address)
             .or_insert_with(|| Vec::with_capacity(1));
         if !indexed.contains(id) {
             indexed.push(id.clone());
         }
-        if indexed.len() == 1 || !is_named(id) {
+        if indexed.len() == 1 || !is_uid(id) {
             return;
         }
-        let claimants = self.claimants_at(address);
-        let (named, nameless): (Vec<_>, Vec<_>) =
-            claimants.into_iter().partition(|id| is_named(id));
-        if named.len() != 1 {
+        let claiming = self.endpoints_claiming(address);
+        let (with_uid, provisional): (Vec<_>, Vec<_>) =
+            claiming.into_iter().partition(|id| is_uid(id));
+        if with_uid.len() != 1 {
             return;
         }
-        for other in nameless {
-            if !self.merge_nameless(&other, id, address) {
+        for other in provisional {
+            if !self.merge_provisional(&other, id, address) {
                 continue;
             }
             self.release_address(address, &other, now, changes);
@@ -91,26 +103,31 @@
         }
     }
 
-    /// Gives a nameless endpoint's claims of an address, its drain and its heartbeat to the endpoint that it is. Says whether
-    /// the nameless one was still known.
-    fn merge_nameless(&mut self, nameless: &Arc<str>, id: &Arc<str>, address: SocketAddr) -> bool {
-        let Some(record) = self.endpoints.get_mut(nameless) else {
+    /// Gives a provisional endpoint's claims of an address, its drain and its heartbeat to the endpoint that it is. Says whether
+    /// the provisional one was still known.
+    fn merge_provisional(
+        &mut self,
+        provisional: &Arc<str>,
+        id: &Arc<str>,
+        address: SocketAddr,
+    ) -> bool {
+        let Some(record) = self.endpoints.get_mut(provisional) else {
             return false;
         };
         let drain_marker = record.drain_marker;
-        let responded_at = record.responded_at;
+        let last_response_at = record.last_response_at;
         let claims: Vec<_> = record
             .claims
-            .extract_if(.., |held| held.claim.address == address)
+            .extract_if(.., |stored| stored.claim.address == address)
             .collect();
-        for held in &claims {
-            let key = (held.source, held.name.clone());
-            self.names.insert(key, id.clone());
+        for stored in &claims {
+            let key = (stored.source, stored.name.clone());
+            self.endpoints_by_source_name.insert(key, id.clone());
         }
         if let Some(record) = self.endpoints.get_mut(id) {
             record.claims.extend(claims);
             record.drain_marker = record.drain_marker.or(drain_marker);
-            record.responded_at = record.responded_at.max(responded_at);
+            record.last_response_at = record.last_response_at.max(last_response_at);
         }
         true
     }
@@ -139,10 +156,10 @@
                 return;
             }
         }
-        if let Some(indexed) = self.addresses.get_mut(&address) {
+        if let Some(indexed) = self.endpoints_by_address.get_mut(&address) {
             indexed.retain(|other| other != id);
             if indexed.is_empty() {
-                self.addresses.remove(&address);
+                self.endpoints_by_address.remove(&address);
             }
         }
     }
@@ -155,7 +172,7 @@
         id: &Arc<str>,
         changes: &mut Vec<ListChange>,
     ) {
-        for other in self.others_at(address, id) {
+        for other in self.other_endpoints_at(address, id) {
             self.reevaluate(now, &other, changes);
         }
     }
--- a/crates/service-discovery/src/registry/listing.rs
+++ b/crates/service-discovery/src/registry/listing.rs
@@ -28,7 +28,7 @@
             record.last_view.replace(view.clone())
         });
         record.rule = Some(evaluation.rule);
-        record.untiered_rule = Some(evaluation.rule);
+        record.rule_before_tiers = Some(evaluation.rule);
         let earlier_address = record.claimed_address;
         self.update_tier(&evaluation, id, now, changes);
         self.publish(id, evaluation, changes);
@@ -70,21 +70,22 @@
             return;
         }
         if let Some(earlier_key) = earlier_key {
-            self.leave_tier(earlier_key, id, now, changes);
+            self.remove_from_tier(earlier_key, id, now, changes);
         }
         if let Some(key) = key {
-            self.enter_tier(key, id, now, changes);
+            self.add_to_tier(key, id, now, changes);
         }
     }
 
     /// Notes the address in the claim that counts, and whether the endpoint's claims differ in what the list would
     /// show: which of them counts may then turn on whether their sources can be reached.
     fn update_claimed_address(&mut self, id: &Arc<str>) -> Option<SocketAddr> {
-        let address = self.claimed_address_of(self.endpoints.get(id)?);
+        let address = self.best_claim_address(self.endpoints.get(id)?);
         let record = self.endpoints.get_mut(id)?;
         record.claimed_address = address;
-        let differs = |held: &StoredClaim| !held.claim.is_listed_like(&record.claims[0].claim);
-        if record.claims.iter().any(differs) {
+        let is_different =
+            |stored: &StoredClaim| !stored.claim.has_same_listing_as(&record.claims[0].claim);
+        if record.claims.iter().any(is_different) {
             self.disputed.insert(id.clone());
         } else if !self.disputed.is_empty() {
             self.disputed.remove(id);
@@ -101,12 +102,12 @@
         id: &Arc<str>,
         changes: &mut Vec<ListChange>,
     ) {
-        for other in self.others_at(address, id) {
+        for other in self.other_endpoints_at(address, id) {
             let rule = self.evaluate(now, &other).map(|evaluation| evaluation.rule);
             let earlier_rule = self
                 .endpoints
                 .get(&other)
-                .and_then(|record| record.untiered_rule);
+                .and_then(|record| record.rule_before_tiers);
             if rule != earlier_rule {
                 self.reevaluate(now, &other, changes);
             }
@@ -117,10 +118,10 @@
     pub(super) fn reevaluate_disputed(
         &mut self,
         now: Timestamp,
-        is_reachability_new: bool,
+        has_reachability_changed: bool,
         changes: &mut Vec<ListChange>,
     ) {
-        if !is_reachability_new {
+        if !has_reachability_changed {
             return;
         }
         let mut disputed: Vec<Arc<str>> = self.disputed.iter().cloned().collect();
--- a/crates/service-discovery/src/registry/mod.rs
+++ b/crates/service-discovery/src/registry/mod.rs
@@ -43,13 +43,13 @@
     sources: BTreeMap<SourceId, SourceState>,
     endpoints: HashMap<Arc<str>, EndpointRecord>,
     /// Which endpoint a source's name stands for.
-    names: HashMap<(SourceId, Arc<str>), Arc<str>>,
+    endpoints_by_source_name: HashMap<(SourceId, Arc<str>), Arc<str>>,
     /// Which endpoints have claims of an address, or were listed there last.
-    addresses: HashMap<SocketAddr, Vec<Arc<str>>>,
+    endpoints_by_address: HashMap<SocketAddr, Vec<Arc<str>>>,
     /// The endpoints in service, by replica set and tier.
     tiers: HashMap<u32, BTreeMap<(u16, u64), Arc<str>>>,
     /// The serial number of the newest endpoint.
-    serial: u64,
+    last_serial: u64,
     wheel: TimerWheel<Arc<str>>,
     /// Endpoints whose claims differ in what the list would show.
     disputed: HashSet<Arc<str>>,
@@ -65,10 +65,10 @@
             settings,
             sources: BTreeMap::new(),
             endpoints: HashMap::new(),
-            names: HashMap::new(),
-            addresses: HashMap::new(),
+            endpoints_by_source_name: HashMap::new(),
+            endpoints_by_address: HashMap::new(),
             tiers: HashMap::new(),
-            serial: 0,
+            last_serial: 0,
             wheel: TimerWheel::new(now),
             disputed: HashSet::new(),
             last_conflicting_endpoint: None,
@@ -98,19 +98,19 @@
 
     /// All known endpoints, in the order of their ids.
     pub fn endpoint_statuses(&self) -> Vec<EndpointStatus> {
-        let status = |(id, record): (&Arc<str>, &EndpointRecord)| EndpointStatus {
+        let status_of = |(id, record): (&Arc<str>, &EndpointRecord)| EndpointStatus {
             endpoint: id.clone(),
             listed: record.listed.clone(),
             rule: record.rule.unwrap_or(ListingRule::Unnamed),
             claims: record.claims.clone(),
             drain_marker: record.drain_marker,
             drain_reported_at: record.drain_reported_at,
-            removal_marker: record.tombstone,
-            last_response_at: record.responded_at,
+            removal_marker: record.removal_marker,
+            last_response_at: record.last_response_at,
         };
-        let mut all: Vec<EndpointStatus> = self.endpoints.iter().map(status).collect();
-        all.sort_by(|a, b| a.endpoint.cmp(&b.endpoint));
-        all
+        let mut statuses: Vec<EndpointStatus> = self.endpoints.iter().map(status_of).collect();
+        statuses.sort_by(|a, b| a.endpoint.cmp(&b.endpoint));
+        statuses
     }
 
     /// The rule that decided how the list shows an endpoint.
@@ -149,21 +149,21 @@
                 name,
                 withdrawal,
             } => {
-                let is_new = self.set_reachable(now, source, true);
+                let has_changed = self.set_reachable(now, source, true);
                 self.withdraw(now, source, vec![name], withdrawal, changes);
-                self.reevaluate_disputed(now, is_new, changes);
+                self.reevaluate_disputed(now, has_changed, changes);
             }
             RegistryInput::Snapshot { source, names } => {
-                let is_new = self.set_reachable(now, source, true);
+                let has_changed = self.set_reachable(now, source, true);
                 self.withdraw_unless(now, source, |name| names.contains(name), changes);
-                self.reevaluate_disputed(now, is_new, changes);
+                self.reevaluate_disputed(now, has_changed, changes);
             }
             RegistryInput::SourceFailed { source } => {
-                let is_new = self.set_reachable(now, source, false);
+                let has_changed = self.set_reachable(now, source, false);
                 if !self.settings.should_keep_claims_of_failed_sources {
                     self.withdraw_all(now, source, changes);
                 }
-                self.reevaluate_disputed(now, is_new, changes);
+                self.reevaluate_disputed(now, has_changed, changes);
             }
             RegistryInput::EndpointResponded {
                 endpoint,
@@ -183,7 +183,7 @@
         let Some(record) = self.endpoints.get_mut(id) else {
             return;
         };
-        record.responded_at = Some(now);
+        record.last_response_at = Some(now);
         // A draining endpoint still answers what it has begun, as ever: such a response does not end the drain.
         if is_draining {
             record.drain_reported_at = Some(now);
--- a/crates/service-discovery/src/registry/record.rs
+++ b/crates/service-discovery/src/registry/record.rs
@@ -22,11 +22,11 @@
     pub(super) claims: Vec<StoredClaim>,
     pub(super) drain_marker: Option<StateMarker>,
     /// A source stated that the endpoint is gone.
-    pub(super) tombstone: Option<StateMarker>,
+    pub(super) removal_marker: Option<StateMarker>,
     /// When the endpoint last stated itself that it is draining.
     pub(super) drain_reported_at: Option<Timestamp>,
     /// When the endpoint last responded.
-    pub(super) responded_at: Option<Timestamp>,
+    pub(super) last_response_at: Option<Timestamp>,
     /// The view that the claims last gave: how the endpoint is listed by its heartbeat alone.
     pub(super) last_view: Option<EndpointView>,
     pub(super) last_tier: u16,
@@ -36,7 +36,7 @@
     pub(super) listed: Option<EndpointView>,
     pub(super) rule: Option<ListingRule>,
     /// The rule but for the tier.
-    pub(super) untiered_rule: Option<ListingRule>,
+    pub(super) rule_before_tiers: Option<ListingRule>,
     /// The address in the claim that counts.
     pub(super) claimed_address: Option<SocketAddr>,
     /// When the endpoint is evaluated anew without an input.
@@ -45,23 +45,25 @@
 
 impl EndpointRecord {
     pub(super) fn has_claim_at(&self, address: SocketAddr) -> bool {
-        self.claims.iter().any(|held| held.claim.address == address)
+        self.claims
+            .iter()
+            .any(|stored| stored.claim.address == address)
     }
 
     /// The newest start that any claim states; 0 without claims.
     pub(super) fn newest_start(&self) -> Timestamp {
-        let starts = self.claims.iter().map(|held| held.claim.started_at);
+        let starts = self.claims.iter().map(|stored| stored.claim.started_at);
         starts.max().unwrap_or(0)
     }
 
     pub(super) fn has_heartbeat(&self, now: Timestamp, ttl: Nanos) -> bool {
-        self.responded_at
+        self.last_response_at
             .is_some_and(|at| now < at.saturating_add(ttl))
     }
 
     /// Whether a marker of this source binds the endpoint.
-    pub(super) fn is_bound_by(&self, source: SourceId) -> bool {
-        let markers = [self.drain_marker, self.tombstone];
+    pub(super) fn has_marker_of(&self, source: SourceId) -> bool {
+        let markers = [self.drain_marker, self.removal_marker];
         markers
             .into_iter()
             .flatten()
@@ -70,24 +72,29 @@
 
     pub(super) fn remove_markers_of(&mut self, source: SourceId) {
         self.drain_marker = self.drain_marker.filter(|marker| marker.source != source);
-        self.tombstone = self.tombstone.filter(|marker| marker.source != source);
+        self.removal_marker = self.removal_marker.filter(|marker| marker.source != source);
     }
 
     /// Whether the claim changes what its source said of the state, against a fresh claim of another source.
-    pub(super) fn is_contradicted_by(&self, source: SourceId, name: &str, claim: &Claim) -> bool {
-        let is_repeated = self.claims.iter().any(|held| {
-            held.source == source && *held.name == *name && held.claim.state == claim.state
+    pub(super) fn has_state_conflict_with(
+        &self,
+        source: SourceId,
+        name: &str,
+        claim: &Claim,
+    ) -> bool {
+        let is_repeated = self.claims.iter().any(|stored| {
+            stored.source == source && *stored.name == *name && stored.claim.state == claim.state
         });
-        let contradicts = |held: &StoredClaim| {
-            held.source != source && !held.is_stale && held.claim.state != claim.state
+        let has_other_state = |stored: &StoredClaim| {
+            stored.source != source && !stored.is_stale && stored.claim.state != claim.state
         };
-        !is_repeated && self.claims.iter().any(contradicts)
+        !is_repeated && self.claims.iter().any(has_other_state)
     }
 
     /// Whether the claim tells of a start that no claim has told of: another process is there now.
-    pub(super) fn is_restarted_by(&self, claim: &Claim) -> bool {
+    pub(super) fn is_restart(&self, claim: &Claim) -> bool {
         let last_started = self.last_view.as_ref().map_or(0, |view| view.started_at);
-        let is_newest = |held: &StoredClaim| held.claim.started_at < claim.started_at;
+        let is_newest = |stored: &StoredClaim| stored.claim.started_at < claim.started_at;
         claim.started_at > last_started && self.claims.iter().all(is_newest)
     }
 
@@ -95,14 +102,14 @@
     /// if it is another.
     pub(super) fn store_claim(&mut self, mut new: StoredClaim) -> Option<SocketAddr> {
         let is_earlier =
-            |held: &&mut StoredClaim| held.source == new.source && held.name == new.name;
+            |stored: &&mut StoredClaim| stored.source == new.source && stored.name == new.name;
         let Some(earlier) = self.claims.iter_mut().find(is_earlier) else {
             // Most endpoints have one claim of each source: room for more would be their largest part.
             self.claims.reserve_exact(1);
             self.claims.push(new);
             return None;
         };
-        if earlier.claim.states_same_as(&new.claim) {
+        if earlier.claim.has_same_content_as(&new.claim) {
             new.unchanged_since = earlier.unchanged_since;
         }
         let earlier_address = earlier.claim.address;
@@ -113,15 +120,15 @@
 
     /// Takes out a source's claim.
     pub(super) fn remove_claim(&mut self, source: SourceId, name: &str) -> Option<StoredClaim> {
-        let is_wanted = |held: &StoredClaim| held.source == source && *held.name == *name;
-        let index = self.claims.iter().position(is_wanted)?;
+        let is_match = |stored: &StoredClaim| stored.source == source && *stored.name == *name;
+        let index = self.claims.iter().position(is_match)?;
         Some(self.claims.swap_remove(index))
     }
 
     /// Lifts the markers that a new claim outdates, and sets the one that it states.
     ///
     /// A drain is lifted by a newer start from the same or a better kind of source, or by a newer version of the list
-    /// that set it; an older record that still names the endpoint lifts nothing. A tombstone is lifted by a newer
+    /// that set it; an older record that still names the endpoint lifts nothing. A removal marker is lifted by a newer
     /// start from any source: another process is there now.
     pub(super) fn apply_markers(
         &mut self,
@@ -134,9 +141,9 @@
             let is_same_list = new.source == marker.source && kind == SourceKind::EndpointList;
             is_same_list && claim.version > marker.version
         };
-        self.tombstone = self.tombstone.filter(|tombstone| {
-            claim.started_at <= tombstone.started_at && !has_newer_version(tombstone)
-        });
+        self.removal_marker = self
+            .removal_marker
+            .filter(|marker| claim.started_at <= marker.started_at && !has_newer_version(marker));
         let lifts_drain = |marker: &StateMarker| {
             let has_newer_start =
                 claim.started_at > marker.started_at && kind >= marker.source_kind;
--- a/crates/service-discovery/src/registry/rules.rs
+++ b/crates/service-discovery/src/registry/rules.rs
@@ -4,7 +4,7 @@
 
 use super::EndpointRegistry;
 use super::claim::{Claim, ClaimedState, StoredClaim};
-use super::identity::is_named;
+use super::identity::is_uid;
 use super::record::EndpointRecord;
 use super::view::{EndpointView, ListingRule};
 use reelrill_routing::Timestamp;
@@ -25,18 +25,18 @@
 /// no two endpoints have the same id.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AddressPrecedence<'a> {
-    is_named: bool,
+    has_uid: bool,
     newest_start: Timestamp,
-    newest_statement: Timestamp,
+    newest_change: Timestamp,
     id: &'a str,
 }
 
 fn address_precedence<'a>(record: &EndpointRecord, id: &'a Arc<str>) -> AddressPrecedence<'a> {
-    let statements = record.claims.iter().map(|held| held.unchanged_since);
+    let changes = record.claims.iter().map(|stored| stored.unchanged_since);
     AddressPrecedence {
-        is_named: is_named(id),
+        has_uid: is_uid(id),
         newest_start: record.newest_start(),
-        newest_statement: statements.max().unwrap_or(0),
+        newest_change: changes.max().unwrap_or(0),
         id,
     }
 }
@@ -62,7 +62,7 @@
             view: None,
             tier,
         };
-        if record.tombstone.is_some() {
+        if record.removal_marker.is_some() {
             return Some(unlisted(ListingRule::Gone, 0));
         }
         let Some((mut rule, mut view, tier)) = self.claimed_view(now, record) else {
@@ -92,9 +92,9 @@
         now: Timestamp,
         record: &EndpointRecord,
     ) -> Option<(ListingRule, EndpointView, u16)> {
-        if let Some(held) = self.best_claim(record) {
-            let view = view_of(&held.claim, record.newest_start());
-            return Some((ListingRule::Named, view, held.claim.tier));
+        if let Some(stored) = self.best_claim(record) {
+            let view = view_of(&stored.claim, record.newest_start());
+            return Some((ListingRule::Named, view, stored.claim.tier));
         }
         if !record.has_heartbeat(now, self.settings.heartbeat_ttl) {
             return None;
@@ -105,22 +105,22 @@
 
     /// Whether another endpoint has the address, with a stronger claim to it.
     fn is_shadowed(&self, record: &EndpointRecord, id: &Arc<str>, address: SocketAddr) -> bool {
-        let Some(sharing) = self.addresses.get(&address) else {
+        let Some(others) = self.endpoints_by_address.get(&address) else {
             return false;
         };
         let precedence = address_precedence(record, id);
-        sharing.iter().filter(|other| *other != id).any(|other| {
+        others.iter().filter(|other| *other != id).any(|other| {
             self.endpoints.get(other).is_some_and(|other_record| {
-                other_record.tombstone.is_none()
-                    && self.claimed_address_of(other_record) == Some(address)
+                other_record.removal_marker.is_none()
+                    && self.best_claim_address(other_record) == Some(address)
                     && address_precedence(other_record, other) > precedence
             })
         })
     }
 
     /// The address in the claim that counts.
-    pub(super) fn claimed_address_of(&self, record: &EndpointRecord) -> Option<SocketAddr> {
-        self.best_claim(record).map(|held| held.claim.address)
+    pub(super) fn best_claim_address(&self, record: &EndpointRecord) -> Option<SocketAddr> {
+        self.best_claim(record).map(|stored| stored.claim.address)
     }
 
     fn best_claim<'a>(&self, record: &'a EndpointRecord) -> Option<&'a StoredClaim> {
@@ -131,16 +131,16 @@
     /// Which of two claims about one endpoint counts: the newer start; a fresh one; one of a source that can be
     /// reached; the better source; the newer statement, which is not the one that was repeated last.
     fn compare_claims(&self, a: &StoredClaim, b: &StoredClaim) -> Ordering {
-        let precedence = |held: &StoredClaim| {
-            let source = self.sources.get(&held.source);
+        let precedence = |stored: &StoredClaim| {
+            let source = self.sources.get(&stored.source);
             let is_reachable = source.is_some_and(|source| source.unreachable_since.is_none());
             (
-                held.claim.started_at,
-                !held.is_stale,
+                stored.claim.started_at,
+                !stored.is_stale,
                 is_reachable,
                 source.map(|source| source.kind),
-                held.unchanged_since,
-                held.source,
+                stored.unchanged_since,
+                stored.source,
             )
         };
         let by_precedence = precedence(a).cmp(&precedence(b));
--- a/crates/service-discovery/src/registry/tiers.rs
+++ b/crates/service-discovery/src/registry/tiers.rs
@@ -30,7 +30,7 @@
     }
 
     /// An endpoint is in service, but for its tier.
-    pub(super) fn enter_tier(
+    pub(super) fn add_to_tier(
         &mut self,
         key: TierKey,
         id: &Arc<str>,
@@ -45,7 +45,7 @@
     }
 
     /// An endpoint is not in service any more.
-    pub(super) fn leave_tier(
+    pub(super) fn remove_from_tier(
         &mut self,
         key: TierKey,
         id: &Arc<str>,
@@ -83,7 +83,7 @@
             };
             if let Some(record) = self.endpoints.get_mut(&id) {
                 record.rule = Some(evaluation.rule);
-                record.untiered_rule = Some(evaluation.rule);
+                record.rule_before_tiers = Some(evaluation.rule);
             }
             self.publish(&id, evaluation, changes);
         }
