--- a/crates/service-discovery/src/registry/claim.rs
+++ b/crates/service-discovery/src/registry/claim.rs
@@ -1,57 +1,58 @@
-//! What a source states about an endpoint, and how such claims are kept.
+//! Claims of the sources about endpoints, and the records in which the registry stores them.
 
 use reelrill_routing::Timestamp;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A source, as its host numbers them.
+/// Identifies a source; the caller assigns the numbers.
 pub type SourceId = u16;
 
-/// What a source is, in ascending order of trust.
+/// The kind of a source, in ascending order of trust.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SourceKind {
-    /// DNS records: they have no versions, and a secondary server may be behind.
+    /// DNS records. They have no versions, and a secondary server may return outdated ones.
     DnsRecords,
-    /// The endpoint list: its versions only go up.
+    /// The endpoint list. Its versions only increase.
     EndpointList,
 }
 
-/// The state in which a claim shows an endpoint.
+/// The state of an endpoint according to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ClaimedState {
     /// In service.
     Ready,
-    /// Finishing its work; it takes no new requests.
+    /// Draining: completes the requests in progress and accepts no new ones.
     Draining,
 }
 
-/// What a source states about an endpoint.
+/// A source's description of an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Claim {
-    /// Its own name; none: the source does not state it.
+    /// The endpoint's unique id; `None` if the source does not provide it.
     pub uid: Option<Arc<str>>,
-    /// Where it listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// Its replica set.
+    /// The endpoint's replica set.
     pub replica_set: u32,
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: u32,
-    /// Its state.
+    /// The endpoint's state.
     pub state: ClaimedState,
-    /// When it last started, in Unix nanoseconds; 0: not stated, or long past.
+    /// The time of the endpoint's last start, in Unix nanoseconds; 0 if it is not provided or long past.
     pub started_at: Timestamp,
-    /// The source's version of this claim; 0 where it has none.
+    /// The source's version of this claim; 0 if the source has no versions.
     pub version: u64,
-    /// Its capacity relative to others; 1 is usual.
+    /// The endpoint's capacity relative to other endpoints; 1 is the usual capacity.
     pub weight: f64,
-    /// Endpoints of a higher tier are used only while their replica set has none in service in a lower one.
+    /// The endpoint's tier. Endpoints of a higher tier are listed only while their replica set has none in service in a
+    /// lower tier.
     pub tier: u16,
-    /// When the claim gets stale unless it is renewed; none: never.
+    /// The time at which the claim becomes stale unless it is renewed; `None` if it never does.
     pub expires_at: Option<Timestamp>,
 }
 
 impl Claim {
-    /// A claim of an endpoint in service, with nothing else stated.
+    /// Returns a claim that the endpoint is in service, with default values for all other fields.
     pub fn new(uid: &str, address: SocketAddr, replica_set: u32) -> Claim {
         Claim {
             uid: Some(uid.into()),
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Whether the list would describe the endpoint alike.
+    /// Returns whether both claims lead to the same list entry, apart from the state and the start time.
     pub(super) fn has_same_listing_as(&self, other: &Claim) -> bool {
         self.address == other.address
             && self.replica_set == other.replica_set
@@ -76,7 +77,7 @@
             && self.weight == other.weight
     }
 
-    /// Whether another claim states the same of the endpoint, whatever its version and expiry.
+    /// Returns whether both claims are equal apart from their version and expiry.
     pub(super) fn has_same_content_as(&self, other: &Claim) -> bool {
         let renewed = Claim {
             version: other.version,
@@ -87,49 +88,49 @@
     }
 }
 
-/// How a source takes an endpoint's name back.
+/// The way in which a source withdraws a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Withdrawal {
-    /// It states that the endpoint is gone.
+    /// The source states that the endpoint was removed.
     Removed,
-    /// It does not name it any more.
+    /// The source no longer lists the endpoint.
     Absent,
 }
 
-/// A claim as it is kept.
+/// A claim with its source and the times at which the registry received it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredClaim {
-    /// Who states it.
+    /// The source of the claim.
     pub source: SourceId,
-    /// The endpoint's name at the source.
+    /// The name that the source uses for the endpoint.
     pub name: Arc<str>,
-    /// What is stated.
+    /// The claim itself.
     pub claim: Claim,
-    /// When it was last renewed.
+    /// The time at which the source last sent the claim.
     pub renewed_at: Timestamp,
-    /// Since when it states the same.
+    /// The time since which the claim has been unchanged apart from its version and expiry.
     pub unchanged_since: Timestamp,
-    /// It was not renewed in time: it counts for less than a fresh one.
+    /// Whether the claim expired without being renewed. Any fresh claim with the same start time overrides it.
     pub is_stale: bool,
 }
 
-/// A drain or removal that binds until something newer lifts it.
+/// A drain or removal that stays in force until a newer claim lifts it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct StateMarker {
-    /// The source that stated it.
+    /// The source that stated the drain or removal.
     pub source: SourceId,
-    /// What that source is.
+    /// The kind of that source.
     pub source_kind: SourceKind,
-    /// The start of the endpoint's process about which it was stated, in Unix nanoseconds.
+    /// The start time of the endpoint process that the drain or removal concerns, in Unix nanoseconds.
     pub started_at: Timestamp,
-    /// The source's version of the claim.
+    /// The source's version of the claim that set the marker.
     pub version: u64,
-    /// When it was stated.
+    /// The time at which the marker was set.
     pub set_at: Timestamp,
 }
 
 impl StoredClaim {
-    /// A marker that this claim sets at `at`.
+    /// Returns the marker that this claim sets at time `at`.
     pub(super) fn marker(&self, kind: SourceKind, at: Timestamp) -> StateMarker {
         StateMarker {
             source: self.source,
--- a/crates/service-discovery/src/registry/input.rs
+++ b/crates/service-discovery/src/registry/input.rs
@@ -1,59 +1,59 @@
-//! What the registry takes from its host.
+//! The inputs of the endpoint registry.
 
 use super::claim::{Claim, SourceId, SourceKind, Withdrawal};
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// One input of the registry.
+/// An event that the caller reports to the registry.
 #[derive(Debug, Clone)]
 pub enum RegistryInput {
-    /// A source is there from now on.
+    /// A source was added to the configuration.
     SourceAdded {
-        /// Its number.
+        /// The source's number.
         source: SourceId,
-        /// What it is.
+        /// The source's kind.
         kind: SourceKind,
     },
-    /// A source was taken out of the configuration: its claims no longer count.
+    /// A source was removed from the configuration. Its claims and markers are dropped.
     SourceRemoved {
-        /// Its number.
+        /// The source's number.
         source: SourceId,
     },
-    /// A source names an endpoint, or states something else about it.
+    /// A source lists an endpoint, or changes or renews its claim about it.
     Claimed {
         /// The source.
         source: SourceId,
-        /// The endpoint, as the source names it.
+        /// The name that the source uses for the endpoint.
         name: Arc<str>,
-        /// What it states.
+        /// The claim.
         claim: Claim,
     },
-    /// A source names an endpoint no longer.
+    /// A source withdraws its claim about an endpoint.
     Withdrawn {
         /// The source.
         source: SourceId,
-        /// The endpoint, as the source names it.
+        /// The name that the source uses for the endpoint.
         name: Arc<str>,
-        /// How.
+        /// The way in which it is withdrawn.
         withdrawal: Withdrawal,
     },
-    /// These are all that the source names.
+    /// A source reports all endpoints that it lists. Its claims about any others are withdrawn.
     Snapshot {
         /// The source.
         source: SourceId,
-        /// As the source names them.
+        /// The names that the source uses for them.
         names: HashSet<Arc<str>>,
     },
-    /// A source can't be reached: it answered with a failure, or not at all.
+    /// A source cannot be reached: it responded with a failure or not at all.
     SourceFailed {
         /// The source.
         source: SourceId,
     },
-    /// An endpoint responded to a request: its heartbeat.
+    /// An endpoint responded to a request. The response counts as its heartbeat.
     EndpointResponded {
-        /// The endpoint.
+        /// The endpoint's id.
         endpoint: Arc<str>,
-        /// It states that it is draining.
+        /// Whether the response states that the endpoint is draining.
         is_draining: bool,
     },
 }
--- a/crates/service-discovery/src/registry/settings.rs
+++ b/crates/service-discovery/src/registry/settings.rs
@@ -1,24 +1,26 @@
-//! The limits and durations by which the registry merges claims.
+//! Settings of the endpoint registry.
 
 use reelrill_routing::Nanos;
 
 const SECOND: Nanos = 1_000_000_000;
 
-/// Limits and durations, in nanoseconds.
+/// Limits, durations (in nanoseconds) and rule switches of the registry.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RegistrySettings {
-    /// How long an endpoint's response counts as its heartbeat, and its own statement that it is draining binds.
+    /// The time for which a response of an endpoint counts as its heartbeat, and for which an endpoint that reported
+    /// its own drain is listed as draining.
     pub heartbeat_ttl: Nanos,
-    /// How long an endpoint that nobody names is remembered, so that an outdated claim about it is recognized.
+    /// The time for which an unlisted endpoint without claims is remembered, so that an outdated claim about it is
+    /// recognized.
     pub retention: Nanos,
-    /// The most endpoints; claims of others are not taken in, and counted.
+    /// The maximum number of endpoints. Claims about further endpoints are rejected and counted.
     pub max_endpoints: usize,
-    /// Only a newer claim lifts a drain. Off only to show that a check finds it.
+    /// Whether only a newer claim lifts a drain. Tests disable it to show that they detect the fault.
     pub has_sticky_drains: bool,
-    /// A failure of a source takes nothing away. Off only to show that a check finds it.
+    /// Whether the claims of a source that failed stay in force. Tests disable it to show that they detect the fault.
     pub should_keep_claims_of_failed_sources: bool,
-    /// An endpoint that one source no longer names stays as long as others name it or it responds. Off only to show
-    /// that a check finds it.
+    /// Whether an endpoint that one source no longer lists stays listed while another source lists it or it responds.
+    /// Tests disable it to show that they detect the fault.
     pub should_require_all_sources_for_removal: bool,
 }
 
--- a/crates/service-discovery/src/registry/view.rs
+++ b/crates/service-discovery/src/registry/view.rs
@@ -1,48 +1,48 @@
-//! What the registry gives out: the list's entries and their changes, and the status shown to operators.
+//! The outputs of the endpoint registry: list entries, list changes, and the status shown to operators.
 
 use super::claim::{ClaimedState, StateMarker, StoredClaim};
 use reelrill_routing::Timestamp;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How the list shows an endpoint.
+/// An entry of the merged endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointView {
-    /// Where it listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// Its replica set.
+    /// The endpoint's replica set.
     pub replica_set: u32,
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: u32,
-    /// Its state.
+    /// The endpoint's state.
     pub state: ClaimedState,
-    /// When it last started.
+    /// The time of the endpoint's last start, in Unix nanoseconds; 0 if unknown or long past.
     pub started_at: Timestamp,
-    /// Its capacity relative to others; 1 is usual.
+    /// The endpoint's capacity relative to other endpoints; 1 is the usual capacity.
     pub weight: f64,
 }
 
-/// A change of the list.
+/// A change of the merged endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ListChange {
-    /// The list shows the endpoint like this.
+    /// The endpoint was added, or its entry changed.
     Listed {
-        /// The endpoint.
+        /// The endpoint's id.
         endpoint: Arc<str>,
-        /// How the list shows it.
+        /// The new entry.
         view: EndpointView,
-        /// It was not in the list before.
+        /// Whether the endpoint was not in the list before.
         is_new: bool,
     },
-    /// The endpoint is not in the list any more.
+    /// The endpoint was removed from the list.
     Removed {
-        /// The endpoint.
+        /// The endpoint's id.
         endpoint: Arc<str>,
     },
 }
 
 impl ListChange {
-    /// The endpoint that it is about.
+    /// Returns the id of the endpoint that the change concerns.
     pub fn endpoint(&self) -> &str {
         match self {
             ListChange::Listed { endpoint, .. } | ListChange::Removed { endpoint } => endpoint,
@@ -50,59 +50,60 @@
     }
 }
 
-/// The rule that decided how the list shows an endpoint. Operators see these names.
+/// The rule that decided whether and how an endpoint is listed. Logs and the status table print the variants' names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ListingRule {
-    /// A source names it and nothing speaks against it.
+    /// Listed as in service: at least one source has a claim about the endpoint, and no other rule applies.
     Named,
-    /// No source names it now, but its latest heartbeat counts still.
+    /// Listed as in service by its last entry: no source has a claim about the endpoint, but its latest heartbeat is
+    /// still valid.
     Vouched,
-    /// No source names it.
+    /// Not listed: no source has a claim about the endpoint, and it has no valid heartbeat.
     Unnamed,
-    /// A source states that it is draining, and nothing newer has lifted that.
+    /// Listed as draining: a source stated the drain, and no newer claim has lifted it.
     Drain,
-    /// It states itself that it is draining.
+    /// Listed as draining: the endpoint itself reported the drain.
     OwnDrain,
-    /// A source states that it is gone, and nothing newer has lifted that.
+    /// Not listed: a source stated that the endpoint was removed, and no newer claim has lifted that.
     Gone,
-    /// Another endpoint has its address.
+    /// Not listed: another endpoint with a stronger claim has the same address.
     Shadowed,
-    /// Its replica set has endpoints in service in a lower tier.
+    /// Not listed: the replica set has endpoints in service in a lower tier.
     Standby,
 }
 
-/// An endpoint, as shown to operators.
+/// The status of an endpoint, as shown to operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointStatus {
-    /// The endpoint.
+    /// The endpoint's id.
     pub endpoint: Arc<str>,
-    /// How the list shows it, if it does.
+    /// The endpoint's list entry; `None` if it is not listed.
     pub listed: Option<EndpointView>,
-    /// Why.
+    /// The rule that decided about the entry.
     pub rule: ListingRule,
-    /// Who states what.
+    /// All claims about the endpoint.
     pub claims: Vec<StoredClaim>,
-    /// A drain that was stated and not lifted.
+    /// The drain in force that a source stated, if any.
     pub drain_marker: Option<StateMarker>,
-    /// When it last stated itself that it is draining.
+    /// The time at which the endpoint last reported its own drain.
     pub drain_reported_at: Option<Timestamp>,
-    /// A removal that was stated and not lifted.
+    /// The removal in force that a source stated, if any.
     pub removal_marker: Option<StateMarker>,
-    /// When it last responded.
+    /// The time at which the endpoint last responded.
     pub last_response_at: Option<Timestamp>,
 }
 
-/// What has been counted since the start.
+/// Counters of the registry since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RegistryCounters {
-    /// Endpoints added to the list.
+    /// Number of endpoints added to the list.
     pub endpoints_added: u64,
-    /// Endpoints removed from the list.
+    /// Number of endpoints removed from the list.
     pub endpoints_removed: u64,
-    /// Claims of a state that another source's claim contradicted when they came.
+    /// Number of claims whose state differed from a fresh claim of another source on arrival.
     pub state_conflicts: u64,
-    /// Names that could stand for more than one endpoint.
+    /// Number of new names, claimed without a uid, whose address matched more than one endpoint.
     pub ambiguous_names: u64,
-    /// Claims of endpoints beyond the limit, which were not taken in.
+    /// Number of claims rejected because of the limit on endpoints.
     pub rejected_claims: u64,
 }
