--- a/crates/service-discovery/src/registry/claims.rs
+++ b/crates/service-discovery/src/registry/claims.rs
@@ -1,4 +1,4 @@
-//! Taking claims in and out, and the reachability of their sources.
+//! Stores and withdraws claims, and tracks the reachability of their sources.
 
 use super::EndpointRegistry;
 use super::claim::{Claim, SourceId, StoredClaim, Withdrawal};
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 impl EndpointRegistry {
-    /// Notes whether a source can be reached. Says whether that is new.
+    /// Records whether a source can be reached, and returns whether that changed.
     pub(super) fn set_reachable(
         &mut self,
         now: Timestamp,
@@ -26,7 +26,7 @@
         true
     }
 
-    /// A source was taken out of the configuration: neither its claims nor its markers count any more.
+    /// Drops the claims and markers of a source that was removed from the configuration.
     pub(super) fn on_source_removed(
         &mut self,
         now: Timestamp,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes in a claim, and evaluates anew whatever may depend on it.
+    /// Stores a claim and re-evaluates every endpoint that may depend on it.
     pub(super) fn on_claim(
         &mut self,
         now: Timestamp,
@@ -68,7 +68,8 @@
             self.counters.rejected_claims += 1;
             return;
         }
-        // The source may give the name to another endpoint; the earlier one is evaluated once the new one has it.
+        // The source may reuse the name for another endpoint. The earlier endpoint is re-evaluated after the new one
+        // has the claim.
         let reassigned = self.reassign_name(source, &name, &id);
         let address = claim.address;
         let earlier_address = self.store_claim(now, source, name, claim, &id);
@@ -85,8 +86,8 @@
         self.reevaluate_disputed(now, has_reachability_changed, changes);
     }
 
-    /// Lets a source's name stand for `id`. If it stood for another endpoint, that one loses the claim; returns the
-    /// claim's address and that endpoint.
+    /// Maps a source's name to `id`. If the name belonged to another endpoint, removes the claim from that endpoint and
+    /// returns the claim's address and the endpoint's id.
     fn reassign_name(
         &mut self,
         source: SourceId,
@@ -106,7 +107,7 @@
         Some((removed.claim.address, earlier_id))
     }
 
-    /// Keeps a claim at its endpoint, and returns the address that the source named before, if it is another.
+    /// Stores a claim at its endpoint, and returns the address of the source's earlier claim if it differs.
     fn store_claim(
         &mut self,
         now: Timestamp,
@@ -143,7 +144,7 @@
         record.store_claim(stored)
     }
 
-    /// Takes out all claims of a source, as names that it does not list any more.
+    /// Withdraws all claims of a source as absent.
     pub(super) fn withdraw_all(
         &mut self,
         now: Timestamp,
@@ -153,7 +154,7 @@
         self.withdraw_unless(now, source, |_| false, changes);
     }
 
-    /// Takes out the claims of a source whose names it does not list any more.
+    /// Withdraws as absent the claims of a source whose names do not satisfy `is_listed`.
     pub(super) fn withdraw_unless(
         &mut self,
         now: Timestamp,
@@ -171,7 +172,7 @@
         self.withdraw(now, source, absent, Withdrawal::Absent, changes);
     }
 
-    /// Takes claims out, all before anything is evaluated by what is left.
+    /// Withdraws claims. All of them are removed before any endpoint is re-evaluated.
     pub(super) fn withdraw(
         &mut self,
         now: Timestamp,
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Takes one claim out; returns its endpoint and address.
+    /// Removes one claim and returns its endpoint and address. Sets a removal marker if the withdrawal calls for it.
     fn withdraw_one(
         &mut self,
         now: Timestamp,
--- a/crates/service-discovery/src/registry/identity.rs
+++ b/crates/service-discovery/src/registry/identity.rs
@@ -1,8 +1,9 @@
-//! Which endpoint a claim is about, and which endpoints share an address.
+//! Maps claims to endpoints, and maintains the index of endpoints by address.
 //!
-//! A source may name an endpoint without its own name (uid). Such a claim belongs to the one endpoint that has its
-//! address, else it is kept apart under a name made of the source's. This module owns the address index: it has every
-//! endpoint under each address that a claim of it names, and under the address where it was last listed.
+//! A source may list an endpoint without its unique id (uid). If exactly one endpoint with a uid has a claim for the
+//! same address, the claim belongs to that endpoint. Otherwise it is stored under a provisional id, formed from the
+//! source and the name at the source. The address index lists every endpoint under the address of each of its claims
+//! and under the address with which it was last listed.
 
 use super::EndpointRegistry;
 use super::claim::{Claim, SourceId};
@@ -11,16 +12,16 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What stands before the id of an endpoint whose own name no source states.
+/// Prefix of provisional endpoint ids.
 const PROVISIONAL_ID_PREFIX: &str = "name:";
 
-/// Whether the id is the endpoint's own name.
+/// Returns whether an endpoint id is a uid rather than a provisional id.
 pub(super) fn is_uid(id: &str) -> bool {
     !id.starts_with(PROVISIONAL_ID_PREFIX)
 }
 
 impl EndpointRegistry {
-    /// Which endpoint a claim is about.
+    /// Returns the id of the endpoint that a claim concerns.
     pub(super) fn resolve_endpoint(
         &mut self,
         source: SourceId,
@@ -46,7 +47,7 @@
         format!("{PROVISIONAL_ID_PREFIX}{source}:{name}").into()
     }
 
-    /// The endpoints with a claim of an address.
+    /// Returns the endpoints that have a claim for an address.
     fn endpoints_claiming(&self, address: SocketAddr) -> Vec<Arc<str>> {
         let has_claim = |id: &&Arc<str>| {
             let record = self.endpoints.get(*id);
@@ -60,7 +61,7 @@
         indexed.filter(has_claim).cloned().collect()
     }
 
-    /// The endpoints indexed at an address, but for one. Nearly always an endpoint is alone at its address.
+    /// Returns all endpoints indexed under an address except `id`. There is rarely more than one endpoint per address.
     pub(super) fn other_endpoints_at(&self, address: SocketAddr, id: &Arc<str>) -> Vec<Arc<str>> {
         let indexed = self
             .endpoints_by_address
@@ -70,7 +71,8 @@
         indexed.filter(|other| *other != id).cloned().collect()
     }
 
-    /// An endpoint has a claim of an address. Nameless ones that stood for it are the same endpoint.
+    /// Indexes an endpoint under the address of a claim. If it is the only endpoint with a uid there, provisional
+    /// endpoints with claims for the same address are the same endpoint and are merged into it.
     pub(super) fn index_address(
         &mut self,
         address: SocketAddr,
@@ -103,8 +105,8 @@
         }
     }
 
-    /// Gives a provisional endpoint's claims of an address, its drain and its heartbeat to the endpoint that it is. Says whether
-    /// the provisional one was still known.
+    /// Moves a provisional endpoint's claims for an address to the endpoint `id`, and copies its drain marker and
+    /// heartbeat. Returns whether the provisional endpoint was known.
     fn merge_provisional(
         &mut self,
         provisional: &Arc<str>,
@@ -132,7 +134,8 @@
         true
     }
 
-    /// An endpoint may have no claim of an address any more; then others may have it.
+    /// Removes an endpoint from the index at an address if it has no claim for it any more, and re-evaluates the other
+    /// endpoints there.
     pub(super) fn release_address(
         &mut self,
         address: SocketAddr,
@@ -148,7 +151,7 @@
         self.reevaluate_others_at(now, address, id, changes);
     }
 
-    /// Takes an endpoint out of the index at an address, unless it has a claim of it or was last listed there.
+    /// Removes an endpoint from the index at an address unless it has a claim for it or was last listed with it.
     pub(super) fn unindex_address(&mut self, address: SocketAddr, id: &Arc<str>) {
         if let Some(record) = self.endpoints.get(id) {
             let last_address = record.last_view.as_ref().map(|view| view.address);
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Evaluates those anew that share an address with an endpoint that has changed.
+    /// Re-evaluates the other endpoints at the address of an endpoint that changed.
     pub(super) fn reevaluate_others_at(
         &mut self,
         now: Timestamp,
--- a/crates/service-discovery/src/registry/mod.rs
+++ b/crates/service-discovery/src/registry/mod.rs
@@ -1,9 +1,9 @@
-//! Merging the claims of several sources into the one list of endpoints.
+//! Merges the claims of several sources into one endpoint list.
 //!
-//! [`EndpointRegistry`] owns all claims, the indexes over them and the list that was last published. Its parts are the
-//! modules below: [`claims`] takes claims in and out, [`identity`] says which endpoint they are about, [`rules`] says
-//! what the list shows, [`tiers`] holds back standby endpoints, [`listing`] publishes changes, and [`expiry`] follows
-//! the clock. It never connects anywhere and reads no clock.
+//! [`EndpointRegistry`] owns all claims, the indexes over them and the list that was last published. The submodules
+//! implement its parts: [`claims`] stores and withdraws claims, [`identity`] maps claims to endpoints, [`rules`]
+//! determines the list entries, [`tiers`] withholds standby endpoints, [`listing`] publishes changes, and [`expiry`]
+//! handles timers. The registry does no I/O and reads no clock.
 
 mod claim;
 mod claims;
@@ -32,34 +32,34 @@
 #[derive(Debug, Clone)]
 struct SourceState {
     kind: SourceKind,
-    /// Since when the source cannot be reached; none: it can.
+    /// The time since which the source cannot be reached; `None` if it is reachable.
     unreachable_since: Option<Timestamp>,
 }
 
-/// All endpoints, the claims about them, and the list that comes of it. See the module.
+/// Owns all known endpoints and the claims about them, and publishes the list merged from the claims.
 #[derive(Debug, Clone)]
 pub struct EndpointRegistry {
     settings: RegistrySettings,
     sources: BTreeMap<SourceId, SourceState>,
     endpoints: HashMap<Arc<str>, EndpointRecord>,
-    /// Which endpoint a source's name stands for.
+    /// The endpoint ids by source and by the name that the source uses.
     endpoints_by_source_name: HashMap<(SourceId, Arc<str>), Arc<str>>,
-    /// Which endpoints have claims of an address, or were listed there last.
+    /// The endpoints that have a claim for an address or were last listed with it.
     endpoints_by_address: HashMap<SocketAddr, Vec<Arc<str>>>,
-    /// The endpoints in service, by replica set and tier.
+    /// The endpoints in service, by replica set, then by tier and serial number.
     tiers: HashMap<u32, BTreeMap<(u16, u64), Arc<str>>>,
-    /// The serial number of the newest endpoint.
+    /// The serial number of the endpoint that was added last.
     last_serial: u64,
     wheel: TimerWheel<Arc<str>>,
-    /// Endpoints whose claims differ in what the list would show.
+    /// Endpoints whose claims would lead to different list entries.
     disputed: HashSet<Arc<str>>,
-    /// The endpoint of the latest contradiction.
+    /// The endpoint of the latest state conflict.
     last_conflicting_endpoint: Option<Arc<str>>,
     counters: RegistryCounters,
 }
 
 impl EndpointRegistry {
-    /// A registry without sources and endpoints.
+    /// Returns a registry without sources and endpoints.
     pub fn new(settings: RegistrySettings, now: Timestamp) -> EndpointRegistry {
         EndpointRegistry {
             settings,
@@ -76,27 +76,27 @@
         }
     }
 
-    /// What has been counted since the start.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> RegistryCounters {
         self.counters
     }
 
-    /// The endpoint of which two sources last contradicted each other.
+    /// Returns the endpoint for which the claims of two sources last stated different states.
     pub fn last_conflicting_endpoint(&self) -> Option<&Arc<str>> {
         self.last_conflicting_endpoint.as_ref()
     }
 
-    /// How many endpoints are known, listed or not.
+    /// Returns the number of known endpoints, listed or not.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Whether no endpoint is known.
+    /// Returns whether no endpoint is known.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 
-    /// All known endpoints, in the order of their ids.
+    /// Returns the status of all known endpoints, ordered by id.
     pub fn endpoint_statuses(&self) -> Vec<EndpointStatus> {
         let status_of = |(id, record): (&Arc<str>, &EndpointRecord)| EndpointStatus {
             endpoint: id.clone(),
@@ -113,22 +113,22 @@
         statuses
     }
 
-    /// The rule that decided how the list shows an endpoint.
+    /// Returns the rule that decided about the endpoint's list entry; `None` if the endpoint is unknown.
     pub fn rule(&self, endpoint: &str) -> Option<ListingRule> {
         self.endpoints.get(endpoint)?.rule
     }
 
-    /// Since when a source cannot be reached; none: it can, or is not known.
+    /// Returns the time since which a source cannot be reached; `None` if it is reachable or unknown.
     pub fn unreachable_since(&self, source: SourceId) -> Option<Timestamp> {
         self.sources.get(&source)?.unreachable_since
     }
 
-    /// When [`EndpointRegistry::on_due`] is to be called at the latest.
+    /// Returns the latest time at which [`EndpointRegistry::on_due`] must be called; `None` if no timer is set.
     pub fn next_due(&self) -> Option<Timestamp> {
         self.wheel.next_due()
     }
 
-    /// Takes one input, and appends what it changes in the list to `changes`.
+    /// Processes one input and appends the resulting list changes to `changes`.
     pub fn handle(&mut self, now: Timestamp, input: RegistryInput, changes: &mut Vec<ListChange>) {
         match input {
             RegistryInput::SourceAdded { source, kind } => {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Notes an endpoint's heartbeat, many times a second: usually one look-up, and nothing else to do.
+    /// Records an endpoint's heartbeat. This is called many times a second and usually costs a single look-up.
     fn on_endpoint_response(
         &mut self,
         now: Timestamp,
@@ -184,7 +184,8 @@
             return;
         };
         record.last_response_at = Some(now);
-        // A draining endpoint still answers what it has begun, as ever: such a response does not end the drain.
+        // A draining endpoint still completes the requests in progress, so a response without the drain flag does not
+        // end the drain.
         if is_draining {
             record.drain_reported_at = Some(now);
         }
