--- a/crates/service-discovery/src/registry/expiry.rs
+++ b/crates/service-discovery/src/registry/expiry.rs
@@ -1,4 +1,4 @@
-//! What time alone changes: claims that get stale, heartbeats that expire, endpoints that are forgotten.
+//! Expiry: claims that become stale, heartbeats and drains that end, and endpoints that are forgotten.
 
 use super::EndpointRegistry;
 use super::record::EndpointRecord;
@@ -7,16 +7,16 @@
 use reelrill_routing::Timestamp;
 use std::sync::Arc;
 
-/// What follows for an endpoint without another input.
+/// The next step for an endpoint if no further input arrives.
 enum Expiry {
-    /// It is evaluated anew then; none: never.
+    /// The endpoint is re-evaluated at this time; `None` means never.
     Reevaluate(Option<Timestamp>),
-    /// Nobody names it, and it is not listed: it is forgotten then.
+    /// The endpoint has no claims and is not listed. It is forgotten at this time.
     Forget(Timestamp),
 }
 
 impl EndpointRegistry {
-    /// Applies what has expired by `now`, and appends what that changes in the list.
+    /// Processes everything that has expired by `now`, and appends the resulting list changes to `changes`.
     pub fn on_due(&mut self, now: Timestamp, changes: &mut Vec<ListChange>) {
         let mut due = Vec::new();
         self.wheel.expire(now, &mut due);
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Sets the endpoint's timer to what expires first, or forgets the endpoint.
+    /// Sets the endpoint's timer to the earliest expiry, or forgets the endpoint if its retention has ended.
     pub(super) fn schedule_expiry(&mut self, now: Timestamp, id: &Arc<str>) {
         let Some(record) = self.endpoints.get_mut(id) else {
             return;
@@ -67,12 +67,12 @@
 
 impl EndpointRecord {
     fn next_expiry(&self, now: Timestamp, settings: &RegistrySettings) -> Expiry {
-        let is_unnamed = self.claims.is_empty();
+        let has_no_claims = self.claims.is_empty();
         let heartbeat_end = self
             .last_response_at
             .map(|at| at.saturating_add(settings.heartbeat_ttl))
-            .filter(|end| is_unnamed && *end > now);
-        if is_unnamed && self.listed.is_none() && heartbeat_end.is_none() {
+            .filter(|end| has_no_claims && *end > now);
+        if has_no_claims && self.listed.is_none() && heartbeat_end.is_none() {
             return Expiry::Forget(self.last_activity_at().saturating_add(settings.retention));
         }
         let fresh_claims = self.claims.iter().filter(|stored| !stored.is_stale);
@@ -86,7 +86,7 @@
         Expiry::Reevaluate(ends.into_iter().flatten().min())
     }
 
-    /// When something was last heard of an endpoint that nobody names.
+    /// Returns the time of the latest response, removal or drain marker of an endpoint without claims.
     fn last_activity_at(&self) -> Timestamp {
         let removed_at = self.removal_marker.map(|marker| marker.set_at);
         let drained_at = self.drain_marker.map(|marker| marker.set_at);
--- a/crates/service-discovery/src/registry/listing.rs
+++ b/crates/service-discovery/src/registry/listing.rs
@@ -1,4 +1,4 @@
-//! Evaluating endpoints anew, and publishing what that changes in the list.
+//! Re-evaluates endpoints and publishes the resulting changes of the list.
 
 use super::EndpointRegistry;
 use super::claim::{ClaimedState, StoredClaim};
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 impl EndpointRegistry {
-    /// Evaluates an endpoint anew and publishes what that changes, for it and for those that depend on it.
+    /// Re-evaluates an endpoint and publishes the changes for it and for the endpoints that depend on it.
     pub(super) fn reevaluate(
         &mut self,
         now: Timestamp,
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Notes the address in the claim that counts, and whether the endpoint's claims differ in what the list would
-    /// show: which of them counts may then turn on whether their sources can be reached.
+    /// Records the address of the best claim, and whether the endpoint's claims would lead to different list entries.
+    /// In that case the best claim may depend on the reachability of the sources.
     fn update_claimed_address(&mut self, id: &Arc<str>) -> Option<SocketAddr> {
         let address = self.best_claim_address(self.endpoints.get(id)?);
         let record = self.endpoints.get_mut(id)?;
@@ -93,8 +93,8 @@
         address
     }
 
-    /// Evaluates those anew that would have an address, but for the endpoint that has it or had it. Each is evaluated
-    /// by the same order, so this ends.
+    /// Re-evaluates the other endpoints at an address whose rule changes because `id` uses the address or stopped using
+    /// it. The recursion ends because the endpoints at an address have a total order of precedence.
     fn reevaluate_shadowed(
         &mut self,
         now: Timestamp,
@@ -114,7 +114,8 @@
         }
     }
 
-    /// A source's claims count for more, or for less, where others differ from them.
+    /// Re-evaluates the disputed endpoints if the reachability of a source changed, since that changes the precedence
+    /// of its claims.
     pub(super) fn reevaluate_disputed(
         &mut self,
         now: Timestamp,
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Appends what the list shows of an endpoint to `changes`, if that is new.
+    /// Publishes the endpoint's entry by appending to `changes`, if it differs from the published one.
     pub(super) fn publish(
         &mut self,
         id: &Arc<str>,
--- a/crates/service-discovery/src/registry/record.rs
+++ b/crates/service-discovery/src/registry/record.rs
@@ -1,4 +1,4 @@
-//! What is kept of one endpoint: its claims, the markers that bind its state, and what was last published of it.
+//! The record of one endpoint: its claims, its drain and removal markers, and its last published entry.
 
 use super::claim::{Claim, ClaimedState, SourceId, SourceKind, StateMarker, StoredClaim};
 use super::view::{EndpointView, ListingRule};
@@ -7,39 +7,40 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The place of an endpoint in service among those of its replica set.
+/// The replica set and tier of an endpoint in service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct TierKey {
     pub(super) replica_set: u32,
     pub(super) tier: u16,
 }
 
-/// An endpoint, listed or not.
+/// The state that the registry stores for one endpoint, listed or not.
 #[derive(Debug, Clone, Default)]
 pub(super) struct EndpointRecord {
-    /// Its number among all that ever were: shorter to compare than its name.
+    /// A number unique among all endpoints ever added; cheaper to compare than the id.
     pub(super) serial: u64,
     pub(super) claims: Vec<StoredClaim>,
     pub(super) drain_marker: Option<StateMarker>,
-    /// A source stated that the endpoint is gone.
+    /// The removal in force that a source stated.
     pub(super) removal_marker: Option<StateMarker>,
-    /// When the endpoint last stated itself that it is draining.
+    /// The time at which the endpoint last reported its own drain.
     pub(super) drain_reported_at: Option<Timestamp>,
-    /// When the endpoint last responded.
+    /// The time at which the endpoint last responded.
     pub(super) last_response_at: Option<Timestamp>,
-    /// The view that the claims last gave: how the endpoint is listed by its heartbeat alone.
+    /// The entry according to the last evaluation of the claims; used while only the heartbeat keeps the endpoint
+    /// listed.
     pub(super) last_view: Option<EndpointView>,
     pub(super) last_tier: u16,
-    /// Present while the endpoint is in service, but for its tier.
+    /// The endpoint's key in the tier index; present while it is in service without regard to tiers.
     pub(super) tier_key: Option<TierKey>,
-    /// What the list shows of it.
+    /// The published entry; `None` if the endpoint is not listed.
     pub(super) listed: Option<EndpointView>,
     pub(super) rule: Option<ListingRule>,
-    /// The rule but for the tier.
+    /// The rule that applies without regard to tiers.
     pub(super) rule_before_tiers: Option<ListingRule>,
-    /// The address in the claim that counts.
+    /// The address of the best claim.
     pub(super) claimed_address: Option<SocketAddr>,
-    /// When the endpoint is evaluated anew without an input.
+    /// The timer for the next re-evaluation or removal without an input, and its due time.
     pub(super) timer: Option<(TimerHandle, Timestamp)>,
 }
 
@@ -50,7 +51,7 @@
             .any(|stored| stored.claim.address == address)
     }
 
-    /// The newest start that any claim states; 0 without claims.
+    /// Returns the latest start time in any claim; 0 without claims.
     pub(super) fn newest_start(&self) -> Timestamp {
         let starts = self.claims.iter().map(|stored| stored.claim.started_at);
         starts.max().unwrap_or(0)
@@ -61,7 +62,7 @@
             .is_some_and(|at| now < at.saturating_add(ttl))
     }
 
-    /// Whether a marker of this source binds the endpoint.
+    /// Returns whether a source set the drain or removal marker of the endpoint.
     pub(super) fn has_marker_of(&self, source: SourceId) -> bool {
         let markers = [self.drain_marker, self.removal_marker];
         markers
@@ -75,7 +76,8 @@
         self.removal_marker = self.removal_marker.filter(|marker| marker.source != source);
     }
 
-    /// Whether the claim changes what its source said of the state, against a fresh claim of another source.
+    /// Returns whether the claim changes the state that its source stated before and differs from a fresh claim of
+    /// another source.
     pub(super) fn has_state_conflict_with(
         &self,
         source: SourceId,
@@ -91,20 +93,21 @@
         !is_repeated && self.claims.iter().any(has_other_state)
     }
 
-    /// Whether the claim tells of a start that no claim has told of: another process is there now.
+    /// Returns whether the claim has a later start time than any claim so far, which means that the endpoint has
+    /// restarted.
     pub(super) fn is_restart(&self, claim: &Claim) -> bool {
         let last_started = self.last_view.as_ref().map_or(0, |view| view.started_at);
         let is_newest = |stored: &StoredClaim| stored.claim.started_at < claim.started_at;
         claim.started_at > last_started && self.claims.iter().all(is_newest)
     }
 
-    /// Keeps a claim in place of its source's earlier one of the same name. Returns the address that this one named,
-    /// if it is another.
+    /// Stores a claim, replacing the earlier claim of the same source and name. Returns the address of the earlier
+    /// claim if it differs.
     pub(super) fn store_claim(&mut self, mut new: StoredClaim) -> Option<SocketAddr> {
         let is_earlier =
             |stored: &&mut StoredClaim| stored.source == new.source && stored.name == new.name;
         let Some(earlier) = self.claims.iter_mut().find(is_earlier) else {
-            // Most endpoints have one claim of each source: room for more would be their largest part.
+            // Most endpoints have one claim per source. Spare capacity would be the largest part of the record.
             self.claims.reserve_exact(1);
             self.claims.push(new);
             return None;
@@ -118,18 +121,19 @@
         has_moved.then_some(earlier_address)
     }
 
-    /// Takes out a source's claim.
+    /// Removes and returns a source's claim.
     pub(super) fn remove_claim(&mut self, source: SourceId, name: &str) -> Option<StoredClaim> {
         let is_match = |stored: &StoredClaim| stored.source == source && *stored.name == *name;
         let index = self.claims.iter().position(is_match)?;
         Some(self.claims.swap_remove(index))
     }
 
-    /// Lifts the markers that a new claim outdates, and sets the one that it states.
+    /// Lifts the markers that a new claim supersedes, and sets a drain marker if the claim states a drain.
     ///
-    /// A drain is lifted by a newer start from the same or a better kind of source, or by a newer version of the list
-    /// that set it; an older record that still names the endpoint lifts nothing. A removal marker is lifted by a newer
-    /// start from any source: another process is there now.
+    /// A drain is lifted by a later start time from a source of the same or a more trusted kind, or by a newer version
+    /// of the list that set it. An outdated DNS record that still lists the endpoint lifts nothing. A removal is lifted
+    /// by a later start time from any source, since the endpoint then runs as another process, or by a newer version of
+    /// the list that set it.
     pub(super) fn apply_markers(
         &mut self,
         new: &StoredClaim,
@@ -149,7 +153,7 @@
                 claim.started_at > marker.started_at && kind >= marker.source_kind;
             has_newer_start || has_newer_version(marker)
         };
-        // Of two sources that state a drain, the better one's marker is the one that must be lifted.
+        // If two sources state a drain, the marker of the more trusted kind is kept and must be lifted.
         let outranks_new = |marker: &StateMarker| {
             marker.source_kind > kind && marker.started_at >= claim.started_at
         };
@@ -164,7 +168,7 @@
         };
     }
 
-    /// Sets, moves or cancels the endpoint's timer.
+    /// Sets, moves or cancels the endpoint's timer; `at` is its new due time.
     pub(super) fn set_timer(
         &mut self,
         wheel: &mut TimerWheel<Arc<str>>,
--- a/crates/service-discovery/src/registry/rules.rs
+++ b/crates/service-discovery/src/registry/rules.rs
@@ -1,4 +1,4 @@
-//! The merge rules: which claim counts, and what the list shows of an endpoint for which reason.
+//! The merge rules: they select the best claim of an endpoint and determine its list entry.
 //!
 //! The rules read the registry's state and never change it. `docs/design/membership.md` has them as a table.
 
@@ -12,17 +12,17 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What the rules say of an endpoint, but for its tier.
+/// The result of applying the rules to an endpoint, without regard to tiers.
 #[derive(Debug, Clone)]
 pub(super) struct Evaluation {
     pub(super) rule: ListingRule,
-    /// None: the endpoint is not listed.
+    /// The list entry; `None` if the endpoint is not listed.
     pub(super) view: Option<EndpointView>,
     pub(super) tier: u16,
 }
 
-/// How strong an endpoint's claim to its address is; fields in the order in which they count. No two are equal, since
-/// no two endpoints have the same id.
+/// The precedence among endpoints with the same address, compared field by field in this order. No two values are
+/// equal, since endpoint ids are unique.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AddressPrecedence<'a> {
     has_uid: bool,
@@ -41,7 +41,7 @@
     }
 }
 
-/// How the list shows an endpoint in service with this claim.
+/// Returns the list entry of an endpoint in service with this claim.
 fn view_of(claim: &Claim, started_at: Timestamp) -> EndpointView {
     EndpointView {
         address: claim.address,
@@ -54,7 +54,7 @@
 }
 
 impl EndpointRegistry {
-    /// Applies the rules to an endpoint; none: it is not known.
+    /// Applies the rules to an endpoint; returns `None` if it is unknown.
     pub(super) fn evaluate(&self, now: Timestamp, id: &Arc<str>) -> Option<Evaluation> {
         let record = self.endpoints.get(id)?;
         let unlisted = |rule, tier| Evaluation {
@@ -86,7 +86,7 @@
         })
     }
 
-    /// The view and tier by the claim that counts, else by the endpoint's heartbeat.
+    /// Returns the rule, entry and tier according to the best claim, or the last entry if only the heartbeat is valid.
     fn claimed_view(
         &self,
         now: Timestamp,
@@ -103,7 +103,7 @@
         Some((ListingRule::Vouched, view, record.last_tier))
     }
 
-    /// Whether another endpoint has the address, with a stronger claim to it.
+    /// Returns whether another endpoint has the same address and a higher precedence.
     fn is_shadowed(&self, record: &EndpointRecord, id: &Arc<str>, address: SocketAddr) -> bool {
         let Some(others) = self.endpoints_by_address.get(&address) else {
             return false;
@@ -118,7 +118,7 @@
         })
     }
 
-    /// The address in the claim that counts.
+    /// Returns the address of the endpoint's best claim.
     pub(super) fn best_claim_address(&self, record: &EndpointRecord) -> Option<SocketAddr> {
         self.best_claim(record).map(|stored| stored.claim.address)
     }
@@ -128,8 +128,9 @@
         claims.max_by(|a, b| self.compare_claims(a, b))
     }
 
-    /// Which of two claims about one endpoint counts: the newer start; a fresh one; one of a source that can be
-    /// reached; the better source; the newer statement, which is not the one that was repeated last.
+    /// Compares two claims about one endpoint; the greater one is used. The criteria in order: later start time, fresh
+    /// over stale, reachable source, more trusted source kind, later change of content. A mere renewal does not count
+    /// as a change. Ties are broken by source number, then by name.
     fn compare_claims(&self, a: &StoredClaim, b: &StoredClaim) -> Ordering {
         let precedence = |stored: &StoredClaim| {
             let source = self.sources.get(&stored.source);
--- a/crates/service-discovery/src/registry/tiers.rs
+++ b/crates/service-discovery/src/registry/tiers.rs
@@ -1,4 +1,4 @@
-//! Tiers: endpoints of a higher tier stand by while their replica set has one in service in a lower tier.
+//! Tiers: endpoints of a higher tier are on standby while their replica set has one in service in a lower tier.
 
 use super::EndpointRegistry;
 use super::claim::ClaimedState;
@@ -9,7 +9,8 @@
 use std::sync::Arc;
 
 impl EndpointRegistry {
-    /// Whether the endpoint is in service but for its tier, and its replica set has a lower one in service.
+    /// Returns whether the endpoint would be listed as in service, but its replica set has one in service in a lower
+    /// tier.
     pub(super) fn is_standby(&self, evaluation: &Evaluation) -> bool {
         let Some(view) = &evaluation.view else {
             return false;
@@ -29,7 +30,7 @@
         self.endpoints.get(id).map_or(0, |record| record.serial)
     }
 
-    /// An endpoint is in service, but for its tier.
+    /// Adds an endpoint that came into service to the tier index.
     pub(super) fn add_to_tier(
         &mut self,
         key: TierKey,
@@ -44,7 +45,7 @@
         self.on_tiers_changed(key.replica_set, earlier_lowest, now, changes);
     }
 
-    /// An endpoint is not in service any more.
+    /// Removes an endpoint that is no longer in service from the tier index.
     pub(super) fn remove_from_tier(
         &mut self,
         key: TierKey,
@@ -63,7 +64,7 @@
         self.on_tiers_changed(key.replica_set, earlier_lowest, now, changes);
     }
 
-    /// If another tier of a replica set is the lowest one, the endpoints of both are published anew.
+    /// Publishes the endpoints of the new and the earlier lowest tier of a replica set if the lowest tier changed.
     fn on_tiers_changed(
         &mut self,
         replica_set: u32,
