--- a/crates/service-discovery/src/registry/claims.rs
+++ b/crates/service-discovery/src/registry/claims.rs
@@ -1,4 +1,4 @@
-//! Taking claims in and out, and the reachability of their sources.
+//! Stores and withdraws claims, and tracks the reachability of their sources.
 
 use super::EndpointRegistry;
 use super::claim::{Claim, SourceId, StoredClaim, Withdrawal};
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 impl EndpointRegistry {
-    /// Notes whether a source can be reached. Says whether that is new.
+    /// Records whether a source can be reached, and returns whether that changed.
     pub(super) fn set_reachable(
         &mut self,
         now: Timestamp,
@@ -26,7 +26,7 @@
         true
     }
 
-    /// A source was taken out of the configuration: neither its claims nor its markers count any more.
+    /// Drops the claims and markers of a source that was removed from the configuration.
     pub(super) fn on_source_removed(
         &mut self,
         now: Timestamp,
@@ -35,13 +35,13 @@
     ) {
         self.withdraw_all(now, source, changes);
         self.sources.remove(&source);
-        let bound: Vec<Arc<str>> = self
+        let marked: Vec<Arc<str>> = self
             .endpoints
             .iter()
-            .filter(|(_, record)| record.is_bound_by(source))
+            .filter(|(_, record)| record.has_marker_of(source))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in bound {
+        for id in marked {
             if let Some(record) = self.endpoints.get_mut(&id) {
                 record.remove_markers_of(source);
             }
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes in a claim, and evaluates anew whatever may depend on it.
+    /// Stores a claim and re-evaluates every endpoint that may depend on it.
     pub(super) fn on_claim(
         &mut self,
         now: Timestamp,
@@ -61,39 +61,42 @@
         if !self.sources.contains_key(&source) {
             return;
         }
-        let is_reachability_new = self.set_reachable(now, source, true);
+        let has_reachability_changed = self.set_reachable(now, source, true);
         let id = self.resolve_endpoint(source, &name, &claim);
         let is_full = self.endpoints.len() >= self.settings.max_endpoints;
         if is_full && !self.endpoints.contains_key(&id) {
             self.counters.rejected_claims += 1;
             return;
         }
-        // The source may give the name to another endpoint; the earlier one is evaluated once the new one has it.
-        let renamed = self.reassign_name(source, &name, &id);
+        // The source may reuse the name for another endpoint. The earlier endpoint is re-evaluated after the new one
+        // has the claim.
+        let reassigned = self.reassign_name(source, &name, &id);
         let address = claim.address;
         let earlier_address = self.store_claim(now, source, name, claim, &id);
-        self.claim_address(address, &id, now, changes);
+        self.index_address(address, &id, now, changes);
         if let Some(earlier_address) = earlier_address {
             self.release_address(earlier_address, &id, now, changes);
         }
         self.reevaluate(now, &id, changes);
-        if let Some((address, earlier_id)) = renamed {
+        if let Some((address, earlier_id)) = reassigned {
             self.release_address(address, &earlier_id, now, changes);
             self.reevaluate(now, &earlier_id, changes);
         }
         self.reevaluate_others_at(now, address, &id, changes);
-        self.reevaluate_disputed(now, is_reachability_new, changes);
+        self.reevaluate_disputed(now, has_reachability_changed, changes);
     }
 
-    /// Lets a source's name stand for `id`. If it stood for another endpoint, that one loses the claim; returns the
-    /// claim's address and that endpoint.
+    /// Maps a source's name to `id`. If the name belonged to another endpoint, removes the claim from that endpoint and
+    /// returns the claim's address and the endpoint's id.
     fn reassign_name(
         &mut self,
         source: SourceId,
         name: &Arc<str>,
         id: &Arc<str>,
     ) -> Option<(SocketAddr, Arc<str>)> {
-        let earlier_id = self.names.insert((source, name.clone()), id.clone())?;
+        let earlier_id = self
+            .endpoints_by_source_name
+            .insert((source, name.clone()), id.clone())?;
         if earlier_id == *id {
             return None;
         }
@@ -104,7 +107,7 @@
         Some((removed.claim.address, earlier_id))
     }
 
-    /// Keeps a claim at its endpoint, and returns the address that the source named before, if it is another.
+    /// Stores a claim at its endpoint, and returns the address of the source's earlier claim if it differs.
     fn store_claim(
         &mut self,
         now: Timestamp,
@@ -114,7 +117,7 @@
         id: &Arc<str>,
     ) -> Option<SocketAddr> {
         let kind = self.sources.get(&source)?.kind;
-        let last_serial = &mut self.serial;
+        let last_serial = &mut self.last_serial;
         let record = self.endpoints.entry(id.clone()).or_insert_with(|| {
             *last_serial += 1;
             EndpointRecord {
@@ -122,14 +125,14 @@
                 ..EndpointRecord::default()
             }
         });
-        if record.is_contradicted_by(source, &name, &claim) {
+        if record.has_state_conflict_with(source, &name, &claim) {
             self.counters.state_conflicts += 1;
             self.last_conflicting_endpoint = Some(id.clone());
         }
-        if record.is_restarted_by(&claim) {
+        if record.is_restart(&claim) {
             record.drain_reported_at = None;
         }
-        let held = StoredClaim {
+        let stored = StoredClaim {
             source,
             name,
             is_stale: claim.expires_at.is_some_and(|expires_at| expires_at <= now),
@@ -137,11 +140,11 @@
             renewed_at: now,
             unchanged_since: now,
         };
-        record.apply_markers(&held, kind, self.settings.has_sticky_drains);
-        record.store_claim(held)
+        record.apply_markers(&stored, kind, self.settings.has_sticky_drains);
+        record.store_claim(stored)
     }
 
-    /// Takes out all claims of a source, as names that it does not list any more.
+    /// Withdraws all claims of a source as absent.
     pub(super) fn withdraw_all(
         &mut self,
         now: Timestamp,
@@ -151,7 +154,7 @@
         self.withdraw_unless(now, source, |_| false, changes);
     }
 
-    /// Takes out the claims of a source whose names it does not list any more.
+    /// Withdraws as absent the claims of a source whose names do not satisfy `is_listed`.
     pub(super) fn withdraw_unless(
         &mut self,
         now: Timestamp,
@@ -161,7 +164,7 @@
     ) {
         let is_absent = |key: &&(SourceId, Arc<str>)| key.0 == source && !is_listed(&key.1);
         let absent: Vec<Arc<str>> = self
-            .names
+            .endpoints_by_source_name
             .keys()
             .filter(is_absent)
             .map(|key| key.1.clone())
@@ -169,7 +172,7 @@
         self.withdraw(now, source, absent, Withdrawal::Absent, changes);
     }
 
-    /// Takes claims out, all before anything is evaluated by what is left.
+    /// Withdraws claims. All of them are removed before any endpoint is re-evaluated.
     pub(super) fn withdraw(
         &mut self,
         now: Timestamp,
@@ -179,19 +182,19 @@
         changes: &mut Vec<ListChange>,
     ) {
         names.sort_unstable();
-        let mut touched = Vec::with_capacity(names.len());
+        let mut withdrawn = Vec::with_capacity(names.len());
         for name in names {
-            touched.extend(self.withdraw_one(now, source, name, withdrawal));
+            withdrawn.extend(self.withdraw_one(now, source, name, withdrawal));
         }
-        for (id, address) in &touched {
+        for (id, address) in &withdrawn {
             self.release_address(*address, id, now, changes);
         }
-        for (id, _) in &touched {
+        for (id, _) in &withdrawn {
             self.reevaluate(now, id, changes);
         }
     }
 
-    /// Takes one claim out; returns its endpoint and address.
+    /// Removes one claim and returns its endpoint and address. Sets a removal marker if the withdrawal calls for it.
     fn withdraw_one(
         &mut self,
         now: Timestamp,
@@ -201,13 +204,13 @@
     ) -> Option<(Arc<str>, SocketAddr)> {
         let kind = self.sources.get(&source)?.kind;
         let key = (source, name);
-        let id = self.names.remove(&key)?;
+        let id = self.endpoints_by_source_name.remove(&key)?;
         let record = self.endpoints.get_mut(&id)?;
         let removed = record.remove_claim(source, &key.1)?;
         if withdrawal == Withdrawal::Removed
             || !self.settings.should_require_all_sources_for_removal
         {
-            record.tombstone = Some(removed.marker(kind, now));
+            record.removal_marker = Some(removed.marker(kind, now));
         }
         Some((id, removed.claim.address))
     }
--- a/crates/service-discovery/src/registry/identity.rs
+++ b/crates/service-discovery/src/registry/identity.rs
@@ -1,8 +1,9 @@
-//! Which endpoint a claim is about, and which endpoints share an address.
+//! Maps claims to endpoints, and maintains the index of endpoints by address.
 //!
-//! A source may name an endpoint without its own name (uid). Such a claim belongs to the one endpoint that has its
-//! address, else it is kept apart under a name made of the source's. This module owns the address index: it has every
-//! endpoint under each address that a claim of it names, and under the address where it was last listed.
+//! A source may list an endpoint without its unique id (uid). If exactly one endpoint with a uid has a claim for the
+//! same address, the claim belongs to that endpoint. Otherwise it is stored under a provisional id, formed from the
+//! source and the name at the source. The address index lists every endpoint under the address of each of its claims
+//! and under the address with which it was last listed.
 
 use super::EndpointRegistry;
 use super::claim::{Claim, SourceId};
@@ -11,16 +12,16 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What stands before the id of an endpoint whose own name no source states.
-const NAMELESS_PREFIX: &str = "name:";
+/// Prefix of provisional endpoint ids.
+const PROVISIONAL_ID_PREFIX: &str = "name:";
 
-/// Whether the id is the endpoint's own name.
-pub(super) fn is_named(id: &str) -> bool {
-    !id.starts_with(NAMELESS_PREFIX)
+/// Returns whether an endpoint id is a uid rather than a provisional id.
+pub(super) fn is_uid(id: &str) -> bool {
+    !id.starts_with(PROVISIONAL_ID_PREFIX)
 }
 
 impl EndpointRegistry {
-    /// Which endpoint a claim is about.
+    /// Returns the id of the endpoint that a claim concerns.
     pub(super) fn resolve_endpoint(
         &mut self,
         source: SourceId,
@@ -30,36 +31,49 @@
         if let Some(uid) = &claim.uid {
             return uid.clone();
         }
-        let claimants = self.claimants_at(claim.address);
-        let mut named = claimants.iter().filter(|id| is_named(id));
-        match (named.next(), named.next()) {
+        let claiming = self.endpoints_claiming(claim.address);
+        let mut with_uid = claiming.iter().filter(|id| is_uid(id));
+        match (with_uid.next(), with_uid.next()) {
             (Some(only), None) => return only.clone(),
-            (Some(_), Some(_)) if !self.names.contains_key(&(source, name.clone())) => {
+            (Some(_), Some(_))
+                if !self
+                    .endpoints_by_source_name
+                    .contains_key(&(source, name.clone())) =>
+            {
                 self.counters.ambiguous_names += 1;
             }
             _ => {}
         }
-        format!("{NAMELESS_PREFIX}{source}:{name}").into()
+        format!("{PROVISIONAL_ID_PREFIX}{source}:{name}").into()
     }
 
-    /// The endpoints with a claim of an address.
-    fn claimants_at(&self, address: SocketAddr) -> Vec<Arc<str>> {
+    /// Returns the endpoints that have a claim for an address.
+    fn endpoints_claiming(&self, address: SocketAddr) -> Vec<Arc<str>> {
         let has_claim = |id: &&Arc<str>| {
             let record = self.endpoints.get(*id);
             record.is_some_and(|record| record.has_claim_at(address))
         };
-        let indexed = self.addresses.get(&address).into_iter().flatten();
+        let indexed = self
+            .endpoints_by_address
+            .get(&address)
+            .into_iter()
+            .flatten();
         indexed.filter(has_claim).cloned().collect()
     }
 
-    /// The endpoints indexed at an address, but for one. Nearly always an endpoint is alone at its address.
-    pub(super) fn others_at(&self, address: SocketAddr, id: &Arc<str>) -> Vec<Arc<str>> {
-        let indexed = self.addresses.get(&address).into_iter().flatten();
+    /// Returns all endpoints indexed under an address except `id`. There is rarely more than one endpoint per address.
+    pub(super) fn other_endpoints_at(&self, address: SocketAddr, id: &Arc<str>) -> Vec<Arc<str>> {
+        let indexed = self
+            .endpoints_by_address
+            .get(&address)
+            .into_iter()
+            .flatten();
         indexed.filter(|other| *other != id).cloned().collect()
     }
 
-    /// An endpoint has a claim of an address. Nameless ones that stood for it are the same endpoint.
-    pub(super) fn claim_address(
+    /// Indexes an endpoint under the address of a claim. If it is the only endpoint with a uid there, provisional
+    /// endpoints with claims for the same address are the same endpoint and are merged into it.
+    pub(super) fn index_address(
         &mut self,
         address: SocketAddr,
         id: &Arc<str>,
@@ -67,23 +81,23 @@
         changes: &mut Vec<ListChange>,
     ) {
         let indexed = self
-            .addresses
+            .endpoints_by_address
             .entry(address)
             .or_insert_with(|| Vec::with_capacity(1));
         if !indexed.contains(id) {
             indexed.push(id.clone());
         }
-        if indexed.len() == 1 || !is_named(id) {
+        if indexed.len() == 1 || !is_uid(id) {
             return;
         }
-        let claimants = self.claimants_at(address);
-        let (named, nameless): (Vec<_>, Vec<_>) =
-            claimants.into_iter().partition(|id| is_named(id));
-        if named.len() != 1 {
+        let claiming = self.endpoints_claiming(address);
+        let (with_uid, provisional): (Vec<_>, Vec<_>) =
+            claiming.into_iter().partition(|id| is_uid(id));
+        if with_uid.len() != 1 {
             return;
         }
-        for other in nameless {
-            if !self.merge_nameless(&other, id, address) {
+        for other in provisional {
+            if !self.merge_provisional(&other, id, address) {
                 continue;
             }
             self.release_address(address, &other, now, changes);
@@ -91,31 +105,37 @@
         }
     }
 
-    /// Gives a nameless endpoint's claims of an address, its drain and its heartbeat to the endpoint that it is. Says whether
-    /// the nameless one was still known.
-    fn merge_nameless(&mut self, nameless: &Arc<str>, id: &Arc<str>, address: SocketAddr) -> bool {
-        let Some(record) = self.endpoints.get_mut(nameless) else {
+    /// Moves a provisional endpoint's claims for an address to the endpoint `id`, and copies its drain marker and
+    /// heartbeat. Returns whether the provisional endpoint was known.
+    fn merge_provisional(
+        &mut self,
+        provisional: &Arc<str>,
+        id: &Arc<str>,
+        address: SocketAddr,
+    ) -> bool {
+        let Some(record) = self.endpoints.get_mut(provisional) else {
             return false;
         };
         let drain_marker = record.drain_marker;
-        let responded_at = record.responded_at;
+        let last_response_at = record.last_response_at;
         let claims: Vec<_> = record
             .claims
-            .extract_if(.., |held| held.claim.address == address)
+            .extract_if(.., |stored| stored.claim.address == address)
             .collect();
-        for held in &claims {
-            let key = (held.source, held.name.clone());
-            self.names.insert(key, id.clone());
+        for stored in &claims {
+            let key = (stored.source, stored.name.clone());
+            self.endpoints_by_source_name.insert(key, id.clone());
         }
         if let Some(record) = self.endpoints.get_mut(id) {
             record.claims.extend(claims);
             record.drain_marker = record.drain_marker.or(drain_marker);
-            record.responded_at = record.responded_at.max(responded_at);
+            record.last_response_at = record.last_response_at.max(last_response_at);
         }
         true
     }
 
-    /// An endpoint may have no claim of an address any more; then others may have it.
+    /// Removes an endpoint from the index at an address if it has no claim for it any more, and re-evaluates the other
+    /// endpoints there.
     pub(super) fn release_address(
         &mut self,
         address: SocketAddr,
@@ -131,7 +151,7 @@
         self.reevaluate_others_at(now, address, id, changes);
     }
 
-    /// Takes an endpoint out of the index at an address, unless it has a claim of it or was last listed there.
+    /// Removes an endpoint from the index at an address unless it has a claim for it or was last listed with it.
     pub(super) fn unindex_address(&mut self, address: SocketAddr, id: &Arc<str>) {
         if let Some(record) = self.endpoints.get(id) {
             let last_address = record.last_view.as_ref().map(|view| view.address);
@@ -139,15 +159,15 @@
                 return;
             }
         }
-        if let Some(indexed) = self.addresses.get_mut(&address) {
+        if let Some(indexed) = self.endpoints_by_address.get_mut(&address) {
             indexed.retain(|other| other != id);
             if indexed.is_empty() {
-                self.addresses.remove(&address);
+                self.endpoints_by_address.remove(&address);
             }
         }
     }
 
-    /// Evaluates those anew that share an address with an endpoint that has changed.
+    /// Re-evaluates the other endpoints at the address of an endpoint that changed.
     pub(super) fn reevaluate_others_at(
         &mut self,
         now: Timestamp,
@@ -155,7 +175,7 @@
         id: &Arc<str>,
         changes: &mut Vec<ListChange>,
     ) {
-        for other in self.others_at(address, id) {
+        for other in self.other_endpoints_at(address, id) {
             self.reevaluate(now, &other, changes);
         }
     }
--- a/crates/service-discovery/src/registry/listing.rs
+++ b/crates/service-discovery/src/registry/listing.rs
@@ -1,4 +1,4 @@
-//! Evaluating endpoints anew, and publishing what that changes in the list.
+//! Re-evaluates endpoints and publishes the resulting changes of the list.
 
 use super::EndpointRegistry;
 use super::claim::{ClaimedState, StoredClaim};
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 impl EndpointRegistry {
-    /// Evaluates an endpoint anew and publishes what that changes, for it and for those that depend on it.
+    /// Re-evaluates an endpoint and publishes the changes for it and for the endpoints that depend on it.
     pub(super) fn reevaluate(
         &mut self,
         now: Timestamp,
@@ -28,7 +28,7 @@
             record.last_view.replace(view.clone())
         });
         record.rule = Some(evaluation.rule);
-        record.untiered_rule = Some(evaluation.rule);
+        record.rule_before_tiers = Some(evaluation.rule);
         let earlier_address = record.claimed_address;
         self.update_tier(&evaluation, id, now, changes);
         self.publish(id, evaluation, changes);
@@ -70,21 +70,22 @@
             return;
         }
         if let Some(earlier_key) = earlier_key {
-            self.leave_tier(earlier_key, id, now, changes);
+            self.remove_from_tier(earlier_key, id, now, changes);
         }
         if let Some(key) = key {
-            self.enter_tier(key, id, now, changes);
+            self.add_to_tier(key, id, now, changes);
         }
     }
 
-    /// Notes the address in the claim that counts, and whether the endpoint's claims differ in what the list would
-    /// show: which of them counts may then turn on whether their sources can be reached.
+    /// Records the address of the best claim, and whether the endpoint's claims would lead to different list entries.
+    /// In that case the best claim may depend on the reachability of the sources.
     fn update_claimed_address(&mut self, id: &Arc<str>) -> Option<SocketAddr> {
-        let address = self.claimed_address_of(self.endpoints.get(id)?);
+        let address = self.best_claim_address(self.endpoints.get(id)?);
         let record = self.endpoints.get_mut(id)?;
         record.claimed_address = address;
-        let differs = |held: &StoredClaim| !held.claim.is_listed_like(&record.claims[0].claim);
-        if record.claims.iter().any(differs) {
+        let is_different =
+            |stored: &StoredClaim| !stored.claim.has_same_listing_as(&record.claims[0].claim);
+        if record.claims.iter().any(is_different) {
             self.disputed.insert(id.clone());
         } else if !self.disputed.is_empty() {
             self.disputed.remove(id);
@@ -92,8 +93,8 @@
         address
     }
 
-    /// Evaluates those anew that would have an address, but for the endpoint that has it or had it. Each is evaluated
-    /// by the same order, so this ends.
+    /// Re-evaluates the other endpoints at an address whose rule changes because `id` uses the address or stopped using
+    /// it. The recursion ends because the endpoints at an address have a total order of precedence.
     fn reevaluate_shadowed(
         &mut self,
         now: Timestamp,
@@ -101,26 +102,27 @@
         id: &Arc<str>,
         changes: &mut Vec<ListChange>,
     ) {
-        for other in self.others_at(address, id) {
+        for other in self.other_endpoints_at(address, id) {
             let rule = self.evaluate(now, &other).map(|evaluation| evaluation.rule);
             let earlier_rule = self
                 .endpoints
                 .get(&other)
-                .and_then(|record| record.untiered_rule);
+                .and_then(|record| record.rule_before_tiers);
             if rule != earlier_rule {
                 self.reevaluate(now, &other, changes);
             }
         }
     }
 
-    /// A source's claims count for more, or for less, where others differ from them.
+    /// Re-evaluates the disputed endpoints if the reachability of a source changed, since that changes the precedence
+    /// of its claims.
     pub(super) fn reevaluate_disputed(
         &mut self,
         now: Timestamp,
-        is_reachability_new: bool,
+        has_reachability_changed: bool,
         changes: &mut Vec<ListChange>,
     ) {
-        if !is_reachability_new {
+        if !has_reachability_changed {
             return;
         }
         let mut disputed: Vec<Arc<str>> = self.disputed.iter().cloned().collect();
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Appends what the list shows of an endpoint to `changes`, if that is new.
+    /// Publishes the endpoint's entry by appending to `changes`, if it differs from the published one.
     pub(super) fn publish(
         &mut self,
         id: &Arc<str>,
--- a/crates/service-discovery/src/registry/rules.rs
+++ b/crates/service-discovery/src/registry/rules.rs
@@ -1,10 +1,10 @@
-//! The merge rules: which claim counts, and what the list shows of an endpoint for which reason.
+//! The merge rules: they select the best claim of an endpoint and determine its list entry.
 //!
 //! The rules read the registry's state and never change it. `docs/design/membership.md` has them as a table.
 
 use super::EndpointRegistry;
 use super::claim::{Claim, ClaimedState, StoredClaim};
-use super::identity::is_named;
+use super::identity::is_uid;
 use super::record::EndpointRecord;
 use super::view::{EndpointView, ListingRule};
 use reelrill_routing::Timestamp;
@@ -12,36 +12,36 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What the rules say of an endpoint, but for its tier.
+/// The result of applying the rules to an endpoint, without regard to tiers.
 #[derive(Debug, Clone)]
 pub(super) struct Evaluation {
     pub(super) rule: ListingRule,
-    /// None: the endpoint is not listed.
+    /// The list entry; `None` if the endpoint is not listed.
     pub(super) view: Option<EndpointView>,
     pub(super) tier: u16,
 }
 
-/// How strong an endpoint's claim to its address is; fields in the order in which they count. No two are equal, since
-/// no two endpoints have the same id.
+/// The precedence among endpoints with the same address, compared field by field in this order. No two values are
+/// equal, since endpoint ids are unique.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AddressPrecedence<'a> {
-    is_named: bool,
+    has_uid: bool,
     newest_start: Timestamp,
-    newest_statement: Timestamp,
+    newest_change: Timestamp,
     id: &'a str,
 }
 
 fn address_precedence<'a>(record: &EndpointRecord, id: &'a Arc<str>) -> AddressPrecedence<'a> {
-    let statements = record.claims.iter().map(|held| held.unchanged_since);
+    let changes = record.claims.iter().map(|stored| stored.unchanged_since);
     AddressPrecedence {
-        is_named: is_named(id),
+        has_uid: is_uid(id),
         newest_start: record.newest_start(),
-        newest_statement: statements.max().unwrap_or(0),
+        newest_change: changes.max().unwrap_or(0),
         id,
     }
 }
 
-/// How the list shows an endpoint in service with this claim.
+/// Returns the list entry of an endpoint in service with this claim.
 fn view_of(claim: &Claim, started_at: Timestamp) -> EndpointView {
     EndpointView {
         address: claim.address,
@@ -54,7 +54,7 @@
 }
 
 impl EndpointRegistry {
-    /// Applies the rules to an endpoint; none: it is not known.
+    /// Applies the rules to an endpoint; returns `None` if it is unknown.
     pub(super) fn evaluate(&self, now: Timestamp, id: &Arc<str>) -> Option<Evaluation> {
         let record = self.endpoints.get(id)?;
         let unlisted = |rule, tier| Evaluation {
@@ -62,7 +62,7 @@
             view: None,
             tier,
         };
-        if record.tombstone.is_some() {
+        if record.removal_marker.is_some() {
             return Some(unlisted(ListingRule::Gone, 0));
         }
         let Some((mut rule, mut view, tier)) = self.claimed_view(now, record) else {
@@ -86,15 +86,15 @@
         })
     }
 
-    /// The view and tier by the claim that counts, else by the endpoint's heartbeat.
+    /// Returns the rule, entry and tier according to the best claim, or the last entry if only the heartbeat is valid.
     fn claimed_view(
         &self,
         now: Timestamp,
         record: &EndpointRecord,
     ) -> Option<(ListingRule, EndpointView, u16)> {
-        if let Some(held) = self.best_claim(record) {
-            let view = view_of(&held.claim, record.newest_start());
-            return Some((ListingRule::Named, view, held.claim.tier));
+        if let Some(stored) = self.best_claim(record) {
+            let view = view_of(&stored.claim, record.newest_start());
+            return Some((ListingRule::Named, view, stored.claim.tier));
         }
         if !record.has_heartbeat(now, self.settings.heartbeat_ttl) {
             return None;
@@ -103,24 +103,24 @@
         Some((ListingRule::Vouched, view, record.last_tier))
     }
 
-    /// Whether another endpoint has the address, with a stronger claim to it.
+    /// Returns whether another endpoint has the same address and a higher precedence.
     fn is_shadowed(&self, record: &EndpointRecord, id: &Arc<str>, address: SocketAddr) -> bool {
-        let Some(sharing) = self.addresses.get(&address) else {
+        let Some(others) = self.endpoints_by_address.get(&address) else {
             return false;
         };
         let precedence = address_precedence(record, id);
-        sharing.iter().filter(|other| *other != id).any(|other| {
+        others.iter().filter(|other| *other != id).any(|other| {
             self.endpoints.get(other).is_some_and(|other_record| {
-                other_record.tombstone.is_none()
-                    && self.claimed_address_of(other_record) == Some(address)
+                other_record.removal_marker.is_none()
+                    && self.best_claim_address(other_record) == Some(address)
                     && address_precedence(other_record, other) > precedence
             })
         })
     }
 
-    /// The address in the claim that counts.
-    pub(super) fn claimed_address_of(&self, record: &EndpointRecord) -> Option<SocketAddr> {
-        self.best_claim(record).map(|held| held.claim.address)
+    /// Returns the address of the endpoint's best claim.
+    pub(super) fn best_claim_address(&self, record: &EndpointRecord) -> Option<SocketAddr> {
+        self.best_claim(record).map(|stored| stored.claim.address)
     }
 
     fn best_claim<'a>(&self, record: &'a EndpointRecord) -> Option<&'a StoredClaim> {
@@ -128,19 +128,20 @@
         claims.max_by(|a, b| self.compare_claims(a, b))
     }
 
-    /// Which of two claims about one endpoint counts: the newer start; a fresh one; one of a source that can be
-    /// reached; the better source; the newer statement, which is not the one that was repeated last.
+    /// Compares two claims about one endpoint; the greater one is used. The criteria in order: later start time, fresh
+    /// over stale, reachable source, more trusted source kind, later change of content. A mere renewal does not count
+    /// as a change. Ties are broken by source number, then by name.
     fn compare_claims(&self, a: &StoredClaim, b: &StoredClaim) -> Ordering {
-        let precedence = |held: &StoredClaim| {
-            let source = self.sources.get(&held.source);
+        let precedence = |stored: &StoredClaim| {
+            let source = self.sources.get(&stored.source);
             let is_reachable = source.is_some_and(|source| source.unreachable_since.is_none());
             (
-                held.claim.started_at,
-                !held.is_stale,
+                stored.claim.started_at,
+                !stored.is_stale,
                 is_reachable,
                 source.map(|source| source.kind),
-                held.unchanged_since,
-                held.source,
+                stored.unchanged_since,
+                stored.source,
             )
         };
         let by_precedence = precedence(a).cmp(&precedence(b));
