--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: which command to run, and where the project's own settings are.
+//! Parses the command line: the command to run, and the path of the project's own settings.
 
 use crate::config::{Config, ConfigError};
 use crate::extensions::{Extensions, ExtensionsError};
@@ -9,25 +9,26 @@
 #[derive(Debug, Parser)]
 #[command(name = "reelrill", version, about, disable_version_flag = true)]
 pub struct Cli {
-    /// The project's own settings (YAML); see deploy/edge.example.yaml
+    /// The file of the project's own settings (YAML); see deploy/edge.example.yaml
     #[arg(long = "edge", env = "RELAY_EDGE", global = true, value_name = "FILE")]
     pub extensions_path: Option<PathBuf>,
     #[command(subcommand)]
     command: Option<Command>,
 }
 
+/// A command of the program; the doc comments are its help texts.
 #[derive(Debug, Clone, Subcommand)]
 pub enum Command {
-    /// Serves clients, as RELAY_CONFIG and the other variables say (the default)
+    /// Serves clients as configured by RELAY_CONFIG and the other environment variables (the default)
     Serve,
-    /// Says what is wrong with a file: the platform's configuration (.json) or the project's settings (any other)
+    /// Checks a file: the platform's configuration (.json) or the project's own settings (any other name)
     Check {
-        /// The file
+        /// The file to check
         file: PathBuf,
     },
-    /// Prints what a running router knows of its members, and who says so
+    /// Prints the endpoints of a running router with the claims of each discovery source
     Members {
-        /// Its socket, as `members_socket` in its settings names it
+        /// The router's admin socket: `members_socket` in its settings
         #[arg(long, value_name = "PATH")]
         socket: PathBuf,
     },
@@ -36,7 +37,7 @@
 }
 
 impl Cli {
-    /// The command, which is [`Command::Serve`] if none is named.
+    /// Returns the command, or [`Command::Serve`] if none is named.
     pub fn command(&self) -> Command {
         self.command.clone().unwrap_or(Command::Serve)
     }
@@ -44,7 +45,7 @@
     /// Reads the project's own settings, or returns their defaults if no file is named.
     ///
     /// # Errors
-    /// If the file can't be used.
+    /// If the file can't be read, or is not valid.
     pub fn load_extensions(&self) -> Result<Extensions, ExtensionsError> {
         self.extensions_path
             .as_deref()
@@ -52,13 +53,13 @@
     }
 }
 
-/// Why a checked file can't be used.
+/// The error of a file that can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
-    /// As the platform's configuration.
+    /// It is not a valid platform configuration.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// As the project's own settings.
+    /// It is not a valid file of the project's own settings.
     #[error(transparent)]
     Extensions(#[from] ExtensionsError),
     /// A value of the platform's settings is out of its range.
@@ -66,13 +67,13 @@
     Settings {
         /// The file.
         path: String,
-        /// What is wrong.
+        /// The setting at fault.
         source: reelrill_routing::SettingsError,
     },
 }
 
 /// Reads a file as `serve` would: one that ends in `.json` as the platform's configuration, any other as the project's
-/// settings. Returns which of the two it is.
+/// own settings. Returns which of the two it is, as text for the operator.
 ///
 /// # Errors
 /// If `serve` could not use the file.
@@ -84,8 +85,8 @@
             path: file.display().to_string(),
             source,
         })?;
-        return Ok("a configuration of the platform");
+        return Ok("platform configuration");
     }
     Extensions::load(file)?;
-    Ok("settings of the project")
+    Ok("project settings")
 }
