--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,8 +1,8 @@
-//! The platform's configuration: the JSON file named by `RELAY_CONFIG`, whose values other environment variables
-//! override.
+//! Reads the platform's configuration: the JSON file named by `RELAY_CONFIG`, some of whose values can be overridden by
+//! other environment variables.
 //!
-//! It is read at the start, and again on SIGHUP. On SIGHUP the file's `discovery` takes precedence over
-//! `RELAY_DISCOVERY`, which only says where the discovery service was when the process started.
+//! The file is read at startup, and again on SIGHUP. On SIGHUP the file's `discovery` takes precedence over
+//! `RELAY_DISCOVERY`, which only holds the discovery service's address as of the start of the process.
 
 use crate::discovery::list::{self, ListError};
 use crate::extensions::{Extensions, ExtensionsError};
@@ -13,21 +13,23 @@
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// The lowest limit on file descriptors; with fewer, neither clients nor endpoints get enough of them.
-const MIN_SOCKETS: u64 = 64;
-const DEFAULT_SOCKETS: u32 = 1024;
-/// The lowest limit on memory that the file may name, in MiB.
+/// The lowest limit on open file descriptors; with fewer, neither clients nor endpoints get enough of them.
+const MIN_DESCRIPTORS: u64 = 64;
+const DEFAULT_DESCRIPTORS: u32 = 1024;
+/// The lowest memory limit that the file may set, in MiB.
 const MIN_MEMORY_MB: u64 = 1;
 const DEFAULT_MEMORY_MB: u32 = 192;
-/// The limits on memory that are used, in MiB; others are raised or lowered to these.
+/// The range of the memory limit in effect, in MiB; values outside it are raised or lowered to its bounds.
 const EFFECTIVE_MEMORY_MB: RangeInclusive<u64> = 16..=1 << 20;
+/// The binary logarithm of the bytes in a MiB.
 const BYTES_PER_MB_SHIFT: u32 = 20;
+/// The router's name in its log where none is configured.
 const DEFAULT_NAME: &str = "reelrill";
 
-/// Why the configuration can't be used. The text names the file and, where it is known, the field.
+/// The error of a configuration that can't be used. Its text names the file and, where it is known, the field.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// No file is named.
+    /// `RELAY_CONFIG`, which names the file, is not set.
     #[error("RELAY_CONFIG is not set")]
     NoPath,
     /// The file can't be read.
@@ -35,7 +37,7 @@
     Read {
         /// The file.
         path: String,
-        /// What the operating system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The file is not valid JSON.
@@ -43,49 +45,49 @@
     Json {
         /// The file.
         path: String,
-        /// What is wrong, with line and column.
+        /// The parser's error, with line and column.
         source: serde_json::Error,
     },
-    /// The platform's settings in it are wrong.
+    /// The platform's settings in the file are not valid.
     #[error("{path}: settings: {source}")]
     Settings {
         /// The file.
         path: String,
-        /// What is wrong.
+        /// The field at fault.
         source: SettingsReadError,
     },
     /// A required address is missing or can't be parsed.
-    #[error("{path}: {key} is missing or is no address")]
+    #[error("{path}: {key}: expected an IP address with a port")]
     Address {
         /// The file.
         path: String,
-        /// The address's key.
+        /// The key whose value is expected to be an address.
         key: &'static str,
     },
     /// A limit is not a whole number, or too low.
-    #[error("{path}: limits.{key} is no whole number of {least} or more")]
+    #[error("{path}: limits.{key}: expected a whole number of at least {minimum}")]
     Limit {
         /// The file.
         path: String,
         /// The limit's key.
         key: &'static str,
-        /// Its lowest value.
-        least: u64,
+        /// The lowest value of the limit.
+        minimum: u64,
     },
-    /// The project's own settings are wrong.
+    /// The project's own settings are not valid.
     #[error(transparent)]
     Extensions(#[from] ExtensionsError),
-    /// The endpoint list in it is wrong.
+    /// The last known endpoint list in the file is not valid.
     #[error("{path}: known: {source}")]
-    Known {
+    KnownList {
         /// The file.
         path: String,
-        /// What is wrong.
+        /// The field at fault.
         source: ListError,
     },
 }
 
-/// What the router is started with.
+/// The configuration that the router runs with.
 #[derive(Debug)]
 pub struct Config {
     /// The router's name in its log.
@@ -100,29 +102,29 @@
     pub descriptor_limit: usize,
     /// The limit on memory of the process, in bytes.
     pub memory_limit: usize,
-    /// The last known endpoint list, to start with: its version and entries.
+    /// The last known endpoint list, with which the router starts: its version, if there is a list, and its entries.
     pub known_list: (Option<u64>, Vec<ListedEndpoint>),
-    /// The platform's settings, converted.
+    /// The platform's settings, converted to the balancer's types.
     pub site: Site,
     /// The project's own settings.
     pub extensions: Extensions,
-    /// The file that `extensions` is read from.
+    /// The file that `extensions` was read from.
     extensions_path: Option<PathBuf>,
-    /// The platform's settings as they are in the file, to find changes.
+    /// The platform's settings as written in the file, to detect changes on a reload.
     settings: Value,
 }
 
 impl Config {
-    /// Reads the configuration at the start. `extensions` was read from `extensions_path`, if there is such a file.
+    /// Reads the configuration at startup. `extensions` was read from `extensions_path`, if there is such a file.
     ///
     /// # Errors
-    /// If `RELAY_CONFIG` is not set, or its file can't be used.
+    /// If `RELAY_CONFIG` is not set, or its file can't be read or is not valid.
     pub fn load(
         extensions: Extensions,
         extensions_path: Option<PathBuf>,
     ) -> Result<Config, ConfigError> {
-        let path = Config::path()?;
-        let config = Config::read(&path, &Config::file(&path)?, extensions, |name| {
+        let path = Config::path_from_environment()?;
+        let config = Config::from_json(&path, &Config::read_json(&path)?, extensions, |name| {
             std::env::var(name).ok()
         })?;
         Ok(Config {
@@ -131,37 +133,42 @@
         })
     }
 
-    /// Reads a file by itself, without regard to the environment.
+    /// Reads a file without the environment's overrides.
     ///
     /// # Errors
-    /// If the file can't be used.
+    /// If the file can't be read or is not valid.
     pub fn check(path: &str) -> Result<Config, ConfigError> {
-        Config::read(path, &Config::file(path)?, Extensions::default(), |_| None)
+        Config::from_json(
+            path,
+            &Config::read_json(path)?,
+            Extensions::default(),
+            |_| None,
+        )
     }
 
-    /// Reads the configuration again, and the project's own settings. Where the file names no discovery service, the
-    /// present one stays.
+    /// Reads the configuration and the project's own settings again. The discovery service's address stays as it is if
+    /// the file has none.
     ///
     /// # Errors
-    /// If one of the files can't be used.
+    /// If one of the files can't be read or is not valid.
     pub fn reload(&self) -> Result<Config, ConfigError> {
-        let path = Config::path()?;
-        let value = Config::file(&path)?;
+        let path = Config::path_from_environment()?;
+        let value = Config::read_json(&path)?;
         let discovery = match value.get("discovery") {
-            Some(named) => named.as_str().unwrap_or_default().to_owned(),
+            Some(address) => address.as_str().unwrap_or_default().to_owned(),
             None => self.discovery_address.to_string(),
         };
         let extensions = self
             .extensions_path
             .as_deref()
             .map_or_else(|| Ok(self.extensions.clone()), Extensions::load)?;
-        Config::read(&path, &value, extensions, |name| match name {
+        Config::from_json(&path, &value, extensions, |name| match name {
             "RELAY_DISCOVERY" => Some(discovery.clone()),
             _ => std::env::var(name).ok(),
         })
     }
 
-    /// The keys whose values differ in `new` and only take effect at a start.
+    /// Returns the keys whose values differ in `new` and only take effect after a restart.
     pub fn keys_needing_restart(&self, new: &Config) -> Vec<&'static str> {
         let differs = [
             ("name", self.name != new.name),
@@ -180,11 +187,11 @@
             .collect()
     }
 
-    fn path() -> Result<String, ConfigError> {
+    fn path_from_environment() -> Result<String, ConfigError> {
         std::env::var("RELAY_CONFIG").map_err(|_| ConfigError::NoPath)
     }
 
-    fn file(path: &str) -> Result<Value, ConfigError> {
+    fn read_json(path: &str) -> Result<Value, ConfigError> {
         let path = path.to_owned();
         let text = std::fs::read_to_string(&path).map_err(|source| ConfigError::Read {
             path: path.clone(),
@@ -193,13 +200,17 @@
         serde_json::from_str(&text).map_err(|source| ConfigError::Json { path, source })
     }
 
-    fn read(
+    fn from_json(
         path: &str,
         value: &Value,
         extensions: Extensions,
-        env: impl Fn(&str) -> Option<String>,
+        variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, ConfigError> {
-        let file = ConfigFile { path, value, env };
+        let file = ConfigFile {
+            path,
+            value,
+            variable,
+        };
         let settings = value.get("settings").cloned().unwrap_or_default();
         let site =
             reelrill_routing_config::read(&settings).map_err(|source| ConfigError::Settings {
@@ -207,7 +218,7 @@
                 source,
             })?;
         let known_list = file.known_list(&site.zones)?;
-        let sockets = file.limit("sockets", MIN_SOCKETS, DEFAULT_SOCKETS)?;
+        let descriptors = file.limit("sockets", MIN_DESCRIPTORS, DEFAULT_DESCRIPTORS)?;
         let memory_mb = file.limit("memory_mb", MIN_MEMORY_MB, DEFAULT_MEMORY_MB)?;
         let memory_mb = memory_mb.clamp(*EFFECTIVE_MEMORY_MB.start(), *EFFECTIVE_MEMORY_MB.end());
         Ok(Config {
@@ -217,7 +228,7 @@
             listen_address: file.address("RELAY_LISTEN", "listen")?,
             discovery_address: file.address("RELAY_DISCOVERY", "discovery")?,
             seed: file.seed(),
-            descriptor_limit: usize::try_from(sockets).unwrap_or(DEFAULT_SOCKETS as usize),
+            descriptor_limit: usize::try_from(descriptors).unwrap_or(DEFAULT_DESCRIPTORS as usize),
             memory_limit: usize::try_from(memory_mb).unwrap_or(DEFAULT_MEMORY_MB as usize)
                 << BYTES_PER_MB_SHIFT,
             known_list,
@@ -229,23 +240,23 @@
     }
 }
 
-/// The file's values, and the environment that overrides some of them.
+/// The file's values, and a lookup of the environment variables that override some of them.
 struct ConfigFile<'a, E> {
     path: &'a str,
     value: &'a Value,
-    env: E,
+    variable: E,
 }
 
 impl<E: Fn(&str) -> Option<String>> ConfigFile<'_, E> {
-    fn text(&self, variable: &str, key: &str) -> Option<String> {
-        (self.env)(variable).or_else(|| {
+    fn text(&self, variable_name: &str, key: &str) -> Option<String> {
+        (self.variable)(variable_name).or_else(|| {
             let text = self.value.get(key).and_then(Value::as_str);
             text.map(str::to_owned)
         })
     }
 
-    fn address(&self, variable: &str, key: &'static str) -> Result<SocketAddr, ConfigError> {
-        self.text(variable, key)
+    fn address(&self, variable_name: &str, key: &'static str) -> Result<SocketAddr, ConfigError> {
+        self.text(variable_name, key)
             .and_then(|text| text.parse().ok())
             .ok_or_else(|| ConfigError::Address {
                 path: self.path.to_owned(),
@@ -253,29 +264,30 @@
             })
     }
 
-    /// 0 if there is none, or it is not a hexadecimal number.
+    /// Returns the seed, or 0 if there is none or it is not a hexadecimal number.
     fn seed(&self) -> u64 {
         let text = self.value.get("seed").and_then(Value::as_str);
         text.and_then(|text| u64::from_str_radix(text, 16).ok())
             .unwrap_or_default()
     }
 
-    /// An absent limit has its default. A wrong one is an error: the default might be above what was meant.
-    fn limit(&self, key: &'static str, least: u64, default: u32) -> Result<u64, ConfigError> {
+    /// Returns a limit, or its default if it is absent. An invalid one is an error: the default might be above the
+    /// intended limit.
+    fn limit(&self, key: &'static str, minimum: u64, default: u32) -> Result<u64, ConfigError> {
         let Some(limit) = self.value.get("limits").and_then(|l| l.get(key)) else {
             return Ok(default.into());
         };
         limit
             .as_u64()
-            .filter(|limit| *limit >= least)
+            .filter(|limit| *limit >= minimum)
             .ok_or_else(|| ConfigError::Limit {
                 path: self.path.to_owned(),
                 key,
-                least,
+                minimum,
             })
     }
 
-    /// The last known endpoint list's version and entries; none if there is no list.
+    /// Returns the last known endpoint list's version and entries; no version and no entries if there is no list.
     fn known_list(
         &self,
         zones: &[String],
@@ -283,7 +295,7 @@
         let Some(known) = self.value.get("known").filter(|known| !known.is_null()) else {
             return Ok((None, Vec::new()));
         };
-        let list = list::read_list(known, zones).map_err(|source| ConfigError::Known {
+        let list = list::read_list(known, zones).map_err(|source| ConfigError::KnownList {
             path: self.path.to_owned(),
             source,
         })?;
