--- a/crates/router/src/discovery/messages.rs
+++ b/crates/router/src/discovery/messages.rs
@@ -1,6 +1,6 @@
 //! The messages of the discovery tasks.
 
-use crate::extensions::Discovery;
+use crate::extensions::DiscoverySettings;
 use crate::messages::ListedEndpoint;
 use reelrill_routing::{EndpointId, ListKind};
 use reelrill_service_discovery::SourceId;
@@ -42,5 +42,5 @@
         bytes: Option<Vec<u8>>,
     },
     /// The settings have been read again.
-    SettingsReloaded(Discovery),
+    SettingsReloaded(DiscoverySettings),
 }
--- a/crates/router/src/discovery/registry/services.rs
+++ b/crates/router/src/discovery/registry/services.rs
@@ -1,7 +1,7 @@
 //! The services that are browsed over DNS: which there are, by the settings, and what their browsers want done.
 
 use super::{EndpointRegistryTask, RegistryError, dns_query};
-use crate::extensions::{Discovery, DnsSd};
+use crate::extensions::{DiscoverySettings, DnsSdSettings};
 use crate::observability::counters::count;
 use async_channel::Sender;
 use futures_lite::future::or;
@@ -17,7 +17,7 @@
 /// A service that is browsed.
 pub(super) struct Service {
     pub(super) name: String,
-    settings: DnsSd,
+    settings: DnsSdSettings,
     pub(super) browser: Browser,
     /// The queries in flight, by number. Dropping one ends it.
     queries: HashMap<u64, Sender<()>>,
@@ -25,8 +25,8 @@
 
 impl Service {
     /// Whether this is the service of that name, with settings that are the same but for the other services.
-    fn is_configured_as(&self, name: &str, settings: &DnsSd) -> bool {
-        let comparable = DnsSd {
+    fn is_configured_as(&self, name: &str, settings: &DnsSdSettings) -> bool {
+        let comparable = DnsSdSettings {
             services: self.settings.services.clone(),
             ..settings.clone()
         };
@@ -48,7 +48,7 @@
     /// If a name in the settings is no DNS name; nothing has changed then.
     pub(super) fn configure_services(
         &mut self,
-        discovery: &Discovery,
+        discovery: &DiscoverySettings,
     ) -> Result<Vec<SourceId>, RegistryError> {
         let mut kept = Vec::new();
         if let Some(settings) = &discovery.dns_sd {
@@ -69,7 +69,11 @@
     }
 
     /// The service of this name with these settings: the present one, or a new one that is not started yet.
-    fn ensure_service(&mut self, name: &str, settings: &DnsSd) -> Result<SourceId, RegistryError> {
+    fn ensure_service(
+        &mut self,
+        name: &str,
+        settings: &DnsSdSettings,
+    ) -> Result<SourceId, RegistryError> {
         let mut present = self.services.iter();
         if let Some((source, _)) = present.find(|(_, s)| s.is_configured_as(name, settings)) {
             return Ok(*source);
@@ -107,7 +111,7 @@
     pub(super) fn on_settings(
         &mut self,
         now: Timestamp,
-        discovery: &Discovery,
+        discovery: &DiscoverySettings,
         changes: &mut Vec<ListChange>,
     ) {
         let before = self.service_ids();
--- a/crates/router/src/extensions.rs
+++ b/crates/router/src/extensions.rs
@@ -1,7 +1,7 @@
-//! The project's own settings, in YAML: what the platform's configuration does not cover.
+//! Reads the extensions: the project's own settings, in YAML, which the platform's configuration does not cover.
 //!
-//! Every setting is off or has a default; `deploy/edge.example.yaml` shows them all. A file is checked as it is read,
-//! so that values of these types that come from a file are within their ranges.
+//! Every setting is off or has a default; `deploy/edge.example.yaml` shows them all. A file is checked when it is read,
+//! so that every value that comes from a file is within its range.
 
 use reelrill_pg_protocol::oid;
 use reelrill_pg_session::limits::Limits;
@@ -10,77 +10,79 @@
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
-/// The highest value of a limit that is a count.
+/// The highest value of a limit that counts items.
 const MAX_COUNT: usize = 1 << 16;
-/// The lowest limit on the bytes of values: it has to hold the largest value.
+/// The lowest limit on the bytes of values, so that the largest value fits.
 const MIN_VALUE_BYTES: usize = 64 * 1024;
-/// The most services that can be browsed.
+/// The maximum number of services that can be browsed.
 const MAX_SERVICES: usize = 64;
-/// The lowest floor for the time to live of DNS records, in milliseconds.
+/// The lowest value of `ttl_floor_ms`, in milliseconds.
 const MIN_TTL_FLOOR_MS: u64 = 100;
-/// The timeouts of a DNS query that can be set, in milliseconds.
+/// The valid timeouts of a DNS query, in milliseconds.
 const TIMEOUT_RANGE_MS: RangeInclusive<u64> = 10..=10_000;
-/// The query budgets that can be set, in queries a second.
+/// The valid query budgets, in queries per second.
 const BUDGET_RANGE: RangeInclusive<u32> = 1..=10_000;
 
-/// Why a settings file can't be used. The text names the file and, where they are known, line, column and field.
+/// The error of a settings file that can't be used. Its text names the file and, where they are known, line, column and
+/// field.
 #[derive(Debug, thiserror::Error)]
 pub enum ExtensionsError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{path}: {source}")]
     Read {
         /// The file.
         path: PathBuf,
-        /// What the operating system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// It is not valid YAML, or a field is unknown or of the wrong type.
-    #[error("{path}: {what}")]
+    /// The file is not valid YAML, or a field is unknown or of the wrong type.
+    #[error("{path}: {detail}")]
     Yaml {
         /// The file.
         path: PathBuf,
-        /// The field, and what is wrong with it.
-        what: String,
+        /// The field's path and the parser's error.
+        detail: String,
     },
     /// A value is out of its range.
-    #[error("{path}: {field}: {what}")]
+    #[error("{path}: {field}: {requirement}")]
     Field {
         /// The file.
         path: PathBuf,
         /// The field's path.
         field: &'static str,
-        /// What is wrong with its value.
-        what: &'static str,
+        /// The requirement that the value does not meet.
+        requirement: &'static str,
     },
 }
 
-/// The project's own settings.
+/// The project's own settings, as read from a file.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Extensions {
-    /// Extended queries.
-    pub extended: Extended,
-    /// The sources of endpoints.
-    pub discovery: Discovery,
-    /// The path of the admin socket, which `reelrill members` connects to; without one there is no socket.
+    /// The settings of extended queries.
+    pub extended: ExtendedQuerySettings,
+    /// The settings of endpoint discovery.
+    pub discovery: DiscoverySettings,
+    /// The path of the admin socket, which `reelrill members` connects to; if absent, there is no socket.
     pub members_socket: Option<PathBuf>,
 }
 
-/// The sources of endpoints.
+/// Selects the sources of endpoints.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Discovery {
+pub struct DiscoverySettings {
     /// Whether the platform's discovery service is a source.
     pub roster: bool,
-    /// How long a response of an endpoint keeps it in the list although its sources no longer name it, in seconds.
+    /// For how long after its last response an endpoint stays in the list although its sources no longer name it, in
+    /// seconds.
     pub vouch_s: u64,
-    /// Browsing of DNS service records; without it they are not used.
-    pub dns_sd: Option<DnsSd>,
+    /// The settings for browsing DNS service records; if absent, such records are not used.
+    pub dns_sd: Option<DnsSdSettings>,
 }
 
-impl Default for Discovery {
-    fn default() -> Discovery {
-        Discovery {
+impl Default for DiscoverySettings {
+    fn default() -> DiscoverySettings {
+        DiscoverySettings {
             roster: true,
             vouch_s: 30,
             dns_sd: None,
@@ -88,59 +90,59 @@
     }
 }
 
-/// Browsing of DNS service records (DNS-SD). Each service is a source of its own.
+/// Configures the browsing of DNS service records (DNS-SD). Each service is a source of its own.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct DnsSd {
+pub struct DnsSdSettings {
     /// The addresses of the DNS servers.
     pub servers: Vec<SocketAddr>,
     /// The names of the services.
     pub services: Vec<String>,
-    /// The domain that the services are in.
+    /// The domain that contains the services.
     pub domain: String,
-    /// The shortest time to live that is used for a record, in milliseconds.
-    #[serde(default = "DnsSd::ttl_floor_ms")]
+    /// The lower bound on a record's time to live, in milliseconds; a shorter one is raised to it.
+    #[serde(default = "DnsSdSettings::default_ttl_floor_ms")]
     pub ttl_floor_ms: u64,
-    /// The longest time to live that is used for a record, in milliseconds.
-    #[serde(default = "DnsSd::ttl_ceiling_ms")]
+    /// The upper bound on a record's time to live, in milliseconds; a longer one is lowered to it.
+    #[serde(default = "DnsSdSettings::default_ttl_ceiling_ms")]
     pub ttl_ceiling_ms: u64,
     /// The timeout of a query, in milliseconds.
-    #[serde(default = "DnsSd::timeout_ms")]
+    #[serde(default = "DnsSdSettings::default_timeout_ms")]
     pub timeout_ms: u64,
-    /// Queries a second, for each service.
-    #[serde(default = "DnsSd::budget")]
+    /// The maximum number of queries per second for each service.
+    #[serde(default = "DnsSdSettings::default_budget")]
     pub budget: u32,
 }
 
-impl DnsSd {
-    fn ttl_floor_ms() -> u64 {
+impl DnsSdSettings {
+    fn default_ttl_floor_ms() -> u64 {
         1000
     }
-    fn ttl_ceiling_ms() -> u64 {
+    fn default_ttl_ceiling_ms() -> u64 {
         60_000
     }
-    fn timeout_ms() -> u64 {
+    fn default_timeout_ms() -> u64 {
         500
     }
-    fn budget() -> u32 {
+    fn default_budget() -> u32 {
         100
     }
 }
 
-/// Whether clients may use extended queries, and how requests are then sent to endpoints.
+/// Determines whether clients may use extended queries, and how their requests are then sent to endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ExtendedQueryMode {
-    /// Clients get an error.
+    /// Clients that send extended queries receive an error.
     #[default]
     Off,
-    /// Endpoints get extended queries, too.
+    /// Endpoints receive extended queries, too.
     On,
-    /// Endpoints only get simple queries, with values written as literals.
+    /// Endpoints receive only simple queries, with values written as literals.
     Translate,
 }
 
-/// The type of the column `data`.
+/// The PostgreSQL type of the column `data`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DataType {
@@ -152,7 +154,7 @@
 }
 
 impl DataType {
-    /// The type's object id in the protocol.
+    /// Returns the type's object id (OID) in the protocol.
     pub fn oid(self) -> u32 {
         match self {
             DataType::Bytea => oid::BYTEA,
@@ -161,20 +163,20 @@
     }
 }
 
-/// Extended queries.
+/// Configures extended queries.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Extended {
-    /// Whether and how they are served.
+pub struct ExtendedQuerySettings {
+    /// Whether and how extended queries are served.
     pub mode: ExtendedQueryMode,
     /// The type that is reported for the column `data`.
     pub data_type: DataType,
-    /// What sessions may hold.
+    /// The limits on what client sessions may hold.
     #[serde(with = "LimitsFields")]
     pub limits: Limits,
 }
 
-/// The fields of [`Limits`], as the file names them.
+/// The fields of [`Limits`] under their names in the file.
 #[derive(Deserialize)]
 #[serde(remote = "Limits", deny_unknown_fields, default)]
 struct LimitsFields {
@@ -232,21 +234,21 @@
             path: path.to_owned(),
             source,
         })?;
-        let extensions = Extensions::parse(&text).map_err(|what| ExtensionsError::Yaml {
+        let extensions = Extensions::parse(&text).map_err(|detail| ExtensionsError::Yaml {
             path: path.to_owned(),
-            what,
+            detail,
         })?;
         extensions
             .check()
-            .map_err(|FieldError { field, what }| ExtensionsError::Field {
+            .map_err(|FieldError { field, requirement }| ExtensionsError::Field {
                 path: path.to_owned(),
                 field,
-                what,
+                requirement,
             })?;
         Ok(extensions)
     }
 
-    /// The error is the field's path and what is wrong with it.
+    /// Parses YAML without checking ranges. The error holds the field's path and the parser's message.
     fn parse(text: &str) -> Result<Extensions, String> {
         let mut field = String::new();
         let parsed = serde_saphyr::with_deserializer_from_str(text, |yaml| {
@@ -256,7 +258,7 @@
             })
         });
         parsed.map_err(|e| {
-            // The message's first line says what and where; the rest quotes the file.
+            // The message's first line holds the error with its line and column; the rest quotes the file.
             let message = e.to_string();
             format!("{field}: {}", message.lines().next().unwrap_or_default())
         })
@@ -273,23 +275,27 @@
         require(
             self.members_socket.is_none() || dns_sd.is_some(),
             "members_socket",
-            "needs discovery.dns_sd: the roster alone has nothing more to tell",
+            "needs discovery.dns_sd: without it there are no merged sources to show",
         )?;
         dns_sd.map_or(Ok(()), check_dns_sd)
     }
 }
 
-/// A field whose value is out of its range.
+/// The path of a field whose value is out of its range, and the requirement that it does not meet.
 struct FieldError {
     field: &'static str,
-    what: &'static str,
+    requirement: &'static str,
 }
 
-fn require(is_satisfied: bool, field: &'static str, what: &'static str) -> Result<(), FieldError> {
+fn require(
+    is_satisfied: bool,
+    field: &'static str,
+    requirement: &'static str,
+) -> Result<(), FieldError> {
     if is_satisfied {
         Ok(())
     } else {
-        Err(FieldError { field, what })
+        Err(FieldError { field, requirement })
     }
 }
 
@@ -309,25 +315,25 @@
     require(
         limits.value_bytes >= MIN_VALUE_BYTES,
         "extended.limits.value_bytes",
-        "must hold one value, 65536 bytes",
+        "must be at least 65536, the size of the largest value in bytes",
     )
 }
 
-fn check_dns_sd(dns_sd: &DnsSd) -> Result<(), FieldError> {
+fn check_dns_sd(dns_sd: &DnsSdSettings) -> Result<(), FieldError> {
     require(
         !dns_sd.servers.is_empty(),
         "discovery.dns_sd.servers",
-        "must name a server",
+        "must name at least one DNS server",
     )?;
     require(
         !dns_sd.services.is_empty(),
         "discovery.dns_sd.services",
-        "must name a service",
+        "must name at least one service",
     )?;
     require(
         dns_sd.services.len() <= MAX_SERVICES,
         "discovery.dns_sd.services",
-        "must be at most 64",
+        "must name at most 64 services",
     )?;
     require(
         dns_sd.ttl_floor_ms >= MIN_TTL_FLOOR_MS,
@@ -337,17 +343,17 @@
     require(
         dns_sd.ttl_ceiling_ms >= dns_sd.ttl_floor_ms,
         "discovery.dns_sd.ttl_ceiling_ms",
-        "is below the floor",
+        "must be at least ttl_floor_ms",
     )?;
     require(
         TIMEOUT_RANGE_MS.contains(&dns_sd.timeout_ms),
         "discovery.dns_sd.timeout_ms",
-        "must be 10 to 10000",
+        "must be between 10 and 10000",
     )?;
     require(
         BUDGET_RANGE.contains(&dns_sd.budget),
         "discovery.dns_sd.budget",
-        "must be 1 to 10000",
+        "must be between 1 and 10000",
     )
 }
 
--- a/crates/router/src/extensions/tests.rs
+++ b/crates/router/src/extensions/tests.rs
@@ -1,3 +1,5 @@
+//! Parsing and checking of settings files.
+
 use super::*;
 use rstest::rstest;
 
@@ -5,22 +7,23 @@
     let file = tempfile::NamedTempFile::new().unwrap();
     std::fs::write(file.path(), text).unwrap();
     Extensions::load(file.path()).map_err(|e| {
-        let said = e.to_string();
+        let message = e.to_string();
         let path = file.path().display().to_string();
-        assert!(said.starts_with(&path), "{said}");
-        said[path.len() + 2..].to_owned()
+        assert!(message.starts_with(&path), "{message}");
+        message[path.len() + 2..].to_owned()
     })
 }
 
+/// Guards against a file that sets one value and thereby loses the defaults of the others.
 #[test]
-fn what_is_left_out_has_its_default() {
-    let edge = load("extended: {mode: translate, limits: {reads: 4}}").unwrap();
+fn absent_settings_have_their_defaults() {
+    let extensions = load("extended: {mode: translate, limits: {reads: 4}}").unwrap();
     assert_eq!(
-        (edge.extended.mode, edge.extended.limits.reads),
+        (extensions.extended.mode, extensions.extended.limits.reads),
         (ExtendedQueryMode::Translate, 4)
     );
     assert_eq!(
-        edge.extended.limits,
+        extensions.extended.limits,
         Limits {
             reads: 4,
             ..Limits::default()
@@ -30,7 +33,7 @@
     assert_eq!(load("{}"), Ok(Extensions::default()));
 }
 
-/// Guards the person who edits the file: an error names the line and the field.
+/// Guards against an error that leaves whoever edits the file without the line or the field at fault.
 #[rstest]
 #[case("extended:\n  mode: on\n  modes: off\n", &["extended.modes", "line 3"])]
 #[case("extended:\n  mode: maybe\n", &["extended.mode", "maybe", "line 2"])]
@@ -41,13 +44,17 @@
 #[case("discovery:\n  dns_sd:\n    servers: [x]\n", &["discovery.dns_sd.servers[0]", "line 3"])]
 #[case("discovery: {roster: false}", &["needs a source"])]
 #[case("members_socket: /x", &["members_socket", "needs discovery.dns_sd"])]
-fn what_is_wrong_is_named(#[case] text: &str, #[case] wanted: &[&str]) {
-    let said = load(text).unwrap_err();
-    assert!(wanted.iter().all(|w| said.contains(w)), "{said}");
+fn error_names_line_and_field(#[case] text: &str, #[case] expected: &[&str]) {
+    let message = load(text).unwrap_err();
+    assert!(
+        expected.iter().all(|part| message.contains(part)),
+        "{message}"
+    );
 }
 
+/// Guards against an example file that lacks a new setting or shows an outdated default.
 #[test]
-fn the_example_shows_every_setting_with_its_default() {
+fn example_file_shows_every_setting_with_its_default() {
     let path = Path::new(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../deploy/edge.example.yaml"
@@ -56,7 +63,7 @@
     let text = std::fs::read_to_string(path).unwrap();
     for name in format!("{:?}", Extensions::default())
         .split([' ', '{'])
-        .filter_map(|w| w.strip_suffix(':'))
+        .filter_map(|word| word.strip_suffix(':'))
     {
         assert!(text.contains(&format!("{name}:")), "{name}");
     }
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -738,7 +738,11 @@
 
 /// Guards the old configuration against a file that makes no sense, and says what takes a restart.
 #[rstest]
-#[case("discovery", "nowhere", "discovery: expected an IP address with a port")]
+#[case(
+    "discovery",
+    "nowhere",
+    "discovery: expected an IP address with a port"
+)]
 #[case("settings", "none", "familyInfo is missing")]
 #[case("name", "n7", "takes effect at the next start")]
 fn a_reload_says_what_it_did_not_take(
