--- a/crates/router/src/observability/close_reason.rs
+++ b/crates/router/src/observability/close_reason.rs
@@ -1,63 +1,63 @@
-//! Why connections end. Each connection that ends, to a client, an endpoint or the discovery service, leaves one log
-//! line with its reason code.
+//! Defines the reasons for which connections end. When a connection to a client, an endpoint or the discovery service
+//! ends, one log line with the reason code is written.
 
-/// Why a connection ended.
+/// The reason for which a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
     /// The peer closed it between messages.
     Eof,
     /// The peer closed it inside a message.
     Truncated,
-    /// It failed with an I/O error.
+    /// The connection failed with an I/O error.
     Reset,
     /// The client sent Terminate.
     Terminate,
-    /// The client disconnected before its response.
+    /// The client disconnected while it waited for a response.
     DisconnectedWhileWaiting,
     /// The startup message did not arrive in time.
     StartupTimeout,
     /// The rest of a message did not arrive in time.
     Stalled,
-    /// It carried a cancel request, which gets no response.
+    /// The connection carried a cancel request, which is never responded to.
     CancelRequest,
-    /// It sent bytes that are not a message of the protocol.
+    /// The peer sent bytes that are not a message of the protocol.
     Malformed,
-    /// It sent a message larger than the router accepts.
+    /// The peer sent a message larger than the router accepts.
     Oversized,
     /// The memory limit for all connections' buffers was reached.
     NoMemory,
     /// The client did not read its response.
     NotReading,
-    /// Idle, and closed to free its file descriptor.
+    /// The connection was idle, and the router closed it to free its file descriptor.
     Evicted,
-    /// Idle, and closed by the graceful shutdown.
+    /// The graceful shutdown closed the connection, on which no complete request was outstanding.
     Shutdown,
     /// The connection to an endpoint failed before the session was ready.
     ConnectFailed,
-    /// The endpoint or the discovery service rejected it with an error.
+    /// The endpoint or the discovery service rejected the connection or a request on it with an error.
     Rejected,
-    /// An attempt on it was abandoned.
+    /// An attempt on the connection was abandoned.
     AttemptAbandoned,
     /// A response could not be parsed, or bytes arrived that belong to no request.
     MalformedResponse,
-    /// Idle for nearly as long as the endpoint allows.
+    /// The connection was idle for nearly as long as the endpoint allows.
     Idle,
     /// The address of the endpoint or of the discovery service changed, or the endpoint was removed from the list.
     AddressChanged,
     /// The discovery service did not respond in time.
     TimedOut,
-    /// A new poll of the discovery service replaced it.
+    /// A new poll of the discovery service replaced the one on this connection.
     Replaced,
 }
 
 impl CloseReason {
-    /// Whether the router closes the connection on its own initiative, while a request may be in transit to it.
+    /// Returns whether the router closes the connection on its own initiative, while a request may be in transit to it.
     pub fn is_initiated_by_router(self) -> bool {
         use CloseReason::{Evicted, Shutdown, Stalled, StartupTimeout};
         matches!(self, Evicted | Shutdown | Stalled | StartupTimeout)
     }
 
-    /// The reason code in the log line.
+    /// Returns the reason code that is written to the log.
     pub fn code(self) -> &'static str {
         match self {
             CloseReason::Eof => "eof",
--- a/crates/router/src/observability/counters.rs
+++ b/crates/router/src/observability/counters.rs
@@ -1,6 +1,6 @@
-//! The router's counters: totals since the start, printed on SIGUSR1 and at exit.
+//! Defines the router's counters: totals since the start of the process, printed on SIGUSR1 and at exit.
 //!
-//! The single thread that runs all tasks owns them; they need no synchronization. A counter only ever rises.
+//! All tasks run on a single thread, so counters need no synchronization. A counter never decreases.
 //! `docs/operate/counters.md` explains each to the operator.
 
 use std::cell::Cell;
@@ -17,8 +17,8 @@
         impl fmt::Display for Counters {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 let all = [$((stringify!($name), self.$name.get())),+];
-                for (i, (name, value)) in all.iter().enumerate() {
-                    let separator = if i > 0 { " " } else { "" };
+                for (index, (name, value)) in all.iter().enumerate() {
+                    let separator = if index > 0 { " " } else { "" };
                     write!(f, "{separator}{name}={value}")?;
                 }
                 Ok(())
@@ -30,82 +30,82 @@
 counters! {
     /// Client connections accepted.
     clients,
-    /// Failed accepts, mostly for lack of a file descriptor.
+    /// Failed accepts of connections, mostly for lack of a file descriptor.
     accept_errors,
     /// Idle connections, to clients or endpoints, closed to free their file descriptors.
     connections_evicted,
-    /// Idle client connections that were about to be closed when a request arrived, and stayed open for it.
+    /// Idle client connections that were about to be closed when a request arrived, and stayed open to serve it.
     late_request_served,
     /// Requests received.
     requests,
-    /// Statements and messages answered with an error by the router itself, because they are invalid or unsupported,
-    /// and requests under an id that is already in use.
+    /// Statements and messages that the router itself responded to with an error, because they are invalid or
+    /// unsupported, and requests under an id that is already in use.
     invalid_statements,
-    /// Requests answered with an endpoint's response.
+    /// Requests whose client received an endpoint's response.
     served,
     /// Requests rejected without a result; the client may retry.
     rejected,
-    /// Requests answered with a failure; they may have been executed.
+    /// Requests that failed; they may have been executed.
     failed,
-    /// Requests whose client disconnected or cancelled before the answer.
+    /// Requests whose client disconnected or cancelled before the response.
     client_left,
-    /// Requests that the balancer left unanswered beyond their deadline, so that the router answered them.
+    /// Requests that the balancer had not finished by their deadline, so that the router responded by itself.
     deadline_exceeded,
-    /// Requests rejected or failed with [`RejectReason::UnknownClass`](reelrill_routing::RejectReason).
+    /// Requests rejected or failed with the reason [`RejectReason::UnknownClass`](reelrill_routing::RejectReason).
     rejected_unknown_class,
-    /// The same with `UnknownReplicaSet`.
+    /// Requests rejected or failed with the reason `UnknownReplicaSet`.
     rejected_unknown_replica_set,
-    /// The same with `DeadlineTooClose`.
+    /// Requests rejected or failed with the reason `DeadlineTooClose`.
     rejected_deadline_too_close,
-    /// The same with `AttemptLimitReached`.
+    /// Requests rejected or failed with the reason `AttemptLimitReached`.
     rejected_attempt_limit_reached,
-    /// The same with `NoEligibleEndpoint`.
+    /// Requests rejected or failed with the reason `NoEligibleEndpoint`.
     rejected_no_eligible_endpoint,
-    /// The same with `LoadShed`.
+    /// Requests rejected or failed with the reason `LoadShed`.
     rejected_load_shed,
-    /// The same with `NotRetryable`.
+    /// Requests rejected or failed with the reason `NotRetryable`.
     rejected_not_retryable,
-    /// The same with `AttemptTimedOut`.
+    /// Requests rejected or failed with the reason `AttemptTimedOut`.
     rejected_attempt_timed_out,
-    /// The same with `RetryBudgetExhausted`.
+    /// Requests rejected or failed with the reason `RetryBudgetExhausted`.
     rejected_retry_budget_exhausted,
-    /// The same with `InvalidRequest`.
+    /// Requests rejected or failed with the reason `InvalidRequest`.
     rejected_invalid_request,
-    /// Attempts started. Each ends with exactly one of the outcomes below.
+    /// Attempts started. Each ends with exactly one of the outcomes counted below.
     attempts,
-    /// Attempts with [`AttemptOutcome::Served`](reelrill_routing::AttemptOutcome).
+    /// Attempts with the outcome [`AttemptOutcome::Served`](reelrill_routing::AttemptOutcome).
     attempts_served,
-    /// The same with `Error`.
+    /// Attempts with the outcome `Error`.
     attempts_error,
-    /// The same with `Overloaded`.
+    /// Attempts with the outcome `Overloaded`.
     attempts_overloaded,
-    /// The same with `TimedOut`.
+    /// Attempts with the outcome `TimedOut`.
     attempts_timed_out,
-    /// The same with `ConnectFailed`.
+    /// Attempts with the outcome `ConnectFailed`.
     attempts_connect_failed,
-    /// The same with `ConnectionReset`.
+    /// Attempts with the outcome `ConnectionReset`.
     attempts_connection_reset,
-    /// The same with `Cancelled`.
+    /// Attempts with the outcome `Cancelled`.
     attempts_cancelled,
-    /// The same with `Abandoned`.
+    /// Attempts with the outcome `Abandoned`.
     attempts_abandoned,
-    /// The same with `Misrouted`.
+    /// Attempts with the outcome `Misrouted`.
     attempts_misrouted,
-    /// The same with `MalformedResponse`.
+    /// Attempts with the outcome `MalformedResponse`.
     attempts_malformed_response,
-    /// The same with `NotSent`.
+    /// Attempts with the outcome `NotSent`.
     attempts_not_sent,
-    /// The same with `InvalidRequest`.
+    /// Attempts with the outcome `InvalidRequest`.
     attempts_invalid_request,
-    /// Attempts that the router ended before they were written, so that they were never executed.
+    /// Attempts that the router ended before they were written to a connection, so that they were never executed.
     attempts_unwritten,
-    /// Those of `attempts_unwritten` whose client had disconnected or cancelled.
+    /// Attempts among `attempts_unwritten` whose client had disconnected or cancelled.
     attempts_unwritten_client_left,
     /// Requests whose client had disconnected before the dispatcher admitted them.
     client_left_before_admission,
     /// Parse messages for prepared statements sent to endpoints.
     statements_prepared,
-    /// Prepared statements that an endpoint no longer had, and that were prepared again.
+    /// Prepared statements that an endpoint no longer held, and that were prepared again.
     statements_reprepared,
     /// Cancel requests received from clients.
     cancel_requests,
@@ -113,11 +113,11 @@
     cancel_requests_matched,
     /// Endpoints that the merge of several sources added to the endpoint list.
     endpoints_added,
-    /// Endpoints that this merge removed from the endpoint list.
+    /// Endpoints that the merge of several sources removed from the endpoint list.
     endpoints_removed,
     /// DNS queries sent for service records.
     dns_queries,
-    /// Connections to endpoints begun.
+    /// Connections to endpoints started.
     connects,
     /// Connections to endpoints that failed because the endpoint had no capacity for another.
     connects_rejected,
@@ -133,11 +133,11 @@
     pools_retired,
     /// Polls of the discovery service.
     list_polls,
-    /// Polls answered with another HTTP status than 200.
+    /// Polls whose response had another HTTP status than 200.
     list_rejected,
     /// Polls without a complete response in time.
     list_timed_out,
-    /// Polls whose connection could not be made or broke.
+    /// Polls whose connection could not be established or broke.
     list_connection_failed,
     /// Polls whose response was not a valid endpoint list.
     list_malformed,
--- a/crates/router/src/observability/logging.rs
+++ b/crates/router/src/observability/logging.rs
@@ -1,18 +1,18 @@
-//! The root logger. A thread of its own writes the lines to standard error, so that a slow reader of the log never
-//! delays a request.
+//! Sets up the root logger. A separate thread writes the lines to standard error, so that a slow reader of the log
+//! never delays a request.
 
 use slog::{Drain as _, Logger, o};
 
-/// Names the least severe level that is logged.
+/// The environment variable that holds the least severe level that is logged.
 const LEVEL_VARIABLE: &str = "RELAY_LOG";
 const DEFAULT_LEVEL: slog::Level = slog::Level::Info;
-/// Lines that may wait for the writing thread; further ones are dropped, and their number is logged.
+/// The maximum number of lines queued for the writing thread; further ones are dropped, and their number is logged.
 const QUEUE_LENGTH: usize = 4096;
 
 /// Starts the writing thread. Returns the root logger, which adds the router's `name` to each line, and a guard that
-/// writes what is still queued when it is dropped.
+/// writes the queued lines when it is dropped.
 ///
-/// `RELAY_LOG` sets the level; without it, or with one that is unknown, it is `info`.
+/// `RELAY_LOG` sets the level; if it is unset or not a known level, `info` applies.
 pub fn start(name: &str) -> (Logger, slog_async::AsyncGuard) {
     let level = std::env::var(LEVEL_VARIABLE)
         .ok()
--- a/crates/router/src/observability/mod.rs
+++ b/crates/router/src/observability/mod.rs
@@ -1,6 +1,6 @@
-//! What operators see of the router: counters, the reason for which each connection ended, and the log.
+//! Provides the router's output for operators: counters, the reason for which each connection ended, and the log.
 //!
-//! Nothing here decides anything; the other modules count and log through it.
+//! The other modules count and log through it; nothing here influences routing.
 
 pub mod close_reason;
 pub mod counters;
