--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -1,35 +1,37 @@
-//! Output of the balancer: what the router has to carry out, in order, as plain data without
+//! Output of the balancer: operations that the router carries out in order, as plain data without
 //! policy.
 
 use crate::units::{EndpointId, Nanos, RequestId, Timestamp};
 
-/// Why a request was rejected or failed.
+/// Reason for rejecting or failing a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// No such class.
+    /// The settings have no class with the request's index.
     UnknownClass,
-    /// The list names no endpoint of its replica set.
+    /// The endpoint list has no endpoint of the request's replica set.
     UnknownReplicaSet,
-    /// Too little time is left for a response that still has value.
+    /// Too little time is left until the deadline or, where a later response has no value, until
+    /// the end of the latency objective.
     DeadlineTooClose,
-    /// It has had as many attempts as are allowed.
+    /// The request has had [`Limits::max_attempts`](crate::Limits::max_attempts) attempts.
     AttemptLimitReached,
-    /// No endpoint of its replica set is expected to accept it within half of its time.
+    /// No endpoint of the replica set is expected to accept the request within the first half of
+    /// its time.
     NoEligibleEndpoint,
-    /// Overload: the selected endpoint would probably respond too late.
+    /// Load shedding: a response from the selected endpoint would probably be too late.
     LoadShed,
-    /// Possibly executed, and its class or its key's deduplication window does not allow another
-    /// attempt.
+    /// The request was possibly executed, and its class or the deduplication window of its key does
+    /// not allow another attempt.
     NotRetryable,
-    /// An attempt had no response until its time was over.
+    /// An attempt got no response within its time limit.
     AttemptTimedOut,
     /// The retry budget is exhausted.
     RetryBudgetExhausted,
-    /// An endpoint rejected it as invalid.
+    /// An endpoint rejected the request as invalid.
     InvalidRequest,
 }
 
-/// What the router has to carry out.
+/// Operation that the router carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send the request to an endpoint.
@@ -38,44 +40,44 @@
         request: RequestId,
         /// The endpoint.
         endpoint: EndpointId,
-        /// Time limit of the attempt, nanoseconds; none: the request's deadline.
+        /// Time limit of the attempt, nanoseconds; `None` means the request's deadline.
         limit: Option<Nanos>,
-        /// It must not be written later than this: the deduplication window of an earlier, possibly
-        /// executed attempt is then over. An attempt that can't be written by then ends as
+        /// Latest time for writing the request: the deduplication window of an earlier, possibly
+        /// executed attempt ends then. An attempt that can't be written by this time ends as
         /// [`AttemptOutcome::NotSent`](crate::AttemptOutcome::NotSent).
         write_by: Option<Timestamp>,
     },
-    /// Final response: not executed, or safe to retry.
+    /// Return the final response: not executed, or safe to retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// Reason of the rejection.
         reason: RejectReason,
-        /// Retry-After advice, nanoseconds.
+        /// Time after which the client is advised to retry, nanoseconds.
         retry_after: Option<Nanos>,
     },
-    /// Final response: failed; its effect is unknown.
+    /// Return the final response: failed, with an unknown effect.
     Fail {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// Reason of the failure.
         reason: RejectReason,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight: its response is no longer needed.
     Cancel {
         /// The request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt, counted from 0 in the order of the request's sends.
         attempt: u32,
     },
-    /// Ask for an [`Event::Timer`](crate::Event::Timer).
+    /// Deliver an [`Event::Timer`](crate::Event::Timer) after a delay.
     SetTimer {
         /// Delay from now, nanoseconds.
         after: Nanos,
-        /// Handed back with the event.
+        /// Token to return in the event.
         token: u64,
     },
-    /// Send an endpoint a health check.
+    /// Send a health check to an endpoint.
     CheckHealth {
         /// The endpoint.
         endpoint: EndpointId,
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -1,4 +1,4 @@
-//! Input of the balancer: what has happened, as plain data without policy.
+//! Input of the balancer: events at the router, as plain data without policy.
 
 use crate::units::{EndpointId, Nanos, RequestId, Timestamp};
 use std::sync::Arc;
@@ -8,24 +8,25 @@
 pub enum EndpointState {
     /// In service.
     Serving,
-    /// Finishing its work in progress; it gets no new work.
+    /// Completing its requests in flight: new ones stop within
+    /// [`Rules::drain_grace`](crate::Rules::drain_grace).
     Draining,
-    /// Removed (in changes only).
+    /// Removed (only in [`ListKind::Changes`]).
     Removed,
 }
 
-/// One entry of the endpoint list.
+/// Entry of the endpoint list.
 #[derive(Debug, Clone)]
 pub struct EndpointEntry {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// When its process last started (0: long ago).
+    /// Time of the last start of its process (0: long ago).
     pub started: Timestamp,
-    /// Whether the list names it as its replica set's primary.
+    /// Whether the list names it as the primary of its replica set.
     pub is_primary: bool,
     /// Its state.
     pub state: EndpointState,
-    /// Its capacity relative to others.
+    /// Its capacity relative to other endpoints.
     pub weight: f64,
     /// Its replica set.
     pub replica_set: u32,
@@ -33,7 +34,7 @@
     pub zone: u32,
 }
 
-/// What kind of list has come.
+/// Kind of an update of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
@@ -42,34 +43,36 @@
     Full,
     /// The whole list as this router last stored it, possibly outdated.
     Cached,
-    /// A call to the discovery service failed, or the subscription broke; the old list stays valid.
+    /// A call to the discovery service failed, or the subscription broke; the previous list stays
+    /// valid.
     Failed,
 }
 
-/// A client's request, to be answered once.
+/// A client's request, which gets exactly one final response.
 #[derive(Debug, Clone)]
 pub struct Request {
     /// Its id.
     pub id: RequestId,
-    /// Its class, as counted in [`Settings::classes`](crate::Settings::classes).
+    /// Index of its class in [`Settings::classes`](crate::Settings::classes).
     pub class: u32,
-    /// The replica set whose endpoints may answer it.
+    /// The replica set whose endpoints may execute it.
     pub replica_set: u32,
-    /// Its session, where it has one.
+    /// Its session, if it has one.
     pub session: Option<Arc<str>>,
-    /// Time since its session's last write was committed, nanoseconds, where requests carry it.
+    /// Time since the last write of its session was committed, nanoseconds, if requests carry it
+    /// ([`Settings::has_session_positions`](crate::Settings::has_session_positions)).
     pub since_write: Option<Nanos>,
-    /// Its tenant, as counted in [`Settings::tenants`](crate::Settings::tenants).
+    /// Index of its tenant in [`Settings::tenants`](crate::Settings::tenants).
     pub tenant: Option<u32>,
-    /// Expected execution time, nanoseconds, where the client states it.
+    /// Expected execution time, nanoseconds, if the client states it.
     pub expected_execution_time: Option<Nanos>,
-    /// The client marked it as a retry.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
     /// Time until the client's deadline, nanoseconds.
     pub time_left: Nanos,
 }
 
-/// An endpoint's role, as it reports itself.
+/// Role that an endpoint reports for itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     /// It accepts writes.
@@ -78,20 +81,21 @@
     Replica,
 }
 
-/// What an endpoint reports about itself: with a response as of that response, in a report as of
-/// some time earlier.
+/// Replication status that an endpoint reports: as of the response that carries it, or in a load
+/// report as of some earlier time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicationStatus {
     /// Its role.
     pub role: Option<Role>,
-    /// All commits up to this time are applied there; for a served write, the time of its commit.
+    /// All commits up to this time are applied at the endpoint; for a served write, the time of its
+    /// own commit.
     pub applied_position: Option<Timestamp>,
 }
 
-/// How an attempt or a health check ended.
+/// Outcome of an attempt or a health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Answered.
+    /// Executed, with a response.
     Served,
     /// The endpoint returned an error; an effect may have occurred.
     Error,
@@ -99,26 +103,27 @@
     Overloaded,
     /// No response in time; possibly executed.
     TimedOut,
-    /// No connection was made.
+    /// No connection was established.
     ConnectFailed,
     /// The connection broke; possibly executed.
     ConnectionReset,
     /// Cancelled by the router; possibly executed.
     Cancelled,
-    /// Never sent.
+    /// Never sent: the client disconnected or the deadline passed before.
     Abandoned,
-    /// Rejected before execution: not the primary, or too far behind.
+    /// Rejected before execution: the endpoint is not the primary, or too far behind it.
     Misrouted,
-    /// The response can't be parsed; executed.
+    /// Executed, but the response can't be parsed.
     MalformedResponse,
-    /// The router had no connection to send it on in time: no evidence about the endpoint.
+    /// Not sent, since the router had no connection to the endpoint in time: no evidence about the
+    /// endpoint.
     NotSent,
-    /// The endpoint rejected the request as invalid, as any other would.
+    /// The endpoint rejected the request as invalid, as any other endpoint would.
     InvalidRequest,
 }
 
 impl AttemptOutcome {
-    /// Whether this outcome proves that the attempt was never executed.
+    /// Returns whether this outcome proves that the attempt was never executed.
     pub fn is_never_executed(self) -> bool {
         matches!(
             self,
@@ -132,46 +137,46 @@
     }
 }
 
-/// How an attempt ended. Every [`Action::Send`](crate::Action::Send) gets exactly one.
+/// End of an attempt. Every [`Action::Send`](crate::Action::Send) gets exactly one.
 #[derive(Debug, Clone)]
 pub struct AttemptEnded {
     /// The request.
     pub request: RequestId,
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The attempt, counted from 0 in the order of the request's sends.
+    /// Number of the attempt, counted from 0 in the order of the request's sends.
     pub attempt: u32,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: AttemptOutcome,
-    /// What the response says about the endpoint.
+    /// Replication status of the endpoint as of the response; empty if the response carries none.
     pub replication: ReplicationStatus,
-    /// The report that came along, if any.
+    /// Replication status in the load report that came with the response; empty without a report.
     pub report: ReplicationStatus,
-    /// Time since it was sent, nanoseconds.
+    /// Time since the attempt was sent, nanoseconds.
     pub latency: Nanos,
-    /// The request is complete, by this outcome or before it.
+    /// Whether the request is complete, by this outcome or before it.
     pub is_request_complete: bool,
 }
 
-/// What has happened.
+/// Event that the router passes to the balancer.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A change of the endpoint list.
+    /// An update of the endpoint list.
     List {
-        /// What kind of list.
+        /// Kind of the update.
         kind: ListKind,
-        /// Its entries; none with [`ListKind::Failed`].
+        /// Entries of the list; none with [`ListKind::Failed`].
         entries: Vec<EndpointEntry>,
     },
     /// A client's request.
     Request(Request),
     /// The end of an attempt.
     AttemptEnded(AttemptEnded),
-    /// A streamed response has begun: the request's deadline no longer applies.
+    /// The start of a streamed response: the request's deadline no longer applies.
     ResponseStarted {
         /// The request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt, as in [`AttemptEnded::attempt`].
         attempt: u32,
         /// The endpoint.
         endpoint: EndpointId,
@@ -183,16 +188,16 @@
     },
     /// A timer is due.
     Timer {
-        /// As given with [`Action::SetTimer`](crate::Action::SetTimer).
+        /// Token of the [`Action::SetTimer`](crate::Action::SetTimer).
         token: u64,
     },
-    /// The result of a health check.
+    /// The end of a health check.
     HealthCheckEnded {
         /// The endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// Outcome of the health check.
         outcome: AttemptOutcome,
-        /// What the endpoint reported.
+        /// Replication status that the endpoint reported.
         report: ReplicationStatus,
     },
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decisions of a read/write splitter for replicated database clusters, without any I/O.
+//! Decisions of a read/write splitter for replicated PostgreSQL clusters, without any I/O.
 //!
-//! A router owns one [`Balancer`] and feeds it [`Event`]s with its own clock; the balancer answers
-//! with [`Action`]s, which the router carries out in order. See the README for a complete example.
+//! A router owns one [`Balancer`] and passes it [`Event`]s with timestamps of its own clock; the
+//! balancer returns [`Action`]s, which the router carries out in order. See the README for a
+//! complete example.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
