--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -1,22 +1,22 @@
-//! Configuration of a balancer: classes of requests, tenants, platform limits and their validation.
+//! Settings of a balancer: classes of requests, tenants, platform limits, and their validation.
 //!
 //! Plain data, fixed for the lifetime of a balancer; it must never hold state or policy.
 
 use crate::units::Nanos;
 
-/// What a class of requests does to the data.
+/// Operation that the requests of a class perform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Operation {
-    /// A read, and how recent the data that answers it has to be.
+    /// A read, with the consistency that its response must have.
     Read(Consistency),
-    /// A write: only the primary takes it.
+    /// A write, which only the primary executes.
     Write,
 }
 
-/// How recent the data that answers a read has to be.
+/// Consistency of a read: how recent the data in its response must be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Consistency {
-    /// Any endpoint may answer.
+    /// Data of any age, from any endpoint.
     Eventual,
     /// Data that is no older than this when the request is sent, nanoseconds.
     BoundedStaleness(Nanos),
@@ -26,19 +26,20 @@
     Strong,
 }
 
-/// Whether a request that may already have been executed can be sent again.
+/// Idempotency of a class: whether a request that was possibly executed may be sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
     /// Executing it twice has the same effect as once.
     Idempotent,
-    /// Carries a key; the endpoints of the scope drop a duplicate for the class's deduplication
-    /// window.
+    /// The request carries a key, and the endpoints of the scope drop a duplicate within the
+    /// class's deduplication window.
     IdempotencyKey(KeyScope),
-    /// Must never be executed twice.
+    /// It must never be executed twice.
     NonIdempotent,
 }
 
-/// The endpoints that share their record of idempotency keys, and so drop each other's duplicates.
+/// Set of endpoints that share their record of idempotency keys and so drop each other's
+/// duplicates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyScope {
     /// Every endpoint.
@@ -49,20 +50,21 @@
     ReplicaSet,
 }
 
-/// One class of requests.
+/// Class of requests.
 #[derive(Debug, Clone)]
 pub struct Class {
-    /// What data may answer it.
+    /// Operation of its requests.
     pub operation: Operation,
-    /// Whether it may be sent again after it was possibly executed.
+    /// Whether a request may be sent again after it was possibly executed.
     pub idempotency: Idempotency,
-    /// How long a key is remembered, nanoseconds (for [`Idempotency::IdempotencyKey`]).
+    /// Time for which endpoints remember a key, nanoseconds (for [`Idempotency::IdempotencyKey`]).
     pub deduplication_window: Nanos,
     /// Latency objective, nanoseconds: a response within this time has the full priority weight.
     pub latency_objective: Nanos,
-    /// The latency objective grows by this multiple of the request's expected work (0: not at all).
+    /// The latency objective grows by this multiple of the request's expected execution time (0:
+    /// not at all).
     pub objective_stretch: f64,
-    /// Deadline of the request over all its attempts, nanoseconds.
+    /// Deadline of a request over all its attempts, nanoseconds from its arrival.
     pub deadline: Nanos,
     /// Value of a response within the latency objective, relative to other classes.
     pub priority_weight: f64,
@@ -70,66 +72,67 @@
     pub late_weight: f64,
 }
 
-/// One tenant's quota.
+/// Quota of a tenant.
 #[derive(Debug, Clone, Copy)]
 pub struct Tenant {
-    /// Requests per second within its quota, over all routers.
+    /// Requests per second, summed over all routers.
     pub quota: f64,
 }
 
-/// Where the endpoints' reports about themselves come from.
+/// Source of the load reports, in which endpoints state their role and applied position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportSource {
-    /// With every response and health check result.
+    /// Every response and every health check result carries a report.
     Responses,
-    /// With health check results only.
+    /// Only health check results carry a report.
     HealthChecks,
-    /// Nowhere.
+    /// There are no reports.
     None,
 }
 
-/// What endpoints do with a read for which they are too far behind.
+/// Stale read policy: how an endpoint handles a read for which its data is too old.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StaleReadPolicy {
-    /// They serve it from the data that they have: the router alone keeps reads fresh.
+    /// It serves the read from the data that it has: only the router prevents stale reads.
     Serve,
-    /// They reject it at once.
+    /// It rejects the read at once.
     Reject,
-    /// They wait for the data up to this long, nanoseconds, then reject it.
+    /// It waits for the data up to this long, nanoseconds, and then rejects the read.
     Wait(Nanos),
 }
 
-/// What the endpoint list says about the primary.
+/// Information about the primary in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListRole {
-    /// It names the primary, some seconds late.
+    /// The list names the current primary, with a delay of some seconds.
     Delayed,
-    /// It names the primary as it was at the start.
+    /// The list names the primary as of its start and does not follow failovers.
     Initial,
-    /// It does not name the primary.
+    /// The list does not name the primary.
     None,
 }
 
-/// Limits that the router has to keep.
+/// Limits of the platform that the router must keep.
 #[derive(Debug, Clone, Copy)]
 pub struct Rules {
-    /// New work for a draining or removed endpoint must stop within this time of the notification,
+    /// Time after the notification within which sends to a draining or removed endpoint must stop,
     /// nanoseconds.
     pub drain_grace: Nanos,
-    /// Only an entry in state draining forbids new work; absence from the list does not.
+    /// Whether endpoints that are removed or missing from the list may get new requests; draining
+    /// ones never may.
     pub allows_unlisted_endpoints: bool,
-    /// Slow start: an endpoint that has just started has at least this fraction of its capacity (0
-    /// to 1).
+    /// Slow start: capacity fraction of an endpoint that has just started, greater than 0 and at
+    /// most 1.
     pub slow_start_initial_fraction: f64,
-    /// Slow start: time from its start until an endpoint has its full capacity, nanoseconds.
+    /// Slow start: time from the start of an endpoint until it has its full capacity, nanoseconds.
     pub slow_start_duration: Nanos,
-    /// Load above this multiple of its current capacity for `overload_window` overloads a starting
-    /// endpoint.
+    /// An endpoint in slow start is overloaded by an average load above this multiple of its current
+    /// capacity over `overload_window`.
     pub overload_multiple: f64,
     /// Averaging window of `overload_multiple`, nanoseconds.
     pub overload_window: Nanos,
-    /// Without a subscription, a change of the list counts as notified after this time,
-    /// nanoseconds.
+    /// Without a subscription, the router counts as notified of a change of the list after this
+    /// time, nanoseconds.
     pub poll_interval: Nanos,
 }
 
@@ -138,72 +141,72 @@
 pub const SCHEDULING_DELAY: Nanos = 150_000_000;
 
 impl Rules {
-    /// How long after the notification of a drain a send may still begin, nanoseconds. The
-    /// scheduling delay is part of the grace, which counts to the first byte that is written; a
-    /// grace that is no longer than the delay allows no send at all.
+    /// Returns the time after the notification of a drain within which a send may still begin,
+    /// nanoseconds. The grace counts to the first byte that is written, so the scheduling delay is
+    /// subtracted from it; a grace that is no longer than the delay allows no send at all.
     pub fn drain_cutoff(&self) -> Nanos {
         self.drain_grace.saturating_sub(SCHEDULING_DELAY)
     }
 }
 
-/// Features that the platform allows, and their limits.
+/// Features that the platform allows, with their limits.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Most attempts for one request.
+    /// Largest number of attempts for one request.
     pub max_attempts: u32,
-    /// Health checks are allowed.
+    /// Whether health checks are allowed.
     pub allows_health_checks: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub allows_cancellation: bool,
-    /// A request may have two attempts in flight at once.
+    /// Whether a request may have two attempts in flight at once.
     pub allows_hedging: bool,
-    /// Clients receive retry advice ...
+    /// Whether a rejection may advise the client when to retry.
     pub allows_retry_advice: bool,
-    /// ... and follow it up to this length, nanoseconds.
+    /// Longest retry advice that clients follow, nanoseconds.
     pub max_retry_advice: Nanos,
-    /// A connection that is not established by then has failed, nanoseconds.
+    /// Time after which a connection that is not established has failed, nanoseconds.
     pub connect_timeout: Nanos,
 }
 
-/// Configuration of a balancer, fixed at its start.
+/// Settings of a balancer, fixed for its lifetime.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Number of routers of this tier, this one included.
+    /// Number of routers of this tier, including this one.
     pub router_count: u32,
     /// This router's zone.
     pub zone: u32,
     /// Shortest time between two batches of events, nanoseconds (0: none).
     pub min_batch_interval: Nanos,
-    /// The classes, in the order that [`Request::class`](crate::Request::class) counts.
+    /// The classes, indexed by [`Request::class`](crate::Request::class).
     pub classes: Vec<Class>,
-    /// The tenants, in the order that [`Request::tenant`](crate::Request::tenant) counts; may be
-    /// empty.
+    /// The tenants, indexed by [`Request::tenant`](crate::Request::tenant); may be empty.
     pub tenants: Vec<Tenant>,
     /// Value of a request over its tenant's quota, as a fraction of its class's priority weight.
     pub over_quota_weight: f64,
-    /// Where reports come from.
+    /// Source of the load reports.
     pub reports: ReportSource,
     /// Whether responses carry the endpoint's applied position.
     pub has_applied_positions: bool,
-    /// Whether session reads carry the age of their session's last write; if not, the balancer
-    /// remembers it.
+    /// Whether requests carry the time since their session's last write
+    /// ([`Request::since_write`](crate::Request::since_write)); if not, the balancer records the
+    /// writes of each session.
     pub has_session_positions: bool,
-    /// What endpoints do with reads for which they are too far behind.
+    /// Stale read policy of the endpoints.
     pub stale_reads: StaleReadPolicy,
-    /// What the list says about the primary.
+    /// Information about the primary in the endpoint list.
     pub list_role: ListRole,
-    /// The endpoint list is sent only to subscribers.
+    /// Whether the discovery service sends the endpoint list only to subscribers.
     pub is_subscription_required: bool,
-    /// The limits that the router has to keep.
+    /// Limits of the platform that the router must keep.
     pub rules: Rules,
-    /// The features that the platform allows.
+    /// Features that the platform allows.
     pub limits: Limits,
 }
 
-/// Why [`Settings`] can't be used.
+/// Error of [`Settings`] with a value out of range or in contradiction to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError(
-    /// The field, and what is wrong with it.
+    /// The field, its value, and the expected range.
     pub String,
 );
 
@@ -219,18 +222,25 @@
     /// Validates the settings.
     ///
     /// # Errors
-    /// Names the first field whose value is out of range or contradicts another.
+    /// Returns an error that names the first field whose value is out of range or contradicts
+    /// another.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let invalid = |text: String| Err(SettingsError(text));
         if self.classes.is_empty() {
-            return invalid("classes: none given".into());
+            return invalid("classes: expected at least one class".into());
         }
-        for (i, class) in self.classes.iter().enumerate() {
+        for (index, class) in self.classes.iter().enumerate() {
             if class.latency_objective == 0 || class.deadline == 0 {
-                return invalid(format!("classes[{i}]: aim and deadline must be positive"));
+                return invalid(format!(
+                    "classes[{index}]: latency objective {} ns and deadline {} ns must be positive",
+                    class.latency_objective, class.deadline
+                ));
             }
             if class.latency_objective > class.deadline {
-                return invalid(format!("classes[{i}]: the aim passes the deadline"));
+                return invalid(format!(
+                    "classes[{index}]: latency objective {} ns must not exceed the deadline {} ns",
+                    class.latency_objective, class.deadline
+                ));
             }
         }
         let rules = &self.rules;
@@ -238,15 +248,23 @@
             || rules.overload_window == 0
             || rules.slow_start_duration == 0
         {
-            return invalid(
-                "rules: cold_from, fall_multiple, fall and warm_after must be positive".into(),
-            );
+            return invalid(format!(
+                "rules: cold_from {}, fall_multiple {}, fall {} ns and warm_after {} ns \
+                 must be positive",
+                rules.slow_start_initial_fraction,
+                rules.overload_multiple,
+                rules.overload_window,
+                rules.slow_start_duration
+            ));
         }
         if rules.slow_start_initial_fraction > 1.0 {
-            return invalid("rules: cold_from is a share of 1 at the most".into());
+            return invalid(format!(
+                "rules: cold_from {} must be at most 1, the full capacity",
+                rules.slow_start_initial_fraction
+            ));
         }
         if self.limits.max_attempts == 0 {
-            return invalid("limits: max_attempts must be at least 1".into());
+            return invalid("limits: max_attempts 0 must be at least 1".into());
         }
         Ok(())
     }
