--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -122,7 +122,7 @@
             .saturating_sub(pending.request.time_left / 2)
             .max(now);
         self.endpoints
-            .members(pending.request.replica_set)
+            .replica_set_endpoints(pending.request.replica_set)
             .iter()
             .any(|&index| self.endpoints[index].accepts_new_work(half_time))
     }
--- a/crates/routing/src/discovery_backoff.rs
+++ b/crates/routing/src/discovery_backoff.rs
@@ -1,33 +1,34 @@
-//! Subscription to the endpoint list: when to ask for it, with randomised exponential backoff.
+//! Subscription to the endpoint list: the time of the next call to the discovery service, with
+//! randomised exponential backoff.
 //!
-//! A subscription breaks for all routers at the same moment, and the discovery service answers one
-//! call at a time. Each router therefore renews it at a random point within a span that grows with
+//! A subscription breaks for all routers at the same moment, and the discovery service handles one
+//! call at a time. Each router therefore renews it at a random time within a span that grows with
 //! the number of routers and with consecutive failures, up to a fixed limit. Owns the time of the
-//! next call and the count of failures; it must never change the endpoint list itself.
+//! next call and the number of failures; it must never change the endpoint list itself.
 
 use crate::random::SplitMix64;
 use crate::settings::Settings;
 use crate::units::{Nanos, Timestamp};
 
-/// Share of the discovery service's time that one call may take, nanoseconds. In a queue that
-/// outlasts the calls' time limits none is served.
+/// Time of the discovery service that each router's call may take, nanoseconds. If more calls
+/// arrive, the queue grows longer than their time limits and no call succeeds.
 const CALL_SLOT: Nanos = 30_000_000;
-/// Longest span of the backoff, nanoseconds, at any number of routers: a change counts as notified
-/// 6 s after the service had it and could be reached, and one more failure has to fit in.
+/// Longest span of the backoff, nanoseconds, for any number of routers. A router counts as notified
+/// of a change 6 s after the service had it and was reachable, and one more failure must fit in.
 const MAX_BACKOFF: Nanos = 2_000_000_000;
-/// Highest exponent of the backoff.
+/// Highest exponent of the backoff, as a power of 2.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// When to subscribe to the endpoint list.
+/// Schedule of the subscription to the endpoint list.
 ///
-/// Invariant: `next_attempt_at` is `None` exactly while no call is planned.
+/// Invariant: `next_attempt_at` is `None` exactly while no call is scheduled.
 pub(crate) struct ListSubscription {
     next_attempt_at: Option<Timestamp>,
     consecutive_failures: u32,
     is_required: bool,
-    /// Span over which all routers' first calls are spread, nanoseconds.
+    /// Span over which the first calls of all routers are spread, nanoseconds.
     spread: Nanos,
-    /// Time after which an unanswered call is repeated, nanoseconds.
+    /// Time after which a call without a response is repeated, nanoseconds.
     response_timeout: Nanos,
     /// Resolution of the balancer's timer, nanoseconds.
     tick: Nanos,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// A call has failed or the subscription has broken: plans the next one.
+    /// Records that a call failed or the subscription broke, and schedules the next call.
     pub(crate) fn record_failure(&mut self, now: Timestamp, rng: &mut SplitMix64) {
         let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
         let span = self
@@ -58,24 +59,26 @@
         self.consecutive_failures += 1;
     }
 
-    /// The router starts from a cached list: plans the first subscription where one is needed.
+    /// Records that the router starts from a cached list, and schedules the first call if a
+    /// subscription is required.
     pub(crate) fn record_cached_list(&mut self, now: Timestamp, rng: &mut SplitMix64) {
         let delay = rng.next_below(self.spread);
         self.next_attempt_at = self.is_required.then_some(now + delay);
     }
 
-    /// The service has sent a list or changes.
+    /// Records that the service sent a list or changes: no call is scheduled any more.
     pub(crate) fn record_success(&mut self) {
         self.consecutive_failures = 0;
         self.next_attempt_at = None;
     }
 
-    /// Whether a call is planned or unanswered.
+    /// Returns whether a call is scheduled or waits for its response.
     pub(crate) fn is_pending(&self) -> bool {
         self.next_attempt_at.is_some()
     }
 
-    /// Whether to subscribe now. No response within the time limit counts as a failed call.
+    /// Returns whether a call is due, and schedules its repetition in case no response arrives
+    /// within the time limit.
     pub(crate) fn poll(&mut self, now: Timestamp) -> bool {
         let is_due = self.next_attempt_at.is_some_and(|at| at <= now);
         if is_due {
--- a/crates/routing/src/endpoint_list.rs
+++ b/crates/routing/src/endpoint_list.rs
@@ -1,13 +1,13 @@
-//! The endpoints that the balancer knows, as the endpoint list names them, grouped into replica
+//! The endpoints known to the balancer and their entries in the endpoint list, grouped into replica
 //! sets.
 //!
-//! Endpoints are kept in slots that are reused, and other modules refer to them by slot. An
-//! endpoint that leaves the list is kept for a while, in case the list leaves it out for a moment
-//! only, and then forgotten: otherwise a long day of replacements would fill memory, and evidence
-//! would be averaged as if the removed endpoints shared the traffic. The cost of forgetting follows
-//! the number of removed endpoints, not the size of the fleet. Owns which endpoints exist, their
-//! replica sets, and what the list says of them; it must never judge their health or choose among
-//! them.
+//! Endpoints are stored in slots that are reused, and other modules refer to them by slot. An
+//! endpoint that is no longer in the list is kept for a while, since the list may omit it for a
+//! moment only, and then forgotten. Otherwise many replacements would fill memory, and averages,
+//! whose windows grow with the number of endpoints, would be as slow as if the removed endpoints
+//! still shared the traffic. The cost of forgetting is proportional to the number of removed
+//! endpoints, not of all endpoints. Owns which endpoints exist, their replica sets, and their
+//! entries in the list; it must never assess their health or select one of them.
 
 use crate::event::{EndpointEntry, EndpointState, ListKind, Role};
 use crate::latency_cost::LatencySamples;
@@ -19,7 +19,7 @@
 use std::ops::{Index, IndexMut};
 use std::sync::Arc;
 
-/// Slot of an endpoint in the list; reused once the endpoint is forgotten.
+/// Slot of an endpoint in [`EndpointList`]; reused once the endpoint is forgotten.
 pub(crate) type EndpointIndex = usize;
 
 /// An attempt that is in flight.
@@ -29,13 +29,14 @@
     pub(crate) sent_at: Timestamp,
     /// Latency objective of its request, nanoseconds.
     pub(crate) latency_objective: f64,
-    /// Kept here, since the request may be complete when the attempt ends.
+    /// Stored here, since the request may be complete before the attempt ends.
     pub(crate) is_write: bool,
-    /// For a write: the session whose reads must see it.
+    /// For a write: its session, whose later reads must see it.
     pub(crate) session: Option<Arc<str>>,
 }
 
-/// One endpoint: what the list says of it, what it says itself, and what the router has observed.
+/// An endpoint: its entry in the list, the status that it reports, and the observations of this
+/// router.
 #[derive(Default)]
 pub(crate) struct Endpoint {
     pub(crate) id: EndpointId,
@@ -45,29 +46,30 @@
     pub(crate) unlisted_at: Timestamp,
     pub(crate) draining_since: Option<Timestamp>,
     pub(crate) is_listed_as_primary: bool,
-    /// When its process last started, by the list or by inference (0: long ago).
+    /// Last start of its process, from the list or inferred from its position (0: long ago).
     pub(crate) started: Timestamp,
-    /// The role that it reports itself.
+    /// Role that it reports for itself.
     pub(crate) role: Option<Role>,
     pub(crate) applied_position: Option<Timestamp>,
-    /// When its position was last observed (0: never).
+    /// Time of the last observation of its position (0: never).
     pub(crate) observed_at: Timestamp,
-    /// When a position refresh was last sent to it.
+    /// Time of the last position refresh that was sent to it.
     pub(crate) position_refreshed_at: Timestamp,
     pub(crate) latency: LatencySamples,
     pub(crate) in_flight: Vec<Attempt>,
     pub(crate) health: EndpointHealth,
-    /// The count of selections when its turn in the rotation last passed.
+    /// Position in the rotation: the number of selections at its last turn, so that the lowest is
+    /// next.
     pub(crate) rotation_position: f64,
 }
 
 impl Endpoint {
-    /// Whether the list allows new work for it and it is not ejected for a time.
+    /// Returns whether the list allows new requests for it and no timed ejection is in force.
     pub(crate) fn accepts_new_work(&self, now: Timestamp) -> bool {
         self.is_in_service() && self.health.ejected_until <= now
     }
 
-    /// Whether the list allows new work for it.
+    /// Returns whether the list allows new requests for it.
     pub(crate) fn is_in_service(&self) -> bool {
         self.is_listed && self.draining_since.is_none()
     }
@@ -76,18 +78,18 @@
 /// A primary and its replicas.
 #[derive(Default)]
 pub(crate) struct ReplicaSet {
-    /// Its endpoints, ordered by their names.
+    /// Its endpoints, ordered by name.
     pub(crate) endpoints: Vec<EndpointIndex>,
     pub(crate) primary: PrimaryState,
-    /// Requests that wait for an endpoint, in order of arrival.
+    /// Queued requests, in order of arrival.
     pub(crate) queue: VecDeque<RequestId>,
 }
 
 /// All known endpoints.
 ///
 /// Invariants: `by_id` and the replica sets hold exactly the slots that are not in `free_slots`;
-/// `unlisted` holds exactly the known endpoints that are not listed, by the time when each left the
-/// list.
+/// `unlisted` holds exactly the known endpoints that are not listed, ordered by the time at which
+/// each left the list.
 #[derive(Default)]
 pub(crate) struct EndpointList {
     endpoints: Vec<Endpoint>,
@@ -112,7 +114,7 @@
 }
 
 impl EndpointList {
-    /// Number of known endpoints.
+    /// Returns the number of known endpoints.
     pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
@@ -121,16 +123,16 @@
         self.by_id.get(id).copied()
     }
 
-    /// The endpoints of a replica set; none if it is unknown.
-    pub(crate) fn members(&self, replica_set: u32) -> &[EndpointIndex] {
+    /// Returns the endpoints of a replica set, ordered by name; none if it is unknown.
+    pub(crate) fn replica_set_endpoints(&self, replica_set: u32) -> &[EndpointIndex] {
         match self.replica_sets.get(&replica_set) {
-            Some(known) => &known.endpoints,
+            Some(replica_set) => &replica_set.endpoints,
             None => &[],
         }
     }
 
-    /// Takes over a list or changes of it. `initial_rotation_position` places each new endpoint in
-    /// the rotation.
+    /// Applies a whole list or changes of it. `initial_rotation_position` returns the position of a
+    /// new endpoint in the rotation.
     pub(crate) fn apply(
         &mut self,
         now: Timestamp,
@@ -139,8 +141,8 @@
         settings: &Settings,
         mut initial_rotation_position: impl FnMut() -> f64,
     ) {
-        let is_absence_binding = !settings.rules.allows_unlisted_endpoints;
-        if kind != ListKind::Changes && is_absence_binding {
+        let is_removal_enforced = !settings.rules.allows_unlisted_endpoints;
+        if kind != ListKind::Changes && is_removal_enforced {
             self.unlist_missing(now, entries);
         }
         for entry in entries {
@@ -153,22 +155,22 @@
                 EndpointState::Draining => {
                     self.endpoints[index].draining_since.get_or_insert(now);
                 }
-                EndpointState::Removed if is_absence_binding => self.unlist(now, index),
+                EndpointState::Removed if is_removal_enforced => self.unlist(now, index),
                 EndpointState::Removed => {}
             }
             if entry.state != EndpointState::Removed {
-                let has_role = settings.list_role != ListRole::None;
-                self.update(now, index, entry, has_role);
+                let has_listed_roles = settings.list_role != ListRole::None;
+                self.update(now, index, entry, has_listed_roles);
             }
         }
     }
 
     fn unlist_missing(&mut self, now: Timestamp, entries: &[EndpointEntry]) {
-        let named: BTreeSet<&EndpointId> = entries.iter().map(|entry| &entry.endpoint).collect();
+        let listed: BTreeSet<&EndpointId> = entries.iter().map(|entry| &entry.endpoint).collect();
         let missing: Vec<EndpointIndex> = self
             .by_id
             .iter()
-            .filter(|(id, _)| !named.contains(id))
+            .filter(|(id, _)| !listed.contains(id))
             .map(|(_, index)| *index)
             .collect();
         for index in missing {
@@ -199,15 +201,15 @@
         now: Timestamp,
         index: EndpointIndex,
         entry: &EndpointEntry,
-        has_role: bool,
+        has_listed_roles: bool,
     ) {
         let endpoint = &mut self.endpoints[index];
         if entry.started > endpoint.started {
             endpoint.started = entry.started;
-            // It has started again, so it can be reached: an ejection for its absence is over.
+            // It has restarted, so it is reachable: an ejection after connect failures ends.
             endpoint.health.ejected_until = now;
         }
-        endpoint.is_listed_as_primary = entry.is_primary && has_role;
+        endpoint.is_listed_as_primary = entry.is_primary && has_listed_roles;
     }
 
     fn insert(
@@ -241,8 +243,8 @@
         index
     }
 
-    /// The endpoints that left the list more than `retention` nanoseconds ago and have no attempt
-    /// in flight.
+    /// Returns the endpoints that left the list more than `retention` nanoseconds ago and have no
+    /// attempt in flight.
     pub(crate) fn expired(&self, now: Timestamp, retention: Nanos) -> Vec<EndpointIndex> {
         self.unlisted
             .iter()
@@ -252,7 +254,7 @@
             .collect()
     }
 
-    /// Forgets an endpoint and frees its slot; nothing may refer to it any more.
+    /// Forgets an endpoint and frees its slot, to which no pending request may refer any more.
     pub(crate) fn forget(&mut self, index: EndpointIndex) {
         let endpoint = std::mem::take(&mut self.endpoints[index]);
         self.unlisted.remove(&(endpoint.unlisted_at, index));
--- a/crates/routing/src/latency_cost.rs
+++ b/crates/routing/src/latency_cost.rs
@@ -125,7 +125,7 @@
         let window = self.cost_window(list, now);
         let mut observed = REPLICA_SET_PRIOR_WEIGHT;
         let mut estimated = REPLICA_SET_PRIOR_WEIGHT;
-        for &index in list.members(replica_set) {
+        for &index in list.replica_set_endpoints(replica_set) {
             let (sum, count) = list[index].latency.cost.totals(now, window);
             observed += sum;
             estimated += count;
@@ -196,7 +196,7 @@
         let mut observed = sum / count.max(1.0);
         let mut weight = count.clamp(ROLE_PRIOR_MIN_WEIGHT, 1.0);
         let window = self.load_window(list, now);
-        for &other in list.members(list[index].replica_set) {
+        for &other in list.replica_set_endpoints(list[index].replica_set) {
             if other == index || list.is_confirmed_primary(other) != is_primary {
                 continue;
             }
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -248,7 +248,7 @@
         let replica_set = self.endpoints[index].replica_set;
         let has_alternative = self
             .endpoints
-            .members(replica_set)
+            .replica_set_endpoints(replica_set)
             .iter()
             .any(|&other| other != index && self.endpoints[other].accepts_new_work(now));
         let longest = if has_alternative {
--- a/crates/routing/src/pending_request.rs
+++ b/crates/routing/src/pending_request.rs
@@ -1,7 +1,7 @@
-//! A request that has no final response yet: its limits of time, its attempts, and what was decided
-//! for it at arrival.
+//! A request without a final response: its time limits, its attempts, and the decisions made at its
+//! arrival.
 //!
-//! Plain state of one request; it must never decide what happens to the request.
+//! Plain state of one request; it must never make a decision about the request.
 
 use crate::endpoint_list::EndpointIndex;
 use crate::event::Request;
@@ -20,24 +20,24 @@
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
     pub(crate) deadline: Timestamp,
-    /// When its latency objective, or if that is earlier its deadline, is over.
+    /// End of its latency objective, or its deadline if that is earlier.
     pub(crate) objective_end: Timestamp,
     /// Latency objective, nanoseconds.
     pub(crate) latency_objective: Nanos,
-    /// The position that its session needs, if any.
+    /// Log position that its endpoint must have applied for the session, if any.
     pub(crate) required_position: Option<Timestamp>,
     pub(crate) attempts_sent: u32,
     pub(crate) possibly_executed: Vec<SentAttempt>,
     pub(crate) in_flight: u32,
-    /// Endpoints that the next attempt avoids.
+    /// Endpoints that the next attempt must avoid, since earlier ones were sent there.
     pub(crate) tried: Vec<EndpointIndex>,
     pub(crate) is_over_quota: bool,
-    /// One random number in `[0, 1)` for the request's whole life: an endpoint in slow start admits
-    /// it or does not.
+    /// Random number in `[0, 1)`, drawn once per request, that determines whether an endpoint in
+    /// slow start admits it. A rejection at capacity doubles it, to at least 1.
     pub(crate) admission_draw: f64,
-    /// A streamed response has begun.
+    /// Whether a streamed response has begun.
     pub(crate) is_streaming: bool,
-    /// It waits in its replica set's queue, or was just taken from it to be dispatched again.
+    /// Whether it is in the queue of its replica set, or just removed from it for another dispatch.
     pub(crate) is_queued: bool,
 }
 
@@ -50,9 +50,9 @@
         self.tried.contains(&index)
     }
 
-    /// The endpoints that it refers to.
+    /// Returns the endpoints that it refers to; some may occur twice.
     pub(crate) fn endpoints(&self) -> impl Iterator<Item = EndpointIndex> + '_ {
-        let executed = self.possibly_executed.iter().map(|sent| sent.endpoint);
-        self.tried.iter().copied().chain(executed)
+        let possibly_executed = self.possibly_executed.iter().map(|sent| sent.endpoint);
+        self.tried.iter().copied().chain(possibly_executed)
     }
 }
--- a/crates/routing/src/primary_tracking.rs
+++ b/crates/routing/src/primary_tracking.rs
@@ -260,7 +260,7 @@
         let primary = self.current_primary(now, replica_set)?;
         let index = self
             .endpoints
-            .members(replica_set)
+            .replica_set_endpoints(replica_set)
             .iter()
             .copied()
             .filter(|&index| {
--- a/crates/routing/src/replica_selection.rs
+++ b/crates/routing/src/replica_selection.rs
@@ -121,7 +121,7 @@
         let primary = self.current_primary(now, replica_set);
         let mut replicas = Vec::new();
         let mut probe = None;
-        for &index in self.endpoints.members(replica_set) {
+        for &index in self.endpoints.replica_set_endpoints(replica_set) {
             let endpoint = &self.endpoints[index];
             let is_primary = primary == Some(index);
             if pending.has_tried(index)
--- a/crates/routing/src/session_consistency.rs
+++ b/crates/routing/src/session_consistency.rs
@@ -67,7 +67,7 @@
     /// been lost.
     fn has_unanswered_write(&self, now: Timestamp, request: &Request) -> bool {
         self.endpoints
-            .members(request.replica_set)
+            .replica_set_endpoints(request.replica_set)
             .iter()
             .flat_map(|&index| &self.endpoints[index].in_flight)
             .any(|attempt| {
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -126,8 +126,8 @@
     pub slow_start_initial_fraction: f64,
     /// Slow start: time from the start of an endpoint until it has its full capacity, nanoseconds.
     pub slow_start_duration: Nanos,
-    /// An endpoint in slow start is overloaded by an average load above this multiple of its current
-    /// capacity over `overload_window`.
+    /// An endpoint in slow start is overloaded by an average load above this multiple of its
+    /// current capacity over `overload_window`.
     pub overload_multiple: f64,
     /// Averaging window of `overload_multiple`, nanoseconds.
     pub overload_window: Nanos,
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -68,7 +68,10 @@
             // When no other endpoint is eligible, all reads of the replica set come here: it takes
             // one endpoint's part.
             Operation::Write | Operation::Read(_) => {
-                let members = self.endpoints.members(pending.request.replica_set).len();
+                let members = self
+                    .endpoints
+                    .replica_set_endpoints(pending.request.replica_set)
+                    .len();
                 multiple / 2.0 / members as f64
             }
         }
