--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -1,11 +1,11 @@
-//! The balancer: takes events, composes the decisions of the other modules, and answers with
+//! The balancer: handles events by combining the decisions of the other modules, and returns
 //! actions.
 //!
-//! The ordinary path follows the query cost calibrator: an endpoint's calibrated cost is its
-//! running average of observed over estimated latency, a read rotates over the eligible replicas
+//! In normal operation it follows the query cost calibrator: an endpoint's calibrated cost is its
+//! running average of observed over estimated latency, reads rotate over the eligible replicas
 //! within 20% of the cheapest, and a failed endpoint has infinite cost. A request is dispatched to
 //! an endpoint, queued until one is available, or gets its final response at once. Owns the pending
-//! requests, the timer, and one value of each module's state; it must never read a clock or do I/O.
+//! requests, the timer, and the state of each module; it must never read a clock or do I/O.
 
 use crate::action::{Action, RejectReason};
 use crate::admission::QuotaTracker;
@@ -17,7 +17,7 @@
 use crate::random::SplitMix64;
 use crate::replica_selection::Rotation;
 use crate::retry::RetryBudget;
-use crate::session_consistency::SessionTokens;
+use crate::session_consistency::SessionCommits;
 use crate::settings::{Class, Consistency, Operation, Settings, SettingsError};
 use crate::units::{EndpointId, Nanos, RequestId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,12 +29,12 @@
 /// Shortest time between two timer ticks, nanoseconds.
 const MIN_TICK: Nanos = 1_000_000;
 
-/// One router's decisions.
+/// Load balancer of one router, which turns events into actions.
 ///
-/// Invariants: each pending request gets exactly one final response, unless its client leaves or
-/// the router reports it complete; `replica_sets_with_queue` holds exactly the replica sets whose
-/// queue is not empty; a timer is set while any request is pending or a call to the discovery
-/// service is planned.
+/// Invariants: each pending request gets exactly one final response, unless its client disconnects
+/// or the router reports it as complete; `replica_sets_with_queue` holds exactly the replica sets
+/// whose queue is not empty; a timer is set while any request is pending or a call to the discovery
+/// service is scheduled.
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: SplitMix64,
@@ -42,7 +42,7 @@
     pub(crate) latency_cost: LatencyCost,
     pub(crate) rotation: Rotation,
     pub(crate) retry_budget: RetryBudget,
-    pub(crate) sessions: SessionTokens,
+    pub(crate) sessions: SessionCommits,
     quotas: QuotaTracker,
     subscription: ListSubscription,
     pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
@@ -55,10 +55,10 @@
 }
 
 impl Balancer {
-    /// A balancer without endpoints. `seed` determines its random choices.
+    /// Creates a balancer without endpoints. `seed` determines its random choices.
     ///
     /// # Errors
-    /// The settings contradict themselves, see [`Settings::check`].
+    /// Returns an error if [`Settings::validate`] rejects the settings.
     pub fn new(seed: u64, settings: Settings) -> Result<Balancer, SettingsError> {
         settings.validate()?;
         let objectives = || settings.classes.iter().map(|class| class.latency_objective);
@@ -74,7 +74,7 @@
             latency_cost: LatencyCost::new(min_objective, max_objective),
             rotation: Rotation::default(),
             retry_budget: RetryBudget::new(),
-            sessions: SessionTokens::default(),
+            sessions: SessionCommits::default(),
             quotas: QuotaTracker::new(&settings, max_objective as f64),
             subscription: ListSubscription::new(&settings, tick),
             pending: BTreeMap::new(),
@@ -86,12 +86,12 @@
         })
     }
 
-    /// Number of endpoints that it keeps in memory.
+    /// Returns the number of endpoints in memory, including removed ones not yet forgotten.
     pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Takes one event at `now` and appends the actions to carry out, in order.
+    /// Handles an event at `now` and appends the actions to carry out, in order.
     pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::List { kind, entries } => self.on_list(now, kind, &entries),
@@ -106,8 +106,8 @@
                 self.retry_all_queued(now, out);
             }
             Event::Timer { .. } => {}
-            // A health check can't see a full connection table, a cut link or a hang: it ends no
-            // ejection.
+            // A health check does not detect a full connection table, a cut link or a hang, so its
+            // success ends no ejection.
             Event::HealthCheckEnded {
                 endpoint, report, ..
             } => {
@@ -137,7 +137,7 @@
         &self.settings.classes[pending.request.class as usize]
     }
 
-    /// Whether only the primary may answer the request.
+    /// Returns whether only the primary may execute the request.
     pub(crate) fn needs_primary(&self, pending: &PendingRequest) -> bool {
         matches!(
             self.class(pending).operation,
@@ -160,7 +160,8 @@
         self.forget_expired_endpoints(now);
     }
 
-    /// Forgets endpoints that left the list long ago, once no pending request refers to them.
+    /// Forgets endpoints that left the list longer ago than the slow start lasts and to which no
+    /// pending request refers.
     fn forget_expired_endpoints(&mut self, now: Timestamp) {
         let retention = self.settings.rules.slow_start_duration;
         let expired = self.endpoints.expired(now, retention);
@@ -228,9 +229,9 @@
         };
         let endpoint = &mut self.endpoints[index];
         let replica_set = endpoint.replica_set;
-        let is_same =
+        let is_ended_attempt =
             |attempt: &Attempt| attempt.request == ended.request && attempt.number == ended.attempt;
-        let Some(position) = endpoint.in_flight.iter().position(is_same) else {
+        let Some(position) = endpoint.in_flight.iter().position(is_ended_attempt) else {
             return;
         };
         let attempt = endpoint.in_flight.swap_remove(position);
@@ -242,8 +243,8 @@
         self.retry_queued(now, replica_set, out);
     }
 
-    /// A write that was possibly executed binds its session, too; all that is known of its commit
-    /// is that it was before now.
+    /// Records the commit time of a write for its session. A write that was only possibly executed
+    /// is recorded, too; its commit time, if it has one, is known only to be before now.
     fn record_session_write(&mut self, now: Timestamp, attempt: Attempt, ended: &AttemptEnded) {
         if !attempt.is_write || ended.outcome.is_never_executed() {
             return;
@@ -254,11 +255,12 @@
             .applied_position
             .filter(|_| is_served)
             .unwrap_or(now);
-        let is_remembered = !self.settings.has_session_positions;
-        let session = attempt.session.filter(|_| is_remembered);
+        let is_recorded_here = !self.settings.has_session_positions;
+        let session = attempt.session.filter(|_| is_recorded_here);
         self.sessions.record_write(session, commit);
     }
 
+    /// Retries or finishes a request after the end of one of its attempts.
     fn continue_request(
         &mut self,
         now: Timestamp,
@@ -281,8 +283,8 @@
         }
     }
 
-    /// The final response, at once: a rejection where the client may repeat the request, else a
-    /// failure.
+    /// Gives the request its final response: a rejection if the client may safely repeat the
+    /// request, else a failure.
     pub(crate) fn reject_or_fail(
         &mut self,
         now: Timestamp,
@@ -304,7 +306,7 @@
         self.complete_request(pending, out);
     }
 
-    /// The final response that says nothing about the request's effect.
+    /// Gives the request the final response that leaves its effect unknown.
     pub(crate) fn fail(
         &mut self,
         pending: PendingRequest,
@@ -324,7 +326,7 @@
         }
     }
 
-    /// The request has its final response or needs none: takes it out of the queue and cancels its
+    /// Removes a request that has its final response or needs none from the queue, and cancels its
     /// attempts in flight.
     fn complete_request(&mut self, pending: PendingRequest, out: &mut Vec<Action>) {
         let id = pending.request.id;
@@ -356,11 +358,11 @@
     }
 }
 
-/// The request's latency objective, nanoseconds: its class's, extended by its expected execution
-/// time.
+/// Returns the request's latency objective, nanoseconds: that of its class, extended in proportion
+/// to its expected execution time.
 fn latency_objective(class: &Class, request: &Request) -> Nanos {
-    let work = request.expected_execution_time.unwrap_or(0) as f64;
-    let extension = (work * class.objective_stretch) as Nanos;
+    let execution_time = request.expected_execution_time.unwrap_or(0) as f64;
+    let extension = (execution_time * class.objective_stretch) as Nanos;
     class
         .latency_objective
         .saturating_add(extension)
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -1,11 +1,10 @@
-//! Dispatch: what happens to a request now. It is sent to an endpoint, queued until one is
-//! available, or rejected.
+//! Dispatch: sends a request to an endpoint, queues it until one is available, or rejects it.
 //!
 //! The order of the checks is: enough time and attempts left, a position refresh, the endpoint that
 //! the selection modules choose, load shedding, idempotency. Queued requests are dispatched again
-//! in order of arrival, on each timer tick and after each attempt of their replica set. Owns the
-//! queues of the replica sets; it must never send an attempt that these checks have not let
-//! through.
+//! in order of arrival, on each timer tick and after the end of each attempt in their replica set.
+//! Owns the queues of the replica sets; it must never send an attempt that has not passed these
+//! checks.
 
 use crate::action::{Action, RejectReason};
 use crate::balancer::Balancer;
@@ -14,9 +13,9 @@
 use crate::settings::Operation;
 use crate::units::{Nanos, RequestId, Timestamp};
 
-/// Most of its latency objective that a response is assumed to take, when a request is checked for
+/// Highest expected latency, in latency objectives, that is assumed when a request is checked for
 /// enough time.
-const MAX_EXPECTED_FACTOR: f64 = 0.5;
+const MAX_EXPECTED_LATENCY: f64 = 0.5;
 
 impl Balancer {
     /// Sends the request, queues it, or gives it its final response.
@@ -26,7 +25,7 @@
         pending: PendingRequest,
         out: &mut Vec<Action>,
     ) {
-        if let Some(reason) = self.dispatch_obstacle(now, &pending) {
+        if let Some(reason) = self.dispatch_rejection(now, &pending) {
             return self.reject_or_fail(now, pending, reason, out);
         }
         if let Some(index) = self.select_position_refresh(now, &pending) {
@@ -49,14 +48,14 @@
         }
     }
 
-    /// Why no endpoint can serve the request any more, if so.
-    fn dispatch_obstacle(&self, now: Timestamp, pending: &PendingRequest) -> Option<RejectReason> {
+    /// Returns the reason why the request can't be served any more, if there is one.
+    fn dispatch_rejection(&self, now: Timestamp, pending: &PendingRequest) -> Option<RejectReason> {
         let replica_set = pending.request.replica_set;
         if !self.endpoints.replica_sets.contains_key(&replica_set) {
             return Some(RejectReason::UnknownReplicaSet);
         }
-        let has_value_after_objective = self.class(pending).late_weight > 0.0;
-        let end = if has_value_after_objective {
+        let has_late_value = self.class(pending).late_weight > 0.0;
+        let end = if has_late_value {
             pending.deadline
         } else {
             pending.objective_end
@@ -64,7 +63,7 @@
         let factor = self
             .latency_cost
             .replica_set_factor(&self.endpoints, now, replica_set)
-            .min(MAX_EXPECTED_FACTOR);
+            .min(MAX_EXPECTED_LATENCY);
         let expected_latency = (pending.latency_objective as f64 * factor) as Nanos;
         if now + self.tick.max(expected_latency) >= end {
             return Some(RejectReason::DeadlineTooClose);
@@ -73,8 +72,8 @@
         (!has_attempts).then_some(RejectReason::AttemptLimitReached)
     }
 
-    /// Without an endpoint now: queues the request, unless none is expected before half of its time
-    /// is over: the client then still has time to react.
+    /// Queues a request for which no endpoint is available now. A new one is rejected instead if no
+    /// endpoint is expected within half of its time: the client then still has time to react.
     fn queue_or_reject(
         &mut self,
         now: Timestamp,
@@ -88,8 +87,8 @@
         let replica_set = pending.request.replica_set;
         pending.is_queued = true;
         pending.tried.clear();
-        if let Some(known) = self.endpoints.replica_sets.get_mut(&replica_set) {
-            known.queue.push_back(id);
+        if let Some(replica_set_state) = self.endpoints.replica_sets.get_mut(&replica_set) {
+            replica_set_state.queue.push_back(id);
             self.replica_sets_with_queue.insert(replica_set);
         }
         self.pending.insert(id, pending);
@@ -104,9 +103,9 @@
     ) {
         let id = pending.request.id;
         let is_write = self.class(&pending).operation == Operation::Write;
-        // The attempt may have to wait for a connection: the window has to be open when it is
-        // written, too.
-        let write_before = self.deduplication_deadline(&pending);
+        // The attempt may wait for a connection, and the deduplication window must still be open
+        // when it is written.
+        let deduplication_end = self.deduplication_deadline(&pending);
         let endpoint = &mut self.endpoints[index];
         endpoint.in_flight.push(Attempt {
             request: id,
@@ -120,7 +119,7 @@
             request: id,
             endpoint: endpoint.id.clone(),
             limit: None,
-            write_by: write_before,
+            write_by: deduplication_end,
         });
         pending.possibly_executed.push(SentAttempt {
             number: pending.attempts_sent,
@@ -136,11 +135,11 @@
 
     /// Dispatches the queued requests of a replica set again, in order of arrival.
     pub(crate) fn retry_queued(&mut self, now: Timestamp, replica_set: u32, out: &mut Vec<Action>) {
-        let Some(known) = self.endpoints.replica_sets.get_mut(&replica_set) else {
+        let Some(replica_set_state) = self.endpoints.replica_sets.get_mut(&replica_set) else {
             return;
         };
         self.replica_sets_with_queue.remove(&replica_set);
-        for id in std::mem::take(&mut known.queue) {
+        for id in std::mem::take(&mut replica_set_state.queue) {
             if let Some(pending) = self.pending.remove(&id) {
                 self.dispatch(now, pending, out);
             }
@@ -155,13 +154,13 @@
         }
     }
 
-    /// The request is complete and need not wait any longer.
+    /// Removes a complete request from the queue of its replica set.
     pub(crate) fn remove_from_queue(&mut self, id: RequestId, replica_set: u32) {
-        let Some(known) = self.endpoints.replica_sets.get_mut(&replica_set) else {
+        let Some(replica_set_state) = self.endpoints.replica_sets.get_mut(&replica_set) else {
             return;
         };
-        known.queue.retain(|queued| *queued != id);
-        if known.queue.is_empty() {
+        replica_set_state.queue.retain(|queued| *queued != id);
+        if replica_set_state.queue.is_empty() {
             self.replica_sets_with_queue.remove(&replica_set);
         }
     }
--- a/crates/routing/src/session_consistency.rs
+++ b/crates/routing/src/session_consistency.rs
@@ -1,10 +1,11 @@
-//! Read-your-writes and bounded staleness: which position of the log a read needs, and which
-//! endpoints have it.
+//! Read-your-writes and bounded staleness: the log position that a read needs, and the endpoints
+//! that have applied it.
 //!
-//! Where requests do not carry their session's position, the balancer remembers the commit time of
-//! each session's last write. The memory is bounded: when it is full it is cleared, and a floor
-//! stands for every forgotten session, so a read may ask for newer data than necessary but never
-//! for older. Owns these commit times; it must never weaken the consistency that a class asks for.
+//! Where requests do not carry their session's position, the balancer records the commit time of
+//! each session's last write. The number of entries is bounded: at the limit all are cleared, and
+//! the latest commit time among them becomes the lower bound for every session. A read may then
+//! require newer data than necessary, but never older. Owns these commit times; it must never
+//! weaken the consistency of a class.
 
 use crate::balancer::Balancer;
 use crate::endpoint_list::EndpointIndex;
@@ -15,31 +16,32 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Most sessions whose last write is remembered; beyond, all are replaced by the floor.
+/// Largest number of sessions whose last write is recorded; above it, all entries are replaced by
+/// the floor.
 const MAX_SESSIONS: usize = 200_000;
-/// A response counts as known this long after it was given, whether or not it arrived, nanoseconds
+/// Time after which a client counts as knowing a response, whether or not it arrived, nanoseconds
 /// (from the protocol).
 const RESPONSE_VISIBLE_AFTER: Nanos = 100_000_000;
 
-/// The commit time of each session's last write.
+/// Commit time of each session's last write.
 ///
-/// Invariant: for every session, the larger of its entry and `floor` is no earlier than its last
+/// Invariant: for every session, the later of its entry and `floor` is no earlier than its last
 /// recorded write.
 #[derive(Default)]
-pub(crate) struct SessionTokens {
+pub(crate) struct SessionCommits {
     last_commits: BTreeMap<Arc<str>, Timestamp>,
-    /// Stands for all sessions that were forgotten.
+    /// Lower bound for all sessions: no earlier than any entry that was cleared.
     floor: Option<Timestamp>,
 }
 
-impl SessionTokens {
-    /// The position that a read of the session needs, if any.
+impl SessionCommits {
+    /// Returns the log position that a read of the session needs, if any.
     pub(crate) fn required_position(&self, session: Option<&Arc<str>>) -> Option<Timestamp> {
-        let own = session.and_then(|s| self.last_commits.get(s)).copied();
-        own.max(self.floor)
+        let session_commit = session.and_then(|s| self.last_commits.get(s)).copied();
+        session_commit.max(self.floor)
     }
 
-    /// A write of the session was committed, or possibly was, at `commit`.
+    /// Records a write of the session that was, or possibly was, committed at `commit`.
     pub(crate) fn record_write(&mut self, session: Option<Arc<str>>, commit: Timestamp) {
         if self.last_commits.len() > MAX_SESSIONS {
             self.floor = self.floor.max(self.last_commits.values().copied().max());
@@ -53,19 +55,19 @@
 }
 
 impl Balancer {
-    /// The position of the log that a read of the request's session needs.
+    /// Returns the log position that a read of the request's session needs, if any.
     pub(crate) fn required_position(&self, now: Timestamp, request: &Request) -> Option<Timestamp> {
         if self.settings.has_session_positions {
             return request.since_write.map(|age| now.saturating_sub(age));
         }
         let recorded = self.sessions.required_position(request.session.as_ref());
-        let unanswered = self.has_unanswered_write(now, request).then_some(now);
-        recorded.max(unanswered)
+        let overdue = self.has_overdue_write(now, request).then_some(now);
+        recorded.max(overdue)
     }
 
-    /// Whether a write of the request's session is in flight for so long that its response may have
-    /// been lost.
-    fn has_unanswered_write(&self, now: Timestamp, request: &Request) -> bool {
+    /// Returns whether a write of the request's session has been in flight for so long that its
+    /// response may be lost.
+    fn has_overdue_write(&self, now: Timestamp, request: &Request) -> bool {
         self.endpoints
             .replica_set_endpoints(request.replica_set)
             .iter()
@@ -77,9 +79,9 @@
             })
     }
 
-    /// Whether a replica is known to be fresh enough for a read. Where endpoints check reads
-    /// themselves, its lag when last observed is taken to hold on: a wrong guess only costs an
-    /// attempt. Where they don't, only what is known counts.
+    /// Returns whether a replica is fresh enough for a read. Where endpoints check reads
+    /// themselves, the lag of its last observation is assumed to be unchanged: a wrong assumption
+    /// only costs an attempt. Where they don't, only its last known position counts.
     pub(crate) fn is_fresh_enough(
         &self,
         now: Timestamp,
