--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -16,11 +16,11 @@
 use crate::settings::Settings;
 use crate::units::Timestamp;
 
-/// Expected latency, in latency objectives, at which load shedding begins.
+/// Expected latency, in latency objectives, above which load shedding begins.
 const SHED_START: f64 = 1.2;
 /// Expected latency, in latency objectives, from which every request is shed.
 const SHED_ALL: f64 = 2.1;
-/// Factor on the expected latency of a read that a replica could answer, at the primary.
+/// Factor on the expected latency, at the primary, of a read that a replica could serve.
 const PRIMARY_READ_PENALTY: f64 = 2.0;
 /// Factor on the expected latency of a request over its tenant's quota.
 const OVER_QUOTA_PENALTY: f64 = 2.0;
@@ -29,8 +29,8 @@
 /// Nanoseconds per second.
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// Probability of rejecting a request whose expected latency is `expected_latency` latency
-/// objectives; below 0 means never, above 1 always.
+/// Returns the probability of rejecting a request whose expected latency is `expected_latency`
+/// latency objectives; a value below 0 means never, above 1 always.
 fn shed_probability(expected_latency: f64) -> f64 {
     (expected_latency - SHED_START) / (SHED_ALL - SHED_START)
 }
@@ -52,9 +52,9 @@
         }
     }
 
-    /// Counts the request and says whether it is over its tenant's quota, as far as this router's
-    /// part of the tenant's requests shows. Requests over the quota are chosen at random, in
-    /// proportion to the excess.
+    /// Counts the request and returns whether it is over its tenant's quota. The tenant's rate is
+    /// extrapolated from this router to all routers, and requests over the quota are chosen at
+    /// random, in proportion to the excess.
     pub(crate) fn is_over_quota(
         &mut self,
         now: Timestamp,
@@ -76,8 +76,9 @@
 }
 
 impl Balancer {
-    /// Whether load shedding rejects the request's first attempt at the endpoint. A recovery probe
-    /// is never shed. This could mislead where one endpoint's queue is taken for the replica set's.
+    /// Returns whether load shedding rejects the request's first attempt at the endpoint. A
+    /// recovery probe is never shed. Known limitation: a queue at the selected endpoint alone is
+    /// taken for a queue at the whole replica set.
     pub(crate) fn is_shed(
         &mut self,
         now: Timestamp,
@@ -91,7 +92,8 @@
         self.rng.next_f64() < shed_probability(expected_latency)
     }
 
-    /// Pessimistic latency of the request at the endpoint, in its latency objectives.
+    /// Returns a pessimistic estimate of the request's latency at the endpoint, in latency
+    /// objectives of the request.
     fn expected_latency(
         &self,
         now: Timestamp,
@@ -106,7 +108,7 @@
         if pending.is_over_quota {
             penalty *= OVER_QUOTA_PENALTY;
         }
-        // Few samples may hide a queue: the fewer there are, the more they count.
+        // A small number of samples may miss a queue: the fewer samples, the higher the estimate.
         let cost = &self.latency_cost;
         let samples = cost.load_sample_count(&self.endpoints, now, index);
         let uncertainty = 1.0 + 1.0 / (PRIOR_WEIGHT + samples);
@@ -114,8 +116,8 @@
         penalty * uncertainty * load * cost.min_objective / pending.latency_objective as f64
     }
 
-    /// Whether any endpoint of the replica set may accept the request within the first half of its
-    /// time.
+    /// Returns whether any endpoint of the replica set may accept the request within the first half
+    /// of its time.
     pub(crate) fn may_become_available(&self, now: Timestamp, pending: &PendingRequest) -> bool {
         let half_time = pending
             .deadline
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,9 +1,9 @@
 //! Retries: a budget that keeps them from amplifying an overload, and the rules of idempotency.
 //!
-//! The budget is a token bucket that follows the router's own requests: each request adds a
-//! fraction of a token, each retry that may cost an endpoint work takes one. Outcomes that prove
-//! that nothing was executed are free. A request that was possibly executed is sent again only as
-//! its class's idempotency allows. Owns the budget; it must never select an endpoint.
+//! The budget is a token bucket filled by the router's own requests: each request adds a fraction
+//! of a token, and each retry that may cost an endpoint work takes one. Retries after outcomes that
+//! certainly cost no work are free. A request that was possibly executed is sent again only if the
+//! idempotency of its class allows it. Owns the budget; it must never select an endpoint.
 
 use crate::action::{Action, RejectReason};
 use crate::balancer::Balancer;
@@ -13,16 +13,16 @@
 use crate::settings::{Idempotency, KeyScope, Operation};
 use crate::units::Timestamp;
 
-/// Retries that may have cost work, as a fraction of requests.
+/// Tokens that each request adds: the fraction of requests that may be retried at a cost.
 const RETRY_RATIO: f64 = 0.15;
-/// Most retries that the budget holds.
-const MAX_TOKENS: f64 = 20.0;
-/// Least capacity of the budget, so that a router with few requests can retry at all.
+/// Largest capacity of the budget, tokens.
+const MAX_CAPACITY: f64 = 20.0;
+/// Smallest capacity of the budget, tokens, so that a router with few requests can retry at all.
 const MIN_CAPACITY: f64 = 1.0;
 
 /// Token bucket of retries.
 ///
-/// Invariant: `0 <= tokens <= MAX_TOKENS`.
+/// Invariant: `0 <= tokens <= MAX_CAPACITY`.
 pub(crate) struct RetryBudget {
     tokens: f64,
 }
@@ -34,14 +34,15 @@
         }
     }
 
-    /// A request has come in. The capacity follows the router's recent requests: a budget that each
-    /// of many routers may spend at once would add up to an overload.
+    /// Adds the tokens for a new request. The capacity is proportional to the router's recent
+    /// requests: if each of many routers could spend a large budget at once, the retries would add
+    /// up to an overload.
     pub(crate) fn deposit(&mut self, recent_requests: f64) {
-        let capacity = (RETRY_RATIO * recent_requests).clamp(MIN_CAPACITY, MAX_TOKENS);
+        let capacity = (RETRY_RATIO * recent_requests).clamp(MIN_CAPACITY, MAX_CAPACITY);
         self.tokens = (self.tokens + RETRY_RATIO).min(capacity);
     }
 
-    /// Whether the budget covers `cost` tokens.
+    /// Returns whether the budget covers `cost` tokens.
     pub(crate) fn covers(&self, cost: f64) -> bool {
         self.tokens >= cost
     }
@@ -53,7 +54,8 @@
     }
 }
 
-/// Tokens that a retry after this outcome takes: none where the endpoint certainly did no work.
+/// Returns the tokens that a retry after this outcome takes: none if the endpoint certainly did no
+/// work.
 fn retry_cost(outcome: AttemptOutcome) -> f64 {
     match outcome {
         AttemptOutcome::Misrouted | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => 0.0,
@@ -62,7 +64,8 @@
 }
 
 impl Balancer {
-    /// The request's last attempt in flight has failed: sends another one, or the final response.
+    /// Sends another attempt after the last one in flight has failed, or gives the request its
+    /// final response.
     pub(crate) fn retry_or_finish(
         &mut self,
         now: Timestamp,
@@ -77,13 +80,13 @@
         if is_write && !outcome.is_never_executed() {
             pending.tried.clear();
         }
-        if let Some(reason) = self.retry_obstacle(now, &pending, outcome) {
+        if let Some(reason) = self.retry_rejection(now, &pending, outcome) {
             return self.reject_or_fail(now, pending, reason, out);
         }
         self.retry_budget.withdraw(retry_cost(outcome));
         if outcome == AttemptOutcome::Overloaded {
-            // An endpoint in slow start has spent capacity on the rejection: half the chance next
-            // time, or none.
+            // The rejection has cost an endpoint in slow start capacity: the next one admits the
+            // request with half the probability, or not at all.
             pending.admission_draw = 2.0 * pending.admission_draw.max(0.5);
         }
         let replica_set = pending.request.replica_set;
@@ -93,8 +96,9 @@
         self.dispatch(now, pending, out);
     }
 
-    /// Why the request may not be sent again after this outcome, if so.
-    fn retry_obstacle(
+    /// Returns the reason why the request may not be sent again after this outcome, if there is
+    /// one.
+    fn retry_rejection(
         &self,
         now: Timestamp,
         pending: &PendingRequest,
@@ -120,9 +124,9 @@
         }
     }
 
-    /// Whether the request may be sent to the endpoint: one that was possibly executed only as its
-    /// class allows, where the endpoint shares the record of keys with all earlier ones and the
-    /// deduplication window is open.
+    /// Returns whether the request may be sent to the endpoint. If it was possibly executed, its
+    /// class must be idempotent, or the endpoint must share its record of idempotency keys with all
+    /// earlier ones while the deduplication window is open.
     pub(crate) fn is_safe_to_send(
         &self,
         now: Timestamp,
@@ -130,15 +134,15 @@
         pending: &PendingRequest,
     ) -> bool {
         let class = self.class(pending);
-        let target = &self.endpoints[index];
+        let endpoint = &self.endpoints[index];
         pending.possibly_executed.iter().all(|sent| {
             let earlier = &self.endpoints[sent.endpoint];
             let shares_keys = match class.idempotency {
                 Idempotency::Idempotent => return true,
                 Idempotency::IdempotencyKey(KeyScope::All) => true,
-                Idempotency::IdempotencyKey(KeyScope::Zone) => earlier.zone == target.zone,
+                Idempotency::IdempotencyKey(KeyScope::Zone) => earlier.zone == endpoint.zone,
                 Idempotency::IdempotencyKey(KeyScope::ReplicaSet) => {
-                    earlier.replica_set == target.replica_set
+                    earlier.replica_set == endpoint.replica_set
                 }
                 Idempotency::NonIdempotent => false,
             };
@@ -146,8 +150,8 @@
         })
     }
 
-    /// Until when a further attempt may be written: as long as the deduplication window of the
-    /// first, possibly executed one is open.
+    /// Returns the latest time for writing a further attempt: the end of the deduplication window
+    /// of the first possibly executed one. `None` means no such limit.
     pub(crate) fn deduplication_deadline(&self, pending: &PendingRequest) -> Option<Timestamp> {
         let class = self.class(pending);
         if class.idempotency == Idempotency::Idempotent {
@@ -161,8 +165,8 @@
         Some(first.saturating_add(class.deduplication_window))
     }
 
-    /// Whether a client that repeats the request after a rejection does no harm. A key that all
-    /// endpoints share protects the repetition only while its deduplication window is open.
+    /// Returns whether a client may safely repeat the request after a rejection. A key that all
+    /// endpoints share makes the repetition safe only while its deduplication window is open.
     pub(crate) fn is_safe_to_reject(&self, now: Timestamp, pending: &PendingRequest) -> bool {
         let class = self.class(pending);
         match class.idempotency {
