--- a/crates/routing/src/latency_cost.rs
+++ b/crates/routing/src/latency_cost.rs
@@ -1,13 +1,14 @@
 //! Calibrated cost of endpoints: a running average of observed over estimated latency, as in the
 //! query cost calibrator, where the estimate is the request's latency objective.
 //!
-//! Two estimates are kept. The calibrated cost averages over a long window and ranks replicas. The
-//! load estimate averages over a short window, in shortest latency objectives, and shows queueing.
-//! Attempts in flight count with their age, as censored observations do in the mean of a lifetime:
-//! the estimate rises with a hang, a cut link, a slow machine or a queue before any time-out. This
-//! could mislead where one class is far slower than its objective. Each average starts from a
-//! prior: the replica set's mean, or the mean of all endpoints of the same role. Owns the averages
-//! and the router's request rate; it must never eject or select an endpoint.
+//! There are two averages per endpoint. The calibrated cost has a long window and ranks replicas.
+//! The load estimate has a short window, is measured in shortest latency objectives, and shows
+//! queueing. Attempts in flight contribute their age, like censored observations in a mean
+//! lifetime: the estimates rise with a hang, a cut link, a slow machine or a queue before any
+//! timeout. Known limitation: a class that is far slower than its objective distorts the estimates.
+//! Each average starts from a prior: the mean of the replica set, or of all endpoints of the same
+//! role. Owns the averages and the router's request rate; it must never eject or select an
+//! endpoint.
 
 use crate::decaying_average::DecayingAverage;
 use crate::endpoint_list::{Attempt, EndpointIndex, EndpointList};
@@ -15,41 +16,44 @@
 
 /// Averaging window of the calibrated cost, in longest latency objectives.
 const COST_WINDOW: f64 = 2.0;
-/// Samples that the calibrated cost of an endpoint covers at least, at this router's request rate.
+/// Smallest number of samples that the calibrated cost of an endpoint covers, at this router's
+/// request rate.
 const COST_MIN_SAMPLES: f64 = 2.0;
-/// Samples that the load estimate of an endpoint covers at least, at this router's request rate.
+/// Smallest number of samples that the load estimate of an endpoint covers, at this router's
+/// request rate.
 const LOAD_MIN_SAMPLES: f64 = 1.0;
-/// Samples that the load estimate of a role covers at least, at this router's request rate.
+/// Smallest number of samples that the load estimate of a role covers, at this router's request
+/// rate.
 const ROLE_LOAD_MIN_SAMPLES: f64 = 8.0;
-/// Window of the request rate, in longest latency objectives.
+/// Averaging window of the request rate, in longest latency objectives.
 const REQUEST_RATE_WINDOW: f64 = 8.0;
-/// Weight, in samples, of the replica set's mean in each endpoint's average: an endpoint without
-/// recent samples drifts back to it.
+/// Weight, in samples, of the prior in the calibrated cost of each endpoint: without recent
+/// samples, the cost returns to the mean of the replica set.
 pub(crate) const PRIOR_WEIGHT: f64 = 1.0;
-/// Samples, each at the latency objective, with which a replica set's mean starts.
+/// Weight, in samples at the latency objective, with which the mean of a replica set starts.
 const REPLICA_SET_PRIOR_WEIGHT: f64 = 0.2;
-/// Least weight, in samples, of the load estimate of a role.
+/// Smallest weight, in samples, of the load estimate of a role in the prior.
 const ROLE_PRIOR_MIN_WEIGHT: f64 = 0.2;
 
 /// Latency samples of one endpoint.
 #[derive(Default)]
 pub(crate) struct LatencySamples {
-    /// In the latency objectives of their requests.
+    /// Samples of the calibrated cost, in the latency objectives of their requests.
     cost: DecayingAverage,
-    /// In shortest latency objectives.
+    /// Samples of the load estimate, in shortest latency objectives.
     load: DecayingAverage,
-    /// When the latest attempt that it has served was sent.
+    /// Send time of the attempt that was sent last among those that it has served.
     latest_served_send: Timestamp,
 }
 
 impl LatencySamples {
-    /// An attempt that was sent at `sent_at` was served.
+    /// Records that an attempt sent at `sent_at` was served.
     pub(crate) fn record_served(&mut self, sent_at: Timestamp) {
         self.latest_served_send = self.latest_served_send.max(sent_at);
     }
 }
 
-/// A mean and the number of samples that it stands for.
+/// Prior of an average: the weighted sum of its samples, and their weight in samples.
 struct Prior {
     sum: f64,
     weight: f64,
@@ -63,7 +67,7 @@
     pub(crate) min_objective: f64,
     /// Longest latency objective of all classes, nanoseconds.
     pub(crate) max_objective: f64,
-    /// This router's requests: how fast evidence comes in.
+    /// Requests of this router: their rate limits the rate of samples.
     requests: DecayingAverage,
     /// Load samples of all replicas, in shortest latency objectives.
     replica_load: DecayingAverage,
@@ -82,40 +86,41 @@
         }
     }
 
-    /// Counts a request; returns the number of recent requests.
+    /// Counts a request and returns the number of recent requests.
     pub(crate) fn record_request(&mut self, now: Timestamp) -> f64 {
         self.requests
             .add(now, REQUEST_RATE_WINDOW * self.max_objective, 1.0);
         self.requests.count_at_last_sample()
     }
 
-    /// Mean time between this router's requests, nanoseconds.
+    /// Returns the mean time between this router's requests, nanoseconds.
     fn request_interval(&self, now: Timestamp) -> f64 {
         let window = REQUEST_RATE_WINDOW * self.max_objective;
         let (_, requests) = self.requests.totals(now, window);
         window / requests.max(1.0)
     }
 
-    /// Time constant of an endpoint's calibrated cost, nanoseconds: never so short that a router
-    /// with few requests would have no evidence.
+    /// Returns the time constant of an endpoint's calibrated cost, nanoseconds: long enough for a
+    /// router with few requests to have samples.
     fn cost_window(&self, list: &EndpointList, now: Timestamp) -> f64 {
         let sample_interval = self.request_interval(now) * list.len() as f64;
         (COST_WINDOW * self.max_objective).max(COST_MIN_SAMPLES * sample_interval)
     }
 
-    /// Time constant of an endpoint's load estimate, nanoseconds.
+    /// Returns the time constant of an endpoint's load estimate, nanoseconds.
     fn load_window(&self, list: &EndpointList, now: Timestamp) -> f64 {
         let sample_interval = self.request_interval(now) * list.len() as f64;
         self.min_objective.max(LOAD_MIN_SAMPLES * sample_interval)
     }
 
-    /// Time constant of a role's load estimate, nanoseconds.
+    /// Returns the time constant of a role's load estimate, nanoseconds.
     fn role_load_window(&self, now: Timestamp) -> f64 {
         self.min_objective
             .max(ROLE_LOAD_MIN_SAMPLES * self.request_interval(now))
     }
 
-    /// Observed over estimated latency of the replica set's endpoints together. It starts at one.
+    /// Returns observed over estimated latency, pooled over the replica set's endpoints; 1 without
+    /// samples.
     pub(crate) fn replica_set_factor(
         &self,
         list: &EndpointList,
@@ -133,7 +138,7 @@
         observed / estimated
     }
 
-    /// Calibrated cost of an endpoint, in latency objectives.
+    /// Returns the calibrated cost of an endpoint, in latency objectives.
     pub(crate) fn calibrated_cost(
         &self,
         list: &EndpointList,
@@ -152,18 +157,19 @@
         (sum + in_flight_age + prior) / (count + PRIOR_WEIGHT)
     }
 
-    /// Latency of an endpoint over a short window, in shortest latency objectives.
+    /// Returns the load estimate of an endpoint: its latency over a short window, in shortest
+    /// latency objectives.
     pub(crate) fn load(&self, list: &EndpointList, now: Timestamp, index: EndpointIndex) -> f64 {
         let endpoint = &list[index];
-        // An attempt that was overtaken by one sent a shortest objective later is not in a queue:
-        // it runs for long, or its response is lost. Over a shorter time, endpoints with several
-        // cores overtake by chance.
-        let overtaken_before = endpoint.latency.latest_served_send;
+        // If an attempt that was sent more than a shortest objective later has been served already,
+        // this one is not in a queue: it takes long to execute, or its response is lost. Within a
+        // shorter time, endpoints with several cores complete attempts out of order by chance.
+        let latest_served_send = endpoint.latency.latest_served_send;
         let margin = self.min_objective as Nanos;
         let in_flight_age: f64 = endpoint
             .in_flight
             .iter()
-            .filter(|attempt| attempt.sent_at.saturating_add(margin) >= overtaken_before)
+            .filter(|attempt| attempt.sent_at.saturating_add(margin) >= latest_served_send)
             .map(|attempt| age(now, attempt) / self.min_objective)
             .sum();
         let prior = self.role_prior(list, now, index);
@@ -172,7 +178,7 @@
         (sum + in_flight_age + prior.sum) / (count + prior.weight)
     }
 
-    /// Number of samples in the endpoint's load estimate.
+    /// Returns the number of samples in the endpoint's load estimate.
     pub(crate) fn load_sample_count(
         &self,
         list: &EndpointList,
@@ -183,8 +189,9 @@
         list[index].latency.load.totals(now, window).1
     }
 
-    /// The mean load of endpoints of the same role: of all replica sets together, and of the other
-    /// endpoints of its own, as far as these have recent samples.
+    /// Returns the prior of an endpoint's load estimate: the mean over the endpoints of the same
+    /// role in all replica sets, combined with the recent samples of the others in its own replica
+    /// set.
     fn role_prior(&self, list: &EndpointList, now: Timestamp, index: EndpointIndex) -> Prior {
         let is_primary = list.is_confirmed_primary(index);
         let role_load = if is_primary {
@@ -210,7 +217,8 @@
         }
     }
 
-    /// Adds a sample of the calibrated cost: a response, or none in time.
+    /// Adds a sample to the calibrated cost of an endpoint: the latency of a response, or the time
+    /// spent without one, nanoseconds.
     pub(crate) fn record_cost(
         &self,
         list: &mut EndpointList,
@@ -226,7 +234,7 @@
             .add(now, window, latency / latency_objective);
     }
 
-    /// Adds a sample of the endpoint's load estimate only.
+    /// Adds a sample, nanoseconds, to the load estimate of the endpoint but not of its role.
     pub(crate) fn record_load(
         &self,
         list: &mut EndpointList,
@@ -239,8 +247,9 @@
         list[index].latency.load.add(now, window, sample);
     }
 
-    /// Adds a served attempt to the load estimates of the endpoint and of its role. Only served
-    /// attempts count for the role, so that one faulty endpoint is not taken for all.
+    /// Adds the latency of a served attempt, nanoseconds, to the load estimates of the endpoint and
+    /// of its role. Only served attempts count for the role, so that one faulty endpoint does not
+    /// raise the estimates of all.
     pub(crate) fn record_served_load(
         &mut self,
         list: &mut EndpointList,
@@ -259,7 +268,7 @@
     }
 }
 
-/// Time since the attempt was sent, nanoseconds.
+/// Returns the time since the attempt was sent, nanoseconds.
 fn age(now: Timestamp, attempt: &Attempt) -> f64 {
     now.saturating_sub(attempt.sent_at) as f64
 }
