--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -85,7 +85,7 @@
         index: EndpointIndex,
         pending: &PendingRequest,
     ) -> bool {
-        if pending.attempts_sent > 0 || self.endpoints[index].health.is_ejected {
+        if pending.attempts_sent > 0 || self.endpoints[index].health.is_ejected_for_errors {
             return false;
         }
         let expected_latency = self.expected_latency(now, index, pending);
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -1,58 +1,59 @@
-//! Outlier detection and recovery: which endpoints are ejected after failures, and when they may
-//! return.
+//! Outlier detection and recovery: ejects endpoints after failures and determines when they may get
+//! requests again.
 //!
 //! An endpoint that returns an error is ejected (its cost is infinite) until a response, if need be
-//! to a recovery probe, shows that it has recovered. An endpoint that is at capacity or out of
-//! reach is ejected for a time that grows exponentially with consecutive failures; the time out of
-//! reach is randomised, so that many routers do not return in step. Owns each endpoint's health; it
-//! must never choose where a request goes.
+//! to a recovery probe, shows that it has recovered. An endpoint that is at capacity or unreachable
+//! is ejected for a time that grows exponentially with consecutive failures; for an unreachable one
+//! the time is randomised, so that many routers do not return to it at once. Owns each endpoint's
+//! health; it must never select the endpoint for a request.
 
 use crate::balancer::Balancer;
 use crate::endpoint_list::{Attempt, EndpointIndex};
 use crate::event::{AttemptEnded, AttemptOutcome, Role};
 use crate::units::{Nanos, Timestamp};
 
-/// Malformed responses, or broken connections, in a row that are taken for a fault of the endpoint:
-/// fewer may come from the network.
+/// Number of consecutive malformed responses, or of consecutive broken connections, that count as a
+/// fault of the endpoint: fewer may be caused by the network.
 const FAULT_THRESHOLD: u32 = 3;
-/// Least latency, in latency objectives, that an error or a rejection at capacity counts as: quick
-/// failures must not make an endpoint cheap.
+/// Smallest latency, in latency objectives, that is recorded for an error, and the one recorded for
+/// a rejection at capacity: quick failures must not make an endpoint cheap.
 const FAILURE_LATENCY: f64 = 2.0;
-/// Longest time until an ejected endpoint gets another request, nanoseconds (from the design).
+/// Longest time until an ejected endpoint gets another request, nanoseconds, before randomisation.
 const MAX_EJECTION: Nanos = 5_000_000_000;
-/// Highest exponent of the time between recovery probes.
+/// Highest exponent of the time between recovery probes, as a power of 2.
 const MAX_PROBE_DOUBLINGS: u32 = 8;
-/// Highest exponent of the ejection of an endpoint at capacity.
+/// Highest exponent of the ejection of an endpoint at capacity, as a power of 2.
 const MAX_OVERLOAD_DOUBLINGS: u32 = 6;
-/// Highest exponent of the ejection of an endpoint out of reach.
+/// Highest exponent of the ejection of an unreachable endpoint, as a power of 2.
 const MAX_CONNECT_DOUBLINGS: u32 = 8;
 
-/// Health of one endpoint as its attempts show it.
+/// Health of one endpoint, derived from the outcomes of its attempts.
 ///
 /// Invariant: a response sets all failure counters to 0 and ends the ejection for errors; an error
 /// counts as a response and then ejects the endpoint again.
 #[derive(Default)]
 pub(crate) struct EndpointHealth {
-    /// Latest sign of life.
+    /// Time of its latest response, or else of its first entry in the list.
     pub(crate) last_response_at: Timestamp,
-    /// It returned an error: its cost is infinite until a response shows that it has recovered.
-    pub(crate) is_ejected: bool,
-    /// When an ejected endpoint may get a recovery probe.
+    /// Whether it returned an error: its cost is infinite until a response shows that it has
+    /// recovered.
+    pub(crate) is_ejected_for_errors: bool,
+    /// Earliest time of the next recovery probe while it is ejected for errors.
     probe_at: Timestamp,
     /// Recovery probes since its last response.
     recovery_probes: u32,
-    /// At capacity or out of reach: it gets no new work until then.
+    /// End of its ejection for being at capacity or unreachable: it gets no requests until then.
     pub(crate) ejected_until: Timestamp,
     pub(crate) consecutive_overloads: u32,
     pub(crate) consecutive_connect_failures: u32,
     consecutive_malformed: u32,
     consecutive_resets: u32,
-    /// When the first of the consecutive connect failures occurred.
+    /// Time of the first of the consecutive connect failures.
     unreachable_since: Timestamp,
 }
 
 impl EndpointHealth {
-    /// Health of an endpoint that was just learned of.
+    /// Creates the health of an endpoint that appears in the list at `now`.
     pub(crate) fn new(now: Timestamp) -> EndpointHealth {
         EndpointHealth {
             last_response_at: now,
@@ -60,13 +61,13 @@
         }
     }
 
-    /// Whether a recovery probe may be sent to the ejected endpoint.
+    /// Returns whether a recovery probe may be sent to the ejected endpoint.
     pub(crate) fn is_probe_due(&self, now: Timestamp) -> bool {
         self.probe_at <= now
     }
 
-    /// A recovery probe is sent: plans the next one, with exponential backoff from the longest
-    /// latency objective.
+    /// Records that a recovery probe is sent and schedules the next one, with exponential backoff
+    /// from the longest latency objective.
     pub(crate) fn record_probe(&mut self, now: Timestamp, max_objective: f64) {
         self.recovery_probes += 1;
         let doublings = self.recovery_probes.min(MAX_PROBE_DOUBLINGS);
@@ -75,12 +76,12 @@
     }
 
     fn has_failed(&self) -> bool {
-        self.is_ejected || self.consecutive_connect_failures > 0
+        self.is_ejected_for_errors || self.consecutive_connect_failures > 0
     }
 
     fn record_response(&mut self, now: Timestamp) {
         self.last_response_at = now;
-        self.is_ejected = false;
+        self.is_ejected_for_errors = false;
         self.recovery_probes = 0;
         self.consecutive_overloads = 0;
         self.consecutive_connect_failures = 0;
@@ -89,7 +90,7 @@
     }
 
     fn eject_until_recovered(&mut self, probe_at: Timestamp) {
-        self.is_ejected = true;
+        self.is_ejected_for_errors = true;
         self.probe_at = probe_at;
     }
 
@@ -99,8 +100,8 @@
         self.ejected_until = now + (tick << overloads) / 2;
     }
 
-    /// Returns the number of consecutive connect failures, up to the highest exponent of the
-    /// backoff.
+    /// Counts a connect failure and returns the number of consecutive ones, up to the highest
+    /// exponent of the ejection.
     fn record_connect_failure(&mut self, now: Timestamp) -> u32 {
         if self.consecutive_connect_failures == 0 {
             self.unreachable_since = now;
@@ -112,7 +113,8 @@
 }
 
 impl Balancer {
-    /// Takes over what the outcome of an attempt shows about its endpoint.
+    /// Updates the replication status, health and latency of an endpoint from the outcome of an
+    /// attempt.
     pub(crate) fn record_outcome(
         &mut self,
         now: Timestamp,
@@ -122,7 +124,8 @@
     ) {
         let mut replication = ended.replication;
         if attempt.is_write && ended.outcome == AttemptOutcome::Served {
-            // The position of a served write is its own commit, and earlier ones may be missing.
+            // The position of a served write is that of its own commit; earlier commits may be
+            // missing at the endpoint.
             replication.applied_position = None;
         }
         self.observe_replication(now, index, ended.report, false);
@@ -168,9 +171,10 @@
         self.record_response(now, index);
     }
 
-    /// At capacity or draining: no sample of its cost, but a short ejection that grows as this
-    /// repeats, and a sample of its load: with all queues full nothing is served in time, and no
-    /// latency would show it.
+    /// Records a rejection by an endpoint at capacity or draining: a short ejection, which grows
+    /// with each consecutive rejection, and a sample of its load but not of its cost. When all
+    /// queues are full, nothing is served in time, and no latency of a response would show the
+    /// overload.
     fn record_overload(&mut self, now: Timestamp, index: EndpointIndex, attempt: &Attempt) {
         let list = &mut self.endpoints;
         list[index].health.record_overload(now, self.tick);
@@ -197,7 +201,8 @@
             .eject_until_recovered(now + delay as Nanos);
     }
 
-    /// Any endpoint's response may be damaged in transit, so a single one shows no fault.
+    /// Counts a malformed response. A response may be damaged in transit, so only several in a row
+    /// count as an error of the endpoint.
     fn record_malformed(
         &mut self,
         now: Timestamp,
@@ -212,7 +217,8 @@
         }
     }
 
-    /// One connection may break on its own; a process that dies breaks all and refuses new ones.
+    /// Counts a broken connection. A single one may break on its own; a process that dies breaks
+    /// all of its connections and refuses new ones.
     fn record_reset(&mut self, now: Timestamp, index: EndpointIndex) {
         let health = &mut self.endpoints[index].health;
         health.consecutive_resets += 1;
@@ -221,8 +227,8 @@
         }
     }
 
-    /// The response may only be lost: no sample of its load, unless the endpoint says that it is at
-    /// capacity.
+    /// Records an attempt without a response. The response may merely be lost, so this is no sample
+    /// of the endpoint's load, unless its last response was a rejection at capacity.
     fn record_no_response(
         &mut self,
         now: Timestamp,
@@ -238,10 +244,10 @@
         }
     }
 
-    /// A dead process, a cut link and a full connection table look alike, and a health check shows
-    /// none of them: the endpoint is ejected for a growing, randomised time. With the whole replica
-    /// set out of reach a failed connect costs little and a long ejection much, so the limit is
-    /// lower there.
+    /// Ejects an unreachable endpoint for a growing, randomised time. A dead process, a cut link
+    /// and a full connection table can't be told apart, and a health check detects none of them. If
+    /// the whole replica set is unreachable, a failed connect costs little and a long ejection
+    /// much, so the longest time is shorter then.
     fn record_unreachable(&mut self, now: Timestamp, index: EndpointIndex) {
         let jitter = 0.5 + self.rng.next_f64();
         let failures = self.endpoints[index].health.record_connect_failure(now);
@@ -261,14 +267,15 @@
         self.endpoints[index].health.ejected_until = now + (pause * jitter) as Nanos;
     }
 
-    /// The endpoint has shown a sign of life.
+    /// Records a response: resets the endpoint's failures and starts its slow start if its process
+    /// appears to have restarted.
     pub(crate) fn record_response(&mut self, now: Timestamp, index: EndpointIndex) {
         let max_objective = self.latency_cost.max_objective as Nanos;
         let endpoint = &mut self.endpoints[index];
-        // Reachable again: if its process had died, its position would have stood still. The list
-        // shows the restart seconds later, when all routers together would have overloaded it. A
-        // short time out of reach proves nothing: the usual lag is longer, and a wrong slow start
-        // costs capacity.
+        // Reachable again after connect failures: if its process had died, its position would not
+        // have advanced. The list shows a restart only seconds later, when all routers together
+        // would already have overloaded the endpoint. A short unreachable time is no evidence: the
+        // usual replication lag is longer, and a wrong slow start costs capacity.
         let unreachable_for = now.saturating_sub(endpoint.health.unreachable_since);
         let position = endpoint.applied_position.unwrap_or(0);
         let is_behind = position.saturating_add(unreachable_for / 2) < now;
--- a/crates/routing/src/primary_tracking.rs
+++ b/crates/routing/src/primary_tracking.rs
@@ -1,13 +1,13 @@
-//! Primary tracking: which endpoint of a replica set takes writes, and how to find it after a
+//! Primary tracking: the endpoint of a replica set that accepts writes, and its discovery after a
 //! failover.
 //!
-//! The role that an endpoint reports itself takes precedence over the list's, which may be seconds
-//! late. While no primary is known or it is out of reach, requests that need it are queued, and one
-//! write at a time is sent to the endpoint most likely to have taken over: a replica rejects it
-//! without executing it and says what it is. Where only responses carry positions, a write now and
-//! then goes to a replica first in the same way, to refresh its position. Owns each replica set's
-//! primary and the state of the discovery; it must never send a read that has to be current to an
-//! endpoint that has said that it is a replica.
+//! The role that an endpoint reports for itself takes precedence over the role in the list, which
+//! may be seconds late. While no primary is known or it is unreachable, requests that need it are
+//! queued, and one write at a time is sent to the endpoint most likely to have been promoted: a
+//! replica rejects it without executing it and reports its role. Where only responses carry
+//! positions, some writes are first sent to a replica in the same way, to refresh its position.
+//! Owns the primary of each replica set and the state of the discovery; it must never send a
+//! strongly consistent read to an endpoint that has reported itself as a replica.
 
 use crate::balancer::Balancer;
 use crate::endpoint_list::{EndpointIndex, EndpointList};
@@ -17,23 +17,24 @@
 use crate::units::{Nanos, Timestamp};
 use std::cmp::Reverse;
 
-/// Connect failures in a row from which a primary counts as lost.
-const LOST_PRIMARY_FAILURES: u32 = 2;
-/// Attempts that a discovery or a position refresh leaves for the primary itself.
-const ATTEMPTS_KEPT_FOR_PRIMARY: u32 = 2;
+/// Number of consecutive connect failures from which a primary counts as unreachable.
+const UNREACHABLE_PRIMARY_FAILURES: u32 = 2;
+/// Number of a request's attempts that primary discovery and position refreshes must leave for the
+/// primary itself.
+const ATTEMPTS_RESERVED_FOR_PRIMARY: u32 = 2;
 
-/// The primary of one replica set.
+/// Primary of one replica set, and the state of its discovery.
 ///
 /// Invariant: `attempted` is empty when a primary has just been confirmed.
 #[derive(Default)]
 pub(crate) struct PrimaryState {
-    /// The endpoint that has said last that it is the primary.
+    /// The endpoint that was the last to report itself as the primary, and not as a replica since.
     confirmed: Option<EndpointIndex>,
-    /// Since when it, or an endpoint that had failed, is available.
+    /// Time from which it, or any endpoint that had failed, is available again.
     available_since: Timestamp,
-    /// When the next discovery attempt may be sent.
+    /// Earliest time of the next discovery attempt.
     next_discovery_at: Timestamp,
-    /// Endpoints that this discovery has already tried.
+    /// Endpoints that the current discovery has already tried.
     attempted: Vec<EndpointIndex>,
 }
 
@@ -53,20 +54,20 @@
         }
     }
 
-    /// An endpoint of the replica set that had failed is available again.
+    /// Records that an endpoint of the replica set that had failed is available again.
     pub(crate) fn record_available(&mut self, now: Timestamp) {
         self.available_since = now;
     }
 
-    /// An attempt has failed: without a known primary the next discovery attempt may be sent at
-    /// once.
+    /// Records a failed attempt: if no primary is confirmed, the next discovery attempt may be sent
+    /// at once.
     pub(crate) fn record_failed_attempt(&mut self, now: Timestamp) {
         if self.confirmed.is_none() {
             self.next_discovery_at = now;
         }
     }
 
-    /// The endpoint is no longer known.
+    /// Removes all references to an endpoint that is being forgotten.
     pub(crate) fn forget(&mut self, index: EndpointIndex) {
         self.attempted.retain(|other| *other != index);
         self.confirmed = self.confirmed.filter(|other| *other != index);
@@ -74,7 +75,7 @@
 }
 
 impl EndpointList {
-    /// Whether the endpoint has said itself that it is its replica set's primary.
+    /// Returns whether the endpoint is the primary of its replica set by its own report.
     pub(crate) fn is_confirmed_primary(&self, index: EndpointIndex) -> bool {
         self.replica_sets
             .get(&self[index].replica_set)
@@ -83,8 +84,8 @@
 }
 
 impl Balancer {
-    /// Takes over what an endpoint says of itself, in a response (`is_current`) or in a report of
-    /// some time earlier.
+    /// Records the replication status that an endpoint reports, with a response (`is_current`) or
+    /// in a load report as of some earlier time.
     pub(crate) fn observe_replication(
         &mut self,
         now: Timestamp,
@@ -95,18 +96,18 @@
         let tick = self.tick;
         let endpoint = &mut self.endpoints[index];
         if let Some(position) = status.applied_position {
-            // A position ahead of the clock would look fresh for ever.
+            // A position ahead of the clock would count as fresh for ever.
             endpoint.applied_position = endpoint.applied_position.max(Some(position.min(now)));
             if is_current || now.saturating_sub(endpoint.observed_at) > tick {
                 endpoint.observed_at = now;
             }
         }
         let Some(role) = status.role else { return };
-        let has_role = endpoint.role.is_some();
+        let has_reported_role = endpoint.role.is_some();
         let replica_set = endpoint.replica_set;
         let replica_set = self.endpoints.replica_sets.entry(replica_set).or_default();
         let primary = &mut replica_set.primary;
-        if !is_current && (primary.confirmed.is_some() || has_role) {
+        if !is_current && (primary.confirmed.is_some() || has_reported_role) {
             return;
         }
         match role {
@@ -116,23 +117,23 @@
         self.endpoints[index].role = Some(role);
     }
 
-    /// The primary as responses name it, else as the list does, unless that endpoint has said that
-    /// it is a replica: the list is late, and a read sent to it could be stale. A draining one
-    /// takes writes until half of the grace has passed, which leaves time for a connection, and
-    /// never after the cutoff.
+    /// Returns the endpoint that has reported itself as the primary, else the one that the list
+    /// names unless it has reported a role: the list is late, and a read sent to a replica could be
+    /// stale. A draining primary is returned until half of the grace has passed, which leaves time
+    /// for establishing a connection, and never after the cutoff.
     pub(crate) fn current_primary(
         &self,
         now: Timestamp,
         replica_set: u32,
     ) -> Option<EndpointIndex> {
-        let known = self.endpoints.replica_sets.get(&replica_set)?;
+        let replica_set_state = self.endpoints.replica_sets.get(&replica_set)?;
         let listed = || {
-            known.endpoints.iter().copied().find(|&index| {
+            replica_set_state.endpoints.iter().copied().find(|&index| {
                 let endpoint = &self.endpoints[index];
                 endpoint.is_listed_as_primary && endpoint.role.is_none()
             })
         };
-        let index = known.primary.confirmed.or_else(listed)?;
+        let index = replica_set_state.primary.confirmed.or_else(listed)?;
         let endpoint = &self.endpoints[index];
         let rules = &self.settings.rules;
         let drain_limit = rules.drain_cutoff().min(rules.drain_grace / 2);
@@ -142,15 +143,16 @@
         (endpoint.is_listed && is_usable).then_some(index)
     }
 
-    /// The primary, if it can take the request now. One that returns errors still is the only one.
+    /// Returns the primary, if it can take the request now. One that returned errors is returned,
+    /// too, since there is no other.
     fn available_primary(&self, now: Timestamp, pending: &PendingRequest) -> Option<EndpointIndex> {
         let replica_set = pending.request.replica_set;
         let index = self.current_primary(now, replica_set)?;
         if self.endpoints[index].health.ejected_until > now {
             return None;
         }
-        // What many routers have queued must not arrive in the same instant: each request at a time
-        // of its own.
+        // When the primary becomes available, the queued requests of many routers must not arrive
+        // at the same instant: each is delayed by a random time of its own.
         let state = &self.endpoints.replica_sets[&replica_set].primary;
         let delay = pending.admission_draw * self.latency_cost.max_objective / 2.0;
         if pending.is_queued && now < state.available_since + delay as Nanos {
@@ -160,33 +162,35 @@
             .then_some(index)
     }
 
-    /// Where a request that needs the primary goes now; none if it has to be queued.
+    /// Selects the endpoint for a request that needs the primary; `None` if it must be queued.
     pub(crate) fn select_primary(
         &mut self,
         now: Timestamp,
         pending: &PendingRequest,
     ) -> Option<EndpointIndex> {
-        let is_lost = self.is_primary_lost(now, pending);
+        let should_discover = self.should_discover_primary(now, pending);
         let primary = self
             .available_primary(now, pending)
-            .filter(|index| !is_lost || !pending.has_tried(*index));
+            .filter(|index| !should_discover || !pending.has_tried(*index));
         if primary.is_some() {
             return primary;
         }
-        // A read that must be current may take part in the discovery where endpoints reject reads
-        // that they are behind for: with little traffic the next write may be seconds away.
+        // A strongly consistent read may take part in the discovery where endpoints reject reads
+        // for which their data is too old: with little traffic the next write may be seconds away.
         let is_rejected_by_replicas = self.settings.stale_reads == StaleReadPolicy::Reject
             || self.class(pending).operation == Operation::Write;
-        let has_attempts =
-            pending.attempts_sent + ATTEMPTS_KEPT_FOR_PRIMARY < self.settings.limits.max_attempts;
-        if is_lost && is_rejected_by_replicas && has_attempts {
+        let has_attempts = pending.attempts_sent + ATTEMPTS_RESERVED_FOR_PRIMARY
+            < self.settings.limits.max_attempts;
+        if should_discover && is_rejected_by_replicas && has_attempts {
             self.discover_primary(now, pending)
         } else {
             None
         }
     }
 
-    fn is_primary_lost(&self, now: Timestamp, pending: &PendingRequest) -> bool {
+    /// Returns whether primary discovery is needed: no usable primary is known, it is unreachable,
+    /// or the list is wrong about it.
+    fn should_discover_primary(&self, now: Timestamp, pending: &PendingRequest) -> bool {
         let replica_set = pending.request.replica_set;
         let Some(index) = self.current_primary(now, replica_set) else {
             return true;
@@ -194,24 +198,24 @@
         let failures = self.endpoints[index].health.consecutive_connect_failures;
         let state = &self.endpoints.replica_sets[&replica_set].primary;
         let is_wrongly_listed = state.confirmed.is_none() && pending.has_tried(index);
-        failures >= LOST_PRIMARY_FAILURES || is_wrongly_listed
+        failures >= UNREACHABLE_PRIMARY_FAILURES || is_wrongly_listed
     }
 
-    /// Primary discovery: one queued request at a time goes to the endpoint most likely to have
-    /// taken over, the listed one or else the one with most of the log. An endpoint that is a
-    /// replica rejects it at no cost.
+    /// Selects the endpoint for a discovery attempt: one request at a time is sent to the endpoint
+    /// most likely to have been promoted, the listed primary or else the one with the latest
+    /// applied position. An endpoint that is a replica rejects the request at no cost.
     fn discover_primary(
         &mut self,
         now: Timestamp,
         pending: &PendingRequest,
     ) -> Option<EndpointIndex> {
         let replica_set = pending.request.replica_set;
-        let known = self.endpoints.replica_sets.get(&replica_set)?;
-        let state = &known.primary;
+        let replica_set_state = self.endpoints.replica_sets.get(&replica_set)?;
+        let state = &replica_set_state.primary;
         if now < state.next_discovery_at {
             return None;
         }
-        let candidate = known
+        let candidate = replica_set_state
             .endpoints
             .iter()
             .copied()
@@ -229,9 +233,9 @@
                     by_name,
                 )
             });
-        let pause = (self.latency_cost.max_objective / 4.0) as Nanos;
+        let interval = (self.latency_cost.max_objective / 4.0) as Nanos;
         let state = &mut self.endpoints.replica_sets.get_mut(&replica_set)?.primary;
-        state.next_discovery_at = now + pause;
+        state.next_discovery_at = now + interval;
         match candidate {
             Some(index) => state.attempted.push(index),
             None => state.attempted.clear(),
@@ -239,9 +243,11 @@
         candidate
     }
 
-    /// Position refresh: where only responses carry positions, replicas that get few reads fall out
-    /// of the staleness bound, and then get none: their reads would load the primary. A new write
-    /// first goes to such a replica, which rejects it without executing it and says its position.
+    /// Selects the replica for a position refresh, if one is needed. Where only responses carry
+    /// positions, the known position of a replica that gets few reads becomes older than the
+    /// staleness bound; the replica then gets no reads at all, and these load the primary. A new
+    /// write is therefore sent first to such a replica, which rejects it without executing it and
+    /// reports its position.
     pub(crate) fn select_position_refresh(
         &mut self,
         now: Timestamp,
@@ -249,7 +255,7 @@
     ) -> Option<EndpointIndex> {
         let is_new_write =
             self.class(pending).operation == Operation::Write && pending.attempts_sent == 0;
-        let has_attempts = self.settings.limits.max_attempts > ATTEMPTS_KEPT_FOR_PRIMARY;
+        let has_attempts = self.settings.limits.max_attempts > ATTEMPTS_RESERVED_FOR_PRIMARY;
         let only_responses_carry_positions =
             self.settings.reports == ReportSource::None && self.settings.has_applied_positions;
         if !is_new_write || !has_attempts || !only_responses_carry_positions {
@@ -271,8 +277,9 @@
         Some(index)
     }
 
-    /// Not an endpoint that may hang, which would swallow the write, nor one in slow start: what it
-    /// rejects counts as load, too.
+    /// Returns whether an endpoint should get a position refresh. It must not be one that may hang,
+    /// since the write would be lost there, nor one in slow start, since a rejection counts as
+    /// load, too.
     fn needs_position_refresh(
         &self,
         now: Timestamp,
--- a/crates/routing/src/replica_selection.rs
+++ b/crates/routing/src/replica_selection.rs
@@ -1,11 +1,11 @@
-//! Replica selection: which endpoint answers a read.
+//! Replica selection: selects the endpoint for a read.
 //!
 //! Reads rotate (round robin) over the sufficiently fresh replicas whose calibrated cost is within
-//! 20% of the cheapest, as in the query cost calibrator; the two cheapest take part in any case,
-//! unless one costs far more. An ejected endpoint gets a recovery probe when one is due. The
-//! primary takes reads only when it is far cheaper than every replica, or when none can. Owns the
-//! order of the rotation; it must never choose an endpoint that is draining, ejected or not fresh
-//! enough.
+//! 20% of the cheapest, as in the query cost calibrator; the second cheapest takes part in any
+//! case, unless it costs far more. A read is sent as a recovery probe to an ejected endpoint for
+//! which one is due. The primary gets reads only if it is far cheaper than every replica, or if no
+//! replica is available. Owns the order of the rotation; it must never select an endpoint that is
+//! draining or not fresh enough, nor, other than for a recovery probe, an ejected one.
 
 use crate::balancer::Balancer;
 use crate::endpoint_list::EndpointIndex;
@@ -13,12 +13,13 @@
 use crate::random::SplitMix64;
 use crate::units::Timestamp;
 
-/// Highest cost in the rotation, as a multiple of the cheapest replica's (from the design).
+/// Highest cost in the rotation, as a multiple of the cheapest replica's cost.
 const ROTATION_COST_RATIO: f64 = 1.2;
-/// Replicas that take part in the rotation up to [`OUTLIER_COST_RATIO`].
-const MIN_ROTATION: usize = 2;
-/// An endpoint that costs more than this multiple of the cheapest leaves the rotation in any case;
-/// the primary takes reads when it is cheaper than every replica by this factor.
+/// Number of cheapest replicas that take part in the rotation up to [`OUTLIER_COST_RATIO`].
+const MIN_ROTATION_SIZE: usize = 2;
+/// Highest cost, as a multiple of the cheapest replica's cost, of the [`MIN_ROTATION_SIZE`]
+/// cheapest replicas in the rotation. The primary gets reads if every replica costs more than this
+/// multiple of the primary's cost.
 const OUTLIER_COST_RATIO: f64 = 2.0;
 
 /// Round-robin order of the endpoints at this router.
@@ -31,36 +32,38 @@
 }
 
 impl Rotation {
-    /// The place of a new endpoint: last, in a random order. Routers that learn of the same
-    /// endpoints at the same moment must not all turn to the same one first.
+    /// Returns the position of a new endpoint: last, and random among several new ones. Routers
+    /// that learn of the same endpoints at the same moment must not all select the same one first.
     pub(crate) fn initial_position(&self, rng: &mut SplitMix64) -> f64 {
         self.selections + rng.next_f64()
     }
 
-    /// The next place at the end.
+    /// Returns the next position at the end.
     fn next_position(&mut self) -> f64 {
         self.selections += 1.0;
         self.selections
     }
 }
 
-/// A replica that may answer the read, and its calibrated cost.
+/// Replica that may serve the read, with its calibrated cost.
 struct Candidate {
     index: EndpointIndex,
     cost: f64,
 }
 
-/// What the endpoints of a replica set offer for a read.
+/// Endpoints of a replica set that may serve a read.
 struct ReadCandidates {
-    /// Replicas, the cheapest first.
+    /// Replicas that are not ejected, the cheapest first.
     replicas: Vec<Candidate>,
-    /// An ejected endpoint whose recovery probe is due.
+    /// Endpoint that is ejected for errors and whose recovery probe is due.
     probe: Option<EndpointIndex>,
+    /// The primary, if it is eligible.
     primary: Option<EndpointIndex>,
 }
 
 impl Balancer {
-    /// Accepts new work, is not ejected, and admits this request if it is in slow start.
+    /// Returns whether the endpoint accepts new requests, is not ejected, and admits this request
+    /// if it is in slow start.
     pub(crate) fn is_eligible(
         &self,
         now: Timestamp,
@@ -69,11 +72,11 @@
     ) -> bool {
         let endpoint = &self.endpoints[index];
         endpoint.accepts_new_work(now)
-            && !endpoint.health.is_ejected
+            && !endpoint.health.is_ejected_for_errors
             && self.admits_during_slow_start(now, index, pending)
     }
 
-    /// Where a read goes that a replica may answer; none if it has to be queued.
+    /// Selects the endpoint for a read that a replica may serve; `None` if the read must be queued.
     pub(crate) fn select_read_endpoint(
         &mut self,
         now: Timestamp,
@@ -101,9 +104,9 @@
         if let Some(index) = self.select_by_rotation(now, &candidates.replicas, pending) {
             return Some(index);
         }
-        // All of the rotation is in slow start: the read goes to a more expensive replica, but not
-        // to one that hangs while the primary does not: otherwise all routers would use that one as
-        // their reserve.
+        // No replica of the rotation admits the read, since all are in slow start. A more expensive
+        // replica gets it, unless that one hangs while the primary does not: otherwise all routers
+        // would fall back to the hanging replica.
         let highest_cost = primary_cost.unwrap_or(f64::INFINITY);
         candidates
             .replicas
@@ -130,7 +133,7 @@
             {
                 continue;
             }
-            if endpoint.health.is_ejected {
+            if endpoint.health.is_ejected_for_errors {
                 let is_due = endpoint.health.is_probe_due(now);
                 if probe.is_none() && is_due && self.admits_during_slow_start(now, index, pending) {
                     probe = Some(index);
@@ -150,8 +153,8 @@
         }
     }
 
-    /// The replica whose turn it is and that admits the read. A replica in slow start loses its
-    /// turn whether it takes the read or not.
+    /// Returns the next replica in the rotation that admits the read. A replica in slow start loses
+    /// its turn whether it admits the read or not.
     fn select_by_rotation(
         &mut self,
         now: Timestamp,
@@ -161,7 +164,7 @@
         let cheapest = replicas.first()?.cost;
         let mut rotation: Vec<EndpointIndex> = Vec::new();
         for (rank, replica) in replicas.iter().enumerate() {
-            let ratio = if rank < MIN_ROTATION {
+            let ratio = if rank < MIN_ROTATION_SIZE {
                 OUTLIER_COST_RATIO
             } else {
                 ROTATION_COST_RATIO
