--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,15 +1,23 @@
-//! A small cluster for tests: settings, and a host that keeps what the balancer asked for.
+//! Test support: settings with one class of each kind, and a router of one replica set around the
+//! balancer, with a clock and timers that the test controls.
 #![allow(dead_code)]
 
 use reelrill_routing::*;
 use std::sync::Arc;
 
+/// Nanoseconds per millisecond.
 pub const MS: Timestamp = 1_000_000;
-pub const T0: Timestamp = 1_000_000 * MS;
+/// Clock of the test router at its start, nanoseconds.
+pub const START_TIME: Timestamp = 1_000_000 * MS;
+/// Class of reads with a staleness bound of 300 ms.
 pub const BOUNDED: u32 = 0;
+/// Class of read-your-writes reads.
 pub const SESSION: u32 = 1;
+/// Class of writes that are not idempotent.
 pub const WRITE: u32 = 2;
-pub const FRESH: u32 = 3;
+/// Class of strongly consistent reads.
+pub const STRONG: u32 = 3;
+/// Class of writes with an idempotency key.
 pub const KEYED: u32 = 4;
 
 pub fn class(operation: Operation, idempotency: Idempotency) -> Class {
@@ -29,6 +37,7 @@
     }
 }
 
+/// Settings with the classes [`BOUNDED`] to [`KEYED`], where only responses carry positions.
 pub fn settings() -> Settings {
     Settings {
         router_count: 2,
@@ -82,6 +91,7 @@
     }
 }
 
+/// Entry of a serving endpoint of replica set 1 in the endpoint list.
 pub fn entry(name: &str, is_primary: bool) -> EndpointEntry {
     EndpointEntry {
         endpoint: Arc::from(name),
@@ -94,61 +104,64 @@
     }
 }
 
-pub struct Host {
+/// A balancer with the clock and the timers of a router.
+pub struct TestRouter {
     pub balancer: Balancer,
     pub now: Timestamp,
-    pub next: RequestId,
+    pub next_request: RequestId,
     timers: Vec<Timestamp>,
 }
 
-impl Host {
-    /// Endpoints `a` (listed as the primary), `b` and `c`.
-    pub fn new(set: Settings) -> Host {
-        Host::seeded(set, 7)
+impl TestRouter {
+    /// Creates a router with endpoints `a` (listed as the primary), `b` and `c`.
+    pub fn new(settings: Settings) -> TestRouter {
+        TestRouter::with_seed(settings, 7)
     }
 
-    pub fn seeded(set: Settings, seed: u64) -> Host {
-        let mut host = Host {
-            balancer: Balancer::new(seed, set).unwrap(),
-            now: T0,
-            next: 1,
+    pub fn with_seed(settings: Settings, seed: u64) -> TestRouter {
+        let mut router = TestRouter {
+            balancer: Balancer::new(seed, settings).unwrap(),
+            now: START_TIME,
+            next_request: 1,
             timers: Vec::new(),
         };
         let entries = vec![entry("a", true), entry("b", false), entry("c", false)];
-        host.feed(Event::List {
+        router.handle(Event::List {
             kind: ListKind::Cached,
             entries,
         });
-        host
+        router
     }
 
-    pub fn feed(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.balancer.handle(self.now, event, &mut out);
-        for a in &out {
-            if let Action::SetTimer { after, .. } = a {
+    /// Passes an event to the balancer, sets the timers of its actions, and returns the actions.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        for action in &actions {
+            if let Action::SetTimer { after, .. } = action {
                 self.timers.push(self.now + after);
             }
         }
-        out
+        actions
     }
 
-    /// Moves the clock on and feeds the timers that come due; returns all that was asked for.
-    pub fn wait(&mut self, span: Nanos) -> Vec<Action> {
-        let (end, mut all) = (self.now + span, Vec::new());
-        while let Some(&t) = self.timers.iter().filter(|t| **t <= end).min() {
-            self.timers.retain(|x| *x != t);
-            self.now = self.now.max(t);
-            all.extend(self.feed(Event::Timer { token: 1 }));
+    /// Advances the clock by `span`, handles the timers that come due, and returns all actions.
+    pub fn advance(&mut self, span: Nanos) -> Vec<Action> {
+        let (end, mut actions) = (self.now + span, Vec::new());
+        while let Some(&due) = self.timers.iter().filter(|t| **t <= end).min() {
+            self.timers.retain(|t| *t != due);
+            self.now = self.now.max(due);
+            actions.extend(self.handle(Event::Timer { token: 1 }));
         }
         self.now = end;
-        all
+        actions
     }
 
+    /// Passes a request of the class, with session `s` and 2 s until its deadline, to the balancer.
     pub fn request(&mut self, class: u32) -> (RequestId, Vec<Action>) {
-        let id = self.next;
-        self.next += 1;
-        let req = Request {
+        let id = self.next_request;
+        self.next_request += 1;
+        let request = Request {
             id,
             class,
             replica_set: 1,
@@ -159,58 +172,60 @@
             is_retry: false,
             time_left: 2000 * MS,
         };
-        (id, self.feed(Event::Request(req)))
+        (id, self.handle(Event::Request(request)))
     }
 
-    pub fn outcome(
+    /// Ends an attempt after a latency of 50 ms; a served attempt completes its request.
+    pub fn end_attempt(
         &mut self,
-        id: RequestId,
-        to: &str,
-        n: u32,
+        request: RequestId,
+        endpoint: &str,
+        attempt: u32,
         outcome: AttemptOutcome,
-        s: ReplicationStatus,
+        replication: ReplicationStatus,
     ) -> Vec<Action> {
-        let o = AttemptEnded {
-            request: id,
-            endpoint: Arc::from(to),
-            attempt: n,
+        let ended = AttemptEnded {
+            request,
+            endpoint: Arc::from(endpoint),
+            attempt,
             outcome,
-            replication: s,
+            replication,
             report: ReplicationStatus::default(),
             latency: 50 * MS,
             is_request_complete: outcome == AttemptOutcome::Served,
         };
-        self.feed(Event::AttemptEnded(o))
+        self.handle(Event::AttemptEnded(ended))
     }
 
-    /// Sends a request and serves it at once wherever it went; returns the endpoint.
+    /// Sends a request and serves it at once wherever it is sent; returns the endpoint. Replicas
+    /// reject writes as misrouted, and `a` is the primary.
     pub fn serve(&mut self, class: u32, applied_position: Timestamp) -> String {
-        let (id, mut out) = self.request(class);
-        for n in 0.. {
-            let to = sent(&out).expect("sent").to_string();
-            let write = class == WRITE || class == KEYED;
-            if write && to != "a" {
-                out = self.outcome(
+        let (id, mut actions) = self.request(class);
+        for attempt in 0.. {
+            let endpoint = sent_to(&actions).expect("sent").to_string();
+            let is_write = class == WRITE || class == KEYED;
+            if is_write && endpoint != "a" {
+                actions = self.end_attempt(
                     id,
-                    &to,
-                    n,
+                    &endpoint,
+                    attempt,
                     AttemptOutcome::Misrouted,
-                    replica(applied_position),
+                    replica_status(applied_position),
                 );
                 continue;
             }
-            let s = if to == "a" {
-                primary(applied_position)
+            let replication = if endpoint == "a" {
+                primary_status(applied_position)
             } else {
-                replica(applied_position)
+                replica_status(applied_position)
             };
-            self.outcome(id, &to, n, AttemptOutcome::Served, s);
-            return to;
+            self.end_attempt(id, &endpoint, attempt, AttemptOutcome::Served, replication);
+            return endpoint;
         }
         unreachable!()
     }
 
-    /// Lets every endpoint show its role and position.
+    /// Serves 12 session reads, after which the role and position of every endpoint are known.
     pub fn warm_up(&mut self) {
         for _ in 0..12 {
             self.serve(SESSION, self.now);
@@ -218,23 +233,24 @@
     }
 }
 
-pub fn primary(applied_position: Timestamp) -> ReplicationStatus {
+pub fn primary_status(applied_position: Timestamp) -> ReplicationStatus {
     ReplicationStatus {
         role: Some(Role::Primary),
         applied_position: Some(applied_position),
     }
 }
 
-pub fn replica(applied_position: Timestamp) -> ReplicationStatus {
+pub fn replica_status(applied_position: Timestamp) -> ReplicationStatus {
     ReplicationStatus {
         role: Some(Role::Replica),
         applied_position: Some(applied_position),
     }
 }
 
-pub fn sent(out: &[Action]) -> Option<&str> {
-    out.iter().find_map(|a| {
-        if let Action::Send { endpoint, .. } = a {
+/// Returns the endpoint of the first [`Action::Send`].
+pub fn sent_to(actions: &[Action]) -> Option<&str> {
+    actions.iter().find_map(|action| {
+        if let Action::Send { endpoint, .. } = action {
             Some(&**endpoint)
         } else {
             None
@@ -242,10 +258,14 @@
     })
 }
 
-pub fn refused(out: &[Action]) -> bool {
-    out.iter().any(|a| matches!(a, Action::Reject { .. }))
+pub fn is_rejected(actions: &[Action]) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Reject { .. }))
 }
 
-pub fn failed(out: &[Action]) -> bool {
-    out.iter().any(|a| matches!(a, Action::Fail { .. }))
+pub fn is_failed(actions: &[Action]) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Fail { .. }))
 }
--- a/crates/routing/tests/failures/admission.rs
+++ b/crates/routing/tests/failures/admission.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn request_with_less_time_left_than_a_tick_is_rejected_at_once() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     let req = Request {
         id: 9,
         class: BOUNDED,
@@ -17,13 +17,13 @@
         is_retry: false,
         time_left: 3 * MS,
     };
-    let out = h.feed(Event::Request(req));
-    assert!(refused(&out));
+    let out = h.handle(Event::Request(req));
+    assert!(is_rejected(&out));
 }
 
 #[test]
 fn overload_is_shed_early_with_retry_advice() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     h.warm_up();
     let mut refused = 0;
     for _ in 0..400 {
@@ -41,16 +41,16 @@
                 refused += 1;
             }
         }
-        h.wait(2 * MS);
+        h.advance(2 * MS);
     }
     assert!(refused > 20, "{refused} of 400");
 }
 
 #[test]
 fn new_router_rejects_nothing() {
-    let mut h = Host::new(settings());
-    for class in [BOUNDED, FRESH, SESSION, WRITE] {
-        assert!(!refused(&h.request(class).1));
+    let mut h = TestRouter::new(settings());
+    for class in [BOUNDED, STRONG, SESSION, WRITE] {
+        assert!(!is_rejected(&h.request(class).1));
     }
 }
 
@@ -58,11 +58,11 @@
 /// refused at once, an endpoint is tried again before long, and one that the list says has started again at once.
 #[test]
 fn unreachable_replica_set_is_rejected_early_and_recovers_soon() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     (0..4).for_each(|_| h.warm_up());
     let mut sends = std::collections::HashMap::new();
     // No endpoint can be reached: whatever is sent comes back at once.
-    let mut lose = |h: &mut Host, mut out: Vec<Action>| {
+    let mut lose = |h: &mut TestRouter, mut out: Vec<Action>| {
         while let Some(action) = out.pop() {
             let Action::Send {
                 request, endpoint, ..
@@ -72,7 +72,7 @@
             };
             let n = sends.entry(request).or_insert(0);
             *n += 1;
-            out.extend(h.outcome(
+            out.extend(h.end_attempt(
                 request,
                 &endpoint,
                 *n - 1,
@@ -84,12 +84,12 @@
     for _ in 0..200 {
         let (_, out) = h.request(SESSION);
         lose(&mut h, out);
-        let out = h.wait(50 * MS);
+        let out = h.advance(50 * MS);
         lose(&mut h, out);
     }
-    let short = |h: &mut Host| {
-        let (class, id, time_left) = (SESSION, h.next, 400 * MS);
-        h.next += 1;
+    let short = |h: &mut TestRouter| {
+        let (class, id, time_left) = (SESSION, h.next_request, 400 * MS);
+        h.next_request += 1;
         let (session, since_write, tenant, work) = (None, None, None, None);
         let (replica_set, is_retry) = (1, false);
         let req = Request {
@@ -103,32 +103,32 @@
             is_retry,
             time_left,
         };
-        h.feed(Event::Request(req))
+        h.handle(Event::Request(req))
     };
     for _ in 0..2 {
-        let out = h.wait(8000 * MS);
+        let out = h.advance(8000 * MS);
         lose(&mut h, out);
     }
     let (_, out) = h.request(SESSION);
     lose(&mut h, out);
-    assert!(refused(&short(&mut h)), "at once");
+    assert!(is_rejected(&short(&mut h)), "at once");
     let mut e = entry("b", false);
     e.started = h.now - 10_000 * MS;
-    h.feed(Event::List {
+    h.handle(Event::List {
         kind: ListKind::Changes,
         entries: vec![e],
     });
     let mut seen = Vec::new();
     for _ in 0..12 {
-        seen.extend(sent(&short(&mut h)).map(str::to_string));
+        seen.extend(sent_to(&short(&mut h)).map(str::to_string));
     }
     assert!(
         seen.iter().all(|m| m == "b") && !seen.is_empty(),
         "it has started again, and is in slow start: {seen:?}"
     );
-    h.wait(600 * MS);
+    h.advance(600 * MS);
     let again = (0..12)
-        .filter_map(|_| sent(&short(&mut h)).map(str::to_string))
+        .filter_map(|_| sent_to(&short(&mut h)).map(str::to_string))
         .any(|m| m != "b");
     assert!(
         again,
@@ -151,12 +151,12 @@
             _ => None,
         })
     };
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     h.warm_up();
     let (id, out) = h.request(99);
     assert_eq!(reason(&out, id), Some(RejectReason::UnknownClass));
     let (id, _) = h.request(KEYED);
-    let out = h.outcome(
+    let out = h.end_attempt(
         id,
         "a",
         0,
@@ -165,7 +165,7 @@
     );
     assert_eq!(reason(&out, id), Some(RejectReason::AttemptTimedOut));
     let (id, _) = h.request(WRITE);
-    let out = h.outcome(
+    let out = h.end_attempt(
         id,
         "a",
         0,
@@ -174,8 +174,8 @@
     );
     assert_eq!(reason(&out, id), Some(RejectReason::NotRetryable));
     let (id, out) = h.request(SESSION);
-    let to = sent(&out).unwrap().to_string();
-    let out = h.outcome(
+    let to = sent_to(&out).unwrap().to_string();
+    let out = h.end_attempt(
         id,
         &to,
         0,
@@ -188,10 +188,10 @@
     let mut out = out;
     let mut last = None;
     for n in 0.. {
-        let Some(to) = sent(&out).map(str::to_string) else {
+        let Some(to) = sent_to(&out).map(str::to_string) else {
             break;
         };
-        out = h.outcome(
+        out = h.end_attempt(
             id,
             &to,
             n,
@@ -203,8 +203,8 @@
     assert_eq!(last, Some(RejectReason::RetryBudgetExhausted));
     // Its time was over before it could be sent.
     let (id, out) = h.request(SESSION);
-    let to = sent(&out).unwrap().to_string();
-    let out = h.outcome(
+    let to = sent_to(&out).unwrap().to_string();
+    let out = h.end_attempt(
         id,
         &to,
         0,
@@ -219,7 +219,7 @@
         e.state = EndpointState::Removed;
         gone.push(e);
     }
-    h.feed(Event::List {
+    h.handle(Event::List {
         kind: ListKind::Changes,
         entries: gone,
     });
--- a/crates/routing/tests/failures/endpoint_list.rs
+++ b/crates/routing/tests/failures/endpoint_list.rs
@@ -5,24 +5,24 @@
 
 #[test]
 fn draining_endpoint_gets_no_new_work_after_its_grace() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     h.warm_up();
     let mut e = entry("b", false);
     e.state = EndpointState::Draining;
-    h.feed(Event::List {
+    h.handle(Event::List {
         kind: ListKind::Changes,
         entries: vec![e],
     });
     let mut p = entry("a", true);
     p.state = EndpointState::Draining;
-    h.feed(Event::List {
+    h.handle(Event::List {
         kind: ListKind::Changes,
         entries: vec![p],
     });
-    h.wait(1000 * MS);
-    for class in [BOUNDED, SESSION, WRITE, FRESH, KEYED] {
+    h.advance(1000 * MS);
+    for class in [BOUNDED, SESSION, WRITE, STRONG, KEYED] {
         let (_, out) = h.request(class);
-        assert!(!matches!(sent(&out), Some("a" | "b")), "{out:?}");
+        assert!(!matches!(sent_to(&out), Some("a" | "b")), "{out:?}");
     }
 }
 
@@ -34,20 +34,20 @@
         set.rules.drain_grace = grace * MS;
         // Where responses carry positions, writes go to the primary at once.
         set.reports = ReportSource::Responses;
-        let mut h = Host::new(set);
+        let mut h = TestRouter::new(set);
         h.warm_up();
         let mut primary = entry("a", true);
         primary.state = EndpointState::Draining;
-        h.feed(Event::List {
+        h.handle(Event::List {
             kind: ListKind::Changes,
             entries: vec![primary],
         });
         if stop > 0 {
-            h.wait((stop - 1) * MS);
-            assert_eq!(sent(&h.request(WRITE).1), Some("a"), "grace {grace} ms");
-            h.wait(MS);
+            h.advance((stop - 1) * MS);
+            assert_eq!(sent_to(&h.request(WRITE).1), Some("a"), "grace {grace} ms");
+            h.advance(MS);
         }
-        assert_ne!(sent(&h.request(WRITE).1), Some("a"), "grace {grace} ms");
+        assert_ne!(sent_to(&h.request(WRITE).1), Some("a"), "grace {grace} ms");
     }
 }
 
@@ -57,17 +57,17 @@
     set.is_subscription_required = true;
     let mut at = std::collections::BTreeSet::new();
     for seed in 0..20 {
-        let mut h = Host::seeded(set.clone(), seed);
-        h.wait(1000 * MS);
-        h.feed(Event::List {
+        let mut h = TestRouter::with_seed(set.clone(), seed);
+        h.advance(1000 * MS);
+        h.handle(Event::List {
             kind: ListKind::Full,
             entries: vec![entry("a", true)],
         });
-        h.feed(Event::List {
+        h.handle(Event::List {
             kind: ListKind::Failed,
             entries: Vec::new(),
         });
-        let soon = (0..100).find(|_| h.wait(MS).contains(&Action::Subscribe));
+        let soon = (0..100).find(|_| h.advance(MS).contains(&Action::Subscribe));
         at.insert(soon.expect("within three ticks"));
     }
     assert!(at.len() > 1, "all in step: {at:?}");
@@ -93,10 +93,10 @@
 /// one is out; its request then goes on elsewhere.
 #[test]
 fn removed_endpoints_are_forgotten() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     h.warm_up();
     let (id, out) = h.request(BOUNDED);
-    let to = sent(&out).unwrap().to_string();
+    let to = sent_to(&out).unwrap().to_string();
     let change = |name: &str, state| {
         let entries = vec![EndpointEntry {
             state,
@@ -107,25 +107,25 @@
             entries,
         }
     };
-    h.feed(change(&to, EndpointState::Removed));
+    h.handle(change(&to, EndpointState::Removed));
     assert_eq!(h.balancer.endpoint_count(), 3);
-    let out = h.outcome(
+    let out = h.end_attempt(
         id,
         &to,
         0,
         AttemptOutcome::ConnectionReset,
         ReplicationStatus::default(),
     );
-    let other = sent(&out).expect("goes on").to_string();
-    h.outcome(id, &other, 1, AttemptOutcome::Served, replica(h.now));
+    let other = sent_to(&out).expect("goes on").to_string();
+    h.end_attempt(id, &other, 1, AttemptOutcome::Served, replica_status(h.now));
     for n in 0..200 {
-        h.wait(100 * MS);
-        h.feed(change(&format!("n{n}"), EndpointState::Serving));
+        h.advance(100 * MS);
+        h.handle(change(&format!("n{n}"), EndpointState::Serving));
         h.serve(SESSION, h.now);
-        h.feed(change(&format!("n{n}"), EndpointState::Removed));
+        h.handle(change(&format!("n{n}"), EndpointState::Removed));
     }
-    h.wait(10_001 * MS);
-    h.feed(Event::List {
+    h.advance(10_001 * MS);
+    h.handle(Event::List {
         kind: ListKind::Changes,
         entries: Vec::new(),
     });
--- a/crates/routing/tests/failures/replica_selection.rs
+++ b/crates/routing/tests/failures/replica_selection.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn reads_rotate_over_both_replicas_and_spare_the_primary() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     h.warm_up();
     let mut got = Vec::new();
     for _ in 0..10 {
@@ -18,25 +18,25 @@
 
 #[test]
 fn bounded_read_never_goes_to_a_replica_behind_its_bound() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     for _ in 0..12 {
-        h.serve(SESSION, T0 - 400 * MS);
+        h.serve(SESSION, START_TIME - 400 * MS);
     }
     for _ in 0..6 {
         let (_, out) = h.request(BOUNDED);
-        assert_ne!(sent(&out), Some("b"));
-        assert_ne!(sent(&out), Some("c"));
+        assert_ne!(sent_to(&out), Some("b"));
+        assert_ne!(sent_to(&out), Some("c"));
     }
 }
 
 #[test]
 fn single_timeout_does_not_exclude_a_busy_endpoint() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     h.warm_up();
     let (id, out) = h.request(BOUNDED);
-    let to = sent(&out).unwrap().to_string();
-    h.wait(60 * MS);
-    h.outcome(
+    let to = sent_to(&out).unwrap().to_string();
+    h.advance(60 * MS);
+    h.end_attempt(
         id,
         &to,
         0,
@@ -52,30 +52,30 @@
 
 #[test]
 fn unresponsive_replica_is_excluded_and_probed_later() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     h.warm_up();
     let mut waiting = Vec::new();
     for _ in 0..6 {
         let (id, out) = h.request(SESSION);
-        let to = sent(&out).unwrap().to_string();
+        let to = sent_to(&out).unwrap().to_string();
         if to == "b" {
             waiting.push(id);
         } else {
             let s = if to == "a" {
-                primary(h.now)
+                primary_status(h.now)
             } else {
-                replica(h.now)
+                replica_status(h.now)
             };
-            h.outcome(id, &to, 0, AttemptOutcome::Served, s);
+            h.end_attempt(id, &to, 0, AttemptOutcome::Served, s);
         }
     }
     assert!(!waiting.is_empty());
-    h.wait(380 * MS);
+    h.advance(380 * MS);
     for _ in 0..4 {
         assert_ne!(h.serve(SESSION, h.now), "b", "left out");
     }
     // Its requests time out; the evidence against it decays, and it is tried again.
-    h.wait(1600 * MS);
+    h.advance(1600 * MS);
     for request in waiting {
         let (replication, report) = (ReplicationStatus::default(), ReplicationStatus::default());
         let (endpoint, outcome, latency) = (Arc::from("b"), AttemptOutcome::TimedOut, 2000 * MS);
@@ -89,7 +89,7 @@
             latency,
             is_request_complete: false,
         };
-        h.feed(Event::AttemptEnded(o));
+        h.handle(Event::AttemptEnded(o));
     }
     assert_ne!(
         h.serve(SESSION, h.now),
@@ -97,7 +97,7 @@
         "a timeout is no sign of recovery"
     );
     let back = (0..300).find(|_| {
-        h.wait(100 * MS);
+        h.advance(100 * MS);
         h.serve(SESSION, h.now) == "b"
     });
     assert!(
--- a/crates/routing/tests/failures/retry.rs
+++ b/crates/routing/tests/failures/retry.rs
@@ -5,29 +5,29 @@
 
 #[test]
 fn possibly_executed_non_idempotent_write_fails_without_retry() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     h.warm_up();
     let (id, out) = h.request(WRITE);
-    assert_eq!(sent(&out), Some("a"));
-    let out = h.outcome(
+    assert_eq!(sent_to(&out), Some("a"));
+    let out = h.end_attempt(
         id,
         "a",
         0,
         AttemptOutcome::ConnectionReset,
         ReplicationStatus::default(),
     );
-    assert!(failed(&out) && sent(&out).is_none());
+    assert!(is_failed(&out) && sent_to(&out).is_none());
 }
 
 #[test]
 fn write_with_idempotency_key_is_retried_within_its_replica_set_and_window() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     h.warm_up();
     let (id, out) = h.request(KEYED);
-    assert_eq!(sent(&out), Some("a"));
-    let out = h.outcome(id, "a", 0, AttemptOutcome::Error, primary(h.now));
+    assert_eq!(sent_to(&out), Some("a"));
+    let out = h.end_attempt(id, "a", 0, AttemptOutcome::Error, primary_status(h.now));
     assert_eq!(
-        sent(&out),
+        sent_to(&out),
         Some("a"),
         "the primary is the only one to take it"
     );
@@ -38,25 +38,31 @@
     let mut set = settings();
     set.list_role = ListRole::None;
     set.reports = ReportSource::Responses;
-    let mut h = Host::new(set);
+    let mut h = TestRouter::new(set);
     let (id, out) = h.request(WRITE);
-    let first = sent(&out).unwrap().to_string();
-    let out = h.outcome(id, &first, 0, AttemptOutcome::Misrouted, replica(h.now));
-    assert!(sent(&out).is_some_and(|m| m != first));
+    let first = sent_to(&out).unwrap().to_string();
+    let out = h.end_attempt(
+        id,
+        &first,
+        0,
+        AttemptOutcome::Misrouted,
+        replica_status(h.now),
+    );
+    assert!(sent_to(&out).is_some_and(|m| m != first));
 }
 
 #[test]
 fn write_with_idempotency_key_is_not_retried_after_its_deduplication_window() {
     let mut set = settings();
     set.classes[KEYED as usize].deduplication_window = 100 * MS;
-    let mut h = Host::new(set);
+    let mut h = TestRouter::new(set);
     h.warm_up();
     let (id, out) = h.request(KEYED);
-    assert_eq!(sent(&out), Some("a"));
-    h.wait(150 * MS);
-    let mut out = h.outcome(id, "a", 0, AttemptOutcome::Error, primary(h.now));
-    out.extend(h.wait(2000 * MS));
-    assert!(failed(&out) && sent(&out).is_none(), "{out:?}");
+    assert_eq!(sent_to(&out), Some("a"));
+    h.advance(150 * MS);
+    let mut out = h.end_attempt(id, "a", 0, AttemptOutcome::Error, primary_status(h.now));
+    out.extend(h.advance(2000 * MS));
+    assert!(is_failed(&out) && sent_to(&out).is_none(), "{out:?}");
 }
 
 /// Guards the window for what waits at the host: a further copy says by when it has to be written, counted from when the
@@ -70,22 +76,22 @@
         })
     };
     for (class, is_bound, copies) in [(KEYED, true, 2), (SESSION, false, 1)] {
-        let mut h = Host::new(settings());
+        let mut h = TestRouter::new(settings());
         // Requests enough for a reserve of further attempts.
         (0..4).for_each(|_| h.warm_up());
         let first = h.now;
         let (id, mut out) = h.request(class);
         assert_eq!(by(&out), Some(None));
         for n in 0..copies {
-            let to = sent(&out).unwrap().to_string();
-            h.wait(100 * MS);
+            let to = sent_to(&out).unwrap().to_string();
+            h.advance(100 * MS);
             let replication = if to == "a" {
-                primary(h.now)
+                primary_status(h.now)
             } else {
-                replica(h.now)
+                replica_status(h.now)
             };
-            out = h.outcome(id, &to, n, AttemptOutcome::ConnectionReset, replication);
-            out.extend(h.wait(300 * MS));
+            out = h.end_attempt(id, &to, n, AttemptOutcome::ConnectionReset, replication);
+            out.extend(h.advance(300 * MS));
             assert_eq!(
                 by(&out),
                 Some(is_bound.then_some(first + 3000 * MS)),
@@ -104,13 +110,17 @@
         let class = &mut set.classes[KEYED as usize];
         class.idempotency = Idempotency::IdempotencyKey(KeyScope::All);
         class.deduplication_window = window;
-        let mut h = Host::new(set);
+        let mut h = TestRouter::new(set);
         h.warm_up();
         let (id, out) = h.request(KEYED);
-        assert_eq!(sent(&out), Some("a"));
-        h.wait(150 * MS);
+        assert_eq!(sent_to(&out), Some("a"));
+        h.advance(150 * MS);
         let status = ReplicationStatus::default();
-        let out = h.outcome(id, "a", 0, AttemptOutcome::TimedOut, status);
-        assert_eq!(failed(&out), !is_rejected, "window of {window} ns: {out:?}");
+        let out = h.end_attempt(id, "a", 0, AttemptOutcome::TimedOut, status);
+        assert_eq!(
+            is_failed(&out),
+            !is_rejected,
+            "window of {window} ns: {out:?}"
+        );
     }
 }
--- a/crates/routing/tests/failures/slow_start.rs
+++ b/crates/routing/tests/failures/slow_start.rs
@@ -6,11 +6,11 @@
 
 #[test]
 fn endpoint_in_slow_start_gets_a_fraction_of_reads_but_not_none() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     h.warm_up();
     let mut e = entry("c", false);
     e.started = h.now;
-    h.feed(Event::List {
+    h.handle(Event::List {
         kind: ListKind::Changes,
         entries: vec![e],
     });
@@ -20,7 +20,7 @@
             "c" => cold += 1,
             _ => warm += 1,
         }
-        h.wait(10 * MS);
+        h.advance(10 * MS);
     }
     assert!(cold * 2 < warm && cold > 10, "cold {cold}, warm {warm}");
 }
@@ -31,13 +31,13 @@
 fn reads_beyond_slow_start_capacity_go_to_the_primary_rather_than_to_a_hanging_replica() {
     let (mut to_hung, mut to_lead) = (0, 0);
     for seed in 0..10 {
-        let mut h = Host::seeded(settings(), seed);
+        let mut h = TestRouter::with_seed(settings(), seed);
         h.warm_up();
         for _ in 0..20 {
             let (id, out) = h.request(SESSION);
-            let to = sent(&out).unwrap().to_string();
+            let to = sent_to(&out).unwrap().to_string();
             if to != "c" {
-                h.outcome(id, &to, 0, AttemptOutcome::Served, replica(h.now));
+                h.end_attempt(id, &to, 0, AttemptOutcome::Served, replica_status(h.now));
                 continue;
             }
             let (request, endpoint, attempt, latency) = (id, Arc::from("c"), 0, 2000 * MS);
@@ -47,7 +47,7 @@
                 true,
             );
             let outcome = AttemptOutcome::TimedOut;
-            h.feed(Event::AttemptEnded(AttemptEnded {
+            h.handle(Event::AttemptEnded(AttemptEnded {
                 request,
                 endpoint,
                 attempt,
@@ -60,21 +60,21 @@
         }
         let mut cold = entry("b", false);
         cold.started = h.now;
-        h.feed(Event::List {
+        h.handle(Event::List {
             kind: ListKind::Changes,
             entries: vec![cold],
         });
         for _ in 0..20 {
             let (id, out) = h.request(SESSION);
-            let to = sent(&out).unwrap().to_string();
+            let to = sent_to(&out).unwrap().to_string();
             to_hung += u32::from(to == "c");
             to_lead += u32::from(to == "a");
             let s = if to == "a" {
-                primary(h.now)
+                primary_status(h.now)
             } else {
-                replica(h.now)
+                replica_status(h.now)
             };
-            h.outcome(id, &to, 0, AttemptOutcome::Served, s);
+            h.end_attempt(id, &to, 0, AttemptOutcome::Served, s);
         }
     }
     assert_eq!(to_hung, 0);
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -62,7 +62,7 @@
 
 /// A fleet under a load: who sent what to which cold endpoint, and which requests wait for an answer.
 struct Play<'a> {
-    hosts: &'a mut [Host],
+    hosts: &'a mut [TestRouter],
     cold: &'a [&'a str],
     load: Load,
     draws: Draws,
@@ -102,17 +102,17 @@
             self.sent_at[i].push(now);
         }
         let (outcome, replication) = match () {
-            () if class == KEYED && to != "a" => (AttemptOutcome::Misrouted, replica(now)),
+            () if class == KEYED && to != "a" => (AttemptOutcome::Misrouted, replica_status(now)),
             () if is_cold.is_some() && self.draws.next() < self.load.rejected => {
                 (AttemptOutcome::Overloaded, ReplicationStatus::default())
             }
-            () if to == "a" => (AttemptOutcome::Served, primary(now)),
-            () => (AttemptOutcome::Served, replica(now)),
+            () if to == "a" => (AttemptOutcome::Served, primary_status(now)),
+            () => (AttemptOutcome::Served, replica_status(now)),
         };
         if outcome == AttemptOutcome::Served {
             self.open.remove(&(router, request));
         }
-        host.outcome(request, to, attempt, outcome, replication)
+        host.end_attempt(request, to, attempt, outcome, replication)
     }
 
     /// Lets the time pass at the routers where requests wait.
@@ -122,7 +122,7 @@
         for router in waiting {
             while self.hosts[router].now < until {
                 let step = STEP.min(until - self.hosts[router].now);
-                let actions = self.hosts[router].wait(step);
+                let actions = self.hosts[router].advance(step);
                 self.carry_out(router, actions);
             }
         }
@@ -131,7 +131,7 @@
     fn request(&mut self, now: Timestamp) {
         let router = (self.draws.next() * self.hosts.len() as f64) as usize;
         let host = &mut self.hosts[router];
-        let actions = host.wait(now.saturating_sub(host.now));
+        let actions = host.advance(now.saturating_sub(host.now));
         self.carry_out(router, actions);
         let class = if self.draws.next() < self.load.writes {
             KEYED
@@ -145,9 +145,9 @@
 }
 
 /// A request of a session that has asked for nothing before: any replica may answer its reads.
-fn in_own_session(host: &mut Host, class: u32) -> (RequestId, Vec<Action>) {
-    let id = host.next;
-    host.next += 1;
+fn in_own_session(host: &mut TestRouter, class: u32) -> (RequestId, Vec<Action>) {
+    let id = host.next_request;
+    host.next_request += 1;
     let request = Request {
         id,
         class,
@@ -159,13 +159,13 @@
         is_retry: false,
         time_left: 2000 * MS,
     };
-    (id, host.feed(Event::Request(request)))
+    (id, host.handle(Event::Request(request)))
 }
 
 /// Sends requests for 12 s over all routers by chance. Says by how much the worst window of a cold endpoint goes beyond its
 /// allowance.
-fn worst(hosts: &mut [Host], cold: &[&str], load: Load, seed: u64) -> f64 {
-    let (rules, start) = (settings().rules, T0 + 1000 * MS);
+fn worst(hosts: &mut [TestRouter], cold: &[&str], load: Load, seed: u64) -> f64 {
+    let (rules, start) = (settings().rules, START_TIME + 1000 * MS);
     let sent_at = vec![Vec::new(); cold.len()];
     let mut play = Play {
         hosts,
@@ -200,11 +200,11 @@
     worst
 }
 
-fn fleet(n: u64, seed: u64) -> Vec<Host> {
+fn fleet(n: u64, seed: u64) -> Vec<TestRouter> {
     let mut set = settings();
     set.router_count = n as u32;
     (0..n)
-        .map(|i| Host::seeded(set.clone(), seed * 7919 + i))
+        .map(|i| TestRouter::with_seed(set.clone(), seed * 7919 + i))
         .collect()
 }
 
@@ -310,12 +310,12 @@
             for seed in 0..4 {
                 let mut hosts = fleet(n, seed);
                 for h in &mut hosts {
-                    h.feed(listed(&[], 0));
+                    h.handle(listed(&[], 0));
                     if is_warm {
                         h.warm_up();
                     }
-                    h.wait(T0 + 1000 * MS - h.now);
-                    h.feed(listed(cold, h.now));
+                    h.advance(START_TIME + 1000 * MS - h.now);
+                    h.handle(listed(cold, h.now));
                 }
                 let over = worst(
                     &mut hosts,
@@ -351,8 +351,8 @@
     for seed in 0..3 {
         let mut set = settings();
         (set.is_subscription_required, set.router_count) = (true, N as u32);
-        let mut hosts: Vec<Host> = (0..N as u64)
-            .map(|i| Host::seeded(set.clone(), seed * 1000 + i))
+        let mut hosts: Vec<TestRouter> = (0..N as u64)
+            .map(|i| TestRouter::with_seed(set.clone(), seed * 1000 + i))
             .collect();
         let failed = || Event::List {
             kind: ListKind::Failed,
@@ -368,12 +368,12 @@
             let is_down = (down..back).contains(&ms);
             if ms == down {
                 queue.clear();
-                hosts.iter_mut().for_each(|h| drop(h.feed(failed())));
+                hosts.iter_mut().for_each(|h| drop(h.handle(failed())));
             }
             for (i, h) in hosts.iter_mut().enumerate() {
-                for _ in h.wait(MS).iter().filter(|a| **a == Action::Subscribe) {
+                for _ in h.advance(MS).iter().filter(|a| **a == Action::Subscribe) {
                     if is_down {
-                        h.feed(failed());
+                        h.handle(failed());
                     } else {
                         queue.push_back((ms, i));
                     }
@@ -383,7 +383,7 @@
                 && let Some((since, i)) = queue.pop_front()
             {
                 let is_late = ms - since > 2000;
-                hosts[i].feed(if is_late { failed() } else { news() });
+                hosts[i].handle(if is_late { failed() } else { news() });
                 told[i] = if is_late { told[i] } else { ms };
             }
             if ms == down - 1 {
--- a/crates/routing/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -5,7 +5,7 @@
 //! nothing here. A commit that is meant to change decisions replaces the expected values and says why.
 
 mod common;
-use common::{KEYED, MS, T0, WRITE, class};
+use common::{KEYED, MS, START_TIME, WRITE, class};
 use reelrill_routing::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -207,7 +207,7 @@
             balancer: Balancer::new(seed, settings.clone()).expect("good settings"),
             settings,
             choices: Choices(seed),
-            now: T0,
+            now: START_TIME,
             order: 0,
             queue: BTreeMap::new(),
             endpoints: (0..ENDPOINTS).map(new).collect(),
@@ -222,9 +222,9 @@
 
     fn run(mut self) -> (u64, [u64; KINDS]) {
         self.tell_whole_list(ListKind::Cached);
-        let (mut next_request, mut next_change) = (T0, T0 + 500 * MS);
+        let (mut next_request, mut next_change) = (START_TIME, START_TIME + 500 * MS);
         let mut id = 1;
-        while self.now < T0 + DAY {
+        while self.now < START_TIME + DAY {
             let due = self.queue.keys().next().map_or(Timestamp::MAX, |key| key.0);
             self.now = due.min(next_request).min(next_change).max(self.now);
             if due <= self.now {
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -39,7 +39,7 @@
 ];
 
 struct Checker {
-    h: Host,
+    h: TestRouter,
     owed: BTreeMap<RequestId, Owed>,
     out: Vec<(RequestId, u32, EndpointId)>,
     barred: BTreeMap<String, Timestamp>,
@@ -102,7 +102,7 @@
     let mut rng = Rng(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1);
     let mut c = Checker {
         unchecked: set.stale_reads == StaleReadPolicy::Serve,
-        h: Host::seeded(set, seed),
+        h: TestRouter::with_seed(set, seed),
         owed: BTreeMap::new(),
         out: Vec::new(),
         barred: BTreeMap::new(),
@@ -113,7 +113,7 @@
         match rng.below(12) {
             0..4 => {
                 let class = rng.below(5) as u32;
-                let id = c.h.next;
+                let id = c.h.next_request;
                 let deadline = c.h.now + 2000 * MS;
                 c.owed.insert(
                     id,
@@ -137,9 +137,9 @@
                 let leads = rng.below(20) == 0 || &*endpoint == "a";
                 let applied_position = c.h.now - rng.below(500) * MS;
                 let s = if leads {
-                    primary(applied_position)
+                    primary_status(applied_position)
                 } else {
-                    replica(applied_position)
+                    replica_status(applied_position)
                 };
                 let answers = matches!(
                     outcome,
@@ -171,7 +171,7 @@
                     let at = c.known.entry(endpoint.to_string()).or_insert(0);
                     *at = (*at).max(applied_position);
                 }
-                let out = c.h.outcome(id, &endpoint, n, outcome, s);
+                let out = c.h.end_attempt(id, &endpoint, n, outcome, s);
                 c.check(out);
             }
             8 if rng.below(8) == 0 => {
@@ -189,7 +189,7 @@
                 } else if e.state == EndpointState::Draining || !only_draining {
                     c.barred.entry(name.to_string()).or_insert(c.h.now);
                 }
-                let out = c.h.feed(Event::List {
+                let out = c.h.handle(Event::List {
                     kind: ListKind::Changes,
                     entries: vec![e],
                 });
@@ -198,25 +198,25 @@
             9 => {
                 // Things that are no longer known, and unknown ones.
                 let endpoint: EndpointId = Arc::from(["a", "zz"][rng.below(2) as usize]);
-                let mut out = c.h.outcome(
+                let mut out = c.h.end_attempt(
                     1 << 40,
                     &endpoint,
                     3,
                     ENDINGS[rng.below(9) as usize],
-                    replica(1),
+                    replica_status(1),
                 );
-                out.extend(c.h.feed(Event::ClientDisconnected { request: 1 << 41 }));
-                out.extend(c.h.feed(Event::Timer { token: 99 }));
-                out.extend(c.h.feed(Event::HealthCheckEnded {
+                out.extend(c.h.handle(Event::ClientDisconnected { request: 1 << 41 }));
+                out.extend(c.h.handle(Event::Timer { token: 99 }));
+                out.extend(c.h.handle(Event::HealthCheckEnded {
                     endpoint,
                     outcome: AttemptOutcome::Served,
-                    report: replica(1),
+                    report: replica_status(1),
                 }));
                 c.check(out);
             }
             _ => {
                 for _ in 0..rng.below(20) {
-                    let out = c.h.wait(MS);
+                    let out = c.h.advance(MS);
                     c.check(out);
                 }
             }
@@ -255,7 +255,7 @@
 
 #[test]
 fn unusual_input_never_panics() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     let mut odd = |id: RequestId, class: u32, replica_set: u32, time_left: Nanos| {
         let req = Request {
             id,
@@ -268,25 +268,25 @@
             is_retry: true,
             time_left,
         };
-        h.feed(Event::Request(req))
+        h.handle(Event::Request(req))
     };
     assert!(
-        refused(&odd(1, 77, 1, MS)),
+        is_rejected(&odd(1, 77, 1, MS)),
         "a class that is not in the settings"
     );
     assert!(
-        refused(&odd(2, 0, 55, 500 * MS)),
+        is_rejected(&odd(2, 0, 55, 500 * MS)),
         "a replica set without endpoints"
     );
-    assert!(refused(&odd(3, 0, 1, 0)), "no time left");
+    assert!(is_rejected(&odd(3, 0, 1, 0)), "no time left");
     odd(4, 1, 1, Nanos::MAX);
-    h.feed(Event::List {
+    h.handle(Event::List {
         kind: ListKind::Full,
         entries: Vec::new(),
     });
     let (_, mut out) = h.request(BOUNDED);
-    assert!(sent(&out).is_none());
-    out.extend(h.wait(600 * MS));
+    assert!(sent_to(&out).is_none());
+    out.extend(h.advance(600 * MS));
     assert!(
         out.iter()
             .filter(|a| matches!(a, Action::Reject { .. }))
@@ -298,16 +298,22 @@
 #[test]
 fn same_seed_and_events_give_the_same_actions() {
     let run = || {
-        let mut h = Host::new(settings());
+        let mut h = TestRouter::new(settings());
         h.warm_up();
         let mut all = Vec::new();
         for i in 0..200 {
             let (id, out) = h.request(i % 5);
-            if let Some(to) = sent(&out).map(str::to_string) {
-                all.extend(h.outcome(id, &to, 0, ENDINGS[i as usize % 9], replica(h.now)));
+            if let Some(to) = sent_to(&out).map(str::to_string) {
+                all.extend(h.end_attempt(
+                    id,
+                    &to,
+                    0,
+                    ENDINGS[i as usize % 9],
+                    replica_status(h.now),
+                ));
             }
             all.extend(out);
-            all.extend(h.wait(3 * MS));
+            all.extend(h.advance(3 * MS));
         }
         all
     };
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -8,25 +8,25 @@
 
 const ROUTERS: u64 = 150;
 
-fn fleet(set: &Settings) -> Vec<Host> {
+fn fleet(set: &Settings) -> Vec<TestRouter> {
     (0..ROUTERS)
-        .map(|seed| Host::seeded(set.clone(), seed * 7919 + 1))
+        .map(|seed| TestRouter::with_seed(set.clone(), seed * 7919 + 1))
         .collect()
 }
 
-fn replication(h: &Host, endpoint: &str) -> ReplicationStatus {
+fn replication(h: &TestRouter, endpoint: &str) -> ReplicationStatus {
     if endpoint == "a" {
-        primary(h.now)
+        primary_status(h.now)
     } else {
-        replica(h.now)
+        replica_status(h.now)
     }
 }
 
 /// One request of one router, served at once; returns the endpoint.
-fn one(h: &mut Host, class: u32) -> Option<String> {
+fn one(h: &mut TestRouter, class: u32) -> Option<String> {
     let (id, out) = h.request(class);
-    let to = sent(&out)?.to_string();
-    h.outcome(id, &to, 0, AttemptOutcome::Served, replication(h, &to));
+    let to = sent_to(&out)?.to_string();
+    h.end_attempt(id, &to, 0, AttemptOutcome::Served, replication(h, &to));
     Some(to)
 }
 
@@ -50,7 +50,7 @@
     );
     let mut to_new = 0;
     for h in &mut hosts {
-        h.feed(changed(entry("d", false)));
+        h.handle(changed(entry("d", false)));
         to_new += u64::from(one(h, SESSION).unwrap() == "d");
     }
     assert!(
@@ -69,7 +69,7 @@
         }
         let mut e = entry("c", false);
         e.started = h.now;
-        h.feed(changed(e));
+        h.handle(changed(e));
     }
     // Each router sends one read in two seconds; all together 75 a second, windows of the rule's length.
     for second in 0..8 {
@@ -78,7 +78,7 @@
             if i % 2 == second % 2 {
                 *got.entry(one(h, SESSION).unwrap()).or_insert(0.0) += 1.0;
             }
-            h.wait(1000 * MS);
+            h.advance(1000 * MS);
         }
         let (cold, warm) = (got.get("c").copied().unwrap_or(0.0), got["b"]);
         let share = 0.2 + 0.8 * second as f64 / 10.0;
@@ -97,21 +97,21 @@
         h.warm_up();
         let mut e = entry("c", false);
         e.started = h.now;
-        h.feed(changed(e));
-        h.wait(400 * MS);
+        h.handle(changed(e));
+        h.advance(400 * MS);
         let (_, out) = h.request(WRITE);
-        to_cold += u32::from(sent(&out) == Some("c"));
+        to_cold += u32::from(sent_to(&out) == Some("c"));
         h.serve(SESSION, h.now);
         let (id, out) = h.request(SESSION);
-        if sent(&out) == Some("b") {
-            let out = h.outcome(
+        if sent_to(&out) == Some("b") {
+            let out = h.end_attempt(
                 id,
                 "b",
                 0,
                 AttemptOutcome::ConnectFailed,
                 ReplicationStatus::default(),
             );
-            to_cold += u32::from(sent(&out) == Some("c"));
+            to_cold += u32::from(sent_to(&out) == Some("c"));
         }
     }
     assert_eq!(to_cold, 0);
@@ -125,30 +125,30 @@
         for mut h in fleet(&settings()) {
             h.warm_up();
             let old = h.now;
-            h.wait(400 * MS);
+            h.advance(400 * MS);
             let mut back = false;
             for _ in 0..200 {
                 let (id, out) = h.request(SESSION);
-                let to = sent(&out).unwrap().to_string();
+                let to = sent_to(&out).unwrap().to_string();
                 if to != "b" {
-                    h.outcome(id, &to, 0, AttemptOutcome::Served, replication(&h, &to));
+                    h.end_attempt(id, &to, 0, AttemptOutcome::Served, replication(&h, &to));
                 } else if h.now < old + 3000 * MS {
-                    let out = h.outcome(
+                    let out = h.end_attempt(
                         id,
                         "b",
                         0,
                         AttemptOutcome::ConnectFailed,
                         ReplicationStatus::default(),
                     );
-                    let to = sent(&out).unwrap().to_string();
-                    h.outcome(id, &to, 1, AttemptOutcome::Served, replication(&h, &to));
+                    let to = sent_to(&out).unwrap().to_string();
+                    h.end_attempt(id, &to, 1, AttemptOutcome::Served, replication(&h, &to));
                 } else {
                     let at = if fresh == 1 { h.now } else { old };
-                    h.outcome(id, "b", 0, AttemptOutcome::Served, replica(at));
+                    h.end_attempt(id, "b", 0, AttemptOutcome::Served, replica_status(at));
                     back = true;
                     break;
                 }
-                h.wait(100 * MS);
+                h.advance(100 * MS);
             }
             assert!(back, "never tried again");
             for _ in 0..2 {
@@ -188,19 +188,19 @@
                     latency,
                     is_request_complete: closed,
                 };
-                h.feed(Event::AttemptEnded(o));
+                h.handle(Event::AttemptEnded(o));
             }
             let (id, out) = h.request(SESSION);
-            refusals += u32::from(refused(&out));
-            if let Some(to) = sent(&out).map(str::to_string) {
+            refusals += u32::from(is_rejected(&out));
+            if let Some(to) = sent_to(&out).map(str::to_string) {
                 if i % 4 == 3 {
                     lost.push((h.now, id, Arc::from(&*to)));
                 } else {
-                    h.outcome(id, &to, 0, AttemptOutcome::Served, replication(&h, &to));
+                    h.end_attempt(id, &to, 0, AttemptOutcome::Served, replication(&h, &to));
                     sends += 1;
                 }
             }
-            h.wait(250 * MS);
+            h.advance(250 * MS);
         }
     }
     assert!(refusals * 12 < sends, "{refusals} refusals, {sends} served");
@@ -208,7 +208,7 @@
 
 #[test]
 fn errors_of_one_endpoint_do_not_count_as_load_of_others() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     h.warm_up();
     let mut refusals = 0;
     for i in 0..60 {
@@ -216,18 +216,18 @@
         let (id, out) = h.request(class);
         let of_it = |a: &&Action| matches!(a, Action::Reject { request, .. } if *request == id);
         refusals += out.iter().filter(of_it).count();
-        if let Some(to) = sent(&out).map(str::to_string) {
+        if let Some(to) = sent_to(&out).map(str::to_string) {
             let outcome = if class == KEYED {
                 AttemptOutcome::Error
             } else {
                 AttemptOutcome::Served
             };
-            let out = h.outcome(id, &to, 0, outcome, replication(&h, &to));
-            if sent(&out).is_some() {
-                h.outcome(id, "a", 1, AttemptOutcome::Served, replication(&h, "a"));
+            let out = h.end_attempt(id, &to, 0, outcome, replication(&h, &to));
+            if sent_to(&out).is_some() {
+                h.end_attempt(id, "a", 1, AttemptOutcome::Served, replication(&h, "a"));
             }
         }
-        h.wait(200 * MS);
+        h.advance(200 * MS);
     }
     assert_eq!(refusals, 0);
 }
@@ -237,16 +237,16 @@
     for binds in [true, false] {
         let mut set = settings();
         set.rules.allows_unlisted_endpoints = !binds;
-        let mut h = Host::new(set);
+        let mut h = TestRouter::new(set);
         h.warm_up();
         let mut gone = entry("b", false);
         gone.state = EndpointState::Removed;
-        h.feed(changed(gone));
-        h.feed(Event::List {
+        h.handle(changed(gone));
+        h.handle(Event::List {
             kind: ListKind::Full,
             entries: vec![entry("a", true), entry("c", false)],
         });
-        h.wait(1100 * MS);
+        h.advance(1100 * MS);
         let used = (0..6).filter(|_| h.serve(SESSION, h.now) == "b").count();
         assert_eq!(used > 0, !binds, "binds: {binds}");
     }
@@ -254,22 +254,22 @@
 
 #[test]
 fn endpoint_that_never_responds_gets_rare_recovery_probes_and_no_health_checks() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     h.warm_up();
-    h.feed(changed(entry("ghost", false)));
+    h.handle(changed(entry("ghost", false)));
     let (mut tries, mut probes) = (0, 0);
     for _ in 0..600 {
         let (id, mut out) = h.request(SESSION);
         for n in 0.. {
-            let Some(to) = sent(&out).map(str::to_string) else {
+            let Some(to) = sent_to(&out).map(str::to_string) else {
                 break;
             };
             if to != "ghost" {
-                h.outcome(id, &to, n, AttemptOutcome::Served, replication(&h, &to));
+                h.end_attempt(id, &to, n, AttemptOutcome::Served, replication(&h, &to));
                 break;
             }
             tries += 1;
-            out = h.outcome(
+            out = h.end_attempt(
                 id,
                 &to,
                 n,
@@ -277,7 +277,7 @@
                 ReplicationStatus::default(),
             );
         }
-        let waited = h.wait(100 * MS);
+        let waited = h.advance(100 * MS);
         probes += waited
             .iter()
             .filter(|a| matches!(a, Action::CheckHealth { .. }))
@@ -293,16 +293,16 @@
 fn endpoint_behind_a_bad_link_is_excluded_by_its_own_router_only() {
     let mut used = [0, 0];
     for (cut, used) in [true, false].into_iter().zip(&mut used) {
-        let mut h = Host::seeded(settings(), 3 + u64::from(cut));
+        let mut h = TestRouter::with_seed(settings(), 3 + u64::from(cut));
         h.warm_up();
         for _ in 0..120 {
             let (id, out) = h.request(SESSION);
-            let to = sent(&out).unwrap().to_string();
+            let to = sent_to(&out).unwrap().to_string();
             *used += u32::from(to == "b");
             if !(cut && to == "b") {
-                h.outcome(id, &to, 0, AttemptOutcome::Served, replication(&h, &to));
+                h.end_attempt(id, &to, 0, AttemptOutcome::Served, replication(&h, &to));
             }
-            h.wait(100 * MS);
+            h.advance(100 * MS);
         }
     }
     assert!(used[0] * 3 < used[1] && used[0] > 0, "{used:?}");
@@ -310,15 +310,15 @@
 
 #[test]
 fn unusual_lists_and_positions_have_a_defined_meaning() {
-    let mut h = Host::new(settings());
+    let mut h = TestRouter::new(settings());
     h.warm_up();
     // A known endpoint under another replica set stays where it was; a start in the future is a start now.
     let mut moved = entry("b", false);
     (moved.replica_set, moved.started) = (9, h.now + 60_000 * MS);
-    h.feed(changed(moved));
+    h.handle(changed(moved));
     let (_, out) = {
-        let id = h.next;
-        h.next += 1;
+        let id = h.next_request;
+        h.next_request += 1;
         let (session, since_write, tenant, work) = (Some(Arc::from("s")), None, None, None);
         let (class, replica_set, is_retry, time_left) = (SESSION, 9, false, 500 * MS);
         let req = Request {
@@ -332,31 +332,31 @@
             is_retry,
             time_left,
         };
-        (id, h.feed(Event::Request(req)))
+        (id, h.handle(Event::Request(req)))
     };
-    assert!(refused(&out), "replica set 9 has no endpoints: {out:?}");
-    h.feed(Event::List {
+    assert!(is_rejected(&out), "replica set 9 has no endpoints: {out:?}");
+    h.handle(Event::List {
         kind: ListKind::Changes,
         entries: Vec::new(),
     });
     // Positions never go back, and one ahead of the clock must not make a replica fresh for ever.
     let (id, out) = h.request(SESSION);
-    let to = sent(&out).unwrap().to_string();
-    h.outcome(
+    let to = sent_to(&out).unwrap().to_string();
+    h.end_attempt(
         id,
         &to,
         0,
         AttemptOutcome::Served,
-        replica(h.now - 5000 * MS),
+        replica_status(h.now - 5000 * MS),
     );
     let ahead = h.now + 3_600_000 * MS;
     let (id, out) = h.request(SESSION);
-    let to = sent(&out).unwrap().to_string();
-    h.outcome(id, &to, 0, AttemptOutcome::Served, replica(ahead));
-    h.wait(2000 * MS);
+    let to = sent_to(&out).unwrap().to_string();
+    h.end_attempt(id, &to, 0, AttemptOutcome::Served, replica_status(ahead));
+    h.advance(2000 * MS);
     let (_, out) = h.request(BOUNDED);
     assert_eq!(
-        sent(&out),
+        sent_to(&out),
         Some("a"),
         "nothing is known of the replicas by now"
     );
@@ -372,16 +372,22 @@
         h.warm_up();
         let mut e = entry("a", true);
         e.started = h.now - 5000 * MS;
-        h.feed(changed(e));
+        h.handle(changed(e));
         let (id, mut out) = h.request(WRITE);
         writes += 1;
         for n in 0..6 {
             let to_it = |a: &Action| matches!(a, Action::Send { request, .. } if *request == id);
             if out.iter().any(to_it) {
                 sends += 1;
-                out = h.outcome(id, "a", n, AttemptOutcome::Overloaded, primary(h.now));
+                out = h.end_attempt(
+                    id,
+                    "a",
+                    n,
+                    AttemptOutcome::Overloaded,
+                    primary_status(h.now),
+                );
             }
-            out.extend(h.wait(300 * MS));
+            out.extend(h.advance(300 * MS));
         }
     }
     assert!(sends <= 2 * writes, "{sends} sends of {writes} writes");
@@ -395,8 +401,8 @@
     let mut set = settings();
     (set.is_subscription_required, set.router_count) = (true, 100);
     for seed in 0..3 {
-        let mut hosts: Vec<Host> = (0..100)
-            .map(|i| Host::seeded(set.clone(), seed * 1000 + i))
+        let mut hosts: Vec<TestRouter> = (0..100)
+            .map(|i| TestRouter::with_seed(set.clone(), seed * 1000 + i))
             .collect();
         let mut queue: std::collections::VecDeque<(u64, usize)> = Default::default();
         let (mut told, mut calls, mut in_vain, mut rests) = ([false; 100], 0, 0, 0);
@@ -410,20 +416,20 @@
                 told = [false; 100];
                 queue.clear();
                 for h in &mut hosts {
-                    h.feed(Event::List {
+                    h.handle(Event::List {
                         kind: ListKind::Failed,
                         entries: Vec::new(),
                     });
                 }
             }
             for (i, h) in hosts.iter_mut().enumerate() {
-                for _ in h.wait(MS).iter().filter(|a| **a == Action::Subscribe) {
+                for _ in h.advance(MS).iter().filter(|a| **a == Action::Subscribe) {
                     calls += 1;
                     if queue.len() < 76 {
                         queue.push_back((ms, i));
                     } else {
                         in_vain += 1;
-                        h.feed(Event::List {
+                        h.handle(Event::List {
                             kind: ListKind::Failed,
                             entries: Vec::new(),
                         });
@@ -436,13 +442,13 @@
                 let (since, i) = queue.pop_front().unwrap();
                 if ms - since > 2000 {
                     in_vain += 1;
-                    hosts[i].feed(Event::List {
+                    hosts[i].handle(Event::List {
                         kind: ListKind::Failed,
                         entries: Vec::new(),
                     });
                 } else {
                     told[i] = true;
-                    hosts[i].feed(Event::List {
+                    hosts[i].handle(Event::List {
                         kind: ListKind::Changes,
                         entries: Vec::new(),
                     });
@@ -465,26 +471,26 @@
         let mut set = settings();
         (set.stale_reads, set.list_role) = (stale_reads, ListRole::None);
         for seed in 0..20 {
-            let mut h = Host::seeded(set.clone(), seed);
-            let (id, mut out) = h.request(FRESH);
+            let mut h = TestRouter::with_seed(set.clone(), seed);
+            let (id, mut out) = h.request(STRONG);
             if stale_reads == StaleReadPolicy::Serve {
                 assert_eq!(
-                    sent(&out),
+                    sent_to(&out),
                     None,
                     "seed {seed}: might be answered from old data"
                 );
                 continue;
             }
             let mut asked = Vec::new();
-            while let Some(to) = sent(&out).map(str::to_string) {
+            while let Some(to) = sent_to(&out).map(str::to_string) {
                 let (outcome, s) = if to == "a" {
-                    (AttemptOutcome::Served, primary(h.now))
+                    (AttemptOutcome::Served, primary_status(h.now))
                 } else {
-                    (AttemptOutcome::Misrouted, replica(h.now))
+                    (AttemptOutcome::Misrouted, replica_status(h.now))
                 };
                 let n = asked.len() as u32;
                 asked.push(to.clone());
-                out = h.outcome(id, &to, n, outcome, s);
+                out = h.end_attempt(id, &to, n, outcome, s);
             }
             assert_eq!(
                 asked.last().map(String::as_str),
