--- a/crates/routing/tests/failures/main.rs
+++ b/crates/routing/tests/failures/main.rs
@@ -1,4 +1,5 @@
-//! Regression tests of the balancer alone, one for each failure found, by the module that decides.
+//! Regression tests of the balancer alone, by module: each guards against one failure that
+//! occurred.
 
 #[path = "../common/mod.rs"]
 mod common;
