--- a/crates/routing/tests/failures/slow_start.rs
+++ b/crates/routing/tests/failures/slow_start.rs
@@ -1,53 +1,64 @@
-//! Endpoints that have just started.
+//! Slow start of endpoints that have just started.
 
 use crate::common::*;
 use reelrill_routing::*;
 use std::sync::Arc;
 
+/// Guards against overloading an endpoint that has just started, and against leaving it without
+/// reads.
 #[test]
 fn endpoint_in_slow_start_gets_a_fraction_of_reads_but_not_none() {
-    let mut h = TestRouter::new(settings());
-    h.warm_up();
-    let mut e = entry("c", false);
-    e.started = h.now;
-    h.handle(Event::List {
+    let mut router = TestRouter::new(settings());
+    router.warm_up();
+    let mut restarted = entry("c", false);
+    restarted.started = router.now;
+    router.handle(Event::List {
         kind: ListKind::Changes,
-        entries: vec![e],
+        entries: vec![restarted],
     });
-    let (mut cold, mut warm) = (0, 0);
+    let (mut starting, mut other) = (0, 0);
     for _ in 0..200 {
-        match &*h.serve(SESSION, h.now) {
-            "c" => cold += 1,
-            _ => warm += 1,
+        match &*router.serve(SESSION, router.now) {
+            "c" => starting += 1,
+            _ => other += 1,
         }
-        h.advance(10 * MS);
+        router.advance(10 * MS);
     }
-    assert!(cold * 2 < warm && cold > 10, "cold {cold}, warm {warm}");
+    assert!(
+        starting * 2 < other && starting > 10,
+        "reads at the starting endpoint: {starting}, at others: {other}"
+    );
 }
 
-/// A cold endpoint takes its share of the reads in turn; those it does not take go on, but not to one that hangs while
-/// the primary answers: for many routers that one would be the spare of all.
+/// Guards against sending the reads that an endpoint in slow start does not admit to a replica that
+/// hangs while the primary responds: all routers together would then fall back to that replica.
 #[test]
-fn reads_beyond_slow_start_capacity_go_to_the_primary_rather_than_to_a_hanging_replica() {
-    let (mut to_hung, mut to_lead) = (0, 0);
+fn reads_beyond_slow_start_capacity_are_sent_to_the_primary_rather_than_a_hanging_replica() {
+    let (mut hanging_reads, mut primary_reads) = (0, 0);
     for seed in 0..10 {
-        let mut h = TestRouter::with_seed(settings(), seed);
-        h.warm_up();
+        let mut router = TestRouter::with_seed(settings(), seed);
+        router.warm_up();
         for _ in 0..20 {
-            let (id, out) = h.request(SESSION);
-            let to = sent_to(&out).unwrap().to_string();
-            if to != "c" {
-                h.end_attempt(id, &to, 0, AttemptOutcome::Served, replica_status(h.now));
+            let (id, actions) = router.request(SESSION);
+            let endpoint = sent_to(&actions).unwrap().to_string();
+            if endpoint != "c" {
+                router.end_attempt(
+                    id,
+                    &endpoint,
+                    0,
+                    AttemptOutcome::Served,
+                    replica_status(router.now),
+                );
                 continue;
             }
             let (request, endpoint, attempt, latency) = (id, Arc::from("c"), 0, 2000 * MS);
-            let (replication, report, closed) = (
+            let (replication, report, is_request_complete) = (
                 ReplicationStatus::default(),
                 ReplicationStatus::default(),
                 true,
             );
             let outcome = AttemptOutcome::TimedOut;
-            h.handle(Event::AttemptEnded(AttemptEnded {
+            router.handle(Event::AttemptEnded(AttemptEnded {
                 request,
                 endpoint,
                 attempt,
@@ -55,28 +66,31 @@
                 replication,
                 report,
                 latency,
-                is_request_complete: closed,
+                is_request_complete,
             }));
         }
-        let mut cold = entry("b", false);
-        cold.started = h.now;
-        h.handle(Event::List {
+        let mut restarted = entry("b", false);
+        restarted.started = router.now;
+        router.handle(Event::List {
             kind: ListKind::Changes,
-            entries: vec![cold],
+            entries: vec![restarted],
         });
         for _ in 0..20 {
-            let (id, out) = h.request(SESSION);
-            let to = sent_to(&out).unwrap().to_string();
-            to_hung += u32::from(to == "c");
-            to_lead += u32::from(to == "a");
-            let s = if to == "a" {
-                primary_status(h.now)
+            let (id, actions) = router.request(SESSION);
+            let endpoint = sent_to(&actions).unwrap().to_string();
+            hanging_reads += u32::from(endpoint == "c");
+            primary_reads += u32::from(endpoint == "a");
+            let replication = if endpoint == "a" {
+                primary_status(router.now)
             } else {
-                replica_status(h.now)
+                replica_status(router.now)
             };
-            h.end_attempt(id, &to, 0, AttemptOutcome::Served, s);
+            router.end_attempt(id, &endpoint, 0, AttemptOutcome::Served, replication);
         }
     }
-    assert_eq!(to_hung, 0);
-    assert!(to_lead > 50, "{to_lead} of 200");
+    assert_eq!(hanging_reads, 0);
+    assert!(
+        primary_reads > 50,
+        "{primary_reads} of 200 reads at the primary"
+    );
 }
