--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -1,4 +1,10 @@
-//! Seeded property tests: the rules hold under odd orders of events.
+//! Seeded property tests of the operators' rules under unusual orders of events, as after failures,
+//! late responses and list changes.
+//!
+//! - Rule 1: each request gets exactly one final response in time, and no attempt after it.
+//! - Rule 2: a possibly executed write is not rejected, and sent again only with an idempotency key.
+//! - Rule 3: no attempt is sent to an endpoint after its drain grace.
+//! - Rule 5: no read is sent to a replica whose known position is older than the staleness bound.
 
 mod common;
 use common::*;
@@ -6,27 +12,31 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+/// Xorshift generator for the choices of the test, apart from the balancer's generator.
 struct Rng(u64);
 
 impl Rng {
-    fn below(&mut self, n: u64) -> u64 {
+    fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        self.0 % n
+        self.0 % bound
     }
 }
 
+/// State of a request, as far as the rules depend on it.
 #[derive(Default)]
-struct Owed {
+struct ObservedRequest {
     class: u32,
     deadline: Timestamp,
     attempts: u32,
-    may_have_run: u32,
-    over: bool,
+    /// Number of attempts that may have been executed.
+    possibly_executed: u32,
+    /// Whether it has its final response.
+    is_complete: bool,
 }
 
-const ENDINGS: [AttemptOutcome; 9] = [
+const OUTCOMES: [AttemptOutcome; 9] = [
     AttemptOutcome::Served,
     AttemptOutcome::Error,
     AttemptOutcome::Overloaded,
@@ -38,58 +48,73 @@
     AttemptOutcome::Misrouted,
 ];
 
-struct Checker {
-    h: TestRouter,
-    owed: BTreeMap<RequestId, Owed>,
-    out: Vec<(RequestId, u32, EndpointId)>,
-    barred: BTreeMap<String, Timestamp>,
+struct RuleChecker {
+    router: TestRouter,
+    requests: BTreeMap<RequestId, ObservedRequest>,
+    /// Attempts in flight: request, number of the attempt, endpoint.
+    in_flight: Vec<(RequestId, u32, EndpointId)>,
+    /// Time of the notification of each endpoint that is draining or removed.
+    draining_since: BTreeMap<String, Timestamp>,
+    /// Endpoints that have reported themselves as replicas.
     replicas: BTreeSet<String>,
-    unchecked: bool,
-    known: BTreeMap<String, Timestamp>,
+    /// Whether endpoints serve stale reads, so that only the router prevents them.
+    has_unchecked_reads: bool,
+    /// Latest position that each endpoint has reported, other than that of a served write.
+    known_positions: BTreeMap<String, Timestamp>,
 }
 
-impl Checker {
+impl RuleChecker {
+    /// Checks the rules for each action.
     fn check(&mut self, actions: Vec<Action>) {
-        for a in actions {
-            match a {
+        for action in actions {
+            match action {
                 Action::Send {
                     request, endpoint, ..
                 } => {
-                    let o = self.owed.get_mut(&request).expect("a known request");
-                    assert!(!o.over, "rule 1: sent after its end");
+                    let observed = self.requests.get_mut(&request).expect("a known request");
                     assert!(
-                        o.class != WRITE || o.may_have_run == 0,
-                        "rule 2: an unsafe write repeated"
+                        !observed.is_complete,
+                        "rule 1: sent after its final response"
                     );
-                    if let Some(t) = self.barred.get(&*endpoint) {
+                    assert!(
+                        observed.class != WRITE || observed.possibly_executed == 0,
+                        "rule 2: a possibly executed write sent again"
+                    );
+                    if let Some(since) = self.draining_since.get(&*endpoint) {
                         assert!(
-                            self.h.now <= t + 1000 * MS,
-                            "rule 3: sent to a draining endpoint"
+                            self.router.now <= since + 1000 * MS,
+                            "rule 3: sent to an endpoint after its drain grace"
                         );
                     }
-                    if self.unchecked && o.class == BOUNDED && self.replicas.contains(&*endpoint) {
-                        let at = self.known.get(&*endpoint).copied().unwrap_or(0);
-                        // Up to a millisecond may have passed since it was sent.
-                        assert!(self.h.now - at < 301 * MS, "rule 5: stale");
+                    if self.has_unchecked_reads
+                        && observed.class == BOUNDED
+                        && self.replicas.contains(&*endpoint)
+                    {
+                        let position = self.known_positions.get(&*endpoint).copied().unwrap_or(0);
+                        // The clock may have advanced by up to 1 ms since the action.
+                        assert!(
+                            self.router.now - position < 301 * MS,
+                            "rule 5: sent to a replica behind the staleness bound"
+                        );
                     }
-                    self.out.push((request, o.attempts, endpoint));
-                    o.attempts += 1;
-                    o.may_have_run += 1;
+                    self.in_flight.push((request, observed.attempts, endpoint));
+                    observed.attempts += 1;
+                    observed.possibly_executed += 1;
                 }
                 Action::Reject { request, .. } => {
-                    let o = self.owed.get_mut(&request).expect("a known request");
-                    assert!(!o.over, "rule 1: answered twice");
-                    let unsure = o.class == WRITE || o.class == KEYED;
+                    let observed = self.requests.get_mut(&request).expect("a known request");
+                    assert!(!observed.is_complete, "rule 1: a second final response");
+                    let is_unsafe_to_repeat = observed.class == WRITE || observed.class == KEYED;
                     assert!(
-                        !unsure || o.may_have_run == 0,
-                        "rule 2: rejected though possibly executed"
+                        !is_unsafe_to_repeat || observed.possibly_executed == 0,
+                        "rule 2: rejected although possibly executed"
                     );
-                    o.over = true;
+                    observed.is_complete = true;
                 }
                 Action::Fail { request, .. } => {
-                    let o = self.owed.get_mut(&request).expect("a known request");
-                    assert!(!o.over, "rule 1: answered twice");
-                    o.over = true;
+                    let observed = self.requests.get_mut(&request).expect("a known request");
+                    assert!(!observed.is_complete, "rule 1: a second final response");
+                    observed.is_complete = true;
                 }
                 _ => {}
             }
@@ -97,167 +122,193 @@
     }
 }
 
-fn odd_day(seed: u64, set: Settings) {
-    let only_draining = set.rules.allows_unlisted_endpoints;
+/// Runs 3000 random events, some of them about unknown requests, and checks the rules after each.
+fn run_unusual_events(seed: u64, settings: Settings) {
+    let allows_unlisted = settings.rules.allows_unlisted_endpoints;
     let mut rng = Rng(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1);
-    let mut c = Checker {
-        unchecked: set.stale_reads == StaleReadPolicy::Serve,
-        h: TestRouter::with_seed(set, seed),
-        owed: BTreeMap::new(),
-        out: Vec::new(),
-        barred: BTreeMap::new(),
+    let mut checker = RuleChecker {
+        has_unchecked_reads: settings.stale_reads == StaleReadPolicy::Serve,
+        router: TestRouter::with_seed(settings, seed),
+        requests: BTreeMap::new(),
+        in_flight: Vec::new(),
+        draining_since: BTreeMap::new(),
         replicas: BTreeSet::new(),
-        known: BTreeMap::new(),
+        known_positions: BTreeMap::new(),
     };
     for _ in 0..3000 {
         match rng.below(12) {
             0..4 => {
                 let class = rng.below(5) as u32;
-                let id = c.h.next_request;
-                let deadline = c.h.now + 2000 * MS;
-                c.owed.insert(
+                let id = checker.router.next_request;
+                let deadline = checker.router.now + 2000 * MS;
+                checker.requests.insert(
                     id,
-                    Owed {
+                    ObservedRequest {
                         class,
                         deadline,
-                        ..Owed::default()
+                        ..ObservedRequest::default()
                     },
                 );
-                let (_, out) = c.h.request(class);
-                c.check(out);
+                let (_, actions) = checker.router.request(class);
+                checker.check(actions);
             }
-            4..8 if !c.out.is_empty() => {
-                let i = rng.below(c.out.len() as u64) as usize;
-                let (id, n, endpoint) = c.out.swap_remove(i);
+            4..8 if !checker.in_flight.is_empty() => {
+                let index = rng.below(checker.in_flight.len() as u64) as usize;
+                let (id, attempt, endpoint) = checker.in_flight.swap_remove(index);
                 let outcome = if rng.below(2) == 0 {
                     AttemptOutcome::Served
                 } else {
-                    ENDINGS[rng.below(9) as usize]
+                    OUTCOMES[rng.below(9) as usize]
                 };
-                let leads = rng.below(20) == 0 || &*endpoint == "a";
-                let applied_position = c.h.now - rng.below(500) * MS;
-                let s = if leads {
+                let is_primary = rng.below(20) == 0 || &*endpoint == "a";
+                let applied_position = checker.router.now - rng.below(500) * MS;
+                let replication = if is_primary {
                     primary_status(applied_position)
                 } else {
                     replica_status(applied_position)
                 };
-                let answers = matches!(
+                let has_response = matches!(
                     outcome,
                     AttemptOutcome::Served
                         | AttemptOutcome::Error
                         | AttemptOutcome::Overloaded
                         | AttemptOutcome::Misrouted
                 );
-                let s = if answers {
-                    s
+                let replication = if has_response {
+                    replication
                 } else {
                     ReplicationStatus::default()
                 };
-                let o = c.owed.get_mut(&id).unwrap();
+                let observed = checker.requests.get_mut(&id).unwrap();
                 if outcome.is_never_executed() {
-                    o.may_have_run -= 1;
+                    observed.possibly_executed -= 1;
                 }
-                let write = o.class == WRITE || o.class == KEYED;
-                o.over |= outcome == AttemptOutcome::Served;
-                if answers && leads {
-                    c.replicas.remove(&*endpoint);
-                } else if answers {
-                    c.replicas.insert(endpoint.to_string());
-                    let commit = write && outcome == AttemptOutcome::Served;
-                    let at = c.known.entry(endpoint.to_string()).or_insert(0);
-                    *at = (*at).max(if commit { 0 } else { applied_position });
+                let is_write = observed.class == WRITE || observed.class == KEYED;
+                observed.is_complete |= outcome == AttemptOutcome::Served;
+                if has_response && is_primary {
+                    checker.replicas.remove(&*endpoint);
+                } else if has_response {
+                    checker.replicas.insert(endpoint.to_string());
+                    let is_served_write = is_write && outcome == AttemptOutcome::Served;
+                    let position = checker
+                        .known_positions
+                        .entry(endpoint.to_string())
+                        .or_insert(0);
+                    *position = (*position).max(if is_served_write { 0 } else { applied_position });
                 }
-                if answers && leads && !(write && outcome == AttemptOutcome::Served) {
-                    let at = c.known.entry(endpoint.to_string()).or_insert(0);
-                    *at = (*at).max(applied_position);
+                if has_response && is_primary && !(is_write && outcome == AttemptOutcome::Served) {
+                    let position = checker
+                        .known_positions
+                        .entry(endpoint.to_string())
+                        .or_insert(0);
+                    *position = (*position).max(applied_position);
                 }
-                let out = c.h.end_attempt(id, &endpoint, n, outcome, s);
-                c.check(out);
+                let actions =
+                    checker
+                        .router
+                        .end_attempt(id, &endpoint, attempt, outcome, replication);
+                checker.check(actions);
             }
             8 if rng.below(8) == 0 => {
                 let name = ["a", "b", "c"][rng.below(3) as usize];
-                let mut e = entry(name, rng.below(2) == 0);
-                e.state = [
+                let mut changed = entry(name, rng.below(2) == 0);
+                changed.state = [
                     EndpointState::Serving,
                     EndpointState::Serving,
                     EndpointState::Draining,
                     EndpointState::Removed,
                 ][rng.below(4) as usize];
-                e.started = if rng.below(3) == 0 { c.h.now } else { 0 };
-                if e.state == EndpointState::Serving {
-                    c.barred.remove(name);
-                } else if e.state == EndpointState::Draining || !only_draining {
-                    c.barred.entry(name.to_string()).or_insert(c.h.now);
+                changed.started = if rng.below(3) == 0 {
+                    checker.router.now
+                } else {
+                    0
+                };
+                if changed.state == EndpointState::Serving {
+                    checker.draining_since.remove(name);
+                } else if changed.state == EndpointState::Draining || !allows_unlisted {
+                    checker
+                        .draining_since
+                        .entry(name.to_string())
+                        .or_insert(checker.router.now);
                 }
-                let out = c.h.handle(Event::List {
+                let actions = checker.router.handle(Event::List {
                     kind: ListKind::Changes,
-                    entries: vec![e],
+                    entries: vec![changed],
                 });
-                c.check(out);
+                checker.check(actions);
             }
             9 => {
-                // Things that are no longer known, and unknown ones.
+                // Events of unknown requests, endpoints and timers.
                 let endpoint: EndpointId = Arc::from(["a", "zz"][rng.below(2) as usize]);
-                let mut out = c.h.end_attempt(
+                let mut actions = checker.router.end_attempt(
                     1 << 40,
                     &endpoint,
                     3,
-                    ENDINGS[rng.below(9) as usize],
+                    OUTCOMES[rng.below(9) as usize],
                     replica_status(1),
                 );
-                out.extend(c.h.handle(Event::ClientDisconnected { request: 1 << 41 }));
-                out.extend(c.h.handle(Event::Timer { token: 99 }));
-                out.extend(c.h.handle(Event::HealthCheckEnded {
+                actions.extend(
+                    checker
+                        .router
+                        .handle(Event::ClientDisconnected { request: 1 << 41 }),
+                );
+                actions.extend(checker.router.handle(Event::Timer { token: 99 }));
+                actions.extend(checker.router.handle(Event::HealthCheckEnded {
                     endpoint,
                     outcome: AttemptOutcome::Served,
                     report: replica_status(1),
                 }));
-                c.check(out);
+                checker.check(actions);
             }
             _ => {
                 for _ in 0..rng.below(20) {
-                    let out = c.h.advance(MS);
-                    c.check(out);
+                    let actions = checker.router.advance(MS);
+                    checker.check(actions);
                 }
             }
         }
-        for (id, o) in &c.owed {
-            let waiting = !o.over && !c.out.iter().any(|x| x.0 == *id);
+        for (id, observed) in &checker.requests {
+            let is_waiting =
+                !observed.is_complete && !checker.in_flight.iter().any(|attempt| attempt.0 == *id);
             assert!(
-                !waiting || c.h.now <= o.deadline + 20 * MS,
-                "rule 1: request {id} got no answer"
+                !is_waiting || checker.router.now <= observed.deadline + 20 * MS,
+                "rule 1: no final response to request {id}"
             );
         }
     }
 }
 
+/// Guards the operators' rules against orders of events that no other test has, such as an outcome
+/// after the final response, or list changes while attempts are in flight.
 #[test]
 fn rules_hold_under_unusual_event_orders() {
     for seed in 1..=32 {
-        // Every kind of settings: endpoints that check reads or not, session marks carried or local, both drain
-        // rules, a list with and without roles, reports or none.
-        let mut set = settings();
+        // All combinations: endpoints that check reads or not, session positions in requests or
+        // recorded by the router, both rules for removed endpoints, a list with or without roles,
+        // and load reports or none.
+        let mut settings = settings();
         if seed & 1 == 1 {
-            set.stale_reads = StaleReadPolicy::Reject;
+            settings.stale_reads = StaleReadPolicy::Reject;
         }
-        set.has_session_positions = seed & 2 == 2;
-        set.rules.allows_unlisted_endpoints = seed & 4 == 4;
+        settings.has_session_positions = seed & 2 == 2;
+        settings.rules.allows_unlisted_endpoints = seed & 4 == 4;
         if seed & 8 == 8 {
-            set.list_role = ListRole::None;
+            settings.list_role = ListRole::None;
         }
         if seed & 16 == 16 {
-            set.reports = ReportSource::Responses;
-            set.is_subscription_required = true;
+            settings.reports = ReportSource::Responses;
+            settings.is_subscription_required = true;
         }
-        odd_day(seed, set);
+        run_unusual_events(seed, settings);
     }
 }
 
+/// Guards against a panic of the router by requests with values out of range.
 #[test]
 fn unusual_input_never_panics() {
-    let mut h = TestRouter::new(settings());
-    let mut odd = |id: RequestId, class: u32, replica_set: u32, time_left: Nanos| {
-        let req = Request {
+    let mut router = TestRouter::new(settings());
+    let mut send_unusual = |id: RequestId, class: u32, replica_set: u32, time_left: Nanos| {
+        let request = Request {
             id,
             class,
             replica_set,
@@ -268,54 +319,57 @@
             is_retry: true,
             time_left,
         };
-        h.handle(Event::Request(req))
+        router.handle(Event::Request(request))
     };
     assert!(
-        is_rejected(&odd(1, 77, 1, MS)),
+        is_rejected(&send_unusual(1, 77, 1, MS)),
         "a class that is not in the settings"
     );
     assert!(
-        is_rejected(&odd(2, 0, 55, 500 * MS)),
+        is_rejected(&send_unusual(2, 0, 55, 500 * MS)),
         "a replica set without endpoints"
     );
-    assert!(is_rejected(&odd(3, 0, 1, 0)), "no time left");
-    odd(4, 1, 1, Nanos::MAX);
-    h.handle(Event::List {
+    assert!(is_rejected(&send_unusual(3, 0, 1, 0)), "no time left");
+    send_unusual(4, 1, 1, Nanos::MAX);
+    router.handle(Event::List {
         kind: ListKind::Full,
         entries: Vec::new(),
     });
-    let (_, mut out) = h.request(BOUNDED);
-    assert!(sent_to(&out).is_none());
-    out.extend(h.advance(600 * MS));
+    let (_, mut actions) = router.request(BOUNDED);
+    assert!(sent_to(&actions).is_none());
+    actions.extend(router.advance(600 * MS));
     assert!(
-        out.iter()
-            .filter(|a| matches!(a, Action::Reject { .. }))
+        actions
+            .iter()
+            .filter(|action| matches!(action, Action::Reject { .. }))
             .count()
             >= 1
     );
 }
 
+/// Guards against choices that do not follow from the seed, such as a clock reading or the order of
+/// a hash map: a recorded run could not be reproduced then.
 #[test]
 fn same_seed_and_events_give_the_same_actions() {
     let run = || {
-        let mut h = TestRouter::new(settings());
-        h.warm_up();
-        let mut all = Vec::new();
-        for i in 0..200 {
-            let (id, out) = h.request(i % 5);
-            if let Some(to) = sent_to(&out).map(str::to_string) {
-                all.extend(h.end_attempt(
+        let mut router = TestRouter::new(settings());
+        router.warm_up();
+        let mut all_actions = Vec::new();
+        for step in 0..200 {
+            let (id, actions) = router.request(step % 5);
+            if let Some(endpoint) = sent_to(&actions).map(str::to_string) {
+                all_actions.extend(router.end_attempt(
                     id,
-                    &to,
+                    &endpoint,
                     0,
-                    ENDINGS[i as usize % 9],
-                    replica_status(h.now),
+                    OUTCOMES[step as usize % 9],
+                    replica_status(router.now),
                 ));
             }
-            all.extend(out);
-            all.extend(h.advance(3 * MS));
+            all_actions.extend(actions);
+            all_actions.extend(router.advance(3 * MS));
         }
-        all
+        all_actions
     };
     assert_eq!(run(), run());
 }
