--- a/crates/router/src/dispatcher/actions.rs
+++ b/crates/router/src/dispatcher/actions.rs
@@ -22,7 +22,7 @@
                 limit,
                 write_by: by,
             } => {
-                let write_by = by.map(|by| self.platform.own(by));
+                let write_by = by.map(|by| self.platform_clock.to_router_time(by));
                 self.start_attempt(now, request, endpoint, limit, write_by);
             }
             Action::Reject {
--- a/crates/router/src/dispatcher/endpoint_list.rs
+++ b/crates/router/src/dispatcher/endpoint_list.rs
@@ -44,7 +44,7 @@
 
     fn update_pool(&mut self, now: Timestamp, listed: &ListedEndpoint) {
         let ListedEndpoint { entry, address } = listed;
-        self.platform.on_start(now, entry.started);
+        self.platform_clock.on_start_time(now, entry.started);
         if entry.state == EndpointState::Removed {
             if self.removal_binds() {
                 self.pools.remove(&entry.endpoint);
--- a/crates/router/src/dispatcher/mod.rs
+++ b/crates/router/src/dispatcher/mod.rs
@@ -47,7 +47,7 @@
     executor: Rc<LocalExecutor<'static>>,
     balancer: Balancer,
     /// The balancer works in the platform's time, everything else in the router's own.
-    platform: PlatformClock,
+    platform_clock: PlatformClock,
     discovery: Sender<EndpointListRequest>,
     pools: HashMap<EndpointId, PoolHandle>,
     requests: RequestTable,
@@ -66,7 +66,7 @@
         let settings = shared.config.site.settings.clone();
         Ok(Dispatcher {
             balancer: Balancer::new(shared.config.seed, settings)?,
-            platform: PlatformClock::default(),
+            platform_clock: PlatformClock::default(),
             shared,
             executor,
             discovery,
@@ -181,7 +181,7 @@
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             let now = self.shared.clock.now();
-            let platform_now = self.platform.platform(now);
+            let platform_now = self.platform_clock.to_platform_time(now);
             self.balancer.handle(platform_now, event, &mut actions);
             for action in actions.drain(..) {
                 self.carry_out(now, action);
@@ -199,9 +199,9 @@
         let now = self.shared.clock.now();
         let is_only_endpoint = self.pools.len() <= 1;
         let applied_position = reported.applied_position.and_then(|at| match outcome {
-            AttemptOutcome::MalformedResponse => self.platform.plausible(now, at),
+            AttemptOutcome::MalformedResponse => self.platform_clock.plausible_position(now, at),
             _ => self
-                .platform
+                .platform_clock
                 .on_position(now, endpoint, at, is_only_endpoint),
         });
         ReplicationStatus {
--- a/crates/router/src/dispatcher/requests.rs
+++ b/crates/router/src/dispatcher/requests.rs
@@ -54,7 +54,7 @@
         self.requests.insert(incoming.id, request);
         self.deadlines
             .add(deadline, DeadlineEntry::RequestDeadline(incoming.id));
-        let platform_now = self.platform.platform(now);
+        let platform_now = self.platform_clock.to_platform_time(now);
         self.events.push_back(Event::Request(Request {
             id: incoming.id,
             class: incoming.class,
--- a/crates/router/src/runtime/platform_clock.rs
+++ b/crates/router/src/runtime/platform_clock.rs
@@ -1,79 +1,87 @@
-//! The platform's time, estimated from what it tells.
+//! An estimate of the platform's time, derived from what endpoints and the discovery service report.
 //!
-//! Positions and start times are Unix times by the platform's one clock; the router's own wall clock may have been
-//! stepped by seconds or an hour just before the process started, and is read once. Spans are measured on the
-//! monotonic clock alone, so only the offset between the two is in question. What is known of it:
+//! Positions and start times are Unix times of the platform's one clock. The router reads its own system clock only
+//! once, and that clock may have been stepped by seconds or an hour just before the process started. Durations are
+//! measured on the monotonic clock alone, so only the offset between the two clocks is unknown. Two facts bound it:
 //!
-//! - A position is never in the future, and nor is a start: each is a lower bound of the platform's time when it is
-//!   read. A clock that is behind shows at the first of them, and the estimate is raised.
-//! - An upper bound is not told by anybody: positions of replicas trail by their lag, those of an idle or superseded
-//!   primary by any span. A clock that is ahead is not corrected here: endpoints then look staler than they are, which
-//!   keeps the rule on the age of data, but warmer, which does not keep slow start.
+//! - A position or a start time is never in the future, so each is a lower bound of the platform's time when it is
+//!   read. A router clock that is behind is detected at the first of them, and the estimate is raised.
+//! - Nothing yields an upper bound: the positions of replicas trail by their lag, and those of an idle or superseded
+//!   primary by any duration. A router clock that is ahead is therefore not corrected. Endpoints then look staler than
+//!   they are, which does not violate a staleness bound, but also as if they had run for longer, which defeats slow
+//!   start.
 //!
-//! A single endpoint may tell nonsense, and one hour too many would make every other endpoint look stale. So a position
-//! ahead of the estimate counts once a second endpoint has told one, too; until then it tells nothing. Discovery is
-//! one service for all and is believed.
+//! A single endpoint may report a wrong position, and one that is an hour ahead would make every other endpoint look
+//! stale. A position ahead of the estimate is therefore ignored until a second endpoint reports one as well. The
+//! discovery service is the same for all endpoints, and its start times are accepted without confirmation.
 
 use reelrill_routing::{EndpointId, Nanos, Timestamp};
 
-/// Positions and starts are rounded to milliseconds; less than this ahead is no evidence of another clock.
+/// The difference in nanoseconds up to which a time ahead of the estimate is no evidence of a clock offset: positions
+/// and start times are rounded to milliseconds.
 const TOLERANCE: Nanos = 20_000_000;
 
-/// Estimates the platform's time; it only ever moves forward.
+/// Estimates the offset between the platform's time and the router's. The offset only grows.
 #[derive(Debug, Default)]
 pub struct PlatformClock {
-    /// How far the platform's time is ahead of the router's own.
-    ahead: Nanos,
-    /// Who told last of a time ahead of the estimate, and how far that was ahead of the router's own.
-    claim: Option<(EndpointId, Nanos)>,
+    /// The estimated offset: how far the platform's time is ahead of the router's.
+    offset: Nanos,
+    /// The endpoint that last reported a position ahead of the estimate, and how far that was ahead of the router's
+    /// time.
+    unconfirmed: Option<(EndpointId, Nanos)>,
 }
 
 impl PlatformClock {
-    /// The platform's time at `own`, the router's.
-    pub fn platform(&self, own: Timestamp) -> Timestamp {
-        own.saturating_add(self.ahead)
+    /// Converts the router's time to the platform's.
+    pub fn to_platform_time(&self, router_time: Timestamp) -> Timestamp {
+        router_time.saturating_add(self.offset)
     }
 
-    /// The router's time at `platform`, the platform's.
-    pub fn own(&self, platform: Timestamp) -> Timestamp {
-        platform.saturating_sub(self.ahead)
+    /// Converts the platform's time to the router's.
+    pub fn to_router_time(&self, platform_time: Timestamp) -> Timestamp {
+        platform_time.saturating_sub(self.offset)
     }
 
-    /// What can be believed of a position that proves nothing: one that came with a malformed answer.
-    pub fn plausible(&self, own: Timestamp, applied_position: Timestamp) -> Option<Timestamp> {
-        (applied_position <= self.platform(own).saturating_add(TOLERANCE))
+    /// Returns the position if it is not ahead of the estimate, without changing the estimate. For a position that came
+    /// with a malformed response, which is no evidence of the platform's time.
+    pub fn plausible_position(
+        &self,
+        router_time: Timestamp,
+        applied_position: Timestamp,
+    ) -> Option<Timestamp> {
+        (applied_position <= self.to_platform_time(router_time).saturating_add(TOLERANCE))
             .then_some(applied_position)
     }
 
-    /// An endpoint has told its position. Returns what can be believed of it; `is_only`: no other endpoint is known
-    /// that could confirm it.
+    /// Takes the position that an endpoint reported into account. Returns the position, or `None` if it is ahead of the
+    /// estimate. If `is_only_endpoint`, no other endpoint can confirm the position, and it is accepted.
     pub fn on_position(
         &mut self,
-        own: Timestamp,
-        address: &EndpointId,
+        router_time: Timestamp,
+        endpoint: &EndpointId,
         applied_position: Timestamp,
-        is_only: bool,
+        is_only_endpoint: bool,
     ) -> Option<Timestamp> {
-        if let Some(applied_position) = self.plausible(own, applied_position) {
+        if let Some(applied_position) = self.plausible_position(router_time, applied_position) {
             return Some(applied_position);
         }
-        let ahead = applied_position.saturating_sub(own);
-        let confirmed = match &self.claim {
-            _ if is_only => Some(ahead),
-            Some((other, theirs)) if other != address => Some(ahead.min(*theirs)),
+        let offset = applied_position.saturating_sub(router_time);
+        let confirmed = match &self.unconfirmed {
+            _ if is_only_endpoint => Some(offset),
+            Some((other, other_offset)) if other != endpoint => Some(offset.min(*other_offset)),
             _ => None,
         };
         if let Some(confirmed) = confirmed {
-            self.ahead = self.ahead.max(confirmed);
+            self.offset = self.offset.max(confirmed);
         }
-        self.claim = Some((address.clone(), ahead));
-        self.plausible(own, applied_position)
+        self.unconfirmed = Some((endpoint.clone(), offset));
+        self.plausible_position(router_time, applied_position)
     }
 
-    /// Discovery has told when an endpoint started.
-    pub fn on_start(&mut self, own: Timestamp, started: Timestamp) {
-        if started > self.platform(own).saturating_add(TOLERANCE) {
-            self.ahead = started.saturating_sub(own);
+    /// Takes the start time of an endpoint, as the discovery service reported it, into account.
+    pub fn on_start_time(&mut self, router_time: Timestamp, started: Timestamp) {
+        if started > self.to_platform_time(router_time).saturating_add(TOLERANCE) {
+            self.offset = started.saturating_sub(router_time);
         }
     }
 }
--- a/crates/router/src/runtime/platform_clock/tests.rs
+++ b/crates/router/src/runtime/platform_clock/tests.rs
@@ -1,4 +1,4 @@
-//! A router's clock that is behind the platform's.
+//! Tests with a router clock that is behind the platform's clock.
 
 use super::*;
 
@@ -6,99 +6,108 @@
 const HOUR: Nanos = 3600 * SECOND;
 const NOW: Timestamp = 1_767_225_600 * SECOND;
 
-fn address(name: &str) -> EndpointId {
+fn endpoint(name: &str) -> EndpointId {
     name.into()
 }
 
-/// Guards against a correction where both clocks agree, or where the router's is ahead.
+/// Guards against a correction when both clocks agree or the router's clock is ahead. A position or start time in the
+/// past is then normal.
 #[test]
-fn what_lies_in_the_past_changes_nothing() {
+fn positions_and_start_times_in_the_past_change_nothing() {
     let mut clock = PlatformClock::default();
     for lag in [0, SECOND, HOUR] {
         assert_eq!(
-            clock.on_position(NOW, &address("a"), NOW - lag, true),
+            clock.on_position(NOW, &endpoint("a"), NOW - lag, true),
             Some(NOW - lag)
         );
-        clock.on_start(NOW, NOW - lag);
+        clock.on_start_time(NOW, NOW - lag);
     }
-    assert_eq!((clock.platform(NOW), clock.own(NOW)), (NOW, NOW));
+    assert_eq!(
+        (clock.to_platform_time(NOW), clock.to_router_time(NOW)),
+        (NOW, NOW)
+    );
 }
 
-/// Guards bounded reads: with the clock an hour behind, two endpoints suffice to tell a lag again.
+/// Guards against reads with bounded staleness that find no lag of any endpoint, because the router's clock is an hour
+/// behind. Two endpoints ahead of the estimate correct it.
 #[test]
-fn two_endpoints_ahead_raise_the_estimate() {
+fn raises_the_estimate_when_two_endpoints_are_ahead() {
     let mut clock = PlatformClock::default();
     let (primary, replica) = (NOW + HOUR, NOW + HOUR - 2 * SECOND);
     assert_eq!(
-        clock.on_position(NOW, &address("replica"), replica, false),
+        clock.on_position(NOW, &endpoint("replica"), replica, false),
         None
     );
     assert_eq!(
-        clock.on_position(NOW, &address("replica"), replica, false),
+        clock.on_position(NOW, &endpoint("replica"), replica, false),
         None
     );
     assert_eq!(
-        clock.on_position(NOW, &address("primary"), primary, false),
+        clock.on_position(NOW, &endpoint("primary"), primary, false),
         None
     );
-    assert_eq!(clock.platform(NOW), replica);
+    assert_eq!(clock.to_platform_time(NOW), replica);
     assert_eq!(
-        clock.on_position(NOW, &address("other"), primary, false),
+        clock.on_position(NOW, &endpoint("other"), primary, false),
         Some(primary)
     );
-    assert_eq!((clock.platform(NOW), clock.own(primary)), (primary, NOW));
     assert_eq!(
-        clock.on_position(NOW, &address("replica"), replica, false),
+        (clock.to_platform_time(NOW), clock.to_router_time(primary)),
+        (primary, NOW)
+    );
+    assert_eq!(
+        clock.on_position(NOW, &endpoint("replica"), replica, false),
         Some(replica)
     );
 }
 
-/// Guards all endpoints against nonsense that one of them tells.
+/// Guards against endpoints that all look stale because one of them reports a position far in the future.
 #[test]
-fn one_endpoint_alone_raises_nothing() {
+fn ignores_one_endpoint_that_is_ahead_alone() {
     let mut clock = PlatformClock::default();
     for _ in 0..3 {
         assert_eq!(
-            clock.on_position(NOW, &address("a"), NOW + 1000 * HOUR, false),
+            clock.on_position(NOW, &endpoint("a"), NOW + 1000 * HOUR, false),
             None
         );
         assert_eq!(
-            clock.on_position(NOW, &address("b"), NOW - SECOND, false),
+            clock.on_position(NOW, &endpoint("b"), NOW - SECOND, false),
             Some(NOW - SECOND)
         );
     }
-    assert_eq!(clock.platform(NOW), NOW);
-    // Where it is confirmed, the nearer of the two counts.
-    clock.on_position(NOW, &address("b"), NOW + HOUR, false);
-    assert_eq!(clock.platform(NOW), NOW + HOUR);
+    assert_eq!(clock.to_platform_time(NOW), NOW);
+    // After a confirmation the smaller of the two offsets counts.
+    clock.on_position(NOW, &endpoint("b"), NOW + HOUR, false);
+    assert_eq!(clock.to_platform_time(NOW), NOW + HOUR);
 }
 
-/// Guards a fleet of one endpoint, which nobody can confirm.
+/// Guards against an estimate that is never corrected if there is only one endpoint, which no other can confirm.
 #[test]
-fn the_only_endpoint_is_believed() {
+fn accepts_the_position_of_the_only_endpoint() {
     let mut clock = PlatformClock::default();
     assert_eq!(
-        clock.on_position(NOW, &address("a"), NOW + HOUR, true),
+        clock.on_position(NOW, &endpoint("a"), NOW + HOUR, true),
         Some(NOW + HOUR)
     );
-    assert_eq!(clock.platform(NOW), NOW + HOUR);
+    assert_eq!(clock.to_platform_time(NOW), NOW + HOUR);
 }
 
-/// Guards slow start: the latest start that discovery tells lies in the past, and the others count from it.
+/// Guards slow start against a router clock that is behind. The latest start time that the discovery service reports is
+/// in the past, so the estimate must be at least that.
 #[test]
-fn a_start_ahead_raises_the_estimate() {
+fn raises_the_estimate_when_a_start_time_is_ahead() {
     let mut clock = PlatformClock::default();
     for started in [NOW + HOUR - 30 * SECOND, NOW + HOUR, 0] {
-        clock.on_start(NOW, started);
+        clock.on_start_time(NOW, started);
     }
-    assert_eq!(clock.platform(NOW), NOW + HOUR);
+    assert_eq!(clock.to_platform_time(NOW), NOW + HOUR);
 }
 
-/// Guards the estimate against malformed answers, of which many may come from several endpoints.
+/// Guards against an estimate that malformed responses raise. Several endpoints may send such responses.
 #[test]
-fn what_proves_nothing_raises_nothing() {
+fn plausibility_check_does_not_raise_the_estimate() {
     let clock = PlatformClock::default();
-    assert_eq!(clock.plausible(NOW, NOW + HOUR), None);
-    assert_eq!(clock.plausible(NOW, NOW - HOUR), Some(NOW - HOUR));
-    assert_eq!(clock.platform(NOW), NOW);
+    assert_eq!(clock.plausible_position(NOW, NOW + HOUR), None);
+    assert_eq!(clock.plausible_position(NOW, NOW - HOUR), Some(NOW - HOUR));
+    assert_eq!(clock.to_platform_time(NOW), NOW);
 }
