--- a/crates/router/src/runtime/descriptor_budget.rs
+++ b/crates/router/src/runtime/descriptor_budget.rs
@@ -1,34 +1,37 @@
-//! The file descriptors that connections of one side may hold, and who gives one up when another needs it.
+//! The budget of file descriptors for one side of the router (clients or endpoints), and the eviction of connections
+//! when it is exhausted.
 //!
-//! Owns the counts of permits and of holders by kind. Must never close a connection itself: a holder that listens is
-//! asked, and ends its own connection.
+//! Owns the number of permits in use and the counts of connections by state. It never closes a connection: it notifies
+//! a task that waits in [`DescriptorBudget::eviction_requested`], which then closes its own connection.
 
 use event_listener::{Event, IntoNotification as _};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Unproven holders are many from this part of the permits in use on: one in so many.
-const MANY_UNPROVEN: usize = 4;
+/// Unused connections count as many if they hold more than one in this number of the permits in use.
+const MANY_UNUSED_DIVISOR: usize = 4;
 
-/// The descriptors of one side. A [`DescriptorPermit`] stands for one and gives it back when dropped.
+/// Limits the number of file descriptors that one side uses. Each [`DescriptorPermit`] represents one descriptor.
 pub struct DescriptorBudget {
     used: Cell<usize>,
     capacity: usize,
+    /// Notified when a permit is released.
     released: Event,
-    /// Holders that can be evicted, by kind.
+    /// Tasks whose connections can be evicted listen to the event of their priority.
     expendable: Event,
     idle: Event,
     stateful: Event,
-    /// Holders that have not asked anything yet.
-    unproven: Cell<usize>,
-    /// Holders between requests that would lose nothing, also those too young to be evicted.
-    idle_holders: Cell<usize>,
+    /// The number of connections that have not had a request yet.
+    unused: Cell<usize>,
+    /// The number of connections between requests without session state, including those idle for too short a time to
+    /// be evicted.
+    idle_connections: Cell<usize>,
 }
 
-/// The right to hold one descriptor; given back when dropped.
+/// Permits its owner to use one descriptor. It is released when dropped.
 pub struct DescriptorPermit(Rc<DescriptorBudget>);
 
-/// Counts a holder as one of a kind until dropped.
+/// Counts a connection in one of the budget's counters until dropped.
 pub struct CountGuard {
     budget: Rc<DescriptorBudget>,
     counter: fn(&DescriptorBudget) -> &Cell<usize>,
@@ -55,19 +58,20 @@
     }
 }
 
-/// Kinds of holders that can be evicted, in the order in which they are.
+/// The order in which connections are evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EvictionPriority {
-    /// A connection that has never asked anything, has stalled, or is being closed: it goes first.
+    /// A connection that has not had a request, has stalled, or is being closed. It is evicted first.
     Expendable,
-    /// A connection between requests.
+    /// A connection between requests, without session state.
     Idle,
-    /// The same, with prepared statements that its client would have to prepare again: it goes last.
+    /// A connection between requests with prepared statements, which its client would have to prepare again. It is
+    /// evicted last.
     Stateful,
 }
 
 impl DescriptorBudget {
-    /// A budget of `capacity` descriptors.
+    /// Creates a budget of `capacity` descriptors.
     pub fn new(capacity: usize) -> Rc<DescriptorBudget> {
         Rc::new(DescriptorBudget {
             used: Cell::new(0),
@@ -76,12 +80,12 @@
             expendable: Event::new(),
             idle: Event::new(),
             stateful: Event::new(),
-            unproven: Cell::new(0),
-            idle_holders: Cell::new(0),
+            unused: Cell::new(0),
+            idle_connections: Cell::new(0),
         })
     }
 
-    /// A permit, if one is left.
+    /// Returns a permit, or `None` if the budget is exhausted.
     pub fn try_acquire(self: &Rc<Self>) -> Option<DescriptorPermit> {
         if self.used.get() >= self.capacity {
             return None;
@@ -90,58 +94,59 @@
         Some(DescriptorPermit(self.clone()))
     }
 
-    /// How many permits are out.
+    /// Returns the number of permits in use.
     pub fn used(&self) -> usize {
         self.used.get()
     }
 
-    /// More than half are in use: a burst needs the rest.
+    /// Returns whether more than half of the budget is in use. A burst of connections may need the rest.
     pub fn is_running_low(&self) -> bool {
         self.used.get() > self.capacity / 2
     }
 
-    /// Somebody waits for a permit.
+    /// Returns whether a task waits for a permit.
     pub fn has_waiters(&self) -> bool {
         self.released.total_listeners() > 0
     }
 
-    /// Counts a holder that has not asked anything yet.
+    /// Counts a connection that has not had a request yet.
     pub fn count_unused(self: &Rc<Self>) -> CountGuard {
-        CountGuard::new(self, |budget| &budget.unproven)
+        CountGuard::new(self, |budget| &budget.unused)
     }
 
-    /// Counts a holder between requests that would lose nothing.
+    /// Counts a connection between requests that has no session state.
     pub fn count_idle(self: &Rc<Self>) -> CountGuard {
-        CountGuard::new(self, |budget| &budget.idle_holders)
+        CountGuard::new(self, |budget| &budget.idle_connections)
     }
 
-    /// Asks the holder that has listened longest to give its descriptor up, the expendable ones first. Where many are
-    /// unproven, those that will turn out expendable are waited for: the idle ones are in use. Returns whether
-    /// somebody was asked, or will be soon.
+    /// Requests the eviction of the connection that has waited longest, of the expendable ones first. If many
+    /// connections are unused, no idle one is evicted: clients use those, and some of the unused ones will soon be
+    /// expendable. Returns whether a connection was notified or will soon be available for eviction.
     pub fn request_eviction(&self) -> bool {
         self.expendable.notify(1.additional()) > 0
-            || self.unproven.get() * MANY_UNPROVEN > self.used.get()
+            || self.unused.get() * MANY_UNUSED_DIVISOR > self.used.get()
             || self.idle.notify(1.additional()) > 0
-            || self.idle_holders.get() > 0
+            || self.idle_connections.get() > 0
     }
 
-    /// The same where no permit is left: the holders that lose something go, if there is no other.
+    /// Does the same as [`request_eviction`](Self::request_eviction) and, if no other connection is available, requests
+    /// the eviction of one with session state. For use when no permit is left.
     pub fn request_eviction_including_stateful(&self) {
         if !self.request_eviction() {
             self.stateful.notify(1.additional());
         }
     }
 
-    /// Waits until a holder of this kind is asked to give its descriptor up.
-    pub async fn eviction_requested(&self, kind: EvictionPriority) {
-        match kind {
+    /// Waits until a connection of this priority must be evicted. Each request notifies one waiting task.
+    pub async fn eviction_requested(&self, priority: EvictionPriority) {
+        match priority {
             EvictionPriority::Expendable => self.expendable.listen().await,
             EvictionPriority::Idle => self.idle.listen().await,
             EvictionPriority::Stateful => self.stateful.listen().await,
         }
     }
 
-    /// Waits until a permit is given back.
+    /// Waits until a permit is released.
     pub async fn permit_released(&self) {
         self.released.listen().await;
     }
@@ -150,7 +155,7 @@
 impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         self.0.used.set(self.0.used.get().saturating_sub(1));
-        // Those who wait differ in what they wait for: all look.
+        // The waiting tasks wait for different conditions, so each must check its own.
         self.0.released.notify(usize::MAX);
     }
 }
