--- a/crates/router/src/runtime/buffer.rs
+++ b/crates/router/src/runtime/buffer.rs
@@ -1,4 +1,5 @@
-//! A connection's one buffer: grows as needed, compacted in place, given back when a large message is done.
+//! The read buffer of a connection. It grows as needed, is compacted in place, and releases its memory after a large
+//! message.
 
 use async_io::Async;
 use futures_lite::AsyncReadExt as _;
@@ -7,50 +8,52 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// The size of a buffer at its first read.
+/// The size of a buffer at its first read, in bytes.
 const INITIAL_SIZE: usize = 2048;
-/// A buffer up to this size keeps its memory when it is empty, and does not count as large.
+/// The largest size in bytes at which an empty buffer keeps its memory. Only the bytes above it count towards the
+/// [`MemoryBudget`].
 const RETAINED_SIZE: usize = 16 * 1024;
 
-/// What all buffers together may hold beyond what each keeps: many large messages at once, sent whole or in part,
-/// must not take the process over its memory limit.
+/// Limits the memory that all buffers together use beyond the retained size of each. Otherwise many large messages at
+/// once, complete or not, could exceed the memory limit of the process.
 pub struct MemoryBudget {
-    large: Cell<usize>,
+    /// The bytes in use.
+    used: Cell<usize>,
     limit: usize,
 }
 
 impl MemoryBudget {
-    /// A budget of `limit` bytes.
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: usize) -> Rc<MemoryBudget> {
         Rc::new(MemoryBudget {
-            large: Cell::new(0),
+            used: Cell::new(0),
             limit,
         })
     }
 }
 
-/// All buffers together may not grow any further: a limit of the router's own, not a failed system call.
+/// The error of a buffer that would have to grow beyond the [`MemoryBudget`]. It is not the error of a system call.
 #[derive(Debug, thiserror::Error)]
-#[error("the memory for large messages is used up")]
+#[error("the memory budget for large messages is exhausted")]
 pub struct MemoryLimitReached;
 
 impl MemoryLimitReached {
-    /// Whether this is why a buffer could not be filled.
+    /// Returns whether the memory budget is the cause of `error`.
     pub fn caused(error: &io::Error) -> bool {
         error
             .get_ref()
-            .is_some_and(|e| e.is::<MemoryLimitReached>())
+            .is_some_and(|source| source.is::<MemoryLimitReached>())
     }
 }
 
-/// What has been read from one connection and not been consumed.
+/// Holds the bytes that were read from a connection and not consumed yet.
 pub struct Buffer {
-    memory: Rc<MemoryBudget>,
+    budget: Rc<MemoryBudget>,
     data: Vec<u8>,
     start: usize,
     end: usize,
-    /// Bytes read since the connection began.
-    read: u64,
+    /// The number of bytes read since the connection was opened.
+    bytes_read: u64,
 }
 
 impl Drop for Buffer {
@@ -59,95 +62,96 @@
     }
 }
 
-/// The part of a buffer of this size that counts against the budget.
-fn large_part(len: usize) -> usize {
+/// Returns the number of bytes that a buffer of `len` bytes takes from the budget.
+fn counted_size(len: usize) -> usize {
     len.saturating_sub(RETAINED_SIZE)
 }
 
 impl Buffer {
-    /// An empty buffer, which takes its memory from `memory`.
-    pub fn new(memory: &Rc<MemoryBudget>) -> Buffer {
+    /// Creates an empty buffer that takes its memory from `budget`.
+    pub fn new(budget: &Rc<MemoryBudget>) -> Buffer {
         Buffer {
-            memory: memory.clone(),
+            budget: budget.clone(),
             data: Vec::new(),
             start: 0,
             end: 0,
-            read: 0,
+            bytes_read: 0,
         }
     }
 
-    /// What has been read and not consumed.
+    /// Returns the bytes that were read and not consumed.
     pub fn bytes(&self) -> &[u8] {
         &self.data[self.start..self.end]
     }
 
-    /// How many bytes have been read since the connection began.
+    /// Returns the number of bytes read since the connection was opened.
     pub fn bytes_read(&self) -> u64 {
-        self.read
+        self.bytes_read
     }
 
-    /// Drops the first `n` bytes.
-    pub fn consume(&mut self, n: usize) {
-        self.start = (self.start + n).min(self.end);
+    /// Removes the first `length` bytes.
+    pub fn consume(&mut self, length: usize) {
+        self.start = (self.start + length).min(self.end);
         if self.start == self.end {
             (self.start, self.end) = (0, 0);
             if self.data.len() > RETAINED_SIZE {
-                // One large value must not hold its memory for as long as the connection lives.
+                // One large value must not occupy memory until the connection closes.
                 self.release();
             }
         }
     }
 
-    /// Throws everything away and gives the memory back.
+    /// Discards the content and releases the memory.
     pub fn release(&mut self) {
-        self.memory
-            .large
-            .set(self.memory.large.get() - large_part(self.data.len()));
+        self.budget
+            .used
+            .set(self.budget.used.get() - counted_size(self.data.len()));
         (self.data, self.start, self.end) = (Vec::new(), 0, 0);
     }
 
-    fn room(&mut self) -> io::Result<&mut [u8]> {
+    /// Returns the free space for the next read. Compacts or grows the buffer if it has none.
+    fn free_space(&mut self) -> io::Result<&mut [u8]> {
         if self.start > 0 && self.end == self.data.len() {
             self.data.copy_within(self.start..self.end, 0);
             (self.start, self.end) = (0, self.end - self.start);
         }
         if self.end == self.data.len() {
             let len = (self.data.len() * 2).max(INITIAL_SIZE);
-            let all = self.memory.large.get() + large_part(len) - large_part(self.data.len());
-            if all > self.memory.limit {
+            let used = self.budget.used.get() + counted_size(len) - counted_size(self.data.len());
+            if used > self.budget.limit {
                 return Err(io::Error::new(
                     io::ErrorKind::OutOfMemory,
                     MemoryLimitReached,
                 ));
             }
-            self.memory.large.set(all);
+            self.budget.used.set(used);
             self.data.resize(len, 0);
         }
         Ok(&mut self.data[self.end..])
     }
 
-    fn on_read(&mut self, n: usize) {
-        self.end += n;
-        self.read += n as u64;
+    fn on_read(&mut self, length: usize) {
+        self.end += length;
+        self.bytes_read += length as u64;
     }
 
-    /// Reads what has come, without waiting for more.
+    /// Reads the available bytes without waiting. Returns their number; 0 is the end of the stream.
     pub fn try_fill(&mut self, mut stream: &TcpStream) -> io::Result<usize> {
-        let n = stream.read(self.room()?)?;
-        self.on_read(n);
-        Ok(n)
+        let length = stream.read(self.free_space()?)?;
+        self.on_read(length);
+        Ok(length)
     }
 
-    /// Reads once, again where a signal interrupts it; 0 is the end of the stream. Nothing is lost if the future is
-    /// dropped while it waits.
+    /// Waits for bytes and reads them, and retries a read that a signal interrupts. Returns their number; 0 is the end
+    /// of the stream. No bytes are lost if the future is dropped while it waits.
     pub async fn fill(&mut self, mut stream: &Async<TcpStream>) -> io::Result<usize> {
         loop {
-            match stream.read(self.room()?).await {
+            match stream.read(self.free_space()?).await {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
-                Ok(n) => {
-                    self.on_read(n);
-                    return Ok(n);
+                Ok(length) => {
+                    self.on_read(length);
+                    return Ok(length);
                 }
             }
         }
--- a/crates/router/src/runtime/buffer/tests.rs
+++ b/crates/router/src/runtime/buffer/tests.rs
@@ -1,43 +1,53 @@
-//! How a buffer grows, compacts and gives its memory back.
+//! Tests of how a buffer grows, compacts and releases its memory.
 
 use super::*;
 
+/// Guards against a buffer that grows although its consumed part has room, and against one that keeps the memory of a
+/// large message after the message was consumed.
 #[test]
-fn it_compacts_before_it_grows_and_gives_large_memory_back() {
-    let mut b = Buffer::new(&MemoryBudget::new(1 << 20));
-    let n = b.room().unwrap().len();
-    b.end = n;
-    b.consume(n / 2);
-    b.room().unwrap();
-    assert_eq!((b.start, b.end, b.data.len()), (0, n - n / 2, n));
-    while b.data.len() <= RETAINED_SIZE {
-        b.end = b.data.len();
-        b.room().unwrap();
+fn compacts_before_growing_and_releases_memory_when_large_content_is_consumed() {
+    let mut buffer = Buffer::new(&MemoryBudget::new(1 << 20));
+    let initial = buffer.free_space().unwrap().len();
+    buffer.end = initial;
+    buffer.consume(initial / 2);
+    buffer.free_space().unwrap();
+    assert_eq!(
+        (buffer.start, buffer.end, buffer.data.len()),
+        (0, initial - initial / 2, initial)
+    );
+    while buffer.data.len() <= RETAINED_SIZE {
+        buffer.end = buffer.data.len();
+        buffer.free_space().unwrap();
     }
-    b.end = b.data.len();
-    b.consume(b.end);
-    assert_eq!((b.bytes().len(), b.data.capacity()), (0, 0));
+    buffer.end = buffer.data.len();
+    buffer.consume(buffer.end);
+    assert_eq!((buffer.bytes().len(), buffer.data.capacity()), (0, 0));
 }
 
+/// Guards against buffers that exceed their common budget, that keep memory of it after they are dropped or released,
+/// and against an out-of-memory error of the system that is taken for an exhausted budget.
 #[test]
-fn all_together_stay_within_their_memory() {
-    let memory = MemoryBudget::new(64 * 1024);
-    let fill = |b: &mut Buffer| {
-        while b.room().is_ok() {
-            b.end = b.data.len();
+fn buffers_together_stay_within_the_memory_budget() {
+    let budget = MemoryBudget::new(64 * 1024);
+    let fill = |buffer: &mut Buffer| {
+        while buffer.free_space().is_ok() {
+            buffer.end = buffer.data.len();
         }
-        b.data.len()
+        buffer.data.len()
     };
-    let (mut one, mut other) = (Buffer::new(&memory), Buffer::new(&memory));
-    assert_eq!((fill(&mut one), fill(&mut other)), (64 * 1024, 32 * 1024));
-    let error = one.room().unwrap_err();
+    let (mut first, mut second) = (Buffer::new(&budget), Buffer::new(&budget));
+    assert_eq!(
+        (fill(&mut first), fill(&mut second)),
+        (64 * 1024, 32 * 1024)
+    );
+    let error = first.free_space().unwrap_err();
     assert!(MemoryLimitReached::caused(&error));
     assert!(
         !MemoryLimitReached::caused(&io::ErrorKind::OutOfMemory.into()),
-        "ENOMEM of a system call"
+        "ENOMEM of a system call is not an exhausted budget"
     );
-    drop(one);
-    assert_eq!(fill(&mut other), 64 * 1024);
-    other.release();
-    assert_eq!(memory.large.get(), 0);
+    drop(first);
+    assert_eq!(fill(&mut second), 64 * 1024);
+    second.release();
+    assert_eq!(budget.used.get(), 0);
 }
