--- a/crates/router/src/runtime/accept.rs
+++ b/crates/router/src/runtime/accept.rs
@@ -1,17 +1,19 @@
-//! What a failed `accept` means for the loop that called it: it always goes on.
+//! Decides how an accept loop continues after a failed `accept`. It never stops.
 
 use rustix::io::Errno;
 use std::io;
 use std::time::Duration;
 
-/// The pause while the host lacks what a connection needs: the connection stays in the backlog, and to try again at
-/// once would be a busy loop.
+/// The pause while the host is short of a resource that a connection needs. The connection stays in the backlog, so
+/// without a pause the accept loop would be a busy loop.
 const RESOURCE_SHORTAGE_PAUSE: Duration = Duration::from_millis(10);
 
-/// How long to wait before the next `accept`; none: the failure was that of one connection, which has gone.
+/// Returns the pause before the next `accept`, or `None` if the error concerns only one connection, which no longer
+/// exists.
 pub fn pause_after(error: &io::Error) -> Option<Duration> {
     match Errno::from_io_error(error) {
-        // The call was interrupted, or the connection broke before it was accepted: Linux hands on its error.
+        // The call was interrupted, or the connection broke before it was accepted: Linux returns the pending network
+        // errors of a new connection from `accept`.
         Some(
             Errno::INTR
             | Errno::CONNABORTED
@@ -23,7 +25,7 @@
             | Errno::NETDOWN
             | Errno::NETUNREACH,
         ) => None,
-        // EMFILE, ENFILE, ENOBUFS, ENOMEM, and whatever else may last.
+        // EMFILE, ENFILE, ENOBUFS, ENOMEM, and any other error, which may persist.
         _ => Some(RESOURCE_SHORTAGE_PAUSE),
     }
 }
--- a/crates/router/src/runtime/accept/tests.rs
+++ b/crates/router/src/runtime/accept/tests.rs
@@ -1,10 +1,10 @@
-//! Each documented failure of `accept`.
+//! Tests of the documented errors of `accept`.
 
 use super::*;
 use rstest::rstest;
 
-/// Guards against a busy loop while a shortage lasts, and against a pause that holds up others for one broken
-/// connection.
+/// Guards against a busy loop while the host is short of a resource, and against a pause after one broken connection,
+/// which would delay all other clients.
 #[rstest]
 #[case(Errno::INTR, false)]
 #[case(Errno::CONNABORTED, false)]
@@ -14,6 +14,6 @@
 #[case(Errno::NOBUFS, true)]
 #[case(Errno::NOMEM, true)]
 #[case(Errno::PERM, true)]
-fn only_what_lasts_is_waited_for(#[case] errno: Errno, #[case] pauses: bool) {
-    assert_eq!(pause_after(&errno.into()).is_some(), pauses);
+fn pauses_only_after_errors_that_may_persist(#[case] errno: Errno, #[case] should_pause: bool) {
+    assert_eq!(pause_after(&errno.into()).is_some(), should_pause);
 }
--- a/crates/router/src/runtime/cancellation.rs
+++ b/crates/router/src/runtime/cancellation.rs
@@ -1,22 +1,23 @@
-//! The registry of clients that may cancel what they wait for, by the numbers of their BackendKeyData.
+//! The registry of clients that can cancel their requests, keyed by the process id and secret of BackendKeyData.
 //!
-//! Must never tell one client's numbers to another: a request to cancel has to name both the process and the secret.
+//! A client's key must never be disclosed to another client: whoever knows the process id and the secret can cancel its
+//! requests.
 
 use event_listener::Event;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The numbers that a request to cancel has to name, as BackendKeyData told them to the client.
+/// The process id and secret that a cancel request must contain. The client received them in BackendKeyData.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CancellationKey {
-    /// No other open client has this number. 0: the client can't cancel anything.
+    /// The process id, unique among open clients. A client with process id 0 cannot cancel requests.
     pub process: u32,
-    /// Known to the client only.
+    /// The secret key, known to this client only.
     pub secret: u32,
 }
 
-/// The open clients that may cancel what they wait for.
+/// Holds the open clients that can cancel their requests.
 #[derive(Default)]
 pub struct CancellationRegistry {
     clients: RefCell<HashMap<u32, RegisteredClient>>,
@@ -28,7 +29,7 @@
     signal: Rc<CancellationSignal>,
 }
 
-/// Tells a client's task that its client, on another connection, cancels what it waits for.
+/// Notifies a client's task that its client sent a cancel request on another connection.
 #[derive(Default)]
 pub struct CancellationSignal {
     is_requested: Cell<bool>,
@@ -36,26 +37,26 @@
 }
 
 impl CancellationSignal {
-    /// Forgets an earlier request: it does not count for what comes now.
+    /// Clears an earlier cancel request, so that it has no effect on later requests.
     pub fn reset(&self) {
         self.is_requested.set(false);
     }
 
-    /// Waits until the client cancels.
+    /// Waits until the client sends a cancel request.
     pub async fn wait(&self) {
         while !self.is_requested.get() {
             self.event.listen().await;
         }
     }
 
-    fn request(&self) {
+    fn notify(&self) {
         self.is_requested.set(true);
         self.event.notify(usize::MAX);
     }
 }
 
 impl CancellationRegistry {
-    /// Registers a client under a key that no other open client has.
+    /// Registers a client, and returns a key that no other open client has.
     pub fn register(&self, signal: &Rc<CancellationSignal>) -> CancellationKey {
         let process = self.unused_process();
         self.last_process.set(process);
@@ -71,7 +72,7 @@
         key
     }
 
-    /// The next number that no open client has; there are far fewer clients than numbers.
+    /// Returns the next process id that no open client has. There are far fewer clients than process ids.
     fn unused_process(&self) -> u32 {
         let clients = self.clients.borrow();
         let mut process = self.last_process.get().wrapping_add(1);
@@ -81,19 +82,19 @@
         process
     }
 
-    /// Forgets a client that has closed its connection.
+    /// Removes a client whose connection was closed.
     pub fn remove(&self, process: u32) {
         self.clients.borrow_mut().remove(&process);
     }
 
-    /// Cancels what a client waits for. Returns whether the key is that of an open client.
+    /// Notifies the client with this key that a cancel request arrived. Returns whether an open client has the key.
     pub fn cancel(&self, key: CancellationKey) -> bool {
         let clients = self.clients.borrow();
         let client = clients.get(&key.process);
         let Some(client) = client.filter(|client| client.secret == key.secret) else {
             return false;
         };
-        client.signal.request();
+        client.signal.notify();
         true
     }
 }
--- a/crates/router/src/runtime/clock.rs
+++ b/crates/router/src/runtime/clock.rs
@@ -1,19 +1,21 @@
-//! The router's clock: Unix time that a step of the system's wall clock does not move.
+//! The router's clock: Unix time that is not affected by steps of the system clock.
 //!
-//! Reads the wall clock once, at the start; must never read it again, since it may be stepped while the router runs.
+//! The system clock is read once, at the start. It must never be read again, because it may be stepped while the router
+//! runs.
 
 use reelrill_routing::Timestamp;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix nanoseconds at the start plus monotonic time since: a step of the system's clock moves no timer.
+/// Returns the Unix time at the start plus the monotonic time elapsed since then, in nanoseconds. A step of the system
+/// clock therefore moves no timer.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    unix: u64,
+    unix_at_start: u64,
 }
 
 impl Clock {
-    /// A clock that starts at the wall clock's present time.
+    /// Creates a clock that starts at the current time of the system clock.
     pub fn new() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -21,17 +23,17 @@
             .as_nanos();
         Clock {
             start: Instant::now(),
-            unix: unix as u64,
+            unix_at_start: unix as u64,
         }
     }
 
-    /// The present Unix time in nanoseconds.
+    /// Returns the current Unix time in nanoseconds.
     pub fn now(&self) -> Timestamp {
-        self.unix + self.start.elapsed().as_nanos() as u64
+        self.unix_at_start + self.start.elapsed().as_nanos() as u64
     }
 
-    /// The instant of a time, for timers.
+    /// Converts a time to an [`Instant`], for timers. A time before the start becomes the start.
     pub fn instant(&self, at: Timestamp) -> Instant {
-        self.start + std::time::Duration::from_nanos(at.saturating_sub(self.unix))
+        self.start + std::time::Duration::from_nanos(at.saturating_sub(self.unix_at_start))
     }
 }
--- a/crates/router/src/runtime/flag.rs
+++ b/crates/router/src/runtime/flag.rs
@@ -1,9 +1,9 @@
-//! A condition that comes true once and that any task may wait for.
+//! A one-time condition that tasks can wait for.
 
 use event_listener::Event;
 use std::cell::Cell;
 
-/// A condition that comes true once.
+/// A condition that becomes true once and then stays true.
 #[derive(Default)]
 pub struct Flag {
     is_set: Cell<bool>,
@@ -11,18 +11,18 @@
 }
 
 impl Flag {
-    /// Makes the condition true, and wakes all that wait for it.
+    /// Makes the condition true, and wakes all tasks that wait for it.
     pub fn raise(&self) {
         self.is_set.set(true);
         self.event.notify(usize::MAX);
     }
 
-    /// Whether the condition is true.
+    /// Returns whether the condition is true.
     pub fn is_raised(&self) -> bool {
         self.is_set.get()
     }
 
-    /// Waits until the condition is true; at once if it is.
+    /// Waits until the condition is true. Returns at once if it already is.
     pub async fn wait(&self) {
         while !self.is_set.get() {
             self.event.listen().await;
--- a/crates/router/src/runtime/interrupted.rs
+++ b/crates/router/src/runtime/interrupted.rs
@@ -1,21 +1,24 @@
-//! Input and output that a signal may interrupt (`EINTR`): nothing has happened then, and the same is tried again.
+//! Retries of I/O operations that a signal interrupted (`EINTR`). An interrupted operation has had no effect.
 
 use futures_lite::{AsyncWrite, AsyncWriteExt as _};
 use std::io::{self, ErrorKind};
 
-/// Runs `operation` again for as long as it is interrupted.
+/// Runs `operation` until it is not interrupted, and returns its result.
 pub async fn retry_interrupted<T>(
     mut operation: impl AsyncFnMut() -> io::Result<T>,
 ) -> io::Result<T> {
     loop {
         match operation().await {
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            ended => return ended,
+            result => return result,
         }
     }
 }
 
-/// Writes all bytes, however often it is interrupted.
+/// Writes all of `bytes`, and retries each write that is interrupted.
+///
+/// # Errors
+/// Returns the error of the write, or [`ErrorKind::WriteZero`] if the stream accepts no more bytes.
 pub async fn write_all(mut stream: impl AsyncWrite + Unpin, bytes: &[u8]) -> io::Result<()> {
     let mut rest = bytes;
     while !rest.is_empty() {
--- a/crates/router/src/runtime/mod.rs
+++ b/crates/router/src/runtime/mod.rs
@@ -1,5 +1,5 @@
-//! What all tasks of the one thread share: buffers, clocks, the descriptor budget, the cancellation registry and the
-//! phases of a graceful shutdown.
+//! Infrastructure that all tasks of the router's one thread share: buffers, clocks, the descriptor budget, the
+//! cancellation registry and the schedule of a graceful shutdown.
 
 pub mod accept;
 pub mod buffer;
