--- a/crates/router/src/dispatcher/actions.rs
+++ b/crates/router/src/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the balancer decided.
+//! The execution of the balancer's actions.
 
 use super::Dispatcher;
 use super::deadlines::DeadlineEntry;
@@ -13,8 +13,8 @@
 use slog::debug;
 
 impl Dispatcher {
-    /// Carries out one action of the balancer.
-    pub(super) fn carry_out(&mut self, now: Timestamp, action: Action) {
+    /// Executes one action of the balancer.
+    pub(super) fn execute(&mut self, now: Timestamp, action: Action) {
         match action {
             Action::Send {
                 request,
@@ -22,8 +22,8 @@
                 limit,
                 write_by: by,
             } => {
-                let write_by = by.map(|by| self.platform_clock.to_router_time(by));
-                self.start_attempt(now, request, endpoint, limit, write_by);
+                let write_deadline = by.map(|by| self.platform_clock.to_router_time(by));
+                self.start_attempt(now, request, endpoint, limit, write_deadline);
             }
             Action::Reject {
                 request,
@@ -31,11 +31,11 @@
                 retry_after,
             } => {
                 self.count_rejected(request, reason);
-                self.answer(request, FinalResponse::Rejected { retry_after });
+                self.complete(request, FinalResponse::Rejected { retry_after });
             }
             Action::Fail { request, reason } => {
                 self.count_rejected(request, reason);
-                self.answer(request, FinalResponse::Failed("not served"));
+                self.complete(request, FinalResponse::Failed("not served"));
             }
             Action::Cancel { request, attempt } => {
                 let cancelled = AttemptResult::from_outcome(AttemptOutcome::Cancelled);
@@ -46,13 +46,13 @@
                 self.deadlines.add(at, DeadlineEntry::BalancerTimer(token));
             }
             Action::CheckHealth { endpoint } => self.start_health_check(endpoint),
-            // A call that still waits in the mailbox will do for this one, too.
-            Action::Subscribe => drop(self.discovery.try_send(EndpointListRequest::Subscribe)),
-            Action::FetchList => drop(self.discovery.try_send(EndpointListRequest::Fetch)),
+            // If the mailbox is full, a request that waits there serves the same purpose.
+            Action::Subscribe => drop(self.list_requests.try_send(EndpointListRequest::Subscribe)),
+            Action::FetchList => drop(self.list_requests.try_send(EndpointListRequest::Fetch)),
         }
     }
 
-    /// A health check that can't be started has failed.
+    /// Starts a health check. One that cannot be started counts as failed.
     fn start_health_check(&mut self, endpoint: EndpointId) {
         let started = self.pools.get(&endpoint).is_some_and(|pool| {
             let command = PoolCommand::HealthCheck;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Counts why the balancer rejects or fails a request.
+    /// Counts and logs the reason for which the balancer rejects or fails a request.
     fn count_rejected(&self, id: RequestId, reason: RejectReason) {
         let counters = &self.shared.counters;
         count(match reason {
@@ -85,7 +85,7 @@
         });
         if let Some(request) = self.requests.get(id) {
             debug!(self.shared.log, "request rejected";
-                   "request" => format_args!("{:016x}", request.client_id),
+                   "request" => format_args!("{:016x}", request.client_request_id),
                    "class" => request.class, "sends" => request.attempts_made, "cause" => ?reason);
         }
     }
--- a/crates/router/src/dispatcher/attempts.rs
+++ b/crates/router/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! The beginning and the one result of an attempt.
+//! The start of an attempt and its one result.
 
 use super::Dispatcher;
 use super::deadlines::DeadlineEntry;
@@ -14,44 +14,52 @@
 use std::cell::Cell;
 
 impl Dispatcher {
-    /// Hands a new attempt to the endpoint's pool. `time_limit` is what the endpoint may take, and after `write_by`
-    /// nothing may be written any more.
+    /// Sends a new attempt to the endpoint's pool. `time_limit` is the endpoint's time to respond in nanoseconds; from
+    /// `write_deadline` on the request must not be written any more.
     pub(super) fn start_attempt(
         &mut self,
         now: Timestamp,
         id: RequestId,
         endpoint: EndpointId,
         time_limit: Option<Nanos>,
-        write_by: Option<Timestamp>,
+        write_deadline: Option<Timestamp>,
     ) {
         let max_attempts = self.shared.config.site.settings.limits.max_attempts;
         let Some(request) = self.requests.get_mut(id) else {
-            error!(self.shared.log, "send for no request"; "request" => id);
+            error!(self.shared.log, "balancer started an attempt for an unknown request"; "request" => id);
             return;
         };
         count(&self.shared.counters.attempts);
         let deadline = request.deadline;
-        let is_pointless =
-            request.is_answered() || now >= deadline || request.attempts_made >= max_attempts;
-        let until = time_limit.map_or(deadline, |limit| deadline.min(now.saturating_add(limit)));
-        let attempt = add_attempt(request, id, &endpoint, now, until, write_by);
+        let is_obsolete =
+            request.is_completed() || now >= deadline || request.attempts_made >= max_attempts;
+        let attempt_deadline =
+            time_limit.map_or(deadline, |limit| deadline.min(now.saturating_add(limit)));
+        let attempt = add_attempt(
+            request,
+            id,
+            &endpoint,
+            now,
+            attempt_deadline,
+            write_deadline,
+        );
         let number = attempt.number;
-        let started = if is_pointless {
+        let started = if is_obsolete {
             Err(AttemptOutcome::Abandoned)
         } else {
-            self.hand_to_pool(&endpoint, attempt)
+            self.send_to_pool(&endpoint, attempt)
         };
         match started {
             Err(outcome) => self.finish_attempt(id, number, AttemptResult::from_outcome(outcome)),
             Ok(()) if time_limit.is_some() => {
                 let entry = DeadlineEntry::AttemptTimeout(id, number);
-                self.deadlines.add(until, entry);
+                self.deadlines.add(attempt_deadline, entry);
             }
             Ok(()) => {}
         }
     }
 
-    fn hand_to_pool(&self, endpoint: &EndpointId, attempt: Attempt) -> Result<(), AttemptOutcome> {
+    fn send_to_pool(&self, endpoint: &EndpointId, attempt: Attempt) -> Result<(), AttemptOutcome> {
         let pool = self.pools.get(endpoint);
         let pool = pool.ok_or(AttemptOutcome::ConnectFailed)?;
         let command = PoolCommand::Attempt(Box::new(attempt));
@@ -59,7 +67,7 @@
             .map_err(|_| AttemptOutcome::NotSent)
     }
 
-    /// Takes the one result of an attempt. A second one finds no attempt and changes nothing.
+    /// Processes the result of an attempt. A second result of the same attempt is ignored.
     pub(super) fn finish_attempt(&mut self, id: RequestId, number: u32, result: AttemptResult) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -67,23 +75,24 @@
         let Some(attempt) = request.take_attempt(number) else {
             return;
         };
-        let (client_id, class) = (request.client_id, request.class);
-        let is_client_left = request.client_left.is_raised();
-        let outcome = self.outcome_of(&attempt, result.outcome, is_client_left);
+        let (client_request_id, class) = (request.client_request_id, request.class);
+        let is_cancelled = request.cancelled.is_raised();
+        let outcome = self.final_outcome(&attempt, result.outcome, is_cancelled);
         count(outcome_counter(&self.shared.counters, outcome));
         let latency = self.shared.clock.now().saturating_sub(attempt.sent_at);
-        let replication = self.attempt_status(&attempt, class, outcome, result.replication);
+        let replication =
+            self.attempt_replication_status(&attempt, class, outcome, result.replication);
         let report = self.plausible_status(&attempt.endpoint, outcome, result.report);
-        debug!(self.shared.log, "attempt ended"; "request" => format_args!("{client_id:016x}"),
+        debug!(self.shared.log, "attempt ended"; "request" => format_args!("{client_request_id:016x}"),
                "class" => class, "number" => number, "member" => &*attempt.endpoint,
                "ending" => ?outcome, "ns" => latency, "position" => ?result.replication.applied_position);
-        if let Some(answer) = result.query_result {
-            self.answer(id, FinalResponse::Served(answer));
+        if let Some(query_result) = result.query_result {
+            self.complete(id, FinalResponse::Served(query_result));
         }
         let closed = self
             .requests
             .get(id)
-            .is_none_or(PendingRequest::is_answered);
+            .is_none_or(PendingRequest::is_completed);
         self.events.push_back(Event::AttemptEnded(AttemptEnded {
             request: id,
             endpoint: attempt.endpoint,
@@ -97,13 +106,13 @@
         self.requests.remove_if_finished(id);
     }
 
-    /// The outcome, where the router's own end of an attempt counts by whether it can have run: one that still waited
-    /// for a connection, or was on its way into one that is dropped now, has not.
-    fn outcome_of(
+    /// Returns the outcome that the balancer receives. If the router ended an attempt that was not written completely,
+    /// the endpoint cannot have executed it: it was waiting for a connection, or its connection is dropped now.
+    fn final_outcome(
         &self,
         attempt: &InFlightAttempt,
         outcome: AttemptOutcome,
-        is_client_left: bool,
+        is_cancelled: bool,
     ) -> AttemptOutcome {
         let is_ended_by_router = matches!(
             outcome,
@@ -113,18 +122,18 @@
             return outcome;
         }
         count(&self.shared.counters.attempts_unwritten);
-        if is_client_left {
+        if is_cancelled {
             count(&self.shared.counters.attempts_unwritten_client_left);
         }
-        if is_client_left || outcome == AttemptOutcome::Abandoned {
+        if is_cancelled || outcome == AttemptOutcome::Abandoned {
             AttemptOutcome::Abandoned
         } else {
             AttemptOutcome::NotSent
         }
     }
 
-    /// What can be believed of the replication status that came with an attempt's answer.
-    fn attempt_status(
+    /// Returns the replication status that came with the response to an attempt, without an implausible position.
+    fn attempt_replication_status(
         &mut self,
         attempt: &InFlightAttempt,
         class: u32,
@@ -136,14 +145,15 @@
         let class = classes.get(class as usize);
         let is_write = class.is_some_and(|c| c.operation == Operation::Write);
         if is_write && outcome == AttemptOutcome::Served {
-            // Its session's reads must see it. It is no evidence of how far the endpoint is.
+            // Later reads of the session must observe the write. Its position is no evidence of how far the endpoint
+            // has replicated.
             status.applied_position = reported.applied_position;
         }
         status
     }
 }
 
-/// Enters a new attempt for a request, and returns what its pool gets.
+/// Adds a new attempt to a request, and returns it in the form that the pool receives.
 fn add_attempt(
     request: &mut PendingRequest,
     id: RequestId,
@@ -165,11 +175,11 @@
     Attempt {
         request: id,
         number,
-        statement: request.ask.clone(),
+        statement: request.statement.clone(),
         deadline,
         write_deadline,
         abandoned,
-        request_cancelled: request.client_left.clone(),
+        request_cancelled: request.cancelled.clone(),
         progress,
     }
 }
--- a/crates/router/src/dispatcher/deadlines/tests.rs
+++ b/crates/router/src/dispatcher/deadlines/tests.rs
@@ -1,7 +1,10 @@
+//! Tests of the timer queue.
+
 use super::{DeadlineEntry, DeadlineQueue};
 
+/// Guards against timers that fire early or in the wrong order.
 #[test]
-fn entries_come_out_by_time_and_never_before_it() {
+fn entries_expire_in_order_of_time_and_not_early() {
     let mut queue = DeadlineQueue::default();
     queue.add(30, DeadlineEntry::RequestDeadline(1));
     queue.add(10, DeadlineEntry::AttemptTimeout(1, 0));
--- a/crates/router/src/dispatcher/endpoint_list.rs
+++ b/crates/router/src/dispatcher/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list: pools are added, updated and removed with it.
+//! Changes of the endpoint list: adds, updates and removes endpoint pools.
 
 use super::Dispatcher;
 use crate::messages::ListedEndpoint;
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 
 impl Dispatcher {
-    /// Takes over a whole list, or changes of it, and passes it on to the balancer.
-    pub(super) fn on_list(&mut self, kind: ListKind, listed: Vec<ListedEndpoint>) {
+    /// Applies a complete list, or changes of it, and passes it on to the balancer.
+    pub(super) fn on_endpoint_list(&mut self, kind: ListKind, listed: Vec<ListedEndpoint>) {
         let now = self.shared.clock.now();
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             self.remove_unlisted_pools(&listed);
@@ -23,8 +23,9 @@
         self.events.push_back(Event::List { kind, entries });
     }
 
-    /// Where only draining binds, an endpoint that has left the list may still be sent to.
-    fn removal_binds(&self) -> bool {
+    /// Returns whether an endpoint that is removed from the list loses its pool. The settings may allow attempts at
+    /// removed endpoints.
+    fn should_apply_removals(&self) -> bool {
         !self
             .shared
             .config
@@ -35,7 +36,7 @@
     }
 
     fn remove_unlisted_pools(&mut self, listed: &[ListedEndpoint]) {
-        if !self.removal_binds() {
+        if !self.should_apply_removals() {
             return;
         }
         let names: BTreeSet<&EndpointId> = listed.iter().map(|l| &l.entry.endpoint).collect();
@@ -46,7 +47,7 @@
         let ListedEndpoint { entry, address } = listed;
         self.platform_clock.on_start_time(now, entry.started);
         if entry.state == EndpointState::Removed {
-            if self.removal_binds() {
+            if self.should_apply_removals() {
                 self.pools.remove(&entry.endpoint);
             }
             return;
--- a/crates/router/src/dispatcher/mailbox.rs
+++ b/crates/router/src/dispatcher/mailbox.rs
@@ -1,16 +1,16 @@
 //! The dispatcher's mailbox: two bounded queues that are read as one.
 //!
-//! Control messages, which are changes of the endpoint list and the start of the shutdown, are read before requests
-//! and attempt results: a burst of requests must not hold up the list that decides where they may go. Within each
-//! queue the order of sending is kept. A message is never dropped; a sender waits while its queue is full.
+//! Control messages, which are changes of the endpoint list and the start of a graceful shutdown, are read before
+//! requests and results: a burst of requests must not delay the endpoint list, which decides where they may be sent.
+//! Each queue keeps its order. Messages are never dropped; a sender waits while its queue is full.
 
 use crate::messages::Message;
 use async_channel::{Receiver, RecvError, SendError, Sender};
 use futures_lite::future::or;
 
-/// Requests, departures of clients, and results that may wait.
+/// The capacity of the queue for requests, cancellations and results.
 const REQUEST_CAPACITY: usize = 1024;
-/// Control messages that may wait; they are rare.
+/// The capacity of the queue for control messages, which are rare.
 const CONTROL_CAPACITY: usize = 16;
 
 /// Creates a mailbox and its sender.
@@ -24,7 +24,7 @@
     (sender, Mailbox { control, requests })
 }
 
-/// Puts each message into the queue that it belongs to.
+/// Sends messages to the dispatcher, each through the queue for its kind.
 #[derive(Debug)]
 pub struct MailboxSender {
     control: Sender<Message>,
@@ -32,7 +32,10 @@
 }
 
 impl MailboxSender {
-    /// Sends a message, and waits while its queue is full. An error: the dispatcher has ended.
+    /// Sends a message, and waits while its queue is full.
+    ///
+    /// # Errors
+    /// Returns the message if the dispatcher has ended.
     pub async fn send(&self, message: Message) -> Result<(), SendError<Message>> {
         let queue = match message {
             Message::EndpointList { .. } | Message::ShutdownStarted => &self.control,
@@ -45,20 +48,23 @@
     }
 }
 
-/// The receiving side. The two queues are closed together, since one sender owns both.
+/// Receives the dispatcher's messages. Both queues are closed at the same time, since one sender owns both.
 pub struct Mailbox {
     control: Receiver<Message>,
     requests: Receiver<Message>,
 }
 
 impl Mailbox {
-    /// The next message, if one waits.
+    /// Returns the next message, or `None` if both queues are empty.
     pub fn try_next(&self) -> Option<Message> {
         let control = self.control.try_recv();
         control.or_else(|_| self.requests.try_recv()).ok()
     }
 
-    /// Waits for the next message. An error: nobody is left to send one.
+    /// Waits for the next message.
+    ///
+    /// # Errors
+    /// Fails if both queues are empty and the sender was dropped.
     pub async fn next(&self) -> Result<Message, RecvError> {
         match self.try_next() {
             Some(message) => Ok(message),
--- a/crates/router/src/dispatcher/mod.rs
+++ b/crates/router/src/dispatcher/mod.rs
@@ -1,15 +1,15 @@
-//! The dispatcher: the one task that owns the [`Balancer`] and carries out what it decides.
+//! The dispatcher: the one task that owns the [`Balancer`] and executes its actions.
 //!
-//! It turns [`Message`]s into the balancer's events and the balancer's actions into attempts, answers, health checks
-//! and calls to discovery. It owns the table of pending requests, their deadlines, and the handles of all endpoint
-//! pools. It never waits for another task: commands go into mailboxes that have room, or count as not sent.
+//! It converts [`Message`]s into events for the balancer, and the balancer's actions into attempts, responses, health
+//! checks and requests to discovery. It owns the table of pending requests, their deadlines, and the handles of all
+//! endpoint pools. It never waits for another task: a command that finds a full mailbox counts as not sent.
 //!
 //! - [`mailbox`]: the order in which messages are read
 //! - [`request_table`]: the state of each pending request
 //! - [`deadlines`]: timers, attempt time limits and request deadlines
-//! - `requests`: a request's arrival, its client's departure and its final answer
-//! - `actions`: what the balancer decided
-//! - `attempts`: the beginning and the result of an attempt
+//! - `requests`: admission, cancellation, deadline and final response of a request
+//! - `actions`: the execution of the balancer's actions
+//! - `attempts`: the start and the result of an attempt
 //! - `endpoint_list`: changes of the endpoint list
 
 mod actions;
@@ -38,30 +38,34 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Messages handled in a row before other tasks get a turn, such as the one that reads changes of the list.
-const MAX_MESSAGES_IN_A_ROW: u32 = 32;
+/// The number of messages that are handled before the dispatcher yields to other tasks, such as the one that reads
+/// changes of the endpoint list.
+const MAX_CONSECUTIVE_MESSAGES: u32 = 32;
 
-/// See the module.
+/// Owns the balancer and everything that depends on its decisions: pending requests, timers and pool handles.
 pub struct Dispatcher {
     shared: Rc<Shared>,
     executor: Rc<LocalExecutor<'static>>,
     balancer: Balancer,
-    /// The balancer works in the platform's time, everything else in the router's own.
+    /// Converts between the platform's time, which the balancer uses, and the router's, which everything else uses.
     platform_clock: PlatformClock,
-    discovery: Sender<EndpointListRequest>,
+    list_requests: Sender<EndpointListRequest>,
     pools: HashMap<EndpointId, PoolHandle>,
     requests: RequestTable,
     deadlines: DeadlineQueue,
-    /// What the balancer has not been told yet.
+    /// Events that the balancer has not processed yet.
     events: VecDeque<Event>,
 }
 
 impl Dispatcher {
-    /// A dispatcher whose calls for the endpoint list go to `discovery`. Fails if the balancer refuses the settings.
+    /// Creates a dispatcher that sends its requests for the endpoint list to `list_requests`.
+    ///
+    /// # Errors
+    /// Fails if the balancer rejects the settings.
     pub fn new(
         shared: Rc<Shared>,
         executor: Rc<LocalExecutor<'static>>,
-        discovery: Sender<EndpointListRequest>,
+        list_requests: Sender<EndpointListRequest>,
     ) -> Result<Dispatcher, SettingsError> {
         let settings = shared.config.site.settings.clone();
         Ok(Dispatcher {
@@ -69,7 +73,7 @@
             platform_clock: PlatformClock::default(),
             shared,
             executor,
-            discovery,
+            list_requests,
             pools: HashMap::new(),
             requests: RequestTable::default(),
             deadlines: DeadlineQueue::default(),
@@ -77,15 +81,19 @@
         })
     }
 
-    /// Runs until nobody is left to send a message.
+    /// Runs until all senders of messages were dropped.
     pub async fn run(mut self, mailbox: Mailbox) {
-        self.on_list(ListKind::Cached, self.shared.config.known_list.1.clone());
-        self.settle();
-        let mut in_a_row = 0;
+        self.on_endpoint_list(ListKind::Cached, self.shared.config.known_list.1.clone());
+        self.process_events();
+        let mut consecutive_messages = 0;
         loop {
-            let waiting = mailbox.try_next();
-            in_a_row = if waiting.is_some() { in_a_row + 1 } else { 0 };
-            let message = match waiting {
+            let queued = mailbox.try_next();
+            consecutive_messages = if queued.is_some() {
+                consecutive_messages + 1
+            } else {
+                0
+            };
+            let message = match queued {
                 Some(message) => Some(message),
                 None => match self.message_or_deadline(&mailbox).await {
                     Ok(message) => message,
@@ -95,16 +103,16 @@
             if let Some(message) = message {
                 self.on_message(message);
             }
-            self.settle();
+            self.process_events();
             self.handle_expired_deadlines();
-            if in_a_row >= MAX_MESSAGES_IN_A_ROW {
-                in_a_row = 0;
+            if consecutive_messages >= MAX_CONSECUTIVE_MESSAGES {
+                consecutive_messages = 0;
                 yield_now().await;
             }
         }
     }
 
-    /// Waits for the next message, or until the first deadline expires (none).
+    /// Waits for the next message. Returns `None` if the first deadline expires before one arrives.
     async fn message_or_deadline(&self, mailbox: &Mailbox) -> Result<Option<Message>, RecvError> {
         let expiry = self.deadlines.next_expiry();
         let deadline = async {
@@ -123,7 +131,7 @@
                 request,
                 response_target,
             } => self.on_request(request, response_target),
-            Message::RequestCancelled { request } => self.on_client_left(request),
+            Message::RequestCancelled { request } => self.on_request_cancelled(request),
             Message::AttemptEnded {
                 request,
                 attempt,
@@ -132,7 +140,7 @@
             Message::HealthCheckEnded { endpoint, result } => {
                 self.on_health_check_ended(endpoint, result)
             }
-            Message::EndpointList { kind, listed } => self.on_list(kind, listed),
+            Message::EndpointList { kind, listed } => self.on_endpoint_list(kind, listed),
             Message::ShutdownStarted => self.on_shutdown(),
         }
     }
@@ -146,15 +154,16 @@
         });
     }
 
-    /// Whatever is pending has its answer before the process may be killed.
+    /// Advances the deadlines of pending requests, so that each gets a response before the process may be killed.
     fn on_shutdown(&mut self) {
-        let Some(last) = self.shared.response_deadline() else {
+        let Some(latest) = self.shared.response_deadline() else {
             return;
         };
         for (id, request) in self.requests.iter_mut() {
-            if request.deadline > last {
-                request.deadline = last;
-                self.deadlines.add(last, DeadlineEntry::RequestDeadline(id));
+            if request.deadline > latest {
+                request.deadline = latest;
+                self.deadlines
+                    .add(latest, DeadlineEntry::RequestDeadline(id));
             }
         }
     }
@@ -172,24 +181,25 @@
                 }
                 DeadlineEntry::RequestDeadline(request) => self.on_request_deadline(request),
             }
-            self.settle();
+            self.process_events();
         }
     }
 
-    /// Feeds the balancer until it has nothing more to do.
-    fn settle(&mut self) {
+    /// Passes all queued events to the balancer and executes its actions, until no event is left.
+    fn process_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             let now = self.shared.clock.now();
             let platform_now = self.platform_clock.to_platform_time(now);
             self.balancer.handle(platform_now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(now, action);
+                self.execute(now, action);
             }
         }
     }
 
-    /// What can be believed of the status that an endpoint reported, in an attempt or a health check that ended so.
+    /// Returns the replication status that an endpoint reported in an attempt or a health check, without a position
+    /// that is ahead of the platform's estimated time.
     fn plausible_status(
         &mut self,
         endpoint: &EndpointId,
--- a/crates/router/src/dispatcher/request_table.rs
+++ b/crates/router/src/dispatcher/request_table.rs
@@ -1,7 +1,8 @@
-//! The requests that the dispatcher has taken in and not yet finished with.
+//! The requests that the dispatcher has admitted and not finished.
 //!
-//! Owns the state of each request and the set of names under which clients' requests are open. Each request gives
-//! out its [`ResponseTarget`] once, so a second final answer is impossible. It decides nothing and sends nothing.
+//! Owns the state of each request and the set of client request ids in use. [`RequestTable::complete`] returns the
+//! [`ResponseTarget`] of a request only once, so that a request cannot get two final responses. The table makes no
+//! decisions and sends nothing.
 
 use crate::messages::{AttemptProgress, CancellationFlag, ResponseTarget};
 use async_channel::Sender;
@@ -10,148 +11,158 @@
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-/// An attempt that has no result yet. Dropping it tells the endpoint's pool that nobody waits for it any more.
+/// An attempt without a result. Dropping it notifies the endpoint's pool that the attempt is abandoned.
 #[derive(Debug)]
 pub struct InFlightAttempt {
-    /// Counts the attempts of a request from 0 on.
+    /// Numbers the attempts of a request, from 0.
     pub number: u32,
+    /// The endpoint that the balancer chose.
     pub endpoint: EndpointId,
-    /// When the balancer sent it.
+    /// The time at which the balancer decided on the attempt.
     pub sent_at: Timestamp,
+    /// The phase of the attempt, set by its connection.
     pub progress: AttemptProgress,
-    /// Its other end is [`crate::messages::Attempt::abandoned`].
+    /// The sending end of [`crate::messages::Attempt::abandoned`].
     pub _abandon_on_drop: Sender<()>,
 }
 
-/// What is owed for a request, and what is out for it.
+/// Whether the final response to a request is due, and which attempts are in progress.
 #[derive(Debug)]
 enum RequestState {
-    /// Its answer is owed, and no attempt is out.
-    Queued { reply: ResponseTarget },
-    /// Its answer is owed, and at least one attempt is out.
+    /// The response is due, and no attempt is in progress.
+    Queued { response_target: ResponseTarget },
+    /// The response is due, and at least one attempt is in progress.
     InFlight {
-        reply: ResponseTarget,
+        response_target: ResponseTarget,
         attempts: Vec<InFlightAttempt>,
     },
-    /// It has its answer, or its client has left; these attempts have no result yet.
-    Answered { outstanding: Vec<InFlightAttempt> },
+    /// The response was sent, or the client disconnected or cancelled the request. Attempts may still be in progress.
+    Completed { outstanding: Vec<InFlightAttempt> },
 }
 
-/// A request in the table.
+/// A request that the dispatcher has admitted.
 #[derive(Debug)]
 pub struct PendingRequest {
-    /// The client's name for the request.
-    pub client_id: u64,
-    /// When its final answer leaves at the latest.
+    /// The id that the client assigned.
+    pub client_request_id: u64,
+    /// The time by which the final response must be sent.
     pub deadline: Timestamp,
-    pub ask: Rc<EndpointQuery>,
-    /// Raised once its client has gone.
-    pub client_left: CancellationFlag,
-    /// The index of its class in the settings.
+    /// The statement to execute.
+    pub statement: Rc<EndpointQuery>,
+    /// Raised when the client disconnects or cancels the request.
+    pub cancelled: CancellationFlag,
+    /// The index of the request class in the settings.
     pub class: u32,
-    /// How many attempts have been made.
+    /// The number of attempts started.
     pub attempts_made: u32,
     state: RequestState,
 }
 
 impl PendingRequest {
-    /// A request that waits for its first attempt.
+    /// Creates a request without attempts.
     pub fn new(
-        client_id: u64,
+        client_request_id: u64,
         deadline: Timestamp,
-        ask: Rc<EndpointQuery>,
-        client_left: CancellationFlag,
+        statement: Rc<EndpointQuery>,
+        cancelled: CancellationFlag,
         class: u32,
-        reply: ResponseTarget,
+        response_target: ResponseTarget,
     ) -> PendingRequest {
         PendingRequest {
-            client_id,
+            client_request_id,
             deadline,
-            ask,
-            client_left,
+            statement,
+            cancelled,
             class,
             attempts_made: 0,
-            state: RequestState::Queued { reply },
+            state: RequestState::Queued { response_target },
         }
     }
 
-    /// Its answer has been given, or its client has left.
-    pub fn is_answered(&self) -> bool {
-        matches!(self.state, RequestState::Answered { .. })
+    /// Returns whether no response is due any more.
+    pub fn is_completed(&self) -> bool {
+        matches!(self.state, RequestState::Completed { .. })
     }
 
-    /// The attempts that have no result yet.
+    /// Returns the attempts in progress.
     pub fn attempts(&self) -> &[InFlightAttempt] {
         match &self.state {
             RequestState::Queued { .. } => &[],
             RequestState::InFlight { attempts, .. } => attempts,
-            RequestState::Answered { outstanding } => outstanding,
+            RequestState::Completed { outstanding } => outstanding,
         }
     }
 
-    /// Adds an attempt that is on its way to an endpoint.
+    /// Adds an attempt that has just been started.
     pub fn add_attempt(&mut self, attempt: InFlightAttempt) {
         self.attempts_made += 1;
         self.change_state(|state| match state {
-            RequestState::Queued { reply } => RequestState::InFlight {
-                reply,
+            RequestState::Queued { response_target } => RequestState::InFlight {
+                response_target,
                 attempts: vec![attempt],
             },
             RequestState::InFlight {
-                reply,
+                response_target,
                 mut attempts,
             } => {
                 attempts.push(attempt);
-                RequestState::InFlight { reply, attempts }
+                RequestState::InFlight {
+                    response_target,
+                    attempts,
+                }
             }
-            RequestState::Answered { mut outstanding } => {
+            RequestState::Completed { mut outstanding } => {
                 outstanding.push(attempt);
-                RequestState::Answered { outstanding }
+                RequestState::Completed { outstanding }
             }
         });
     }
 
-    /// Takes out the attempt with this number, if it is out.
+    /// Removes and returns the attempt with this number, if it is in progress.
     pub fn take_attempt(&mut self, number: u32) -> Option<InFlightAttempt> {
         let attempts = match &mut self.state {
             RequestState::Queued { .. } => return None,
             RequestState::InFlight { attempts, .. } => attempts,
-            RequestState::Answered { outstanding } => outstanding,
+            RequestState::Completed { outstanding } => outstanding,
         };
         let position = attempts.iter().position(|a| a.number == number)?;
         let attempt = attempts.swap_remove(position);
         self.change_state(|state| match state {
-            RequestState::InFlight { reply, attempts } if attempts.is_empty() => {
-                RequestState::Queued { reply }
-            }
+            RequestState::InFlight {
+                response_target,
+                attempts,
+            } if attempts.is_empty() => RequestState::Queued { response_target },
             unchanged => unchanged,
         });
         Some(attempt)
     }
 
-    /// Takes out where the final answer goes, if it is still owed.
-    fn take_reply(&mut self) -> Option<ResponseTarget> {
+    /// Completes the request. Returns the destination of the final response, if one was still due.
+    fn take_response_target(&mut self) -> Option<ResponseTarget> {
         let mut target = None;
         self.change_state(|state| match state {
-            RequestState::Queued { reply } => {
-                target = Some(reply);
-                RequestState::Answered {
+            RequestState::Queued { response_target } => {
+                target = Some(response_target);
+                RequestState::Completed {
                     outstanding: Vec::new(),
                 }
             }
-            RequestState::InFlight { reply, attempts } => {
-                target = Some(reply);
-                RequestState::Answered {
+            RequestState::InFlight {
+                response_target,
+                attempts,
+            } => {
+                target = Some(response_target);
+                RequestState::Completed {
                     outstanding: attempts,
                 }
             }
-            RequestState::Answered { .. } => state,
+            RequestState::Completed { .. } => state,
         });
         target
     }
 
     fn change_state(&mut self, change: impl FnOnce(RequestState) -> RequestState) {
-        let placeholder = RequestState::Answered {
+        let placeholder = RequestState::Completed {
             outstanding: Vec::new(),
         };
         let state = std::mem::replace(&mut self.state, placeholder);
@@ -159,53 +170,55 @@
     }
 }
 
-/// All pending requests, by the router's own name for each.
+/// Holds all pending requests by the id that the router assigned.
 #[derive(Debug, Default)]
 pub struct RequestTable {
     requests: HashMap<RequestId, PendingRequest>,
-    /// The clients' names of the requests that are owed an answer.
-    client_ids: HashSet<u64>,
+    /// The ids that clients assigned to requests whose response is due.
+    client_request_ids: HashSet<u64>,
 }
 
 impl RequestTable {
-    /// A request that is owed an answer has this name among clients.
-    pub fn is_client_id_in_use(&self, client_id: u64) -> bool {
-        self.client_ids.contains(&client_id)
+    /// Returns whether a request whose response is due has this client request id.
+    pub fn is_client_request_id_in_use(&self, client_request_id: u64) -> bool {
+        self.client_request_ids.contains(&client_request_id)
     }
 
-    /// Takes in a request whose client's name for it is free.
+    /// Adds a request whose client request id is not in use.
     pub fn insert(&mut self, id: RequestId, request: PendingRequest) {
-        self.client_ids.insert(request.client_id);
+        self.client_request_ids.insert(request.client_request_id);
         self.requests.insert(id, request);
     }
 
+    /// Returns the request with this id.
     pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
+    /// Returns the request with this id for modification.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// All pending requests, in no order.
+    /// Returns all pending requests in arbitrary order.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (RequestId, &mut PendingRequest)> {
         self.requests.iter_mut().map(|(id, request)| (*id, request))
     }
 
-    /// Nothing is owed for the request from now on. Returns where its answer goes, if it was still owed. A request for
-    /// which no attempt is out leaves the table.
+    /// Completes a request, and removes it if no attempt is in progress. Returns the destination of the final response,
+    /// if one was still due.
     pub fn complete(&mut self, id: RequestId) -> Option<ResponseTarget> {
         let request = self.requests.get_mut(&id)?;
-        let reply = request.take_reply()?;
-        self.client_ids.remove(&request.client_id);
+        let response_target = request.take_response_target()?;
+        self.client_request_ids.remove(&request.client_request_id);
         self.remove_if_finished(id);
-        Some(reply)
+        Some(response_target)
     }
 
-    /// Removes the request if it is answered and no attempt is out for it.
+    /// Removes the request if it is completed and no attempt is in progress.
     pub fn remove_if_finished(&mut self, id: RequestId) {
         let request = self.requests.get(&id);
-        if request.is_some_and(|r| r.is_answered() && r.attempts().is_empty()) {
+        if request.is_some_and(|r| r.is_completed() && r.attempts().is_empty()) {
             self.requests.remove(&id);
         }
     }
--- a/crates/router/src/dispatcher/request_table/tests.rs
+++ b/crates/router/src/dispatcher/request_table/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the life cycle of a pending request.
+
 use super::{InFlightAttempt, PendingRequest, RequestTable};
 use crate::messages::{AttemptProgress, CancellationFlag, FinalResponse, ResponseTarget};
 use async_channel::Receiver;
@@ -5,13 +7,13 @@
 use std::rc::Rc;
 
 const ID: u64 = 1;
-const CLIENT_ID: u64 = 0xa1;
+const CLIENT_REQUEST_ID: u64 = 0xa1;
 
-/// A table with one queued request.
+/// Creates a table with one request and no attempts.
 fn table() -> RequestTable {
     let (sender, _) = async_channel::bounded::<(u64, FinalResponse)>(1);
     let request = PendingRequest::new(
-        CLIENT_ID,
+        CLIENT_REQUEST_ID,
         100,
         Rc::new(EndpointQuery::Simple(SimpleQuery::new(b"0".to_vec(), 0..1))),
         CancellationFlag::default(),
@@ -23,7 +25,7 @@
     table
 }
 
-/// Adds an attempt, and returns what its pool sees of it.
+/// Adds an attempt, and returns the channel that the pool receives with it.
 fn add_attempt(table: &mut RequestTable) -> Receiver<()> {
     let request = table.get_mut(ID).unwrap();
     let (abandon_on_drop, abandoned) = async_channel::bounded(1);
@@ -37,32 +39,36 @@
     abandoned
 }
 
+/// Guards against two final responses to one request, and against a client request id that stays in use after the
+/// response.
 #[test]
-fn a_request_gives_out_its_reply_once_and_frees_its_client_id() {
+fn completing_returns_the_response_target_once_and_frees_the_client_request_id() {
     let mut table = table();
-    assert!(table.is_client_id_in_use(CLIENT_ID));
-    assert_eq!(table.complete(ID).map(|reply| reply.part), Some(7));
-    assert!(!table.is_client_id_in_use(CLIENT_ID));
+    assert!(table.is_client_request_id_in_use(CLIENT_REQUEST_ID));
+    assert_eq!(table.complete(ID).map(|target| target.part), Some(7));
+    assert!(!table.is_client_request_id_in_use(CLIENT_REQUEST_ID));
     assert!(table.complete(ID).is_none());
 }
 
+/// Guards against results that find no request, because it was removed while its attempts were in progress.
 #[test]
-fn an_answered_request_stays_until_its_last_attempt_has_a_result() {
+fn a_completed_request_stays_until_its_last_attempt_has_a_result() {
     let mut table = table();
     let _pools = [add_attempt(&mut table), add_attempt(&mut table)];
     assert!(table.complete(ID).is_some());
     for number in [0, 1] {
         table.remove_if_finished(ID);
         let request = table.get_mut(ID).unwrap();
-        assert!(request.is_answered());
+        assert!(request.is_completed());
         assert!(request.take_attempt(number).is_some());
     }
     table.remove_if_finished(ID);
     assert!(table.get(ID).is_none());
 }
 
+/// Guards against a request without a response: it must stay while the balancer decides on a retry.
 #[test]
-fn a_request_whose_attempts_have_ended_is_still_owed_its_answer() {
+fn a_request_stays_until_completed_when_its_attempts_have_ended() {
     let mut table = table();
     let abandoned = add_attempt(&mut table);
     assert!(!abandoned.is_closed());
@@ -70,14 +76,14 @@
     assert!(request.take_attempt(0).is_some());
     assert!(request.take_attempt(0).is_none());
     assert!(abandoned.is_closed());
-    assert!(!request.is_answered() && request.attempts().is_empty());
+    assert!(!request.is_completed() && request.attempts().is_empty());
     table.remove_if_finished(ID);
     assert!(table.complete(ID).is_some());
 }
 
-/// Guards the memory of a router whose clients leave while their requests are queued.
+/// Guards against a memory leak from clients that disconnect while their requests have no attempt.
 #[test]
-fn a_queued_request_that_is_completed_leaves_the_table() {
+fn a_request_without_attempts_is_removed_when_completed() {
     let mut table = table();
     assert!(table.complete(ID).is_some());
     assert!(table.get(ID).is_none());
--- a/crates/router/src/dispatcher/requests.rs
+++ b/crates/router/src/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! A request's arrival, its client's departure, its deadline and its final answer.
+//! The admission, cancellation, deadline and final response of a request.
 
 use super::Dispatcher;
 use super::deadlines::DeadlineEntry;
@@ -8,91 +8,92 @@
 use reelrill_routing::{AttemptOutcome, Event, Nanos, Request, RequestId, Timestamp};
 use slog::{debug, warn};
 
-/// The final answer leaves this long before the client stops waiting: it has to travel.
-const ANSWER_TRAVEL_TIME: Nanos = 8_000_000;
+/// The final response is sent this many nanoseconds before the client's timeout, because it needs time to arrive.
+const RESPONSE_TRAVEL_TIME: Nanos = 8_000_000;
 
 impl Dispatcher {
-    /// Takes a request in, or answers it at once if it may not be taken in.
-    pub(super) fn on_request(&mut self, incoming: ClientRequest, reply: ResponseTarget) {
+    /// Admits a request, or responds at once if it must not be admitted.
+    pub(super) fn on_request(&mut self, request: ClientRequest, target: ResponseTarget) {
         count(&self.shared.counters.requests);
-        if incoming.cancelled.is_raised() {
-            // Its client has gone while it waited in the mailbox: nothing is owed, and nothing begins.
+        if request.cancelled.is_raised() {
+            // The request was cancelled while it waited in the mailbox: no response is due.
             count(&self.shared.counters.client_left);
             return count(&self.shared.counters.client_left_before_admission);
         }
         if self.shared.should_reject_new_requests() {
-            // Its client kept a connection open that is about to close: whatever is forwarded now may find the
-            // process killed.
+            // The request came on a connection that is about to be closed. The process may be killed before an endpoint
+            // responds to it.
             count(&self.shared.counters.rejected);
-            return respond(reply, FinalResponse::Rejected { retry_after: None });
+            return respond(target, FinalResponse::Rejected { retry_after: None });
         }
         if self
             .requests
-            .is_client_id_in_use(incoming.client_request_id)
+            .is_client_request_id_in_use(request.client_request_id)
         {
-            // An id names one request: endpoints would take a second one under it for its copy.
+            // Endpoints would treat a second request with the same id as a copy of the first.
             count(&self.shared.counters.invalid_statements);
-            return respond(reply, FinalResponse::Failed("this id is already in use"));
+            return respond(target, FinalResponse::Failed("this id is already in use"));
         }
-        self.admit(incoming, reply);
+        self.admit(request, target);
     }
 
-    fn admit(&mut self, incoming: ClientRequest, reply: ResponseTarget) {
+    fn admit(&mut self, request: ClientRequest, target: ResponseTarget) {
         let now = self.shared.clock.now();
-        debug!(self.shared.log, "taken"; "request" => format_args!("{:016x}", incoming.client_request_id),
-               "class" => incoming.class, "group" => incoming.replica_set,
-               "session" => incoming.session.as_deref(), "after" => incoming.required_position);
-        let deadline = self.answer_deadline(&incoming);
-        let request = PendingRequest::new(
-            incoming.client_request_id,
+        debug!(self.shared.log, "request admitted"; "request" => format_args!("{:016x}", request.client_request_id),
+               "class" => request.class, "group" => request.replica_set,
+               "session" => request.session.as_deref(), "after" => request.required_position);
+        let deadline = self.response_deadline(&request);
+        let pending = PendingRequest::new(
+            request.client_request_id,
             deadline,
-            incoming.statement,
-            incoming.cancelled,
-            incoming.class,
-            reply,
+            request.statement,
+            request.cancelled,
+            request.class,
+            target,
         );
-        self.requests.insert(incoming.id, request);
+        self.requests.insert(request.id, pending);
         self.deadlines
-            .add(deadline, DeadlineEntry::RequestDeadline(incoming.id));
+            .add(deadline, DeadlineEntry::RequestDeadline(request.id));
         let platform_now = self.platform_clock.to_platform_time(now);
         self.events.push_back(Event::Request(Request {
-            id: incoming.id,
-            class: incoming.class,
-            replica_set: incoming.replica_set,
-            session: incoming.session,
-            since_write: incoming
+            id: request.id,
+            class: request.class,
+            replica_set: request.replica_set,
+            session: request.session,
+            since_write: request
                 .required_position
                 .map(|at| platform_now.saturating_sub(at)),
             tenant: None,
             expected_execution_time: None,
-            is_retry: incoming.is_retry,
+            is_retry: request.is_retry,
             time_left: deadline.saturating_sub(now),
         }));
     }
 
-    /// When the final answer has to leave: before the client stops waiting, and before the process may be killed.
-    fn answer_deadline(&self, incoming: &ClientRequest) -> Timestamp {
-        let wait = incoming.timeout.saturating_sub(ANSWER_TRAVEL_TIME);
-        let deadline = incoming.received_at.saturating_add(wait);
+    /// Returns the time by which the final response must be sent: before the client's timeout, and before the process
+    /// may be killed.
+    fn response_deadline(&self, request: &ClientRequest) -> Timestamp {
+        let timeout = request.timeout.saturating_sub(RESPONSE_TRAVEL_TIME);
+        let deadline = request.received_at.saturating_add(timeout);
         match self.shared.response_deadline() {
             Some(last) => deadline.min(last),
             None => deadline,
         }
     }
 
-    /// The client has gone or called the request off: no answer is owed any more.
-    pub(super) fn on_client_left(&mut self, request: RequestId) {
+    /// Completes a request whose client disconnected or cancelled it. No response is due.
+    pub(super) fn on_request_cancelled(&mut self, request: RequestId) {
         if self.requests.complete(request).is_none() {
             return;
         }
         count(&self.shared.counters.client_left);
         self.events.push_back(Event::ClientDisconnected { request });
-        self.settle();
+        self.process_events();
         self.abandon_unwritten_attempts(request);
     }
 
-    /// Attempts that were never written are abandoned whatever the settings say of cancelling: the endpoint knows
-    /// nothing of them.
+    /// Abandons the attempts that were not written completely. The settings for cancelling do not apply to them,
+    /// because the endpoint cannot have executed them.
     fn abandon_unwritten_attempts(&mut self, request: RequestId) {
         let attempts = self.requests.get(request).map_or(&[][..], |r| r.attempts());
         let unwritten: Vec<u32> = attempts
@@ -106,40 +107,42 @@
         }
     }
 
-    /// All attempts that are still out have timed out. The balancer then gives the final answer, or else the
-    /// dispatcher does.
+    /// Ends all attempts in progress as timed out. If the balancer then does not decide on a final response, the
+    /// dispatcher sends one.
     pub(super) fn on_request_deadline(&mut self, request: RequestId) {
-        // Also after the final answer: where attempts may not be cancelled, a silent one would stay for ever.
+        // This also applies after the final response: if the settings do not allow attempts to be cancelled, one
+        // without a response would otherwise stay forever.
         let attempts = self.requests.get(request).map_or(&[][..], |r| r.attempts());
         let numbers: Vec<u32> = attempts.iter().map(|attempt| attempt.number).collect();
         for number in numbers {
             let timed_out = AttemptResult::from_outcome(AttemptOutcome::TimedOut);
             self.finish_attempt(request, number, timed_out);
         }
-        self.settle();
-        self.answer_overdue(request);
+        self.process_events();
+        self.respond_to_overdue_request(request);
     }
 
-    /// Answers a request that the balancer has left without an answer beyond its deadline.
-    fn answer_overdue(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get(id).filter(|r| !r.is_answered()) else {
+    /// Responds to a request for which the balancer has not decided on a response by its deadline.
+    fn respond_to_overdue_request(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id).filter(|r| !r.is_completed()) else {
             return;
         };
         count(&self.shared.counters.deadline_exceeded);
-        warn!(self.shared.log, "overdue"; "request" => format_args!("{:016x}", request.client_id));
+        warn!(self.shared.log, "request deadline exceeded without a decision of the balancer";
+              "request" => format_args!("{:016x}", request.client_request_id));
         let response = if request.attempts_made > 0 {
             FinalResponse::Failed("no answer in time")
         } else {
             FinalResponse::Rejected { retry_after: None }
         };
-        self.answer(id, response);
+        self.complete(id, response);
         self.events
             .push_back(Event::ClientDisconnected { request: id });
     }
 
-    /// Gives the final answer, if it is still owed.
-    pub(super) fn answer(&mut self, request: RequestId, response: FinalResponse) {
-        let Some(reply) = self.requests.complete(request) else {
+    /// Sends the final response and counts it, if one is still due.
+    pub(super) fn complete(&mut self, request: RequestId, response: FinalResponse) {
+        let Some(target) = self.requests.complete(request) else {
             return;
         };
         let counters = &self.shared.counters;
@@ -148,11 +151,12 @@
             FinalResponse::Rejected { .. } => &counters.rejected,
             FinalResponse::Failed(_) | FinalResponse::Cancelled => &counters.failed,
         });
-        respond(reply, response);
+        respond(target, response);
     }
 }
 
-/// Hands a final response to the client's task. A client that has just gone no longer listens; it says so by itself.
+/// Sends a final response to the client's task. If the channel is closed, the client has just disconnected, and its
+/// task reports that by itself.
 fn respond(target: ResponseTarget, response: FinalResponse) {
     let _ = target.sender.try_send((target.part, response));
 }
