--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,6 +1,6 @@
-//! The reelrill router: command line, and the wiring of its tasks on one thread.
+//! The reelrill router: runs the commands of the command line, and starts the router's tasks on one thread.
 //!
-//! Must never hold state of its own: what tasks share is in [`runtime::shared::Shared`].
+//! It holds no state of its own: the state that tasks share is in [`runtime::shared::Shared`].
 #![forbid(unsafe_code)]
 
 mod cli;
@@ -27,35 +27,41 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-/// Requests count as taken from the kernel's backlog on, so it must hold a burst.
-const BACKLOG: i32 = 4096;
-const MAILBOX: usize = 1024;
+/// The length of the kernel's backlog of client connections. A request whose connection is in the backlog counts as
+/// accepted, so the backlog must hold a burst.
+const LISTEN_BACKLOG: i32 = 4096;
+/// The capacity of the channel for events to the endpoint registry.
+const REGISTRY_EVENT_CAPACITY: usize = 1024;
+/// The capacity of the channel for requests for the endpoint list.
+const LIST_REQUEST_CAPACITY: usize = 4;
+
+/// The reason for which the router cannot start.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
     #[error("settings: {0}")]
     Settings(#[from] reelrill_routing::SettingsError),
-    #[error("{0}: {1}")]
+    #[error("cannot listen on client address {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
     #[error(transparent)]
-    EndpointRegistryTask(#[from] discovery::registry::RegistryError),
-    #[error("signals: {0}")]
+    Registry(#[from] discovery::registry::RegistryError),
+    #[error("cannot install the signal handlers: {0}")]
     Signals(std::io::Error),
 }
 
-/// The exit code of `check` for a file that is not valid.
+/// The exit code of the `check` command for an invalid file.
 const INVALID_FILE: u8 = 2;
 
 fn main() -> ExitCode {
     let cli = cli::Cli::parse();
-    let fail = |e: &dyn std::fmt::Display, code| {
-        eprintln!("reelrill: {e}");
+    let fail = |error: &dyn std::fmt::Display, code| {
+        eprintln!("reelrill: {error}");
         code
     };
     match cli.command() {
         cli::Command::Serve => serve(&cli).unwrap_or_else(|e| fail(&e, ExitCode::FAILURE)),
         cli::Command::Check { file } => match cli::check(&file) {
-            Ok(what) => {
-                println!("{}: {what}, nothing wrong with it", file.display());
+            Ok(file_kind) => {
+                println!("{}: {file_kind}, no errors found", file.display());
                 ExitCode::SUCCESS
             }
             Err(e) => fail(&e, ExitCode::from(INVALID_FILE)),
@@ -74,19 +80,23 @@
     }
 }
 
-/// Serves until the router is told to end. An error comes before anything has been served.
+/// Runs the router until it has shut down.
+///
+/// # Errors
+/// Fails if the settings or the configuration cannot be read. Nothing has been served then.
 fn serve(cli: &cli::Cli) -> Result<ExitCode, cli::CheckError> {
     let config = config::Config::load(cli.load_extensions()?, cli.extensions_path.clone())?;
     let (log, _flush) = observability::logging::start(&config.name);
     Ok(match start(config, &log) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            error!(log, "cannot start"; "error" => %e);
+            error!(log, "router failed to start"; "error" => %e);
             ExitCode::FAILURE
         }
     })
 }
 
+/// Creates the listener for client connections.
 fn listener(address: SocketAddr) -> std::io::Result<Async<TcpListener>> {
     use socket2::{Domain, Protocol, Socket, Type};
     let socket = Socket::new(
@@ -94,39 +104,53 @@
         Type::STREAM,
         Some(Protocol::TCP),
     )?;
-    // A restart must not wait for the old connections' addresses.
+    // A restarted router must be able to bind while connections of its predecessor are in TIME_WAIT.
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Async::new(socket.into())
 }
 
+/// Starts all tasks, and runs them until the graceful shutdown is complete.
 fn start(config: config::Config, log: &Logger) -> Result<(), StartError> {
     let address = config.listen_address;
     let executor = Rc::new(LocalExecutor::new());
-    let (dispatcher, inbox) = dispatcher::mailbox::mailbox();
-    let (calls, asked) = async_channel::bounded(4);
-    let (told, news) = async_channel::bounded(MAILBOX);
-    let told = config.extensions.discovery.dns_sd.is_some().then_some(told);
-    let shared = Shared::new(config, log.clone(), dispatcher, told);
-    // Room for the newest alone: what a later configuration says goes before what an earlier one said.
-    let (discovery_address, discovery_addresses) = async_channel::bounded(1);
+    let (dispatcher_sender, mailbox) = dispatcher::mailbox::mailbox();
+    let (list_request_sender, list_requests) = async_channel::bounded(LIST_REQUEST_CAPACITY);
+    let (registry_sender, registry_events) = async_channel::bounded(REGISTRY_EVENT_CAPACITY);
+    let registry_sender = config
+        .extensions
+        .discovery
+        .dns_sd
+        .is_some()
+        .then_some(registry_sender);
+    let shared = Shared::new(config, log.clone(), dispatcher_sender, registry_sender);
+    // Holds only the newest address: a later configuration replaces an earlier one.
+    let (discovery_address_sender, discovery_addresses) = async_channel::bounded(1);
     let signals = signals::listen().map_err(StartError::Signals)?;
-    let dispatcher = dispatcher::Dispatcher::new(shared.clone(), executor.clone(), calls.clone())?;
-    let directory =
-        discovery::registry::EndpointRegistryTask::new(&shared, &executor, calls, news)?;
+    let dispatcher = dispatcher::Dispatcher::new(
+        shared.clone(),
+        executor.clone(),
+        list_request_sender.clone(),
+    )?;
+    let registry = discovery::registry::EndpointRegistryTask::new(
+        &shared,
+        &executor,
+        list_request_sender,
+        registry_events,
+    )?;
     let listener = listener(address).map_err(|e| StartError::Listen(address, e))?;
-    let bound = listener.get_ref().local_addr().unwrap_or(address);
-    info!(log, "listening"; "address" => %bound, "instances" => shared.config.known_list.1.len());
-    executor.spawn(dispatcher.run(inbox)).detach();
-    if let Some(directory) = directory {
-        executor.spawn(directory.run()).detach();
+    let bound_address = listener.get_ref().local_addr().unwrap_or(address);
+    info!(log, "listening on client address"; "address" => %bound_address, "instances" => shared.config.known_list.1.len());
+    executor.spawn(dispatcher.run(mailbox)).detach();
+    if let Some(registry) = registry {
+        executor.spawn(registry.run()).detach();
     }
     if shared.config.extensions.discovery.roster {
         executor
             .spawn(discovery::list_watch::run(
                 shared.clone(),
-                asked,
+                list_requests,
                 discovery_addresses,
             ))
             .detach();
@@ -138,7 +162,7 @@
             listener,
         ))
         .detach();
-    let handle_signals = signals::handle(&shared, signals, discovery_address);
+    let handle_signals = signals::handle(&shared, signals, discovery_address_sender);
     async_io::block_on(executor.run(or(handle_signals, drain::until_drained(&shared))));
     info!(log, "counters"; "all" => %shared.counters);
     Ok(())
--- a/crates/router/tests/extended.rs
+++ b/crates/router/tests/extended.rs
@@ -816,7 +816,7 @@
 
 /// Guards the command line: what is wrong with a file is said with its place, and by the exit code.
 #[rstest]
-#[case("edge.yaml", "extended:\n  mode: on\n", 0, "nothing wrong")]
+#[case("edge.yaml", "extended:\n  mode: on\n", 0, "no errors found")]
 #[case(
     "edge.yaml",
     "extended:\n  mode: onn\n",
