--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -1,6 +1,7 @@
-//! What signals do: SIGTERM and SIGINT begin the graceful shutdown, SIGHUP reloads, SIGUSR1 prints the counters.
+//! Signal handling: SIGTERM and SIGINT start the graceful shutdown, SIGHUP reloads the configuration, SIGUSR1 logs the
+//! counters.
 //!
-//! Must never end the process itself: [`crate::drain`] decides when that may happen.
+//! It must never end the process: [`crate::drain`] decides when the process may exit.
 
 use crate::messages::Message;
 use crate::reload;
@@ -11,27 +12,36 @@
 use slog::{error, info};
 use std::net::SocketAddr;
 
-/// The signals that [`handle`] knows.
+/// Installs the handlers, and returns the stream of signals for [`handle`].
+///
+/// # Errors
+/// Fails if the operating system rejects a handler.
 pub fn listen() -> std::io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup])
 }
 
-/// Handles signals for as long as the process lives, also during a graceful shutdown.
-pub async fn handle(shared: &Shared, mut signals: Signals, discovery_address: Sender<SocketAddr>) {
+/// Handles signals until the process exits, including during a graceful shutdown.
+pub async fn handle(
+    shared: &Shared,
+    mut signals: Signals,
+    discovery_addresses: Sender<SocketAddr>,
+) {
     while let Some(signal) = signals.next().await {
         match signal {
             Ok(Signal::Usr1) => info!(shared.log, "counters"; "all" => %shared.counters),
-            Ok(Signal::Hup) => reload::reload(shared, &discovery_address).await,
-            Ok(_) if shared.shutdown_started.is_raised() => info!(shared.log, "already ending"),
+            Ok(Signal::Hup) => reload::reload(shared, &discovery_addresses).await,
+            Ok(_) if shared.shutdown_started.is_raised() => {
+                info!(shared.log, "graceful shutdown already in progress")
+            }
             Ok(_) => {
                 shared.shutdown_started_at.set(Some(shared.clock.now()));
                 shared.shutdown_started.raise();
-                // The decider ends last.
+                // The send cannot fail: the dispatcher ends last.
                 let _ = shared.dispatcher.send(Message::ShutdownStarted).await;
             }
-            Err(e) => error!(shared.log, "signals"; "error" => %e),
+            Err(e) => error!(shared.log, "failed to receive a signal"; "error" => %e),
         }
-        // A flood of signals is always ready: without a pause it would keep all other tasks from running.
+        // With a flood of signals the next one is always ready. Without yielding, no other task would run.
         futures_lite::future::yield_now().await;
     }
     futures_lite::future::pending().await
--- a/crates/router/tests/edges.rs
+++ b/crates/router/tests/edges.rs
@@ -268,7 +268,7 @@
         "0000000000000003"
     );
     router.signal("TERM");
-    assert!(router.logged("ending"));
+    assert!(router.logged("graceful shutdown started"));
     client.send(&whole[40..]);
     assert_eq!(client.answer().unwrap().value, "0000000000000002");
     assert!(router.exit().success());
@@ -307,10 +307,10 @@
     until_asked(&instance, 1);
     router.signal("TERM");
     let told = Instant::now();
-    assert!(router.logged("ending"));
+    assert!(router.logged("graceful shutdown started"));
     router.reload("discovery", discovery.address.to_string().into());
     router.signal("TERM");
-    assert!(router.logged("already ending"));
+    assert!(router.logged("graceful shutdown already in progress"));
     // The settings' longest deadline is 30 s, of which 3 s count, and 0.7 s later it may be killed.
     for client in &mut clients {
         let Some(answer) = client.answer() else {
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -744,7 +744,7 @@
     "discovery: expected an IP address with a port"
 )]
 #[case("settings", "none", "familyInfo is missing")]
-#[case("name", "n7", "takes effect at the next start")]
+#[case("name", "n7", "takes effect after a restart")]
 fn a_reload_says_what_it_did_not_take(
     #[case] field: &str,
     #[case] value: &str,
