--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -77,7 +77,7 @@
         }
         info!(self.shared.log, "discovery has moved"; "address" => %address);
         if let Some(connection) = self.connection.take() {
-            connection.end(CloseReason::AddressChanged);
+            connection.close(CloseReason::AddressChanged);
         }
         true
     }
@@ -95,7 +95,7 @@
         };
         let body = match fetch(&mut connection, request).await {
             Err(PollError::TimedOut) => {
-                connection.end(CloseReason::TimedOut);
+                connection.close(CloseReason::TimedOut);
                 return Err(PollError::TimedOut);
             }
             result => result?,
@@ -103,7 +103,7 @@
         if connection.is_reusable() {
             self.connection.set(Some(connection));
         } else {
-            connection.end(CloseReason::Eof);
+            connection.close(CloseReason::Eof);
         }
         let value = serde_json::from_slice(&body)?;
         Ok(read_list(&value, &self.shared.config.site.zones)?)
--- a/crates/router/src/discovery/http.rs
+++ b/crates/router/src/discovery/http.rs
@@ -1,6 +1,6 @@
-//! A kept-alive HTTP/1.1 connection to the discovery service: one GET at a time.
+//! Sends GET requests on a kept-alive HTTP/1.1 connection to the discovery service, one at a time.
 //!
-//! It owns the socket and its buffer, and logs one line when it ends. Timeouts are its caller's.
+//! The connection owns the socket and its buffer, and logs one line when it is dropped. The caller applies timeouts.
 
 use crate::observability::close_reason::CloseReason;
 use crate::runtime::buffer::{Buffer, MemoryBudget};
@@ -10,53 +10,59 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// The largest head, and the largest body, in bytes.
+/// The maximum size of a response's head, and of its body, in bytes.
 const MAX_SIZE: usize = 8 * 1024 * 1024;
-/// The most header fields of a response.
+/// The maximum number of header fields in a response.
 const MAX_HEADERS: usize = 48;
-/// The line break after a chunk's data.
-const CHUNK_END: usize = 2;
-/// The status of a response that holds a list.
+/// The length of the line break after a chunk's data, in bytes.
+const CHUNK_END_LENGTH: usize = 2;
+/// The HTTP status of a response whose body is an endpoint list.
 const STATUS_OK: u16 = 200;
 
-/// Why a request brought no body.
+/// The error of a request that did not yield a body.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
+    /// The connection failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    #[error("the answer is no HTTP: {0}")]
+    /// The response's head is not valid HTTP.
+    #[error("response is not valid HTTP: {0}")]
     Parse(#[from] httparse::Error),
-    #[error("the answer's length is wrong")]
+    /// The length of the response, or of a chunk of it, can't be parsed or is above the maximum.
+    #[error("response length: expected a number of bytes up to {MAX_SIZE}")]
     Length,
-    #[error("the connection was closed before the response was complete")]
+    /// The service closed the connection early.
+    #[error("connection closed before the response was complete")]
     Closed,
-    #[error("status {0}")]
+    /// The response has another status than 200.
+    #[error("HTTP status: expected {STATUS_OK}, got {0}")]
     Status(u16),
 }
 
-/// The connection; see the module.
+/// A connection to the discovery service.
 pub struct Connection {
     stream: Async<TcpStream>,
     buffer: Buffer,
     host: SocketAddr,
     is_reusable: bool,
-    /// Why it ends if it is dropped now.
+    /// The reason to log if the connection is dropped now.
     reason: CloseReason,
     log: Logger,
 }
 
-/// Exactly one log line for a connection that ends, wherever it is dropped.
+/// Logs exactly one line for each connection, wherever it is dropped.
 impl Drop for Connection {
     fn drop(&mut self) {
         info!(self.log, "connection ended"; "with" => "discovery", "reason" => self.reason.code());
     }
 }
 
-/// How the end of a body is found.
-enum Length {
+/// The length of a body, as stated by the head.
+enum BodyLength {
     Fixed(usize),
     Chunked,
-    ToEnd,
+    /// The body ends where the service closes the connection.
+    UntilClose,
 }
 
 impl Connection {
@@ -71,7 +77,7 @@
     ) -> Result<Connection, HttpError> {
         let stream = retry_interrupted(async || Async::<TcpStream>::connect(host).await).await?;
         stream.get_ref().set_nodelay(true)?;
-        // Dropped inside a call: the caller took another or stopped waiting.
+        // Applies if the connection is dropped during a request: the caller has started another or stopped waiting.
         let reason = CloseReason::Replaced;
         Ok(Connection {
             stream,
@@ -83,32 +89,39 @@
         })
     }
 
-    /// Whether another request may follow on this connection.
+    /// Returns whether another request may follow on this connection.
     pub fn is_reusable(&self) -> bool {
         self.is_reusable
     }
 
-    /// Closes the connection, for this reason.
-    pub fn end(mut self, reason: CloseReason) {
+    /// Closes the connection and logs `reason`.
+    pub fn close(mut self, reason: CloseReason) {
         self.reason = reason;
     }
 
-    /// Requests what is at `path`; returns once a response has begun.
+    /// Sends a GET request for `path` and waits for the first bytes of the response.
+    ///
+    /// # Errors
+    /// If the connection fails or is closed before a response begins.
     pub async fn request(&mut self, path: &str) -> Result<(), HttpError> {
         let result = self.send(path).await;
-        self.record_result(result.as_ref().err());
+        self.set_reason(result.as_ref().err());
         result
     }
 
-    /// Reads the body of the response that has begun.
+    /// Reads the rest of the response and returns its body.
+    ///
+    /// # Errors
+    /// If the connection fails or is closed early, or if the response is not valid, too large, or has another status
+    /// than 200.
     pub async fn response(&mut self) -> Result<Vec<u8>, HttpError> {
         let result = self.read_response().await;
-        self.record_result(result.as_ref().err());
+        self.set_reason(result.as_ref().err());
         result
     }
 
-    /// Why the connection will have ended if it is dropped after this.
-    fn record_result(&mut self, error: Option<&HttpError>) {
+    /// Sets the reason to log if the connection is dropped after this result.
+    fn set_reason(&mut self, error: Option<&HttpError>) {
         self.reason = match error {
             Some(HttpError::Closed) => CloseReason::Eof,
             Some(HttpError::Io(_)) => CloseReason::Reset,
@@ -119,11 +132,11 @@
     }
 
     async fn send(&mut self, path: &str) -> Result<(), HttpError> {
-        let head = format!(
+        let request = format!(
             "GET {path} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
             self.host
         );
-        write_all(&self.stream, head.as_bytes()).await?;
+        write_all(&self.stream, request.as_bytes()).await?;
         if self.buffer.bytes().is_empty() {
             self.fill_more().await
         } else {
@@ -141,9 +154,9 @@
         };
         self.is_reusable = head.keeps_connection;
         let body = match head.length {
-            Length::Fixed(len) => self.read_exact(len).await?,
-            Length::Chunked => self.read_chunks().await?,
-            Length::ToEnd => self.read_to_end().await?,
+            BodyLength::Fixed(len) => self.read_exact(len).await?,
+            BodyLength::Chunked => self.read_chunks().await?,
+            BodyLength::UntilClose => self.read_until_close().await?,
         };
         if head.status == STATUS_OK {
             Ok(body)
@@ -152,7 +165,7 @@
         }
     }
 
-    async fn read_to_end(&mut self) -> Result<Vec<u8>, HttpError> {
+    async fn read_until_close(&mut self) -> Result<Vec<u8>, HttpError> {
         self.is_reusable = false;
         while self.fill().await? > 0 {
             if self.buffer.bytes().len() > MAX_SIZE {
@@ -166,7 +179,7 @@
         retry_interrupted(async || self.buffer.fill(&self.stream).await).await
     }
 
-    /// Reads more bytes, of which there must be some.
+    /// Reads at least one more byte; the end of the stream is an error.
     async fn fill_more(&mut self) -> Result<(), HttpError> {
         if self.buffer.bytes().len() > MAX_SIZE {
             return Err(HttpError::Length);
@@ -177,7 +190,7 @@
         }
     }
 
-    /// Takes the next `len` bytes.
+    /// Reads and consumes the next `len` bytes.
     async fn read_exact(&mut self, len: usize) -> Result<Vec<u8>, HttpError> {
         if len > MAX_SIZE {
             return Err(HttpError::Length);
@@ -190,22 +203,22 @@
         Ok(body)
     }
 
-    /// Reads a body in chunks, up to the empty one.
+    /// Reads a chunked body, up to and including the empty chunk.
     async fn read_chunks(&mut self) -> Result<Vec<u8>, HttpError> {
         let mut body = Vec::new();
         loop {
             let size =
                 httparse::parse_chunk_size(self.buffer.bytes()).map_err(|_| HttpError::Length)?;
-            let httparse::Status::Complete((line, size)) = size else {
+            let httparse::Status::Complete((line_len, size)) = size else {
                 self.fill_more().await?;
                 continue;
             };
-            self.buffer.consume(line);
+            self.buffer.consume(line_len);
             let size = usize::try_from(size).map_err(|_| HttpError::Length)?;
             if size > MAX_SIZE || body.len() + size > MAX_SIZE {
                 return Err(HttpError::Length);
             }
-            let chunk = self.read_exact(size + CHUNK_END).await?;
+            let chunk = self.read_exact(size + CHUNK_END_LENGTH).await?;
             if size == 0 {
                 return Ok(body);
             }
@@ -214,14 +227,14 @@
     }
 }
 
-/// The head of a response.
+/// The parts of a response's head that the connection uses.
 struct Head {
     status: u16,
-    length: Length,
+    length: BodyLength,
     keeps_connection: bool,
 }
 
-/// Reads a head, if it is complete, and says how many bytes it takes.
+/// Parses a head. Returns its length in bytes with it, or `None` if it is not complete.
 fn read_head(bytes: &[u8]) -> Result<Option<(usize, Head)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -229,15 +242,15 @@
         return Ok(None);
     };
     let mut keeps_connection = response.version == Some(1);
-    let mut length = Length::ToEnd;
+    let mut length = BodyLength::UntilClose;
     for header in response.headers.iter() {
         let value = std::str::from_utf8(header.value).unwrap_or("").trim();
         if header.name.eq_ignore_ascii_case("content-length") {
-            length = Length::Fixed(value.parse().map_err(|_| HttpError::Length)?);
+            length = BodyLength::Fixed(value.parse().map_err(|_| HttpError::Length)?);
         } else if header.name.eq_ignore_ascii_case("transfer-encoding")
             && value.eq_ignore_ascii_case("chunked")
         {
-            length = Length::Chunked;
+            length = BodyLength::Chunked;
         } else if header.name.eq_ignore_ascii_case("connection") {
             keeps_connection = !value.eq_ignore_ascii_case("close");
         }
--- a/crates/router/src/discovery/messages.rs
+++ b/crates/router/src/discovery/messages.rs
@@ -1,26 +1,26 @@
-//! The messages of the discovery tasks.
+//! Defines the messages to the discovery tasks.
 
 use crate::extensions::DiscoverySettings;
 use crate::messages::ListedEndpoint;
 use reelrill_routing::{EndpointId, ListKind};
 use reelrill_service_discovery::SourceId;
 
-/// What the list watch is asked for.
+/// A request to the list watch.
 #[derive(Debug, Clone, Copy)]
 pub enum EndpointListRequest {
-    /// Changes, from now on.
+    /// Requests all further changes.
     Subscribe,
-    /// The complete list, once.
+    /// Requests the complete list, once.
     Fetch,
 }
 
-/// What the endpoint registry takes in.
+/// An event that the endpoint registry handles.
 pub enum RegistryEvent {
-    /// How a poll of the endpoint list ended.
+    /// A poll of the endpoint list has ended.
     EndpointList {
-        /// Complete, changes only, or failed.
+        /// Whether the list is complete, holds only changes, or the poll failed.
         kind: ListKind,
-        /// The list's entries.
+        /// The list's entries; none if the poll failed.
         listed: Vec<ListedEndpoint>,
         /// The list's version; 0 if the poll failed.
         version: u64,
@@ -29,18 +29,18 @@
     EndpointResponded {
         /// The endpoint.
         endpoint: EndpointId,
-        /// It stated that it is draining.
+        /// Whether the response stated that the endpoint is draining.
         is_draining: bool,
     },
-    /// What came for a DNS query.
+    /// A response to a DNS query has arrived, or the query failed.
     DnsResponse {
-        /// The service that is browsed.
+        /// The browsed service's number among the sources.
         source: SourceId,
         /// The query's number.
         query: u64,
-        /// None: the query could not be sent, or its connection broke.
+        /// The response's message; `None` if the query could not be sent, or its connection broke.
         bytes: Option<Vec<u8>>,
     },
-    /// The settings have been read again.
+    /// The project's own settings have been reloaded.
     SettingsReloaded(DiscoverySettings),
 }
--- a/crates/router/src/discovery/mod.rs
+++ b/crates/router/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Service discovery: the endpoint list's watch, the merge of several sources, and the operator's socket.
+//! Discovers endpoints: watches the endpoint list, merges several sources, and serves the operators' admin socket.
 
 pub mod admin_socket;
 pub mod client;
