--- a/crates/router/src/discovery/list.rs
+++ b/crates/router/src/discovery/list.rs
@@ -1,7 +1,7 @@
-//! The wire form of an endpoint list: read from the configuration and from the discovery service's responses.
+//! Converts an endpoint list from its wire form, found in the configuration and in the discovery service's responses.
 //!
-//! The wire types name every field that is used; others are ignored. An optional field of the wrong type counts as
-//! absent. This module never judges the endpoints: it only converts them.
+//! The wire types contain every field that is used; others are ignored. An optional field of the wrong type counts as
+//! absent. Whether an endpoint is usable is decided elsewhere.
 
 use crate::messages::ListedEndpoint;
 use reelrill_routing::{EndpointEntry, EndpointState};
@@ -15,40 +15,40 @@
 /// The weight of an endpoint whose capacity is not stated.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Why a value is no endpoint list.
+/// The error of a value that is not a valid endpoint list.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
     /// A field is missing or has the wrong type.
     #[error("{path}: {source}")]
     Field {
-        /// The field, or what lacks it, as in `targets[3].state`.
+        /// The path of the field, as in `targets[3].state`, or of the object that lacks it.
         path: String,
-        /// What is wrong with it.
+        /// The error of the field's value.
         source: serde_json::Error,
     },
     /// An endpoint that may get requests has no usable address.
     #[error("targets[{index}].endpoint: {}", describe_address(.value.as_deref()))]
     Address {
-        /// The endpoint's place in the list.
+        /// The endpoint's index in the list.
         index: usize,
-        /// What stands for its address, if it is text.
+        /// The value of its address field, if that is a string.
         value: Option<String>,
     },
 }
 
 fn describe_address(value: Option<&str>) -> String {
     match value {
-        Some(value) => format!("'{value}' is no socket address"),
-        None => "missing or no text".to_owned(),
+        Some(value) => format!("expected an IP address with a port, got '{value}'"),
+        None => "missing or not a string".to_owned(),
     }
 }
 
-/// An endpoint list, or the changes of one.
+/// A complete endpoint list, or changes to one.
 #[derive(Debug)]
 pub struct List {
-    /// The version that the list has with these entries.
+    /// The version of the list after these entries are applied.
     pub version: u64,
-    /// The entries are the complete list, not only changes.
+    /// Whether the entries are the complete list, not only changes.
     pub is_complete: bool,
     /// The endpoints.
     pub entries: Vec<ListedEndpoint>,
@@ -93,22 +93,22 @@
     Gone,
 }
 
-/// Text; a value of another type counts as absent.
+/// Reads a string; a value of another type counts as absent.
 fn optional_text<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<String>, D::Error> {
     let value = Value::deserialize(deserializer)?;
     Ok(value.as_str().map(str::to_owned))
 }
 
-/// A number; a value of another type counts as absent.
+/// Reads a number; a value of another type counts as absent.
 fn optional_number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<f64>, D::Error> {
     let value = Value::deserialize(deserializer)?;
     Ok(value.as_f64())
 }
 
-/// Converts a list from its wire form. `zones` are the zones' names, in the order of their numbers.
+/// Converts a list from its wire form. `zones` holds the zones' names, in the order of their numbers.
 ///
 /// # Errors
-/// If a required field is missing or wrong; the error names it.
+/// If a required field is missing or has an invalid value; the error names the field.
 pub fn read_list(value: &Value, zones: &[String]) -> Result<List, ListError> {
     let list: WireList =
         serde_path_to_error::deserialize(value).map_err(|error| ListError::Field {
@@ -134,7 +134,8 @@
         let zone = self
             .zone
             .and_then(|name| zones.iter().position(|zone| *zone == name))
-            // A zone of its own: an unknown zone does not share the first zone's idempotency keys.
+            // An unknown zone gets the number after the last one, so that it does not share the first zone's
+            // idempotency keys.
             .unwrap_or(zones.len());
         let started_ms = self.started_ms.unwrap_or(0.0).max(0.0) as u64;
         let entry = EndpointEntry {
@@ -153,7 +154,7 @@
         let parsed = self.address.as_deref().and_then(|text| text.parse().ok());
         match parsed {
             Some(address) => Ok(address),
-            // A removed endpoint is not connected to any more.
+            // A removed endpoint needs no address: the router does not connect to it any more.
             None if self.state == WireState::Gone => {
                 Ok(SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)))
             }
