--- a/crates/router/src/discovery/list_watch.rs
+++ b/crates/router/src/discovery/list_watch.rs
@@ -1,8 +1,8 @@
-//! The task that keeps the endpoint list watched: it polls the discovery service when the dispatcher asks for it or
-//! the watch demands it, and passes on what comes.
+//! Runs the task that watches the endpoint list: it polls the discovery service when the dispatcher requests a list or
+//! the watch schedules a poll, and reports the result.
 //!
-//! It owns the [`ListWatch`] and the [`DiscoveryClient`]. It never changes a list: it goes to the endpoint registry
-//! where there are several sources, else straight to the dispatcher.
+//! The task owns the [`ListWatch`] and the [`DiscoveryClient`]. It never changes a list. It reports to the endpoint
+//! registry if there are several sources of endpoints, otherwise to the dispatcher.
 
 use crate::discovery::client::{self, DiscoveryClient, PollResult};
 use crate::discovery::messages::{EndpointListRequest, RegistryEvent};
@@ -20,12 +20,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What wakes the task.
+/// An event that wakes the task.
 enum Wakeup {
     PollEnded(PollResult),
-    Requested(EndpointListRequest),
-    /// The configuration has been read again and names this address of the service.
-    AddressRead(SocketAddr),
+    ListRequested(EndpointListRequest),
+    /// The configuration has been reloaded; it holds this address of the discovery service.
+    AddressReloaded(SocketAddr),
     /// The dispatcher has ended.
     DispatcherEnded,
 }
@@ -46,8 +46,8 @@
     scheduled: Option<ScheduledPoll>,
 }
 
-/// Runs until the dispatcher's end of `requests` is dropped. `addresses` brings the service's address whenever the
-/// configuration has been read again.
+/// Runs until the dispatcher's end of `requests` is dropped. `addresses` receives the service's address whenever the
+/// configuration has been reloaded.
 pub async fn run(
     shared: Rc<Shared>,
     requests: Receiver<EndpointListRequest>,
@@ -80,22 +80,22 @@
             let now = self.shared.clock.now();
             match wakeup {
                 Wakeup::PollEnded(result) => self.on_poll_ended(now, result).await,
-                Wakeup::Requested(request) => self.schedule_request(now, list_request(request)),
-                Wakeup::AddressRead(address) => self.on_address(now, address),
+                Wakeup::ListRequested(request) => self.schedule_request(now, list_request(request)),
+                Wakeup::AddressReloaded(address) => self.on_address(now, address),
                 Wakeup::DispatcherEnded => return,
             }
         }
     }
 
-    /// Carries out the scheduled poll, if there is one, unless something that matters more comes first.
+    /// Performs the scheduled poll, if there is one, unless an event that takes precedence over it occurs first.
     async fn next_wakeup(&self, scheduled: Option<ScheduledPoll>) -> Wakeup {
         let address = self.next_address();
         let Some(scheduled) = scheduled else {
             return or(address, self.next_request()).await;
         };
         let poll = self.poll(scheduled);
-        // A new address ends the poll at the old one, which may hang or be about to close. So does a request for the
-        // complete list a watch that waits; a poll that opens a watch is answered soon.
+        // A new address ends a poll of the old one, which may hang or be about to close. A request for the complete
+        // list ends a long poll of an open watch; a poll that opens a watch does not wait for changes and soon ends.
         if self.watch.is_open() {
             or(address, or(self.next_request(), poll)).await
         } else {
@@ -112,7 +112,7 @@
 
     async fn next_address(&self) -> Wakeup {
         match self.addresses.recv().await {
-            Ok(address) => Wakeup::AddressRead(address),
+            Ok(address) => Wakeup::AddressReloaded(address),
             Err(_) => futures_lite::future::pending().await,
         }
     }
@@ -120,9 +120,9 @@
     async fn next_request(&self) -> Wakeup {
         loop {
             match self.requests.recv().await {
-                // The open watch is what is requested: to break it off would cost another poll.
+                // The open watch already fulfils this request; ending its poll would cost another one.
                 Ok(EndpointListRequest::Subscribe) if self.watch.is_open() => {}
-                Ok(request) => return Wakeup::Requested(request),
+                Ok(request) => return Wakeup::ListRequested(request),
                 Err(_) => return Wakeup::DispatcherEnded,
             }
         }
@@ -137,13 +137,13 @@
         if self.client.set_address(address) {
             self.watch.on_service_replaced();
         }
-        // Polled at once, also if the address is the old one: a poll of it may have been dropped just now.
+        // Polls at once even if the address is the old one: a poll of it may have been dropped just now.
         self.schedule_request(now, ListRequest::Changes);
     }
 
     async fn on_poll_ended(&mut self, now: Timestamp, result: PollResult) {
         let next_step = self.watch.complete_poll(now, client::outcome(&result));
-        let mut is_reported = true;
+        let mut should_report = true;
         if let NextStep::Poll {
             request,
             delay,
@@ -151,9 +151,9 @@
         } = next_step
         {
             self.scheduled = Some(ScheduledPoll { request, delay });
-            is_reported = !should_suppress_report;
+            should_report = !should_suppress_report;
         }
-        // This poll answers what was requested meanwhile, but for a request for the complete list.
+        // This poll fulfils the requests received meanwhile, except those for the complete list.
         while let Ok(request) = self.requests.try_recv() {
             if matches!(request, EndpointListRequest::Fetch) {
                 self.schedule_request(now, ListRequest::Snapshot);
@@ -162,7 +162,7 @@
         if let Err(error) = &result {
             self.client.record_failure(error);
         }
-        if is_reported {
+        if should_report {
             self.report(result).await;
         }
     }
@@ -171,7 +171,7 @@
         let version = result.as_ref().map_or(0, |list| list.version);
         let (kind, listed) = match result {
             Ok(list) => {
-                debug!(self.shared.log, "list"; "rev" => list.version, "whole" => list.is_complete,
+                debug!(self.shared.log, "endpoint list received"; "rev" => list.version, "whole" => list.is_complete,
                        "entries" => list.entries.len(), "ms" => self.client.elapsed_ms());
                 let kind = if list.is_complete {
                     ListKind::Full
@@ -182,7 +182,7 @@
             }
             Err(_) => (ListKind::Failed, Vec::new()),
         };
-        // The dispatcher ends last; without a receiver there is nobody to report to.
+        // Sending fails only when the receiving task has ended, and then the report is not needed.
         if let Some(registry) = &self.shared.registry {
             let event = RegistryEvent::EndpointList {
                 kind,
