--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -1,7 +1,7 @@
-//! The HTTP client of the discovery service: one poll at a time on a kept-alive connection.
+//! Polls the discovery service over HTTP, one poll at a time on a kept-alive connection.
 //!
-//! It owns the service's address and the connection. When to poll, and what follows the outcome, is decided by
-//! `list_watch`; this module never repeats a poll by itself.
+//! The client owns the service's address and the connection. `list_watch` decides when to poll and how to react to the
+//! outcome; this module never repeats a poll by itself.
 
 use crate::discovery::http::{Connection, HttpError};
 use crate::discovery::list::{List, ListError, read_list};
@@ -19,25 +19,30 @@
 use std::time::Duration;
 
 const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
+/// The path of the endpoint list at the discovery service.
 const LIST_PATH: &str = "/api/targets";
 
-/// Why a poll brought no list.
+/// The error of a poll that did not yield a list.
 #[derive(Debug, thiserror::Error)]
 pub enum PollError {
+    /// The response is not a valid endpoint list.
     #[error(transparent)]
     List(#[from] ListError),
-    #[error("the list is no JSON: {0}")]
+    /// The response is not valid JSON.
+    #[error("endpoint list is not valid JSON: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("discovery: {0}")]
+    /// The HTTP request failed.
+    #[error("discovery service: {0}")]
     Http(#[from] HttpError),
-    #[error("no answer from discovery in time")]
+    /// There was no connection, or no complete response, within the poll's timeouts.
+    #[error("no response from the discovery service in time")]
     TimedOut,
 }
 
-/// What a poll brought.
+/// The list that a poll yielded, or its error.
 pub type PollResult = Result<List, PollError>;
 
-/// The outcome of a poll, as the watch takes it.
+/// Converts the result of a poll to the outcome that the list watch handles.
 pub fn outcome(result: &PollResult) -> PollOutcome {
     match result {
         Ok(list) => PollOutcome::Updated {
@@ -50,17 +55,17 @@
     }
 }
 
-/// The client; see the module.
+/// A client of the discovery service.
 pub struct DiscoveryClient {
     shared: Rc<Shared>,
     address: Cell<SocketAddr>,
-    /// Taken out by a poll while it runs, so that a poll that is dropped half-way closes it.
+    /// The kept-alive connection. A running poll holds it instead, so that dropping the poll closes it.
     connection: Cell<Option<Connection>>,
     poll_started_at: Cell<Timestamp>,
 }
 
 impl DiscoveryClient {
-    /// A client of the service at the configured address, not connected yet.
+    /// Creates a client of the service at the configured address, without connecting to it.
     pub fn new(shared: Rc<Shared>) -> DiscoveryClient {
         DiscoveryClient {
             address: Cell::new(shared.config.discovery_address),
@@ -70,27 +75,27 @@
         }
     }
 
-    /// Turns to `address`, and says whether that is another one, and so another service.
+    /// Sets the service's address. Returns whether it has changed; another address means another service.
     pub fn set_address(&self, address: SocketAddr) -> bool {
         if self.address.replace(address) == address {
             return false;
         }
-        info!(self.shared.log, "discovery has moved"; "address" => %address);
+        info!(self.shared.log, "discovery service address changed"; "address" => %address);
         if let Some(connection) = self.connection.take() {
             connection.close(CloseReason::AddressChanged);
         }
         true
     }
 
-    /// One poll, on the kept-alive connection if there is one.
+    /// Polls the service once, on the kept-alive connection if there is one.
     ///
     /// # Errors
-    /// If no list came in time, or none at all.
+    /// If the connection or the request fails, a timeout expires, or the response is not a valid list.
     pub async fn poll(&self, request: &PollRequest) -> PollResult {
         count(&self.shared.counters.list_polls);
         self.poll_started_at.set(self.shared.clock.now());
         let mut connection = match self.connection.take() {
-            Some(kept) => kept,
+            Some(connection) => connection,
             None => self.connect(request.connect_timeout).await?,
         };
         let body = match fetch(&mut connection, request).await {
@@ -132,10 +137,10 @@
                 &counters.list_malformed
             }
         });
-        warn!(self.shared.log, "discovery call failed"; "error" => %error, "ms" => self.elapsed_ms());
+        warn!(self.shared.log, "discovery poll failed"; "error" => %error, "ms" => self.elapsed_ms());
     }
 
-    /// Milliseconds since the latest poll began.
+    /// Returns the time since the latest poll started, in milliseconds.
     pub fn elapsed_ms(&self) -> u64 {
         let now = self.shared.clock.now();
         now.saturating_sub(self.poll_started_at.get()) / NANOS_PER_MILLISECOND
@@ -146,8 +151,8 @@
 async fn fetch(connection: &mut Connection, request: &PollRequest) -> Result<Vec<u8>, PollError> {
     let path = path_of(request);
     let exchange = async {
-        let response_begins = async { Ok(connection.request(&path).await?) };
-        or(response_begins, time_out(request.response_timeout)).await?;
+        let response_start = async { Ok(connection.request(&path).await?) };
+        or(response_start, time_out(request.response_timeout)).await?;
         Ok(connection.response().await?)
     };
     or(exchange, time_out(request.body_timeout)).await
--- a/crates/router/tests/membership.rs
+++ b/crates/router/tests/membership.rs
@@ -132,7 +132,7 @@
     }
     assert_eq!(asked(&old), before);
     discovery.list.change(|l| l.1 = None);
-    assert!(router.logged("discovery call failed"));
+    assert!(router.logged("discovery poll failed"));
     server.zone.change(|z| z.instances.remove("db-2"));
     assert!(server.asked(3));
     assert_eq!(client.ask(&read(99, 5000)).value, format!("{:016x}", 99));
--- a/crates/router/tests/pushed_lists.rs
+++ b/crates/router/tests/pushed_lists.rs
@@ -249,7 +249,7 @@
     discovery
         .list
         .change(|l| *l = (2, (down == Manner::Torn).then(|| known.clone())));
-    assert!(router.logged("discovery call failed"));
+    assert!(router.logged("discovery poll failed"));
     discovery.manner.change(|m| *m = Manner::Proper);
     discovery.publish(vec![target("s-new", new.address, "ready")]);
     assert!(
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -417,7 +417,7 @@
         target("s-1", instance.address, "ready"),
         target("s-2", instance.address, "ready"),
     ]);
-    assert!(router.logged("discovery call failed"));
+    assert!(router.logged("discovery poll failed"));
     assert_eq!(
         router.client().ask(&read(1, 5000)).value,
         "0000000000000001"
@@ -485,7 +485,7 @@
     let discovery = Discovery::start(None);
     let router = start(&discovery, &[target("s-1", nobody, "ready")], 1024);
     assert_eq!(router.client().ask(&read(1, 2000)).code, "53300");
-    assert!(router.logged("discovery call failed"));
+    assert!(router.logged("discovery poll failed"));
     let line = router.counters();
     let count = |name: &str| -> u64 {
         let field = line
@@ -540,7 +540,7 @@
 fn a_failed_watch_is_renewed() {
     let (instance, discovery, router) = one(Act::Serve);
     discovery.list.change(|l| l.1 = None);
-    assert!(router.logged("discovery call failed"));
+    assert!(router.logged("discovery poll failed"));
     // Meanwhile the list it has stands.
     assert_eq!(
         router.client().ask(&read(1, 5000)).value,
