--- a/crates/experiments/src/membership.rs
+++ b/crates/experiments/src/membership.rs
@@ -566,7 +566,7 @@
     let forgotten = site.router.log.change(|l| {
         let healthy = |l: &&String| (0..6).any(|n| l.contains(&format!("member: s-{n},")));
         l.iter()
-            .filter(|l| l.contains("member gone"))
+            .filter(|l| l.contains("endpoint removed"))
             .filter(healthy)
             .count()
     });
--- a/crates/router/src/discovery/admin_socket/mod.rs
+++ b/crates/router/src/discovery/admin_socket/mod.rs
@@ -1,11 +1,11 @@
-//! The admin socket: a Unix socket on which a running router shows operators its endpoints, and the command that reads
-//! it.
+//! Serves the admin socket, a Unix socket from which operators read the endpoints of a running router, and implements
+//! the command that reads it.
 //!
-//! It owns the socket's path. It never changes an endpoint, and only the router's own user may connect.
+//! The module owns the socket's path. It never changes an endpoint, and only the router's own user may connect.
 
 mod status_table;
 
-pub use status_table::table;
+pub use status_table::format_table;
 
 use crate::runtime::accept;
 use crate::runtime::shared::Shared;
@@ -22,20 +22,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A query for the endpoints' status: where the table goes.
+/// A query for the endpoints' status: the sender for the formatted table.
 pub type StatusQuery = Sender<String>;
 
-/// How long a client may take to read the table.
+/// The maximum time for a client to receive the table.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How many queries may wait for the registry.
+/// The maximum number of queries that may wait for the registry.
 const MAX_QUEUED_QUERIES: usize = 4;
-/// Only the router's own user may connect.
+/// The socket's file mode: only the router's own user may connect.
 const SOCKET_MODE: u32 = 0o600;
 
-/// Listens on the socket of the settings, and returns the queries that come in; without a socket none ever comes.
+/// Listens on the configured socket and returns the receiver of its queries. Without a configured socket it receives
+/// none.
 ///
 /// # Errors
-/// If the socket can't be made.
+/// If the socket can't be created.
 pub fn listen(
     shared: &Rc<Shared>,
     executor: &Rc<LocalExecutor<'static>>,
@@ -49,19 +50,22 @@
     Ok(received)
 }
 
-/// Makes the socket under another name and with its mode before it gets its own, so that nobody else can connect in
-/// between.
+/// Creates the socket under a temporary name, sets its mode and then renames it, so that no other user can connect
+/// before the mode is set.
 fn bind(path: &Path) -> std::io::Result<Async<UnixListener>> {
-    let mut unpublished = path.as_os_str().to_owned();
-    unpublished.push(".new");
-    let _ = std::fs::remove_file(&unpublished);
-    let listener = Async::<UnixListener>::bind(&unpublished)?;
-    std::fs::set_permissions(&unpublished, std::fs::Permissions::from_mode(SOCKET_MODE))?;
-    std::fs::rename(&unpublished, path)?;
+    let mut temporary_path = path.as_os_str().to_owned();
+    temporary_path.push(".new");
+    let _ = std::fs::remove_file(&temporary_path);
+    let listener = Async::<UnixListener>::bind(&temporary_path)?;
+    std::fs::set_permissions(
+        &temporary_path,
+        std::fs::Permissions::from_mode(SOCKET_MODE),
+    )?;
+    std::fs::rename(&temporary_path, path)?;
     Ok(listener)
 }
 
-/// Serves one client after the other.
+/// Accepts clients and serves them one at a time.
 async fn serve(listener: Async<UnixListener>, queries: Sender<StatusQuery>, log: Logger) {
     loop {
         match listener.accept().await {
@@ -76,7 +80,7 @@
     }
 }
 
-/// Writes the table to a client, if it reads in time.
+/// Queries the registry and writes the table to a client, within [`WRITE_TIMEOUT`].
 async fn write_table(mut stream: Async<UnixStream>, queries: &Sender<StatusQuery>) {
     let (query, response) = async_channel::bounded(1);
     let write = async {
@@ -92,10 +96,10 @@
     or(write, timeout).await;
 }
 
-/// Connects to a running router's socket and prints the table.
+/// Connects to a running router's socket and prints the table to standard output.
 ///
 /// # Errors
-/// If the socket can't be read, or nothing can be printed.
+/// If the socket can't be connected to or read, or standard output can't be written.
 pub fn print_status(socket: &Path) -> std::io::Result<()> {
     let mut table = String::new();
     UnixStream::connect(socket)?.read_to_string(&mut table)?;
--- a/crates/router/src/discovery/admin_socket/status_table.rs
+++ b/crates/router/src/discovery/admin_socket/status_table.rs
@@ -1,4 +1,6 @@
-//! The table of endpoints as operators see it: one line for each endpoint, and one below it for each claim.
+//! Formats the table of endpoints for operators: one line for each endpoint, followed by one line for each claim.
+//!
+//! Operators' tools parse the table, so its format must not change.
 
 use reelrill_routing::Timestamp;
 use reelrill_service_discovery::{
@@ -9,8 +11,8 @@
 const NANOS_PER_SECOND: f64 = 1e9;
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// The table; `source_name` gives a source's name.
-pub fn table(
+/// Returns the table; `source_name` returns the name of a source.
+pub fn format_table(
     endpoints: &EndpointRegistry,
     now: Timestamp,
     source_name: impl Fn(SourceId) -> String,
@@ -18,20 +20,24 @@
     let mut table = String::new();
     for status in endpoints.endpoint_statuses() {
         let _ = writeln!(table, "{}", endpoint_line(&status, now));
-        for held in &status.claims {
-            let silent_since = endpoints.unreachable_since(held.source);
-            let name = source_name(held.source);
-            let _ = writeln!(table, "{}", claim_line(held, &name, silent_since, now));
+        for stored in &status.claims {
+            let unreachable_since = endpoints.unreachable_since(stored.source);
+            let name = source_name(stored.source);
+            let _ = writeln!(
+                table,
+                "{}",
+                claim_line(stored, &name, unreachable_since, now)
+            );
         }
     }
-    let counts = endpoints.counters();
+    let counters = endpoints.counters();
     let _ = writeln!(
         table,
         "{} members, {} contradicted, {} ambiguous, {} refused",
         endpoints.len(),
-        counts.state_conflicts,
-        counts.ambiguous_names,
-        counts.rejected_claims
+        counters.state_conflicts,
+        counters.ambiguous_names,
+        counters.rejected_claims
     );
     table
 }
@@ -42,18 +48,21 @@
         Some(view) if view.state == ClaimedState::Ready => "ready",
         Some(_) => "draining",
     };
-    let place = status.listed.as_ref().map_or_else(String::new, place);
-    let answered = match status.last_response_at {
+    let listed_fields = status
+        .listed
+        .as_ref()
+        .map_or_else(String::new, listed_fields);
+    let last_response = match status.last_response_at {
         Some(at) => age(now, at) + " ago",
         None => "never".to_owned(),
     };
     format!(
-        "{} {state}{place} rule {:?} answered {answered}",
+        "{} {state}{listed_fields} rule {:?} answered {last_response}",
         status.endpoint, status.rule
     )
 }
 
-fn place(view: &EndpointView) -> String {
+fn listed_fields(view: &EndpointView) -> String {
     format!(
         " {} group {} zone {} weight {}",
         view.address, view.replica_set, view.zone, view.weight
@@ -61,24 +70,25 @@
 }
 
 fn claim_line(
-    held: &StoredClaim,
+    stored: &StoredClaim,
     source: &str,
-    silent_since: Option<Timestamp>,
+    unreachable_since: Option<Timestamp>,
     now: Timestamp,
 ) -> String {
-    let stale = if held.is_stale { " stale" } else { "" };
-    let silent = silent_since.map_or_else(String::new, |at| format!(" silent {}", age(now, at)));
+    let stale = if stored.is_stale { " stale" } else { "" };
+    let unreachable =
+        unreachable_since.map_or_else(String::new, |at| format!(" silent {}", age(now, at)));
     format!(
-        "    {source} says {:?} {} start {} told {} ago, the same for {}{stale}{silent}",
-        held.claim.state,
-        held.claim.address,
-        held.claim.started_at / NANOS_PER_MILLISECOND,
-        age(now, held.renewed_at),
-        age(now, held.unchanged_since),
+        "    {source} says {:?} {} start {} told {} ago, the same for {}{stale}{unreachable}",
+        stored.claim.state,
+        stored.claim.address,
+        stored.claim.started_at / NANOS_PER_MILLISECOND,
+        age(now, stored.renewed_at),
+        age(now, stored.unchanged_since),
     )
 }
 
-/// How long ago `at` was, in seconds.
+/// Returns the time from `at` to `now` as text, in seconds with one decimal place.
 fn age(now: Timestamp, at: Timestamp) -> String {
     let seconds = now.saturating_sub(at) as f64 / NANOS_PER_SECOND;
     format!("{seconds:.1}s")
--- a/crates/router/src/discovery/registry/dns_query.rs
+++ b/crates/router/src/discovery/registry/dns_query.rs
@@ -1,6 +1,6 @@
-//! Sends one DNS query, over UDP or TCP, and passes on what comes back.
+//! Sends one DNS query over UDP or TCP, and reports the responses as events.
 //!
-//! It judges no response: the browser does, and drops the query once it has what it wants.
+//! Responses are not validated here. The browser does that, and cancels the query once it has a usable response.
 
 use crate::discovery::messages::RegistryEvent;
 use async_channel::Sender;
@@ -10,17 +10,18 @@
 use reelrill_service_discovery::browse::DnsQuery;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, TcpStream, UdpSocket};
 
-/// The largest datagram that is read, in bytes.
-const MAX_DATAGRAM: usize = 4096;
+/// The size of the receive buffer for datagrams, in bytes; the rest of a larger one is lost.
+const MAX_DATAGRAM_SIZE: usize = 4096;
 
-/// Sends one query from a port of its own, and passes on what comes back until it is dropped.
+/// Sends one query from a port of its own, and reports responses until the returned future is dropped or the query
+/// fails.
 pub async fn run(source: SourceId, query: DnsQuery, events: Sender<RegistryEvent>) {
     let result = if query.is_tcp {
-        over_tcp(&query).await.map(Some)
+        query_over_tcp(&query).await.map(Some)
     } else {
-        over_udp(source, &query, &events).await
+        query_over_udp(source, &query, &events).await
     };
-    // A query without a response is followed by one to the next server.
+    // An event without bytes reports the failure; the browser then queries the next server.
     let bytes = result.unwrap_or(None);
     let event = RegistryEvent::DnsResponse {
         source,
@@ -30,9 +31,9 @@
     let _ = events.send(event).await;
 }
 
-/// The kernel draws the port, and passes on nothing that does not come from the server. A datagram that is no response
-/// does not end the wait for it, so this returns only with an error.
-async fn over_udp(
+/// Sends a query over UDP and reports every datagram received. The kernel chooses the port and drops datagrams from
+/// other senders. A datagram that is not the response must not end the wait, so this returns only on an error.
+async fn query_over_udp(
     source: SourceId,
     query: &DnsQuery,
     events: &Sender<RegistryEvent>,
@@ -44,7 +45,7 @@
     let socket = Async::<UdpSocket>::bind(local)?;
     socket.get_ref().connect(query.server)?;
     socket.send(&query.message).await?;
-    let mut datagram = vec![0; MAX_DATAGRAM];
+    let mut datagram = vec![0; MAX_DATAGRAM_SIZE];
     loop {
         let len = socket.recv(&mut datagram).await?;
         let event = RegistryEvent::DnsResponse {
@@ -56,8 +57,9 @@
     }
 }
 
-/// Messages over TCP have their length in front, in two bytes (RFC 1035, 4.2.2).
-async fn over_tcp(query: &DnsQuery) -> std::io::Result<Vec<u8>> {
+/// Sends a query over TCP and returns the response. Each message is preceded by its length in two bytes (RFC 1035,
+/// 4.2.2).
+async fn query_over_tcp(query: &DnsQuery) -> std::io::Result<Vec<u8>> {
     let stream = Async::<TcpStream>::connect(query.server).await?;
     let query_len = u16::try_from(query.message.len()).map_err(std::io::Error::other)?;
     let framed = [&query_len.to_be_bytes(), &query.message[..]].concat();
--- a/crates/router/src/discovery/registry/mod.rs
+++ b/crates/router/src/discovery/registry/mod.rs
@@ -1,8 +1,8 @@
-//! The task around the endpoint registry, where there are several sources of endpoints: it passes the sources' claims
-//! to the registry, runs the DNS browsers, and reports each change of the merged list to the dispatcher.
+//! Runs the task around the endpoint registry, used if there are several sources of endpoints. It passes the sources'
+//! claims to the registry, runs the DNS browsers, and reports each change of the merged list to the dispatcher.
 //!
-//! It owns the registry and the browsers. It never changes what a source states; how claims are merged is decided in
-//! `reelrill_service_discovery`.
+//! The task owns the registry and the browsers. It never changes a source's claims; `reelrill_service_discovery`
+//! decides how they are merged.
 
 mod dns_query;
 mod services;
@@ -30,33 +30,35 @@
 
 /// The endpoint list's number among the sources; services count from 1.
 const ENDPOINT_LIST: SourceId = 0;
-/// How operators know the endpoint list.
+/// The endpoint list's name in the output for operators.
 const ENDPOINT_LIST_NAME: &str = "roster";
-/// The pause after the first failure of the endpoint list, in nanoseconds; it doubles with each further one.
+/// The backoff after the first failure of the endpoint list, in nanoseconds; it doubles with each further failure.
 const INITIAL_BACKOFF: Nanos = 250_000_000;
-/// How often the pause doubles at most.
+/// The maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 const NANOS_PER_SECOND: Nanos = 1_000_000_000;
 
-/// Why the task can't start.
+/// The error of a task that can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum RegistryError {
-    #[error("discovery.dns_sd: '{0}' is no name: {1}")]
+    /// A service or a domain in the settings is not a DNS name.
+    #[error("discovery.dns_sd: expected a DNS name, got '{0}': {1}")]
     Name(String, String),
+    /// The admin socket can't be created.
     #[error("members_socket: {0}")]
     Socket(#[from] std::io::Error),
 }
 
-/// What wakes the task.
+/// An event that wakes the task.
 enum Wakeup {
     Event(RegistryEvent),
     StatusQuery(StatusQuery),
     TimerDue,
-    /// Nobody is left who could send an event.
-    EventsEnded,
+    /// All senders of events have been dropped.
+    EventsClosed,
 }
 
-/// The task; see the module.
+/// The task that merges the sources of endpoints.
 pub struct EndpointRegistryTask {
     shared: Rc<Shared>,
     executor: Rc<LocalExecutor<'static>>,
@@ -67,17 +69,18 @@
     services: BTreeMap<SourceId, Service>,
     /// The number of the next new service.
     next_source: SourceId,
-    /// When the endpoint list is requested again.
+    /// The time at which the endpoint list is requested again.
     list_retry_at: Option<Timestamp>,
-    /// How often in a row the endpoint list has failed.
+    /// The number of consecutive failures of the endpoint list.
     list_failures: u32,
 }
 
 impl EndpointRegistryTask {
-    /// None: there is one source alone, and the list watch reports to the dispatcher itself.
+    /// Creates the task, or returns `None` if the endpoint list is the only source; the list watch then reports to the
+    /// dispatcher directly.
     ///
     /// # Errors
-    /// If the settings hold a wrong name, or the admin socket can't be made.
+    /// If the settings contain an invalid DNS name, or the admin socket can't be created.
     pub fn new(
         shared: &Rc<Shared>,
         executor: &Rc<LocalExecutor<'static>>,
@@ -108,7 +111,7 @@
         Ok(Some(task))
     }
 
-    /// Runs until nobody is left who could send an event.
+    /// Runs until all senders of events have been dropped.
     pub async fn run(mut self) {
         self.start().await;
         loop {
@@ -117,16 +120,16 @@
             let mut changes = Vec::new();
             match wakeup {
                 Wakeup::Event(event) => self.on_event(now, event, &mut changes).await,
-                Wakeup::StatusQuery(query) => self.answer_status(now, &query),
+                Wakeup::StatusQuery(query) => self.respond_to_status_query(now, &query),
                 Wakeup::TimerDue => {}
-                Wakeup::EventsEnded => return,
+                Wakeup::EventsClosed => return,
             }
             self.on_due(now, &mut changes);
             self.report(changes).await;
         }
     }
 
-    /// Adds the configured sources, with the endpoint list as the configuration has it.
+    /// Adds the configured sources, with the endpoint list's last known entries from the configuration.
     async fn start(&mut self) {
         let now = self.shared.clock.now();
         let mut changes = Vec::new();
@@ -136,10 +139,10 @@
                 kind: SourceKind::EndpointList,
             };
             self.endpoints.handle(now, input, &mut changes);
-            // The balancer takes the records' changes for a list that is watched, and would not request it.
+            // The balancer takes changes from DNS records for those of a watched list, and would not request the list.
             self.list_retry_at = Some(now);
-            let (version, known) = self.shared.config.known_list.clone();
-            self.on_entries(now, known, version.unwrap_or(0), &mut changes);
+            let (version, entries) = self.shared.config.known_list.clone();
+            self.apply_entries(now, entries, version.unwrap_or(0), &mut changes);
         }
         for source in self.service_ids() {
             self.start_service(now, source, &mut changes);
@@ -151,7 +154,7 @@
         let event = async {
             match self.events.recv().await {
                 Ok(event) => Wakeup::Event(event),
-                Err(_) => Wakeup::EventsEnded,
+                Err(_) => Wakeup::EventsClosed,
             }
         };
         let status_query = async {
@@ -185,20 +188,24 @@
         }
         if self.list_retry_at.is_some_and(|at| at <= now) {
             self.list_retry_at = None;
-            // A request that still waits in the mailbox does for this one, too.
+            // If the mailbox is full, a request that is still queued covers this one, too.
             let _ = self.list_requests.try_send(EndpointListRequest::Subscribe);
         }
     }
 
-    fn answer_status(&self, now: Timestamp, query: &StatusQuery) {
-        let name = |source| match source {
+    fn respond_to_status_query(&self, now: Timestamp, query: &StatusQuery) {
+        let source_name = |source| match source {
             ENDPOINT_LIST => ENDPOINT_LIST_NAME.to_owned(),
             other => self
                 .services
                 .get(&other)
                 .map_or_else(String::new, |service| service.name.clone()),
         };
-        let _ = query.try_send(admin_socket::table(&self.endpoints, now, name));
+        let _ = query.try_send(admin_socket::format_table(
+            &self.endpoints,
+            now,
+            source_name,
+        ));
     }
 
     async fn on_event(
@@ -213,7 +220,10 @@
                 kind,
                 listed,
                 version,
-            } => self.on_list(now, kind, listed, version, changes).await,
+            } => {
+                self.on_endpoint_list(now, kind, listed, version, changes)
+                    .await
+            }
             RegistryEvent::EndpointResponded {
                 endpoint,
                 is_draining,
@@ -239,12 +249,13 @@
                 .endpoints
                 .last_conflicting_endpoint()
                 .map_or("", |id| id);
-            warn!(self.shared.log, "sources contradict"; "times" => contradictions, "last" => endpoint);
+            warn!(self.shared.log, "sources contradict each other"; "times" => contradictions, "last" => endpoint);
         }
     }
 
-    /// A poll of the endpoint list has ended. The dispatcher is told so also without a change: its request is done.
-    async fn on_list(
+    /// Handles the end of a poll of the endpoint list. Reports it to the dispatcher even without a change, since the
+    /// dispatcher's request is complete.
+    async fn on_endpoint_list(
         &mut self,
         now: Timestamp,
         kind: ListKind,
@@ -256,9 +267,10 @@
             let source = ENDPOINT_LIST;
             let input = RegistryInput::SourceFailed { source };
             self.endpoints.handle(now, input, changes);
-            // The balancer thinks that the list is watched as long as changes come, also those of records.
+            // While any changes arrive, also those from DNS records, the balancer takes the list for watched and would
+            // not request it.
             self.list_retry_at = Some(now + self.next_backoff());
-            self.send_list(ListKind::Failed, Vec::new()).await;
+            self.send_to_dispatcher(ListKind::Failed, Vec::new()).await;
             return;
         }
         self.list_retry_at = None;
@@ -269,11 +281,12 @@
             let input = RegistryInput::Snapshot { source, names };
             self.endpoints.handle(now, input, changes);
         }
-        self.on_entries(now, listed, version, changes);
-        self.send_list(ListKind::Changes, Vec::new()).await;
+        self.apply_entries(now, listed, version, changes);
+        self.send_to_dispatcher(ListKind::Changes, Vec::new()).await;
     }
 
-    /// The pause after a further failure, in nanoseconds: it doubles, and half of it is drawn.
+    /// Counts a failure and returns the backoff after it, in nanoseconds: between half and all of a time that doubles
+    /// with each failure, chosen at random.
     fn next_backoff(&mut self) -> Nanos {
         let doublings = self.list_failures.min(MAX_BACKOFF_DOUBLINGS);
         self.list_failures += 1;
@@ -281,7 +294,7 @@
         half + rand::random_range(0..half)
     }
 
-    fn on_entries(
+    fn apply_entries(
         &mut self,
         now: Timestamp,
         listed: Vec<ListedEndpoint>,
@@ -289,17 +302,17 @@
         changes: &mut Vec<ListChange>,
     ) {
         for endpoint in listed {
-            let input = input_of(endpoint, version);
+            let input = registry_input(endpoint, version);
             self.endpoints.handle(now, input, changes);
         }
     }
 
-    async fn send_list(&self, kind: ListKind, listed: Vec<ListedEndpoint>) {
+    async fn send_to_dispatcher(&self, kind: ListKind, listed: Vec<ListedEndpoint>) {
         let message = Message::EndpointList { kind, listed };
         let _ = self.shared.dispatcher.send(message).await;
     }
 
-    /// Reports changes to the dispatcher, with a line in the log for each.
+    /// Reports changes to the dispatcher, and logs a line for each.
     async fn report(&self, changes: Vec<ListChange>) {
         if changes.is_empty() {
             return;
@@ -316,12 +329,12 @@
                 } => self.report_listed(endpoint, &view, is_new, rule),
             });
         }
-        self.send_list(ListKind::Changes, listed).await;
+        self.send_to_dispatcher(ListKind::Changes, listed).await;
     }
 
     fn report_removed(&self, endpoint: Arc<str>, rule: Option<ListingRule>) -> ListedEndpoint {
         count(&self.shared.counters.endpoints_removed);
-        info!(self.shared.log, "member gone"; "member" => &*endpoint, "rule" => ?rule);
+        info!(self.shared.log, "endpoint removed"; "member" => &*endpoint, "rule" => ?rule);
         let entry = EndpointEntry {
             endpoint,
             started: 0,
@@ -347,7 +360,7 @@
         if is_new {
             count(&self.shared.counters.endpoints_added);
         }
-        info!(self.shared.log, "member listed"; "member" => &*endpoint, "state" => ?view.state,
+        info!(self.shared.log, "endpoint listed"; "member" => &*endpoint, "state" => ?view.state,
               "endpoint" => %view.address, "rule" => ?rule, "new" => is_new);
         let state = match view.state {
             ClaimedState::Draining => EndpointState::Draining,
@@ -369,8 +382,8 @@
     }
 }
 
-/// What an entry of the endpoint list states, as the registry takes it.
-fn input_of(listed: ListedEndpoint, version: u64) -> RegistryInput {
+/// Converts an entry of the endpoint list to the registry's input.
+fn registry_input(listed: ListedEndpoint, version: u64) -> RegistryInput {
     let ListedEndpoint { entry, address } = listed;
     let source = ENDPOINT_LIST;
     let name = entry.endpoint.clone();
--- a/crates/router/src/discovery/registry/services.rs
+++ b/crates/router/src/discovery/registry/services.rs
@@ -1,4 +1,5 @@
-//! The services that are browsed over DNS: which there are, by the settings, and what their browsers want done.
+//! Manages the services that are browsed over DNS: creates and removes them according to the settings, and carries out
+//! the outputs of their browsers.
 
 use super::{EndpointRegistryTask, RegistryError, dns_query};
 use crate::extensions::{DiscoverySettings, DnsSdSettings};
@@ -14,17 +15,17 @@
 
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// A service that is browsed.
+/// A service that is browsed over DNS.
 pub(super) struct Service {
     pub(super) name: String,
     settings: DnsSdSettings,
     pub(super) browser: Browser,
-    /// The queries in flight, by number. Dropping one ends it.
+    /// The queries in flight, by number. Dropping a query's sender cancels it.
     queries: HashMap<u64, Sender<()>>,
 }
 
 impl Service {
-    /// Whether this is the service of that name, with settings that are the same but for the other services.
+    /// Returns whether this service has this name, and these settings apart from the list of services.
     fn is_configured_as(&self, name: &str, settings: &DnsSdSettings) -> bool {
         let comparable = DnsSdSettings {
             services: self.settings.services.clone(),
@@ -42,40 +43,41 @@
 }
 
 impl EndpointRegistryTask {
-    /// Makes the services those of the settings; one whose settings are the same goes on. Returns those that are gone.
+    /// Makes the services match the settings; a service whose settings are unchanged is kept. Returns the removed ones.
     ///
     /// # Errors
-    /// If a name in the settings is no DNS name; nothing has changed then.
+    /// If a name in the settings is not a DNS name; nothing has changed then.
     pub(super) fn configure_services(
         &mut self,
         discovery: &DiscoverySettings,
     ) -> Result<Vec<SourceId>, RegistryError> {
-        let mut kept = Vec::new();
+        let mut configured = Vec::new();
         if let Some(settings) = &discovery.dns_sd {
-            // All names are read before anything changes: a wrong one must not leave half of the services behind.
+            // All names are parsed before any change, so that an invalid one does not leave half of the services in
+            // place.
             for text in settings.services.iter().chain([&settings.domain]) {
                 parse_name(text)?;
             }
             for name in &settings.services {
-                kept.push(self.ensure_service(name, settings)?);
+                configured.push(self.ensure_service(name, settings)?);
             }
         }
-        let mut gone = self.service_ids();
-        gone.retain(|source| !kept.contains(source));
-        for source in &gone {
+        let mut removed = self.service_ids();
+        removed.retain(|source| !configured.contains(source));
+        for source in &removed {
             self.services.remove(source);
         }
-        Ok(gone)
+        Ok(removed)
     }
 
-    /// The service of this name with these settings: the present one, or a new one that is not started yet.
+    /// Returns the service with this name and these settings: the existing one, or a new one that is not started yet.
     fn ensure_service(
         &mut self,
         name: &str,
         settings: &DnsSdSettings,
     ) -> Result<SourceId, RegistryError> {
-        let mut present = self.services.iter();
-        if let Some((source, _)) = present.find(|(_, s)| s.is_configured_as(name, settings)) {
+        let mut existing = self.services.iter();
+        if let Some((source, _)) = existing.find(|(_, s)| s.is_configured_as(name, settings)) {
             return Ok(*source);
         }
         let config = BrowserConfig {
@@ -107,7 +109,7 @@
         self.services.keys().copied().collect()
     }
 
-    /// The settings have been read again.
+    /// Applies reloaded settings; invalid ones are logged and change nothing.
     pub(super) fn on_settings(
         &mut self,
         now: Timestamp,
@@ -115,21 +117,21 @@
         changes: &mut Vec<ListChange>,
     ) {
         let before = self.service_ids();
-        let gone = match self.configure_services(discovery) {
-            Ok(gone) => gone,
+        let removed = match self.configure_services(discovery) {
+            Ok(removed) => removed,
             Err(e) => {
-                warn!(self.shared.log, "the new sources are not used"; "error" => %e);
+                warn!(self.shared.log, "reloaded discovery settings rejected"; "error" => %e);
                 return;
             }
         };
-        let mut new = self.service_ids();
-        new.retain(|source| !before.contains(source));
-        info!(self.shared.log, "sources read again"; "new" => new.len(), "gone" => gone.len());
-        // New ones first: what both name is never without a source.
-        for source in new {
+        let mut added = self.service_ids();
+        added.retain(|source| !before.contains(source));
+        info!(self.shared.log, "discovery sources reloaded"; "new" => added.len(), "gone" => removed.len());
+        // Adds services before it removes others, so that an endpoint named by both is never without a source.
+        for source in added {
             self.start_service(now, source, changes);
         }
-        for source in gone {
+        for source in removed {
             let input = RegistryInput::SourceRemoved { source };
             self.endpoints.handle(now, input, changes);
         }
@@ -147,7 +149,7 @@
         self.drive_browser(now, source, changes, |browser, out| browser.start(now, out));
     }
 
-    /// Passes on what came for a query.
+    /// Passes a query's response, or its failure, to the service's browser.
     pub(super) fn on_dns_response(
         &mut self,
         now: Timestamp,
@@ -162,7 +164,7 @@
         });
     }
 
-    /// Gives a service's browser an input and carries out what it wants done.
+    /// Calls a service's browser with an input and carries out the outputs.
     pub(super) fn drive_browser(
         &mut self,
         now: Timestamp,
@@ -195,15 +197,15 @@
             return;
         };
         count(&self.shared.counters.dns_queries);
-        let (held_open, dropped) = async_channel::bounded::<()>(1);
-        service.queries.insert(query.id, held_open);
+        let (cancel_on_drop, cancelled) = async_channel::bounded::<()>(1);
+        service.queries.insert(query.id, cancel_on_drop);
         let Some(events) = self.shared.registry.clone() else {
             return;
         };
-        let cancelled = async move {
-            let _ = dropped.recv().await;
+        let cancellation = async move {
+            let _ = cancelled.recv().await;
         };
-        let task = or(dns_query::run(source, query, events), cancelled);
+        let task = or(dns_query::run(source, query, events), cancellation);
         self.executor.spawn(task).detach();
     }
 }
--- a/crates/router/tests/membership.rs
+++ b/crates/router/tests/membership.rs
@@ -139,7 +139,7 @@
     assert!(
         router
             .log
-            .change(|l| !l.iter().any(|l| l.contains("member gone")))
+            .change(|l| !l.iter().any(|l| l.contains("endpoint removed")))
     );
 }
 
@@ -253,7 +253,7 @@
     router.reload_edge(&edge(&second, false, ""));
     ask_until(&mut client, &two);
     assert!(router.counted("endpoints_removed=0") && router.counted("endpoints_added=2"));
-    assert!(router.logged("sources read again"));
+    assert!(router.logged("discovery sources reloaded"));
     let asked = first.zone.change(|z| z.queries);
     assert!(second.asked(2));
     assert_eq!(first.zone.change(|z| z.queries), asked);
