--- a/crates/pg-protocol/src/frame.rs
+++ b/crates/pg-protocol/src/frame.rs
@@ -1,60 +1,78 @@
-//! Where a message ends. A length is judged as soon as it is announced, before anything behind it is kept.
+//! Message boundaries. Responsible for checking a message's length as soon as its length field has been received, before
+//! any of its body is stored. Lengths and their limits are those of the length field, which doesn't count the type byte.
 
-/// The largest row taken from an instance: one value, and what frames it.
+/// Maximum length of a DataRow from an endpoint, in bytes: one value of 64 KiB and its headers.
 pub const MAX_ROW_LENGTH: usize = 64 * 1024 + 16;
-/// The largest message that carries no value.
+
+/// Maximum length of a message without a value, in bytes.
 pub const MAX_SMALL_MESSAGE_LENGTH: usize = 16 * 1024;
-/// The largest message taken: a value of 64 KiB in hexadecimal digits, and room for the statement.
+
+/// Maximum length of a message from a client, in bytes: a value of 64 KiB in hexadecimal digits, and the statement.
 pub const MAX_MESSAGE_LENGTH: usize = 160 * 1024;
-/// The largest message that opens a connection.
+
+/// Maximum length of a startup message, in bytes.
 pub const MAX_STARTUP_LENGTH: usize = 10_000;
 
-/// Why bytes are no message.
+/// An error in a message's length.
 #[derive(Debug, Clone, thiserror::Error, PartialEq, Eq)]
 pub enum FrameError {
-    /// A length beyond what is taken, in bytes.
+    /// The length exceeds the maximum; holds the length, in bytes.
     #[error("a message of {0} bytes")]
     Oversized(usize),
-    /// A length shorter than the field that holds it.
+    /// The length is shorter than the message's fixed part.
     #[error("a message whose length is wrong")]
     Malformed,
 }
 
+/// Parses a length field and checks it against its limits, in bytes. Returns `None` if the field is incomplete.
 pub(crate) fn parse_length(
     bytes: &[u8],
-    least: usize,
-    most: usize,
+    min_length: usize,
+    max_length: usize,
 ) -> Result<Option<usize>, FrameError> {
     let Some(field) = bytes.first_chunk::<4>() else {
         return Ok(None);
     };
-    let len = u32::from_be_bytes(*field) as usize;
-    match len {
-        _ if len < least => Err(FrameError::Malformed),
-        _ if len > most => Err(FrameError::Oversized(len)),
-        _ => Ok(Some(len)),
+    let length = u32::from_be_bytes(*field) as usize;
+    match length {
+        _ if length < min_length => Err(FrameError::Malformed),
+        _ if length > max_length => Err(FrameError::Oversized(length)),
+        _ => Ok(Some(length)),
     }
 }
 
-/// A message: its tag, its body, and its whole length.
+/// A message: its type byte, its body, and its total length in bytes.
 pub type Frame<'a> = (u8, &'a [u8], usize);
 
-/// The first message in `bytes`, once it is whole; its length field may say `most` bytes.
-pub fn parse(bytes: &[u8], most: usize) -> Result<Option<Frame<'_>>, FrameError> {
+/// Parses the first message in `bytes`, whose length field may be at most `max_length`. Returns `None` if the message is
+/// incomplete.
+///
+/// # Errors
+///
+/// [`FrameError`] if the length field is out of range.
+pub fn parse(bytes: &[u8], max_length: usize) -> Result<Option<Frame<'_>>, FrameError> {
     let Some((&tag, rest)) = bytes.split_first() else {
         return Ok(None);
     };
-    let Some(len) = parse_length(rest, 4, most)? else {
+    let Some(length) = parse_length(rest, 4, max_length)? else {
         return Ok(None);
     };
-    Ok(rest.get(4..len).map(|body| (tag, body, len + 1)))
+    Ok(rest.get(4..length).map(|body| (tag, body, length + 1)))
 }
 
-/// The first message of a client. Only a query may be large, and where `extended` queries are taken, Parse and Bind.
-pub fn parse_frontend(bytes: &[u8], extended: bool) -> Result<Option<Frame<'_>>, FrameError> {
+/// Parses the first message from a client. Only a Query may exceed [`MAX_SMALL_MESSAGE_LENGTH`], and where
+/// `allows_extended`, a Parse and a Bind. Returns `None` if the message is incomplete.
+///
+/// # Errors
+///
+/// [`FrameError`] if the length field is out of range.
+pub fn parse_frontend(
+    bytes: &[u8],
+    allows_extended: bool,
+) -> Result<Option<Frame<'_>>, FrameError> {
     let may_be_large = match bytes.first() {
         Some(b'Q') => true,
-        Some(b'P' | b'B') => extended,
+        Some(b'P' | b'B') => allows_extended,
         _ => false,
     };
     parse(
@@ -67,7 +85,12 @@
     )
 }
 
-/// The first message of an instance's answer. Only a row may be large, and its value has 64 KiB at most.
+/// Parses the first message from an endpoint. Only a DataRow may exceed [`MAX_SMALL_MESSAGE_LENGTH`]; its value has at
+/// most 64 KiB. Returns `None` if the message is incomplete.
+///
+/// # Errors
+///
+/// [`FrameError`] if the length field is out of range.
 pub fn parse_backend(bytes: &[u8]) -> Result<Option<Frame<'_>>, FrameError> {
     parse(
         bytes,
--- a/crates/pg-protocol/src/lib.rs
+++ b/crates/pg-protocol/src/lib.rs
@@ -1,12 +1,13 @@
-//! Version 3 of the PostgreSQL protocol, as far as clients and instances speak it here: startup, simple and
-//! extended queries, in both directions. Bytes go in and messages come out, borrowed from them; there is no I/O.
+//! The subset of version 3 of the PostgreSQL protocol that the router uses, in both directions: startup, simple and
+//! extended queries. Parses messages from bytes, which they borrow, and appends messages to buffers, without I/O.
 //!
-//! | module | what it holds |
+//! | module | responsible for |
 //! | --- | --- |
-//! | [`frame`] | where a message ends, and how large each may be: a length is refused as announced |
-//! | [`frontend`] | what a client writes: read by a server, put by a client |
-//! | [`backend`] | what a server writes: read by a client, put by a server |
-//! | [`sqlstate`] | the error codes that this project gives, and what each stands for |
+//! | [`frame`] | message boundaries, and the maximum length of each kind of message |
+//! | [`frontend`] | the messages that a client sends |
+//! | [`backend`] | the messages that a server sends |
+//! | [`sqlstate`] | SQLSTATE error codes |
+//! | [`oid`] | object ids of data types |
 //!
 //! ```
 //! use reelrill_pg_protocol::{frame, frontend::{self, Command}};
@@ -24,9 +25,9 @@
 pub mod oid;
 pub mod sqlstate;
 
-/// Appends one message.
+/// Appends a message with the type byte `tag` and a body joined from `parts`.
 pub fn put_message(out: &mut Vec<u8>, tag: u8, parts: &[&[u8]]) {
-    let len: usize = parts.iter().map(|p| p.len()).sum();
+    let len: usize = parts.iter().map(|part| part.len()).sum();
     out.push(tag);
     out.extend_from_slice(&(len as u32 + 4).to_be_bytes());
     for part in parts {
@@ -34,24 +35,25 @@
     }
 }
 
-/// Splits off a text that ends in a zero byte; none if there is no such byte or it is no UTF-8.
+/// Splits off a zero-terminated string. Returns it and the bytes after the terminator; `None` if there is no terminator
+/// or the string is not UTF-8.
 pub fn split_cstring(bytes: &[u8]) -> Option<(&str, &[u8])> {
-    let end = bytes.iter().position(|b| *b == 0)?;
+    let end = bytes.iter().position(|byte| *byte == 0)?;
     Some((std::str::from_utf8(&bytes[..end]).ok()?, &bytes[end + 1..]))
 }
 
-/// How a value is written: as people read it, or in its type's binary form.
+/// The format of a value on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum Format {
-    /// Format code 0.
+    /// Text format, code 0.
     #[default]
     Text,
-    /// Format code 1.
+    /// Binary format of the value's type, code 1.
     Binary,
 }
 
 impl Format {
-    /// The format of a code; none for codes that the protocol does not know.
+    /// Returns the format with a code; `None` for a code that the protocol doesn't define.
     pub fn from_code(code: u16) -> Option<Format> {
         match code {
             0 => Some(Format::Text),
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Its code on the wire.
+    /// Returns the format's code.
     pub fn code(self) -> u16 {
         match self {
             Format::Text => 0,
--- a/crates/pg-protocol/src/oid.rs
+++ b/crates/pg-protocol/src/oid.rs
@@ -1,6 +1,6 @@
-//! Numbers of the types that are spoken here, as every server of this protocol has them.
+//! Object ids of PostgreSQL's built-in data types that the router supports.
 
-/// Not told, or left to the server.
+/// No type: unspecified, or left to the server to infer.
 pub const UNSPECIFIED: u32 = 0;
 /// `bool`.
 pub const BOOL: u32 = 16;
@@ -14,19 +14,19 @@
 pub const INT4: u32 = 23;
 /// `text`.
 pub const TEXT: u32 = 25;
-/// The type of a bare literal.
+/// `unknown`: the type of a string literal before it is resolved.
 pub const UNKNOWN: u32 = 705;
 /// `bpchar`.
 pub const BPCHAR: u32 = 1042;
 /// `varchar`.
 pub const VARCHAR: u32 = 1043;
 
-/// Whether values of this type are text in both formats.
+/// Returns whether values of this type are text in both formats.
 pub fn is_text(oid: u32) -> bool {
     matches!(oid, UNSPECIFIED | TEXT | UNKNOWN | BPCHAR | VARCHAR)
 }
 
-/// The bytes of an integer type in binary form.
+/// Returns the length of an integer type in binary format, in bytes; `None` for other types.
 pub fn integer_width(oid: u32) -> Option<usize> {
     match oid {
         INT2 => Some(2),
