--- a/crates/pg-protocol/src/backend.rs
+++ b/crates/pg-protocol/src/backend.rs
@@ -1,20 +1,22 @@
-//! What a server writes.
+//! Messages that a server sends: appended by a server, parsed by a client.
 
 use crate::{Format, put_message, split_cstring};
 
-/// The bodies of a few parameters that a welcome tells.
-const TOLD: [&[u8]; 3] = [
+/// The bodies of the ParameterStatus messages at the start of a session.
+const SESSION_PARAMETERS: [&[u8]; 3] = [
     b"server_version\x0015.0\0",
     b"client_encoding\0UTF8\0",
     b"standard_conforming_strings\0on\0",
 ];
 
-/// Appends ReadyForQuery, outside a transaction.
+/// Appends a ReadyForQuery with the status "idle, not in a transaction".
 pub fn put_ready_for_query(out: &mut Vec<u8>) {
     put_message(out, b'Z', &[b"I"]);
 }
 
-/// Appends the whole welcome: no password, and the numbers that a CancelRequest must name (0: none will do).
+/// Appends all messages that start a session: NegotiateProtocolVersion if the client requested a `minor` version above
+/// 3.0, AuthenticationOk without a password, ParameterStatus messages, BackendKeyData and ReadyForQuery. `process` and
+/// `secret` are the numbers that a CancelRequest must carry; 0 if the server accepts no CancelRequest.
 pub fn put_session_start(out: &mut Vec<u8>, minor: u16, process: u32, secret: u32) {
     if minor > 0 {
         put_message(
@@ -24,14 +26,14 @@
         );
     }
     put_message(out, b'R', &[&0u32.to_be_bytes()]);
-    for parameter in TOLD {
+    for parameter in SESSION_PARAMETERS {
         put_message(out, b'S', &[parameter]);
     }
     put_message(out, b'K', &[&process.to_be_bytes(), &secret.to_be_bytes()]);
     put_ready_for_query(out);
 }
 
-/// The two numbers of a BackendKeyData.
+/// Parses a BackendKeyData: the process id and the secret key of the session.
 pub fn parse_key_data(body: &[u8]) -> Option<(u32, u32)> {
     let (process, rest) = body.split_first_chunk::<4>()?;
     let secret: &[u8; 4] = rest.try_into().ok()?;
@@ -43,24 +45,24 @@
     put_message(out, b'S', &[name.as_bytes(), &[0], value.as_bytes(), &[0]]);
 }
 
-/// Appends an ErrorResponse; `detail` becomes the field D.
+/// Appends an ErrorResponse with the severity FATAL or ERROR; `detail` becomes the field D.
 pub fn put_error_response(
     out: &mut Vec<u8>,
-    fatal: bool,
-    code: &str,
+    is_fatal: bool,
+    sqlstate: &str,
     message: &str,
     detail: Option<&str>,
 ) {
-    let severity = if fatal { "FATAL" } else { "ERROR" };
+    let severity = if is_fatal { "FATAL" } else { "ERROR" };
     let mut body = Vec::with_capacity(64 + message.len());
     for (field, text) in [
         (b'S', severity),
         (b'V', severity),
-        (b'C', code),
+        (b'C', sqlstate),
         (b'M', message),
     ]
     .into_iter()
-    .chain(detail.map(|d| (b'D', d)))
+    .chain(detail.map(|text| (b'D', text)))
     {
         body.push(field);
         body.extend_from_slice(text.as_bytes());
@@ -69,12 +71,12 @@
     put_message(out, b'E', &[&body, &[0]]);
 }
 
-/// The value of a field of an ErrorResponse that is whole: fields of text and the zero that ends them.
-pub fn error_field(body: &[u8], wanted: u8) -> Option<&str> {
+/// Returns the value of the field with the type byte `field_type`; `None` if it is missing or the ErrorResponse is malformed.
+pub fn error_field(body: &[u8], field_type: u8) -> Option<&str> {
     let (mut rest, mut found) = (body, None);
-    while let Some((&field, after)) = rest.split_first().filter(|(f, _)| **f != 0) {
+    while let Some((&field, after)) = rest.split_first().filter(|(field, _)| **field != 0) {
         let (value, next) = split_cstring(after)?;
-        if field == wanted {
+        if field == field_type {
             found = Some(value);
         }
         rest = next;
@@ -82,33 +84,34 @@
     found.filter(|_| rest == [0])
 }
 
-/// The code of an ErrorResponse that is whole.
+/// Returns the SQLSTATE code of an ErrorResponse; `None` if it is missing or the ErrorResponse is malformed.
 pub fn error_sqlstate(body: &[u8]) -> Option<&str> {
-    let is_code = |c: &&str| {
-        c.len() == 5
-            && c.bytes()
-                .all(|b| b.is_ascii_digit() || b.is_ascii_uppercase())
+    let is_code = |code: &&str| {
+        code.len() == 5
+            && code
+                .bytes()
+                .all(|byte| byte.is_ascii_digit() || byte.is_ascii_uppercase())
     };
     error_field(body, b'C').filter(is_code)
 }
 
-/// One result column, as a RowDescription tells of it.
+/// A result column as described by a RowDescription.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Column<'a> {
-    /// Its name.
+    /// The column's name.
     pub name: &'a str,
-    /// Table and attribute, type, type's size and modifier, as told: 16 bytes that are passed on as they are.
+    /// The object id of the table, the attribute number, and the type's object id, size and modifier, as on the wire.
     pub type_info: [u8; 16],
-    /// The format of its values.
+    /// The format of the column's values.
     pub format: Format,
 }
 
 impl<'a> Column<'a> {
-    /// A column of no table.
+    /// Creates a column that belongs to no table.
     pub fn new(name: &'a str, oid: u32, format: Format) -> Column<'a> {
         let mut type_info = [0; 16];
         type_info[6..10].copy_from_slice(&oid.to_be_bytes());
-        let size: i16 = crate::oid::integer_width(oid).map_or(-1, |n| n as i16);
+        let size: i16 = crate::oid::integer_width(oid).map_or(-1, |width| width as i16);
         type_info[10..12].copy_from_slice(&size.to_be_bytes());
         type_info[12..16].copy_from_slice(&(-1i32).to_be_bytes());
         Column {
@@ -118,7 +121,7 @@
         }
     }
 
-    /// The number of its type.
+    /// Returns the object id of the column's type.
     pub fn type_oid(&self) -> u32 {
         u32::from_be_bytes([
             self.type_info[6],
@@ -129,7 +132,7 @@
     }
 }
 
-/// Reads a RowDescription of exactly one column; none for any other.
+/// Parses a RowDescription of exactly one column; returns `None` for any other body.
 pub fn parse_single_column(body: &[u8]) -> Option<Column<'_>> {
     let (name, rest) = split_cstring(body.strip_prefix(&[0, 1])?)?;
     let (type_info, format) = rest.split_first_chunk::<16>()?;
@@ -159,7 +162,7 @@
 
 /// Appends a ParameterDescription.
 pub fn put_parameter_description(out: &mut Vec<u8>, types: &[u32]) {
-    let bytes: Vec<u8> = types.iter().flat_map(|t| t.to_be_bytes()).collect();
+    let bytes: Vec<u8> = types.iter().flat_map(|oid| oid.to_be_bytes()).collect();
     put_message(out, b't', &[&(types.len() as u16).to_be_bytes(), &bytes]);
 }
 
@@ -172,12 +175,13 @@
     );
 }
 
-/// The value of a DataRow of exactly one column that is not null.
+/// Parses a DataRow of exactly one column that is not null; returns `None` for any other body.
 pub fn parse_single_value(body: &[u8]) -> Option<&[u8]> {
     let (count, rest) = body.split_first_chunk::<2>()?;
     let (len, value) = rest.split_first_chunk::<4>()?;
-    let fits = u16::from_be_bytes(*count) == 1 && u32::from_be_bytes(*len) as usize == value.len();
-    fits.then_some(value)
+    let is_valid =
+        u16::from_be_bytes(*count) == 1 && u32::from_be_bytes(*len) as usize == value.len();
+    is_valid.then_some(value)
 }
 
 /// Appends a CommandComplete.
@@ -185,11 +189,11 @@
     put_message(out, b'C', &[tag.as_bytes(), &[0]]);
 }
 
-/// The text of a message that holds one text and nothing else.
+/// Parses a body of exactly one zero-terminated string; returns `None` for any other body.
 pub fn parse_single_string(body: &[u8]) -> Option<&str> {
     split_cstring(body)
         .filter(|(_, rest)| rest.is_empty())
-        .map(|(t, _)| t)
+        .map(|(text, _)| text)
 }
 
 #[cfg(test)]
--- a/crates/pg-protocol/src/backend/tests.rs
+++ b/crates/pg-protocol/src/backend/tests.rs
@@ -3,8 +3,9 @@
 use super::*;
 use crate::frame;
 
+/// Guards against losing the SQLSTATE code or detail of an ErrorResponse, and against reading a null as a value.
 #[test]
-fn an_error_keeps_its_code_and_a_value_its_bytes() {
+fn parses_error_fields_and_single_values() {
     let mut out = Vec::new();
     put_error_response(
         &mut out,
@@ -24,8 +25,9 @@
     assert_eq!(parse_single_value(b"\0\x01\xff\xff\xff\xff"), None);
 }
 
+/// Guards the description of the result column, which is passed on to clients.
 #[test]
-fn a_column_is_read_as_it_was_put() {
+fn parses_a_row_description_as_it_was_appended() {
     let (mut out, column) = (
         Vec::new(),
         Column::new("data", crate::oid::BYTEA, Format::Binary),
