--- a/crates/pg-protocol/src/frontend/tests.rs
+++ b/crates/pg-protocol/src/frontend/tests.rs
@@ -4,8 +4,9 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
+/// Guards against a Bind that the router appends and an endpoint can't parse: names, formats and a null must survive.
 #[test]
-fn a_bind_is_read_as_it_was_put() {
+fn parses_a_bind_as_it_was_appended() {
     let mut out = Vec::new();
     let values = [(Format::Text, Some(&b"k"[..])), (Format::Binary, None)];
     put_bind(&mut out, "p", "s", values.into_iter(), Format::Binary);
@@ -21,8 +22,9 @@
     );
 }
 
+/// Guards against taking a CancelRequest for the start of a session, and against parsing an incomplete one.
 #[test]
-fn startup_and_cancel_are_told_apart() {
+fn distinguishes_the_start_of_a_session_from_a_cancel_request() {
     let mut out = Vec::new();
     put_startup(&mut out);
     assert_eq!(
@@ -44,7 +46,8 @@
     assert_eq!(parse_startup(&out[..11]), Ok(None));
 }
 
-/// Counts and lengths that do not fit: negative, beyond the body, beyond the bound.
+/// Guards against reading past the body or allocating for a forged count: negative lengths, lengths beyond the body,
+/// counts beyond the limit.
 #[rstest]
 #[case(
     b'P',
@@ -66,8 +69,12 @@
 #[case(b'D', b"X\0", CommandError::MalformedFields("Describe"))]
 #[case(b'S', b"x", CommandError::MalformedFields("Sync"))]
 #[case(b'd', b"", CommandError::UnknownMessage(b'd'))]
-fn what_does_not_fit_is_named(#[case] tag: u8, #[case] body: &[u8], #[case] wanted: CommandError) {
-    assert_eq!(parse_command(tag, body), Err(wanted));
+fn rejects_malformed_messages_with_the_matching_error(
+    #[case] tag: u8,
+    #[case] body: &[u8],
+    #[case] expected: CommandError,
+) {
+    assert_eq!(parse_command(tag, body), Err(expected));
 }
 
 proptest! {
@@ -78,9 +85,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever a client sends, reading it ends, and what is read lies within what was sent.
+    /// Guards against a panic on arbitrary bytes from a client, and against a message longer than the received bytes.
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_are_parsed_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = parse_startup(&bytes);
         if let Ok(Some((tag, body, len))) = frame::parse_frontend(&bytes, true) {
             prop_assert!(len <= bytes.len());
