--- a/crates/pg-session/tests/queue.rs
+++ b/crates/pg-session/tests/queue.rs
@@ -1,4 +1,4 @@
-//! A client's simple queries: what may start, and in what order answers go out.
+//! Tests of a client's queue of simple queries: which requests may start, and the order of responses.
 
 use reelrill_pg_session::endpoint_query::{EndpointQuery, SimpleQuery};
 use reelrill_pg_session::queue::{Output, QueueLimits, SimpleQueryQueue};
@@ -6,6 +6,7 @@
 use rstest::rstest;
 use std::rc::Rc;
 
+/// Returns a request of a session, if any.
 fn request(session: Option<&str>, is_write: bool) -> ValidatedRequest {
     ValidatedRequest {
         id: None,
@@ -19,97 +20,112 @@
     }
 }
 
-fn queue(requests: &[(Option<&str>, bool)]) -> SimpleQueryQueue<u32, &'static str> {
+/// Returns a queue of requests, given by session and whether they write. Request n was received at time n.
+fn queue_of(requests: &[(Option<&str>, bool)]) -> SimpleQueryQueue<u32, &'static str> {
     let mut queue = SimpleQueryQueue::new(QueueLimits {
         queries: 100,
         bytes: 1000,
         running: 100,
     });
-    for (at, (session, is_write)) in requests.iter().enumerate() {
+    for (index, (session, is_write)) in requests.iter().enumerate() {
         let query = Rc::new(EndpointQuery::Simple(SimpleQuery::new(Vec::new(), 0..0)));
-        queue.push_request(request(*session, *is_write), query, at as u64, 10);
+        queue.push_request(request(*session, *is_write), query, index as u64, 10);
     }
     queue
 }
 
-fn started(queue: &mut SimpleQueryQueue<u32, &'static str>) -> Vec<u64> {
-    std::iter::from_fn(|| queue.start_next().map(|s| s.number)).collect()
+/// Starts all requests that may start and returns their numbers.
+fn start_all(queue: &mut SimpleQueryQueue<u32, &'static str>) -> Vec<u64> {
+    std::iter::from_fn(|| queue.start_next().map(|request| request.number)).collect()
 }
 
-/// Guards the time of queries behind others: each starts as it comes, with the time at which it was read, and only
-/// the answers keep their order.
+/// Guards against one query delaying the next: each must start when received, with its own time of receipt, and only the
+/// responses are kept in order.
 #[test]
-fn queries_start_as_they_come_and_are_answered_in_order() {
-    let mut q = queue(&[(None, false), (None, false), (Some("a"), true)]);
-    q.push_local_response("empty");
-    let starts: Vec<(u64, u64)> =
-        std::iter::from_fn(|| q.start_next().map(|s| (s.number, s.received_at))).collect();
+fn queries_start_when_received_and_responses_are_in_order() {
+    let mut queue = queue_of(&[(None, false), (None, false), (Some("a"), true)]);
+    queue.push_local_response("empty");
+    let starts: Vec<(u64, u64)> = std::iter::from_fn(|| {
+        queue
+            .start_next()
+            .map(|request| (request.number, request.received_at))
+    })
+    .collect();
     assert_eq!(starts, [(0, 0), (1, 1), (2, 2)]);
-    q.finish(2, 12);
-    q.finish(1, 11);
-    assert_eq!(q.pop_output(|_| true), None);
-    q.finish(0, 10);
-    let said: Vec<_> = std::iter::from_fn(|| q.pop_output(|_| false)).collect();
+    queue.finish(2, 12);
+    queue.finish(1, 11);
+    assert_eq!(queue.pop_output(|_| true), None);
+    queue.finish(0, 10);
+    let responses: Vec<_> = std::iter::from_fn(|| queue.pop_output(|_| false)).collect();
     assert_eq!(
-        said,
+        responses,
         [
             Output::Response(10),
             Output::Response(11),
             Output::Response(12)
         ]
     );
-    assert!(!q.is_empty());
-    assert_eq!(q.pop_output(|_| true), Some(Output::LocalResponse("empty")));
-    assert!(q.is_empty());
+    assert!(!queue.is_empty());
+    assert_eq!(
+        queue.pop_output(|_| true),
+        Some(Output::LocalResponse("empty"))
+    );
+    assert!(queue.is_empty());
 }
 
-/// Guards a session's own writes: what reads or writes it behind a write waits for that write, and a write for its
-/// reads; others do not wait.
+/// Guards the order within a session: a request that follows a write must wait for the response to it, and a write for
+/// the session's earlier reads. Requests of other sessions must not wait.
 #[rstest]
 #[case(&[(Some("a"), true), (Some("a"), false)], &[0])]
 #[case(&[(Some("a"), false), (Some("a"), true)], &[0])]
 #[case(&[(Some("a"), true), (Some("a"), true)], &[0])]
 #[case(&[(Some("a"), false), (Some("a"), false)], &[0, 1])]
 #[case(&[(Some("a"), true), (Some("b"), true), (None, false)], &[0, 1, 2])]
-fn a_session_keeps_its_order(#[case] requests: &[(Option<&str>, bool)], #[case] first: &[u64]) {
-    let mut q = queue(requests);
-    assert_eq!(started(&mut q), first);
-    q.finish(0, 0);
-    let all: Vec<u64> = (first.len() as u64..requests.len() as u64).collect();
-    assert_eq!(started(&mut q), all);
+fn requests_of_a_session_start_in_order_if_one_writes(
+    #[case] requests: &[(Option<&str>, bool)],
+    #[case] started_first: &[u64],
+) {
+    let mut queue = queue_of(requests);
+    assert_eq!(start_all(&mut queue), started_first);
+    queue.finish(0, 0);
+    let remaining: Vec<u64> = (started_first.len() as u64..requests.len() as u64).collect();
+    assert_eq!(start_all(&mut queue), remaining);
 }
 
-/// Guards the bounds: nothing more is read or started than they allow, and what is answered makes room.
+/// Guards the limits: no more queries are queued or started than they allow, and a response frees capacity.
 #[test]
-fn the_bounds_hold_and_answers_make_room() {
-    let mut q: SimpleQueryQueue<u32, &str> = SimpleQueryQueue::new(QueueLimits {
+fn limits_hold_and_responses_free_capacity() {
+    let mut queue: SimpleQueryQueue<u32, &str> = SimpleQueryQueue::new(QueueLimits {
         queries: 3,
         bytes: 100,
         running: 2,
     });
     let query = Rc::new(EndpointQuery::Simple(SimpleQuery::new(Vec::new(), 0..0)));
     for _ in 0..3 {
-        assert!(!q.is_full());
-        q.push_request(request(None, false), query.clone(), 0, 40);
+        assert!(!queue.is_full());
+        queue.push_request(request(None, false), query.clone(), 0, 40);
     }
-    assert!(q.is_full());
-    assert_eq!(started(&mut q), [0, 1]);
-    q.finish(0, 0);
-    // A second answer, or one to what is not there, changes nothing.
-    q.finish(0, 1);
-    q.finish(99, 1);
-    assert_eq!(started(&mut q), [2]);
-    assert_eq!(q.pop_output(|_| true), Some(Output::Response(0)));
-    assert!(!q.is_full());
+    assert!(queue.is_full());
+    assert_eq!(start_all(&mut queue), [0, 1]);
+    queue.finish(0, 0);
+    // A second response, or one to an unknown number, changes nothing.
+    queue.finish(0, 1);
+    queue.finish(99, 1);
+    assert_eq!(start_all(&mut queue), [2]);
+    assert_eq!(queue.pop_output(|_| true), Some(Output::Response(0)));
+    assert!(!queue.is_full());
 }
 
-/// Guards CancelRequest: it is about the first request without an answer, started or not.
+/// Guards CancelRequest: it must cancel the first request without a response, running or not.
 #[test]
-fn the_first_open_request_is_called_off() {
-    let mut q = queue(&[(Some("a"), true), (Some("a"), true)]);
-    assert_eq!(started(&mut q), [0]);
-    q.finish(0, 0);
-    assert_eq!(q.first_pending(), Some(1));
-    q.finish(1, 1);
-    assert_eq!((q.first_pending(), started(&mut q).len()), (None, 0));
+fn first_pending_is_the_first_request_without_a_response() {
+    let mut queue = queue_of(&[(Some("a"), true), (Some("a"), true)]);
+    assert_eq!(start_all(&mut queue), [0]);
+    queue.finish(0, 0);
+    assert_eq!(queue.first_pending(), Some(1));
+    queue.finish(1, 1);
+    assert_eq!(
+        (queue.first_pending(), start_all(&mut queue).len()),
+        (None, 0)
+    );
 }
