--- a/crates/pg-session/tests/extended.rs
+++ b/crates/pg-session/tests/extended.rs
@@ -1,5 +1,5 @@
-//! Pipelines against a client that waits for each answer: whatever runs at once, in whatever order it ends, the
-//! client must get what it would have got one by one, and nothing may start too early.
+//! Tests of a client's extended query session. A pipelined client, whose requests run at once and end in any order, must
+//! receive the same responses as a client that waits for each response, and no request may start too early.
 
 use proptest::prelude::*;
 use reelrill_pg_protocol::Format;
@@ -19,7 +19,8 @@
 const WRITE: &str =
     "INSERT INTO facts (code, data) VALUES ($1, 'v') RETURNING data /* c=book,cluster=1 */";
 
-fn common(limits: Limits) -> Rc<SharedResources> {
+/// Returns shared resources with a read class `board` and a write class `book`.
+fn shared_resources(limits: Limits) -> Rc<SharedResources> {
     let class = |operation| Class {
         operation,
         idempotency: Idempotency::Idempotent,
@@ -46,6 +47,7 @@
     })
 }
 
+/// A command of a client; the flag of a Parse is whether its statement writes.
 #[derive(Debug, Clone)]
 enum Op {
     Parse(&'static str, bool),
@@ -57,26 +59,26 @@
     Sync,
 }
 
-/// A few commands that go together, or any one.
+/// Generates a typical sequence of commands, or any single one.
 fn ops() -> impl Strategy<Value = Vec<Op>> {
     let name = || prop_oneof![2 => Just(""), 1 => Just("a"), 1 => Just("b")];
     prop_oneof![
-        4 => (name(), name(), 0..4).prop_map(|(s, p, w)| {
-            vec![Op::Parse(s, w == 0), Op::Bind(p, s), Op::Execute(p)]
+        4 => (name(), name(), 0..4).prop_map(|(statement, portal, kind)| {
+            vec![Op::Parse(statement, kind == 0), Op::Bind(portal, statement), Op::Execute(portal)]
         }),
-        6 => (name(), name()).prop_map(|(s, p)| vec![Op::Bind(p, s), Op::Execute(p)]),
-        1 => (name(), any::<bool>()).prop_map(|(n, w)| vec![Op::Parse(n, w)]),
-        1 => (name(), name()).prop_map(|(p, s)| vec![Op::Bind(p, s)]),
-        1 => name().prop_map(|n| vec![Op::Execute(n)]),
-        1 => name().prop_map(|n| vec![Op::CloseStatement(n)]),
-        1 => name().prop_map(|n| vec![Op::ClosePortal(n)]),
-        1 => name().prop_map(|n| vec![Op::DescribeStatement(n)]),
+        6 => (name(), name()).prop_map(|(statement, portal)| vec![Op::Bind(portal, statement), Op::Execute(portal)]),
+        1 => (name(), any::<bool>()).prop_map(|(statement, is_write)| vec![Op::Parse(statement, is_write)]),
+        1 => (name(), name()).prop_map(|(portal, statement)| vec![Op::Bind(portal, statement)]),
+        1 => name().prop_map(|portal| vec![Op::Execute(portal)]),
+        1 => name().prop_map(|statement| vec![Op::CloseStatement(statement)]),
+        1 => name().prop_map(|portal| vec![Op::ClosePortal(portal)]),
+        1 => name().prop_map(|statement| vec![Op::DescribeStatement(statement)]),
         6 => Just(vec![Op::Sync]),
     ]
 }
 
-/// `id` becomes the name of a request that is bound now.
-fn give(plan: &mut ExtendedSession<bool>, op: &Op, id: usize) {
+/// Passes a command to a session. `id` is the generated id of a request bound by it.
+fn send(session: &mut ExtendedSession<bool>, op: &Op, id: usize) {
     let command = match *op {
         Op::Parse(name, is_write) => Command::Parse {
             name,
@@ -99,24 +101,26 @@
         Op::DescribeStatement(name) => Command::Describe(ObjectKind::Statement, name),
         Op::Sync => Command::Sync,
     };
-    plan.on_command(&command, id as u64);
+    session.on_command(&command, id as u64);
 }
 
-/// What a client gets that sends a command, waits for its answer, and sends the next: `fates` says by the
-/// place of a request's Bind whether it is served. Also gives the writes that were served.
-fn one_by_one(ops: &[Op], fates: &[bool]) -> (Vec<String>, Vec<u64>) {
-    let (mut said, mut ran) = (Vec::new(), Vec::new());
+/// Models a client that waits for the response to each command before it sends the next. `outcomes` holds, by the index
+/// of a request's Bind, whether the request is served. Returns the outputs by name, and the ids of the writes served.
+fn expected_outputs(ops: &[Op], outcomes: &[bool]) -> (Vec<String>, Vec<u64>) {
+    let (mut outputs, mut served_writes) = (Vec::new(), Vec::new());
+    // By name: whether the statement writes.
     let mut statements: HashMap<&str, bool> = HashMap::new();
+    // By name: whether the portal writes, the index of its Bind, and whether it has run.
     let mut portals: HashMap<&str, (bool, usize, bool)> = HashMap::new();
-    let mut skipping = false;
-    for (at, op) in ops.iter().enumerate() {
-        if skipping && !matches!(op, Op::Sync) {
+    let mut is_skipping = false;
+    for (index, op) in ops.iter().enumerate() {
+        if is_skipping && !matches!(op, Op::Sync) {
             continue;
         }
-        let word = match *op {
+        let output = match *op {
             Op::Sync => {
                 portals.clear();
-                skipping = false;
+                is_skipping = false;
                 "ReadyForQuery"
             }
             Op::Parse(name, _) if !name.is_empty() && statements.contains_key(name) => {
@@ -130,7 +134,7 @@
                 None => "UnknownStatement",
                 Some(_) if !portal.is_empty() && portals.contains_key(portal) => "DuplicatePortal",
                 Some(is_write) => {
-                    portals.insert(portal, (*is_write, at, false));
+                    portals.insert(portal, (*is_write, index, false));
                     "BindComplete"
                 }
             },
@@ -140,10 +144,10 @@
                 Some((false, _, true)) => "CommandComplete",
                 Some((is_write, id, has_run)) => {
                     *has_run = true;
-                    if *is_write && fates[*id] {
-                        ran.push(*id as u64);
+                    if *is_write && outcomes[*id] {
+                        served_writes.push(*id as u64);
                     }
-                    if fates[*id] { "served" } else { "failed" }
+                    if outcomes[*id] { "served" } else { "failed" }
                 }
             },
             Op::CloseStatement(name) => {
@@ -155,7 +159,7 @@
                 "CloseComplete"
             }
             Op::DescribeStatement(name) if statements.contains_key(name) => {
-                said.push("ParameterDescription".to_owned());
+                outputs.push("ParameterDescription".to_owned());
                 "RowDescription"
             }
             Op::DescribeStatement(_) => "UnknownStatement",
@@ -168,16 +172,17 @@
             "PortalAlreadyRun",
             "failed",
         ];
-        skipping |= errors.contains(&word);
-        said.push(word.to_owned());
+        is_skipping |= errors.contains(&output);
+        outputs.push(output.to_owned());
     }
-    (said, ran)
+    (outputs, served_writes)
 }
 
-fn word(output: &Output<bool>) -> String {
+/// Returns the name of an output: "served", "failed", or the name of the variant or error.
+fn output_name(output: &Output<bool>) -> String {
     match output {
         Output::Response { response, .. } => if *response { "served" } else { "failed" }.to_owned(),
-        Output::Error(wrong) => format!("{wrong:?}")
+        Output::Error(error) => format!("{error:?}")
             .split(['(', ' '])
             .next()
             .unwrap_or("")
@@ -198,131 +203,145 @@
         ..ProptestConfig::default()
     })]
 
+    /// Guards against a pipeline that changes what a client observes: with random commands, outcomes and order of
+    /// completion, outputs and served writes must be those of a client that waits for each response.
     #[test]
-    fn a_pipeline_answers_as_one_by_one(
+    fn a_pipeline_responds_as_if_commands_ran_one_by_one(
         ops in proptest::collection::vec(ops(), 1..24),
-        fates in proptest::collection::vec(proptest::bool::weighted(0.8), 80),
+        outcomes in proptest::collection::vec(proptest::bool::weighted(0.8), 80),
         choices in proptest::collection::vec(any::<proptest::sample::Index>(), 200),
         reads in 1usize..5,
     ) {
         let mut ops = ops.concat();
         ops.push(Op::Sync);
-        let (wanted, writes) = one_by_one(&ops, &fates);
+        let (expected, expected_writes) = expected_outputs(&ops, &outcomes);
         let limits = Limits { reads, commands: 12, ..Limits::default() };
-        let mut plan: ExtendedSession<bool> = ExtendedSession::new(common(limits));
-        let (mut given, mut said) = (0, Vec::new());
-        let (mut out, mut written): (Vec<StartedRequest>, Vec<u64>) = (Vec::new(), Vec::new());
+        let mut session: ExtendedSession<bool> = ExtendedSession::new(shared_resources(limits));
+        let (mut sent, mut outputs) = (0, Vec::new());
+        let (mut running, mut served_writes): (Vec<StartedRequest>, Vec<u64>) = (Vec::new(), Vec::new());
         for choice in choices.iter().cycle().take(5000) {
-            while given < ops.len() && !plan.is_full() {
-                give(&mut plan, &ops[given], given);
-                given += 1;
+            while sent < ops.len() && !session.is_full() {
+                send(&mut session, &ops[sent], sent);
+                sent += 1;
                 if choice.index(3) == 0 {
                     break;
                 }
             }
-            while let Some(start) = plan.start_next() {
-                prop_assert!(!out.iter().any(|o| o.request.is_write), "beside a write");
-                prop_assert!(!start.request.is_write || out.is_empty(), "a write beside others");
-                prop_assert!(out.len() < reads);
-                out.push(start);
+            while let Some(start) = session.start_next() {
+                prop_assert!(!running.iter().any(|other| other.request.is_write), "a request started while a write was running");
+                prop_assert!(!start.request.is_write || running.is_empty(), "a write started while others were running");
+                prop_assert!(running.len() < reads);
+                running.push(start);
             }
-            // The answers so far must be a beginning of the wanted ones, whenever they are looked at.
-            while let Some(output) = plan.pop_output() {
-                said.push(word(&output));
+            // The outputs so far must be the first of the expected ones, after each step.
+            while let Some(output) = session.pop_output() {
+                outputs.push(output_name(&output));
             }
-            prop_assert!(wanted.starts_with(&said), "{said:?} for {wanted:?}");
-            if out.is_empty() {
-                if given == ops.len() {
+            prop_assert!(expected.starts_with(&outputs), "{outputs:?} instead of {expected:?}");
+            if running.is_empty() {
+                if sent == ops.len() {
                     break;
                 }
                 continue;
             }
-            let ended = out.swap_remove(choice.index(out.len()));
-            let id = ended.request.id.unwrap();
-            let fate = fates[id as usize];
-            if ended.request.is_write && fate {
-                written.push(id);
+            let finished = running.swap_remove(choice.index(running.len()));
+            let id = finished.request.id.unwrap();
+            let is_served = outcomes[id as usize];
+            if finished.request.is_write && is_served {
+                served_writes.push(id);
             }
-            let off = plan.finish(ended.number, fate, fate);
-            out.retain(|o| !off.contains(&o.number));
-            prop_assert!(plan.finish(ended.number, !fate, !fate).is_empty(), "a second end changes something");
+            let cancelled = session.finish(finished.number, is_served, is_served);
+            running.retain(|request| !cancelled.contains(&request.number));
+            prop_assert!(session.finish(finished.number, !is_served, !is_served).is_empty(), "a second response had an effect");
         }
-        prop_assert_eq!(&said, &wanted);
-        prop_assert!(plan.is_idle());
-        prop_assert_eq!(written, writes, "a write ran that one by one would not have, or did not");
+        prop_assert_eq!(&outputs, &expected);
+        prop_assert!(session.is_idle());
+        prop_assert_eq!(served_writes, expected_writes, "the served writes differ");
     }
 }
 
-/// Takes all that may start, ends it as served, and gives what is said.
-fn settle(plan: &mut ExtendedSession<bool>) -> Vec<String> {
-    let mut said = Vec::new();
+/// Starts all requests, finishes each as served, and returns the names of the outputs.
+fn run_until_idle(session: &mut ExtendedSession<bool>) -> Vec<String> {
+    let mut outputs = Vec::new();
     loop {
-        while let Some(output) = plan.pop_output() {
-            said.push(word(&output));
+        while let Some(output) = session.pop_output() {
+            outputs.push(output_name(&output));
         }
-        let Some(start) = plan.start_next() else {
-            return said;
+        let Some(start) = session.start_next() else {
+            return outputs;
         };
-        plan.finish(start.number, true, true);
+        session.finish(start.number, true, true);
     }
 }
 
+/// Guards the row limit: an Execute with a limit of one row must suspend the portal, and the next one must report that
+/// there are no more rows without a second request.
 #[test]
-fn a_row_limit_of_one_leaves_its_portal_suspended() {
-    let mut plan: ExtendedSession<bool> = ExtendedSession::new(common(Limits::default()));
+fn a_row_limit_of_one_suspends_the_portal() {
+    let mut session: ExtendedSession<bool> =
+        ExtendedSession::new(shared_resources(Limits::default()));
     for op in [Op::Parse("", false), Op::Bind("", "")] {
-        give(&mut plan, &op, 1);
+        send(&mut session, &op, 1);
     }
-    plan.on_command(
+    session.on_command(
         &Command::Execute {
             portal: "",
             row_limit: 1,
         },
         1,
     );
-    plan.on_command(
+    session.on_command(
         &Command::Execute {
             portal: "",
             row_limit: 1,
         },
         1,
     );
-    plan.on_command(&Command::Describe(ObjectKind::Portal, ""), 1);
-    let start = plan.start_next().unwrap();
-    assert!(plan.start_next().is_none());
+    session.on_command(&Command::Describe(ObjectKind::Portal, ""), 1);
+    let start = session.start_next().unwrap();
+    assert!(session.start_next().is_none());
     assert_eq!(
-        [plan.pop_output(), plan.pop_output(), plan.pop_output()],
+        [
+            session.pop_output(),
+            session.pop_output(),
+            session.pop_output()
+        ],
         [
             Some(Output::ParseComplete),
             Some(Output::BindComplete),
             None
         ]
     );
-    plan.finish(start.number, true, true);
+    session.finish(start.number, true, true);
     assert_eq!(
-        plan.pop_output(),
+        session.pop_output(),
         Some(Output::Response {
             response: true,
             is_suspended: true
         })
     );
-    assert_eq!(plan.pop_output(), Some(Output::CommandComplete("SELECT 0")));
     assert_eq!(
-        plan.pop_output(),
+        session.pop_output(),
+        Some(Output::CommandComplete("SELECT 0"))
+    );
+    assert_eq!(
+        session.pop_output(),
         Some(Output::RowDescription(Format::Binary))
     );
 }
 
+/// Guards against sending a utility statement to an endpoint, and checks its effect on the prepared statements.
 #[rstest]
 #[case("DEALLOCATE a", "CommandComplete")]
 #[case("DEALLOCATE x", "Error")]
 #[case("DISCARD ALL", "CommandComplete")]
 #[case("SET x = 1", "CommandComplete")]
 #[case("", "EmptyQueryResponse")]
-fn utilities_run_without_an_instance(#[case] text: &str, #[case] wanted: &str) {
-    let mut plan: ExtendedSession<bool> = ExtendedSession::new(common(Limits::default()));
-    give(&mut plan, &Op::Parse("a", false), 1);
-    plan.on_command(
+fn utility_statements_run_without_an_endpoint(#[case] text: &str, #[case] expected: &str) {
+    let mut session: ExtendedSession<bool> =
+        ExtendedSession::new(shared_resources(Limits::default()));
+    send(&mut session, &Op::Parse("a", false), 1);
+    session.on_command(
         &Command::Parse {
             name: "u",
             text,
@@ -337,26 +356,26 @@
         values: vec![],
         result_formats: vec![],
     };
-    plan.on_command(&Command::Bind(bind), 1);
-    plan.on_command(
+    session.on_command(&Command::Bind(bind), 1);
+    session.on_command(
         &Command::Execute {
             portal: "",
             row_limit: 0,
         },
         1,
     );
-    plan.on_command(&Command::Sync, 1);
-    let said = settle(&mut plan);
+    session.on_command(&Command::Sync, 1);
+    let outputs = run_until_idle(&mut session);
     assert_eq!(
-        &said[..3],
+        &outputs[..3],
         ["ParseComplete", "ParseComplete", "BindComplete"]
     );
     assert!(
-        said[3] == wanted || (wanted == "Error" && said[3] == "UnknownStatement"),
-        "{said:?}"
+        outputs[3] == expected || (expected == "Error" && outputs[3] == "UnknownStatement"),
+        "{outputs:?}"
     );
     assert_eq!(
-        plan.statement_count(),
+        session.statement_count(),
         match text {
             "DEALLOCATE a" => 1,
             "DISCARD ALL" => 0,
@@ -365,9 +384,10 @@
     );
 }
 
-/// Guards the bounds: what is over one is refused by name, and what was there before goes on.
+/// Guards the limits: a command over a limit must fail with an error that names the limit, and the session must go on
+/// with its earlier statements.
 #[test]
-fn bounds_are_kept_and_named() {
+fn limits_hold_and_errors_name_them() {
     let limits = Limits {
         statements: 3,
         all_statements: 5,
@@ -375,65 +395,68 @@
         segment: 6,
         ..Limits::default()
     };
-    let common = common(limits);
-    let mut plans: Vec<ExtendedSession<bool>> = (0..2)
-        .map(|_| ExtendedSession::new(common.clone()))
+    let shared = shared_resources(limits);
+    let mut sessions: Vec<ExtendedSession<bool>> = (0..2)
+        .map(|_| ExtendedSession::new(shared.clone()))
         .collect();
     let limit = |what, most| Some(Output::Error(SessionError::LimitExceeded { what, most }));
     let names = ["a", "b", "c", "d"];
-    let last = |plan: &mut ExtendedSession<bool>| {
+    let last_output = |session: &mut ExtendedSession<bool>| {
         let mut last = None;
-        while let Some(output) = plan.pop_output() {
+        while let Some(output) = session.pop_output() {
             last = Some(output);
         }
         last
     };
-    for (plan, wanted) in plans.iter_mut().zip([
+    for (session, expected) in sessions.iter_mut().zip([
         limit("prepared statements of one client", 3),
         limit("prepared statements of all clients", 5),
     ]) {
         for name in names {
-            give(plan, &Op::Parse(name, false), 1);
+            send(session, &Op::Parse(name, false), 1);
         }
-        assert_eq!(last(plan), wanted);
-        give(plan, &Op::Sync, 1);
-        last(plan);
+        assert_eq!(last_output(session), expected);
+        send(session, &Op::Sync, 1);
+        last_output(session);
     }
-    let plan = &mut plans[0];
+    let session = &mut sessions[0];
     for name in names {
-        give(plan, &Op::Bind(name, "a"), 1);
+        send(session, &Op::Bind(name, "a"), 1);
     }
-    assert_eq!(last(plan), limit("portals of one client", 2));
-    give(plan, &Op::Sync, 1);
+    assert_eq!(last_output(session), limit("portals of one client", 2));
+    send(session, &Op::Sync, 1);
     for _ in 0..7 {
-        give(plan, &Op::ClosePortal("x"), 1);
+        send(session, &Op::ClosePortal("x"), 1);
     }
-    assert_eq!(last(plan), limit("commands in a segment", 6));
-    give(plan, &Op::Sync, 1);
-    give(plan, &Op::Bind("", "a"), 1);
-    give(plan, &Op::Execute(""), 1);
-    assert_eq!(settle(plan).last().unwrap(), "served");
-    drop(plans);
+    assert_eq!(last_output(session), limit("commands in a segment", 6));
+    send(session, &Op::Sync, 1);
+    send(session, &Op::Bind("", "a"), 1);
+    send(session, &Op::Execute(""), 1);
+    assert_eq!(run_until_idle(session).last().unwrap(), "served");
+    drop(sessions);
     assert_eq!(
-        (common.budgets.statements.used(), common.templates.usage()),
+        (shared.budgets.statements.used(), shared.templates.usage()),
         (0, (0, 0))
     );
 }
 
-/// Guards the memory of bound values, whether they are kept as values or as literals; a Sync gives it back.
+/// Guards the memory for bound values, kept as values or as literals: the limit must hold, and a Sync must release the
+/// bytes.
 #[rstest]
-fn bound_values_are_bounded(#[values(false, true)] should_translate: bool) {
+fn bytes_of_bound_values_are_limited_and_released_by_sync(
+    #[values(false, true)] should_translate: bool,
+) {
     let limits = Limits {
         value_bytes: 1000,
         ..Limits::default()
     };
-    let mut common = Rc::try_unwrap(common(limits)).unwrap();
-    common.should_translate = should_translate;
-    let common = Rc::new(common);
-    let mut plan: ExtendedSession<bool> = ExtendedSession::new(common.clone());
+    let mut shared = Rc::try_unwrap(shared_resources(limits)).unwrap();
+    shared.should_translate = should_translate;
+    let shared = Rc::new(shared);
+    let mut session: ExtendedSession<bool> = ExtendedSession::new(shared.clone());
     for round in 0..2 {
-        give(&mut plan, &Op::Parse("", false), 1);
-        let names: Vec<String> = (0..20).map(|n| format!("p{n}")).collect();
+        send(&mut session, &Op::Parse("", false), 1);
+        let names: Vec<String> = (0..20).map(|number| format!("p{number}")).collect();
         for portal in &names {
             let (parameter_formats, values) = (Vec::new(), vec![Some(&[b'k'; 100][..])]);
             let bind = Bind {
@@ -443,20 +466,24 @@
                 values,
                 result_formats: Vec::new(),
             };
-            plan.on_command(&Command::Bind(bind), 1);
+            session.on_command(&Command::Bind(bind), 1);
         }
-        assert!(common.budgets.value_bytes.used() <= 1000);
-        give(&mut plan, &Op::Sync, 1);
-        let mut said = Vec::new();
-        while let Some(output) = plan.pop_output() {
-            said.push(output);
+        assert!(shared.budgets.value_bytes.used() <= 1000);
+        send(&mut session, &Op::Sync, 1);
+        let mut outputs = Vec::new();
+        while let Some(output) = session.pop_output() {
+            outputs.push(output);
         }
-        let wanted = SessionError::LimitExceeded {
+        let expected = SessionError::LimitExceeded {
             what: "bytes of values",
             most: 1000,
         };
-        assert_eq!(said[said.len() - 2], Output::Error(wanted), "round {round}");
-        assert!(said.len() > 4 && said.len() < 14, "{said:?}");
-        assert_eq!(common.budgets.value_bytes.used(), 0);
+        assert_eq!(
+            outputs[outputs.len() - 2],
+            Output::Error(expected),
+            "round {round}"
+        );
+        assert!(outputs.len() > 4 && outputs.len() < 14, "{outputs:?}");
+        assert_eq!(shared.budgets.value_bytes.used(), 0);
     }
 }
