--- a/crates/pg-protocol/src/backend.rs
+++ b/crates/pg-protocol/src/backend.rs
@@ -71,7 +71,8 @@
     put_message(out, b'E', &[&body, &[0]]);
 }
 
-/// Returns the value of the field with the type byte `field_type`; `None` if it is missing or the ErrorResponse is malformed.
+/// Returns the value of the field with the type byte `field_type`; `None` if it is missing or the ErrorResponse is
+/// malformed.
 pub fn error_field(body: &[u8], field_type: u8) -> Option<&str> {
     let (mut rest, mut found) = (body, None);
     while let Some((&field, after)) = rest.split_first().filter(|(field, _)| **field != 0) {
--- a/crates/pg-protocol/src/frame.rs
+++ b/crates/pg-protocol/src/frame.rs
@@ -1,5 +1,6 @@
-//! Message boundaries. Responsible for checking a message's length as soon as its length field has been received, before
-//! any of its body is stored. Lengths and their limits are those of the length field, which doesn't count the type byte.
+//! Message boundaries. Responsible for checking a message's length as soon as its length field has been received,
+//! before any of its body is stored. Lengths and their limits are those of the length field, which doesn't count the
+//! type byte.
 
 /// Maximum length of a DataRow from an endpoint, in bytes: one value of 64 KiB and its headers.
 pub const MAX_ROW_LENGTH: usize = 64 * 1024 + 16;
@@ -44,8 +45,8 @@
 /// A message: its type byte, its body, and its total length in bytes.
 pub type Frame<'a> = (u8, &'a [u8], usize);
 
-/// Parses the first message in `bytes`, whose length field may be at most `max_length`. Returns `None` if the message is
-/// incomplete.
+/// Parses the first message in `bytes`, whose length field may be at most `max_length`. Returns `None` if the message
+/// is incomplete.
 ///
 /// # Errors
 ///
--- a/crates/pg-protocol/src/frame/tests.rs
+++ b/crates/pg-protocol/src/frame/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use rstest::rstest;
 
-/// Guards the parsing of lengths: a message is returned only when complete, and a wrong length is an error as soon as it
-/// has been received.
+/// Guards the parsing of lengths: a message is returned only when complete, and a wrong length is an error as soon as
+/// it has been received.
 #[rstest]
 #[case(&[], Ok(None))]
 #[case(b"Q\0\0\0", Ok(None))]
--- a/crates/pg-session/src/endpoint_query/literal.rs
+++ b/crates/pg-session/src/endpoint_query/literal.rs
@@ -25,8 +25,8 @@
     ///
     /// # Errors
     ///
-    /// [`SessionError::UnsafeLiteral`] for a value that can't be written safely, [`SessionError::NullValue`] for a null,
-    /// [`SessionError::InvalidValue`] for a malformed id or a statement that is not a request,
+    /// [`SessionError::UnsafeLiteral`] for a value that can't be written safely, [`SessionError::NullValue`] for a
+    /// null, [`SessionError::InvalidValue`] for a malformed id or a statement that is not a request,
     /// [`SessionError::LimitExceeded`] if the limit on the bytes of values is reached.
     pub fn to_simple_query(&self, budgets: &SharedBudgets) -> Result<SimpleQuery, SessionError> {
         let Some(request) = self.request() else {
--- a/crates/pg-session/src/endpoint_query/tests.rs
+++ b/crates/pg-session/src/endpoint_query/tests.rs
@@ -228,8 +228,19 @@
     /// Guards against SQL injection with random values: a simple query made from them must parse to the same key and
     /// the same annotations, so no value ends its literal.
     #[test]
-    fn literals_parse_back_to_the_bound_values(code in "\\PC{0,20}", data in "[ -~]{0,20}", idempotency_key in "\\PC{0,10}") {
-        let values = [Some(code.as_bytes()), Some(data.as_bytes()), None, None, Some(&b"2"[..]), Some(idempotency_key.as_bytes())];
+    fn literals_parse_back_to_the_bound_values(
+        code in "\\PC{0,20}",
+        data in "[ -~]{0,20}",
+        idempotency_key in "\\PC{0,10}",
+    ) {
+        let values = [
+            Some(code.as_bytes()),
+            Some(data.as_bytes()),
+            None,
+            None,
+            Some(&b"2"[..]),
+            Some(idempotency_key.as_bytes()),
+        ];
         let bound = bind_statement(WRITE, &[], &[], &values).unwrap();
         if let Ok(simple) = bound.to_simple_query(&budgets()) {
             let text = String::from_utf8(simple.with_timeout(9_000_000)).unwrap();
--- a/crates/pg-session/src/extended.rs
+++ b/crates/pg-session/src/extended.rs
@@ -204,7 +204,8 @@
         Ok(())
     }
 
-    /// Sets or removes the statement of a name. The change can be rolled back if an earlier request of the segment fails.
+    /// Sets or removes the statement of a name. The change can be rolled back if an earlier request of the segment
+    /// fails.
     fn set_statement(&mut self, name: &str, statement: Option<PreparedStatement>) {
         let may_fail = self
             .pipeline
@@ -345,8 +346,8 @@
         Some(self.run_utility(&utility).map(|()| utility.command_tag()))
     }
 
-    /// Handles the receipt of a simple query: it removes the unnamed statement and all portals, and ends the skipping of
-    /// commands.
+    /// Handles the receipt of a simple query: it removes the unnamed statement and all portals, and ends the skipping
+    /// of commands.
     pub fn on_simple_query(&mut self) {
         self.portals.clear();
         self.statements.set("", None, None);
--- a/crates/pg-session/tests/extended.rs
+++ b/crates/pg-session/tests/extended.rs
@@ -1,5 +1,5 @@
-//! Tests of a client's extended query session. A pipelined client, whose requests run at once and end in any order, must
-//! receive the same responses as a client that waits for each response, and no request may start too early.
+//! Tests of a client's extended query session. A pipelined client, whose requests run at once and end in any order,
+//! must receive the same responses as a client that waits for each response, and no request may start too early.
 
 use proptest::prelude::*;
 use reelrill_pg_protocol::Format;
@@ -228,8 +228,14 @@
                 }
             }
             while let Some(start) = session.start_next() {
-                prop_assert!(!running.iter().any(|other| other.request.is_write), "a request started while a write was running");
-                prop_assert!(!start.request.is_write || running.is_empty(), "a write started while others were running");
+                prop_assert!(
+                    !running.iter().any(|other| other.request.is_write),
+                    "a request started while a write was running"
+                );
+                prop_assert!(
+                    !start.request.is_write || running.is_empty(),
+                    "a write started while others were running"
+                );
                 prop_assert!(running.len() < reads);
                 running.push(start);
             }
@@ -252,7 +258,10 @@
             }
             let cancelled = session.finish(finished.number, is_served, is_served);
             running.retain(|request| !cancelled.contains(&request.number));
-            prop_assert!(session.finish(finished.number, !is_served, !is_served).is_empty(), "a second response had an effect");
+            prop_assert!(
+                session.finish(finished.number, !is_served, !is_served).is_empty(),
+                "a second response had an effect"
+            );
         }
         prop_assert_eq!(&outputs, &expected);
         prop_assert!(session.is_idle());
--- a/crates/pg-session/tests/queue.rs
+++ b/crates/pg-session/tests/queue.rs
@@ -39,8 +39,8 @@
     std::iter::from_fn(|| queue.start_next().map(|request| request.number)).collect()
 }
 
-/// Guards against one query delaying the next: each must start when received, with its own time of receipt, and only the
-/// responses are kept in order.
+/// Guards against one query delaying the next: each must start when received, with its own time of receipt, and only
+/// the responses are kept in order.
 #[test]
 fn queries_start_when_received_and_responses_are_in_order() {
     let mut queue = queue_of(&[(None, false), (None, false), (Some("a"), true)]);
