--- a/crates/service-discovery/src/wheel.rs
+++ b/crates/service-discovery/src/wheel.rs
@@ -1,21 +1,23 @@
-//! A hierarchical timer wheel: many timers, most of which are moved before they are due.
+//! A hierarchical timer wheel for many timers, most of which are moved before they are due.
 //!
-//! Each level has 64 slots, each slot a list; a slot of one level spans all slots of the level below. A timer lies at
-//! the level of the highest 6 bits in which its time differs from the wheel's, so to insert, move or cancel one takes
-//! the same few steps however many there are. As the wheel turns, a slot that is reached is dealt out to lower levels;
-//! a timer is touched once a level at most.
+//! Each level has 64 slots, each slot holds a linked list of timers, and a slot of one level spans all slots of the
+//! level below. A timer is stored at the level of the highest 6-bit group in which its due time differs from the
+//! current time, so inserting, moving and cancelling take constant time. When time reaches a slot, its timers are
+//! distributed to lower levels. Each timer is moved at most once per level.
 
 use reelrill_routing::Timestamp;
 
-const BITS: u32 = 6;
-const SLOTS: usize = 1 << BITS;
-/// As many as 64 bits of time need.
+const BITS_PER_LEVEL: u32 = 6;
+const SLOTS_PER_LEVEL: usize = 1 << BITS_PER_LEVEL;
+/// Number of levels that cover 64 bits of time.
 const LEVELS: usize = 11;
-/// One tick, in nanoseconds: 1.05 ms. A timer is never early, and late by less than one tick.
-const TICK: u32 = 20;
-const NONE: u32 = u32::MAX;
+/// Binary logarithm of the tick length in nanoseconds: a tick is 2^20 ns, or 1.05 ms. Timers are never early, and late
+/// by less than one tick.
+const TICK_SHIFT: u32 = 20;
+/// Marks the end of a list of nodes.
+const NO_NODE: u32 = u32::MAX;
 
-/// Names a timer. Using one after its timer has gone finds nothing.
+/// Identifies a timer. A handle whose timer has fired or was cancelled refers to nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct TimerHandle {
     index: u32,
@@ -24,70 +26,71 @@
 
 #[derive(Debug, Clone)]
 struct Node<T> {
-    /// In ticks.
-    at: u64,
+    due_tick: u64,
     previous: u32,
     next: u32,
-    slot: u32,
+    slot_index: u32,
     generation: u32,
     value: Option<T>,
 }
 
-/// Timers, each with a value that is given back when it is due.
+/// A set of timers, each with a value that is returned when the timer is due.
 #[derive(Debug, Clone)]
 pub struct TimerWheel<T> {
     nodes: Vec<Node<T>>,
-    free: Vec<u32>,
-    /// The first node of each slot, level by level.
-    heads: Vec<u32>,
-    /// Which slots of a level hold anything.
-    occupied: [u64; LEVELS],
-    /// In ticks.
-    now: u64,
+    free_nodes: Vec<u32>,
+    /// The first node of each slot, grouped by level.
+    slot_heads: Vec<u32>,
+    /// A bit set of the non-empty slots for each level.
+    occupied_slots: [u64; LEVELS],
+    current_tick: u64,
 }
 
 impl<T> TimerWheel<T> {
-    /// A wheel that stands at `now`.
+    /// Returns a wheel without timers whose current time is `now`.
     pub fn new(now: Timestamp) -> TimerWheel<T> {
         TimerWheel {
             nodes: Vec::new(),
-            free: Vec::new(),
-            heads: vec![NONE; LEVELS * SLOTS],
-            occupied: [0; LEVELS],
-            now: now >> TICK,
+            free_nodes: Vec::new(),
+            slot_heads: vec![NO_NODE; LEVELS * SLOTS_PER_LEVEL],
+            occupied_slots: [0; LEVELS],
+            current_tick: now >> TICK_SHIFT,
         }
     }
 
-    /// How many timers there are.
+    /// Returns the number of timers.
     pub fn len(&self) -> usize {
-        self.nodes.len() - self.free.len()
+        self.nodes.len() - self.free_nodes.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no timers.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Adds a timer.
+    /// Adds a timer that is due at `at` and returns its handle.
     ///
     /// # Panics
-    /// Beyond 2^32 - 1 timers.
+    /// If the wheel already has 2^32 - 1 timers.
     pub fn insert(&mut self, at: Timestamp, value: T) -> TimerHandle {
-        let at = ticks(at);
-        let index = match self.free.pop() {
+        let due_tick = ticks_rounded_up(at);
+        let index = match self.free_nodes.pop() {
             Some(index) => {
                 let node = &mut self.nodes[index as usize];
-                node.at = at;
+                node.due_tick = due_tick;
                 node.value = Some(value);
                 index
             }
             None => {
-                assert!(self.nodes.len() < NONE as usize, "too many timers");
+                assert!(
+                    self.nodes.len() < NO_NODE as usize,
+                    "timer wheel is full: expected at most {NO_NODE} timers"
+                );
                 self.nodes.push(Node {
-                    at,
-                    previous: NONE,
-                    next: NONE,
-                    slot: 0,
+                    due_tick,
+                    previous: NO_NODE,
+                    next: NO_NODE,
+                    slot_index: 0,
                     generation: 0,
                     value: Some(value),
                 });
@@ -101,41 +104,45 @@
         }
     }
 
-    /// Moves a timer; says whether it was still there.
+    /// Moves a timer to `at`. Returns `false` if the timer no longer exists.
     pub fn reset(&mut self, handle: TimerHandle, at: Timestamp) -> bool {
-        if !self.holds(handle) {
+        if !self.is_live(handle) {
             return false;
         }
         self.unlink(handle.index);
-        self.nodes[handle.index as usize].at = ticks(at);
+        self.nodes[handle.index as usize].due_tick = ticks_rounded_up(at);
         self.link(handle.index);
         true
     }
 
-    /// Takes a timer out, if it is still there.
+    /// Cancels a timer and returns its value; `None` if the timer no longer exists.
     pub fn cancel(&mut self, handle: TimerHandle) -> Option<T> {
-        if !self.holds(handle) {
+        if !self.is_live(handle) {
             return None;
         }
         self.unlink(handle.index);
         self.release(handle.index)
     }
 
-    /// When to look again at the latest: no timer is due before. None: there is no timer.
+    /// Returns the latest time at which [`TimerWheel::expire`] must be called again: no timer is due before it. `None`
+    /// if there are no timers.
     pub fn next_due(&self) -> Option<Timestamp> {
-        self.next_slot().map(|(_, _, at)| at << TICK)
+        self.next_slot().map(|(_, _, at)| at << TICK_SHIFT)
     }
 
-    /// Turns the wheel and gives all that is due, in the order in which it is, tick by tick.
+    /// Advances the current time to `now` and appends the values of all due timers to `due`, ordered by tick.
     pub fn expire(&mut self, now: Timestamp, due: &mut Vec<T>) {
-        let target = now >> TICK;
-        while let Some((level, slot, at)) = self.next_slot().filter(|(.., at)| *at <= target) {
-            self.now = self.now.max(at);
-            let mut index = std::mem::replace(&mut self.heads[level * SLOTS + slot], NONE);
-            self.occupied[level] &= !(1 << slot);
-            while index != NONE {
+        let target_tick = now >> TICK_SHIFT;
+        while let Some((level, slot, at)) = self.next_slot().filter(|(.., at)| *at <= target_tick) {
+            self.current_tick = self.current_tick.max(at);
+            let mut index = std::mem::replace(
+                &mut self.slot_heads[level * SLOTS_PER_LEVEL + slot],
+                NO_NODE,
+            );
+            self.occupied_slots[level] &= !(1 << slot);
+            while index != NO_NODE {
                 let next = self.nodes[index as usize].next;
-                if self.nodes[index as usize].at <= self.now {
+                if self.nodes[index as usize].due_tick <= self.current_tick {
                     due.extend(self.release(index));
                 } else {
                     self.link(index);
@@ -143,10 +150,10 @@
                 index = next;
             }
         }
-        self.now = self.now.max(target);
+        self.current_tick = self.current_tick.max(target_tick);
     }
 
-    fn holds(&self, handle: TimerHandle) -> bool {
+    fn is_live(&self, handle: TimerHandle) -> bool {
         let node = self.nodes.get(handle.index as usize);
         node.is_some_and(|n| n.generation == handle.generation && n.value.is_some())
     }
@@ -154,66 +161,68 @@
     fn release(&mut self, index: u32) -> Option<T> {
         let node = &mut self.nodes[index as usize];
         node.generation = node.generation.wrapping_add(1);
-        self.free.push(index);
+        self.free_nodes.push(index);
         node.value.take()
     }
 
-    /// The first slot that holds anything, and the tick at which it begins. Levels hold what differs from now in
-    /// higher bits the higher they are, so the lowest level comes first, and there the lowest slot.
+    /// Returns the level and index of the next non-empty slot, and the tick at which it begins. The due times at a
+    /// higher level differ from the current tick in higher bits, so the next slot is the lowest one of the lowest
+    /// non-empty level.
     fn next_slot(&self) -> Option<(usize, usize, u64)> {
-        let level = self.occupied.iter().position(|o| *o != 0)?;
-        let slot = self.occupied[level].trailing_zeros() as usize;
-        let shift = BITS * level as u32;
-        let above = self
-            .now
-            .checked_shr(shift + BITS)
-            .and_then(|n| n.checked_shl(shift + BITS))
+        let level = self.occupied_slots.iter().position(|slots| *slots != 0)?;
+        let slot = self.occupied_slots[level].trailing_zeros() as usize;
+        let shift = BITS_PER_LEVEL * level as u32;
+        let higher_bits = self
+            .current_tick
+            .checked_shr(shift + BITS_PER_LEVEL)
+            .and_then(|n| n.checked_shl(shift + BITS_PER_LEVEL))
             .unwrap_or(0);
-        Some((level, slot, above | ((slot as u64) << shift)))
+        Some((level, slot, higher_bits | ((slot as u64) << shift)))
     }
 
     fn link(&mut self, index: u32) {
-        // One that is due already waits in the present slot.
-        let at = self.nodes[index as usize].at.max(self.now);
-        let level = match at ^ self.now {
+        // A timer that is already due is put into the current slot.
+        let at = self.nodes[index as usize].due_tick.max(self.current_tick);
+        let level = match at ^ self.current_tick {
             0 => 0,
-            differs => (differs.ilog2() / BITS) as usize,
+            difference => (difference.ilog2() / BITS_PER_LEVEL) as usize,
         };
-        let slot = (at >> (BITS * level as u32)) as usize % SLOTS;
-        let place = level * SLOTS + slot;
-        let head = std::mem::replace(&mut self.heads[place], index);
-        if head != NONE {
+        let slot = (at >> (BITS_PER_LEVEL * level as u32)) as usize % SLOTS_PER_LEVEL;
+        let slot_index = level * SLOTS_PER_LEVEL + slot;
+        let head = std::mem::replace(&mut self.slot_heads[slot_index], index);
+        if head != NO_NODE {
             self.nodes[head as usize].previous = index;
         }
         let node = &mut self.nodes[index as usize];
-        node.previous = NONE;
+        node.previous = NO_NODE;
         node.next = head;
-        node.slot = place as u32;
-        self.occupied[level] |= 1 << slot;
+        node.slot_index = slot_index as u32;
+        self.occupied_slots[level] |= 1 << slot;
     }
 
     fn unlink(&mut self, index: u32) {
-        let (previous, next, place) = {
+        let (previous, next, slot_index) = {
             let node = &self.nodes[index as usize];
-            (node.previous, node.next, node.slot as usize)
+            (node.previous, node.next, node.slot_index as usize)
         };
-        if next != NONE {
+        if next != NO_NODE {
             self.nodes[next as usize].previous = previous;
         }
-        if previous != NONE {
+        if previous != NO_NODE {
             self.nodes[previous as usize].next = next;
         } else {
-            self.heads[place] = next;
-            if next == NONE {
-                self.occupied[place / SLOTS] &= !(1 << (place % SLOTS));
+            self.slot_heads[slot_index] = next;
+            if next == NO_NODE {
+                self.occupied_slots[slot_index / SLOTS_PER_LEVEL] &=
+                    !(1 << (slot_index % SLOTS_PER_LEVEL));
             }
         }
     }
 }
 
-/// A time in ticks, rounded up: never early.
-fn ticks(at: Timestamp) -> u64 {
-    (at >> TICK) + u64::from(at & ((1 << TICK) - 1) != 0)
+/// Converts a time to ticks, rounding up so that timers are never early.
+fn ticks_rounded_up(at: Timestamp) -> u64 {
+    (at >> TICK_SHIFT) + u64::from(at & ((1 << TICK_SHIFT) - 1) != 0)
 }
 
 #[cfg(test)]
--- a/crates/service-discovery/src/wheel/tests.rs
+++ b/crates/service-discovery/src/wheel/tests.rs
@@ -1,47 +1,48 @@
-//! The wheel on made-up time, beside a plain ordered map.
+//! Tests the timer wheel on simulated time, also against an ordered map as a reference.
 
 use super::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-const MS: u64 = 1 << TICK;
+const TICK: u64 = 1 << TICK_SHIFT;
 
+/// Guards against a stale handle that cancels or moves another timer, since the nodes of expired timers are reused.
 #[test]
-fn a_handle_of_a_timer_that_has_gone_finds_nothing() {
+fn handle_of_expired_timer_has_no_effect_when_its_node_is_reused() {
     let mut wheel = TimerWheel::new(0);
-    let (a, b) = (wheel.insert(5 * MS, 'a'), wheel.insert(9 * MS, 'b'));
+    let (first, second) = (wheel.insert(5 * TICK, 'a'), wheel.insert(9 * TICK, 'b'));
     let mut due = Vec::new();
-    wheel.expire(5 * MS, &mut due);
+    wheel.expire(5 * TICK, &mut due);
     assert_eq!(
-        (&due[..], wheel.cancel(a), wheel.len()),
+        (&due[..], wheel.cancel(first), wheel.len()),
         (&['a'][..], None, 1)
     );
-    let c = wheel.insert(u64::MAX, 'c');
-    assert!(!wheel.reset(a, MS) && wheel.reset(b, 7 * MS) && a != c);
-    assert_eq!(wheel.next_due(), Some(7 * MS));
+    let third = wheel.insert(u64::MAX, 'c');
+    assert!(!wheel.reset(first, TICK) && wheel.reset(second, 7 * TICK) && first != third);
+    assert_eq!(wheel.next_due(), Some(7 * TICK));
     assert_eq!(
-        (wheel.cancel(b), wheel.cancel(c), wheel.is_empty()),
+        (wheel.cancel(second), wheel.cancel(third), wheel.is_empty()),
         (Some('b'), Some('c'), true)
     );
     assert_eq!(wheel.next_due(), None);
 }
 
 #[derive(Debug, Clone)]
-enum Op {
+enum Operation {
     Insert(u64),
     Reset(usize, u64),
     Cancel(usize),
-    Turn(u64),
+    Advance(u64),
 }
 
-fn op() -> impl Strategy<Value = Op> {
-    // Times from a tick to centuries, so that all levels are used.
+fn operation() -> impl Strategy<Value = Operation> {
+    // Spans from less than a tick to 73 years, so that timers are spread over many levels.
     let span = || (0u32..62).prop_flat_map(|bits| 0..(1u64 << bits));
     prop_oneof![
-        4 => span().prop_map(Op::Insert),
-        2 => (any::<usize>(), span()).prop_map(|(i, s)| Op::Reset(i, s)),
-        1 => any::<usize>().prop_map(Op::Cancel),
-        3 => span().prop_map(Op::Turn),
+        4 => span().prop_map(Operation::Insert),
+        2 => (any::<usize>(), span()).prop_map(|(index, span)| Operation::Reset(index, span)),
+        1 => any::<usize>().prop_map(Operation::Cancel),
+        3 => span().prop_map(Operation::Advance),
     ]
 }
 
@@ -53,44 +54,46 @@
         ..ProptestConfig::default()
     })]
 
-    /// The same as a map that is searched through: what is due, when, and when to look again.
+    /// Guards against timers that are lost, early or late: the due timers and the next due time must be those of a
+    /// reference that searches an ordered map.
     #[test]
-    fn it_gives_what_a_plain_map_gives(ops in proptest::collection::vec(op(), 1..80)) {
+    fn wheel_expires_the_same_timers_as_an_ordered_map(operations in proptest::collection::vec(operation(), 1..80)) {
         let (mut now, mut wheel) = (1u64 << 40, TimerWheel::new(1 << 40));
-        let mut plain: BTreeMap<u64, (u64, TimerHandle)> = BTreeMap::new();
-        for (id, op) in ops.into_iter().enumerate() {
-            let nth = |i: usize| plain.keys().nth(i % plain.len().max(1)).copied();
-            match op {
-                Op::Insert(span) => {
+        let mut reference: BTreeMap<u64, (u64, TimerHandle)> = BTreeMap::new();
+        for (id, operation) in operations.into_iter().enumerate() {
+            let nth = |index: usize| reference.keys().nth(index % reference.len().max(1)).copied();
+            match operation {
+                Operation::Insert(span) => {
                     let at = now.saturating_add(span);
-                    plain.insert(id as u64, (at, wheel.insert(at, id as u64)));
+                    reference.insert(id as u64, (at, wheel.insert(at, id as u64)));
                 }
-                Op::Reset(i, span) => if let Some(key) = nth(i) {
-                    let (_, handle) = plain[&key];
+                Operation::Reset(index, span) => if let Some(key) = nth(index) {
+                    let (_, handle) = reference[&key];
                     let at = now.saturating_add(span);
                     prop_assert!(wheel.reset(handle, at));
-                    plain.insert(key, (at, handle));
+                    reference.insert(key, (at, handle));
                 },
-                Op::Cancel(i) => if let Some(key) = nth(i) {
-                    let handle = plain.remove(&key).unwrap().1;
+                Operation::Cancel(index) => if let Some(key) = nth(index) {
+                    let handle = reference.remove(&key).unwrap().1;
                     prop_assert_eq!(wheel.cancel(handle), Some(key));
                 },
-                Op::Turn(span) => {
+                Operation::Advance(span) => {
                     now = now.saturating_add(span);
                     let mut due = Vec::new();
                     wheel.expire(now, &mut due);
                     due.sort_unstable();
-                    let is_due = |(at, _): &(u64, TimerHandle)| ticks(*at) <= now >> TICK;
-                    let wanted: Vec<u64> = plain.iter().filter(|(_, p)| is_due(p)).map(|(k, _)| *k).collect();
-                    plain.retain(|_, p| !is_due(p));
-                    prop_assert_eq!(due, wanted);
+                    let is_due = |(at, _): &(u64, TimerHandle)| ticks_rounded_up(*at) <= now >> TICK_SHIFT;
+                    let expected: Vec<u64> =
+                        reference.iter().filter(|(_, timer)| is_due(timer)).map(|(key, _)| *key).collect();
+                    reference.retain(|_, timer| !is_due(timer));
+                    prop_assert_eq!(due, expected);
                 }
             }
-            prop_assert_eq!(wheel.len(), plain.len());
-            let first = plain.values().map(|p| ticks(p.0)).min();
+            prop_assert_eq!(wheel.len(), reference.len());
+            let first = reference.values().map(|timer| ticks_rounded_up(timer.0)).min();
             match (wheel.next_due(), first) {
-                (Some(look), Some(first)) => prop_assert!(look >> TICK <= first.max(now >> TICK)),
-                (look, first) => prop_assert_eq!(look.is_none(), first.is_none()),
+                (Some(next_due), Some(first)) => prop_assert!(next_due >> TICK_SHIFT <= first.max(now >> TICK_SHIFT)),
+                (next_due, first) => prop_assert_eq!(next_due.is_none(), first.is_none()),
             }
         }
     }
