--- a/crates/service-discovery/src/lib.rs
+++ b/crates/service-discovery/src/lib.rs
@@ -1,9 +1,10 @@
-//! Service discovery without I/O: the endpoint list's watch, the DNS-SD browser, and the merge of several sources into
-//! one list. Claims of the sources, the endpoints' heartbeats and the time come in as arguments, changes of the list
-//! come out.
+//! Service discovery without I/O: the watch of the endpoint list, the DNS-SD browser, and the registry that merges
+//! several sources into one endpoint list. The caller passes in the claims of the sources, the endpoints' heartbeats
+//! and the time, and receives the changes of the merged list.
 //!
 //! ```
 //! use reelrill_service_discovery::{Claim, EndpointRegistry, RegistryInput, RegistrySettings, SourceKind};
+//!
 //! let mut endpoints = EndpointRegistry::new(RegistrySettings::default(), 0);
 //! endpoints.handle(0, RegistryInput::SourceAdded { source: 0, kind: SourceKind::EndpointList }, &mut Vec::new());
 //! let claim = Claim::new("s-1", "127.0.0.1:7001".parse().unwrap(), 1);
@@ -12,7 +13,8 @@
 //! assert_eq!(changes[0].endpoint(), "s-1");
 //! ```
 //!
-//! The rules ([`ListingRule`] names the one that decided) are written out in `docs/design/membership.md`.
+//! `docs/design/membership.md` lists the merge rules; [`ListingRule`] identifies the rule that decided about an
+//! endpoint.
 #![forbid(unsafe_code)]
 
 pub mod browse;
