--- a/crates/service-discovery/src/watch.rs
+++ b/crates/service-discovery/src/watch.rs
@@ -1,63 +1,67 @@
-//! The long polls that keep one endpoint list up to date, without I/O.
+//! Schedules the long polls that keep one endpoint list up to date, without I/O.
 //!
 //! [`ListWatch`] decides how long each poll may wait at the discovery service, when the absence of a response is a
-//! failure, and what follows each outcome. It owns the known version of the list and whether the watch is open. It
-//! never sends anything: its host sends each [`PollRequest`] and reports how it ended.
+//! failure, and what follows each outcome. It owns the known version of the list and whether the watch is open. The
+//! caller sends each [`PollRequest`] and reports its outcome.
 //!
-//! The durations keep every way in which a change can be delayed within the time by which it counts as notified;
+//! The durations are chosen so that a change is received before it counts as notified, however it is delayed;
 //! `docs/design/edges.md` has the table.
 
 use reelrill_routing::{Nanos, Timestamp};
 
 const MILLISECOND: Nanos = 1_000_000;
 
-/// A change counts as notified this long after the service had it and could be reached, or after a watch fell silent.
+/// The time after which a change counts as notified, measured from when the service had the change and was reachable,
+/// or from when a watch stopped receiving responses.
 pub const NOTIFICATION_DEADLINE: Nanos = 6000 * MILLISECOND;
-/// A change also counts as notified this long after the wait of the poll in progress has ended, if that is later.
+/// The time after the end of the wait of the poll in progress at which a change counts as notified, if that is later.
 pub const NOTIFICATION_GRACE_AFTER_WAIT: Nanos = 2000 * MILLISECOND;
-/// Wait of the first poll of a watch. Short, since the poll may also queue at the service.
+/// The wait of the first poll of a watch. It is short because the poll may also queue at the service.
 pub const INITIAL_WAIT: Nanos = 1000 * MILLISECOND;
-/// Wait of the further polls of a watch. A silent service is noticed only after it.
+/// The wait of the further polls of a watch. An unresponsive service is detected only after this time.
 pub const LONG_POLL_WAIT: Nanos = 3000 * MILLISECOND;
-/// Wait of a poll while the service is busy, when each poll is work for it. A silent service is then noticed later,
-/// though still in time.
+/// The wait of a poll while the service is busy, longer because each poll adds to the service's load. An unresponsive
+/// service is then detected later, but still in time.
 pub const BUSY_LONG_POLL_WAIT: Nanos = 8000 * MILLISECOND;
-/// How long a service counts as busy after it has rejected a poll.
+/// The time for which a service counts as busy after it has rejected a poll.
 pub const BUSY_PERIOD: Nanos = 20_000 * MILLISECOND;
-/// How long a poll may queue at a busy service, beyond its own wait. The service rejects a poll that has queued for
-/// 2 s; one that is repeated while it still queues is served twice, the first time for nobody.
+/// The time that a poll may queue at a busy service, in addition to its own wait. The service rejects a poll that has
+/// queued for 2 s. A poll that is repeated while it is still queued is processed twice, and the first response is
+/// wasted.
 pub const QUEUE_ALLOWANCE: Nanos = 2000 * MILLISECOND;
-/// How late a response may be, beyond all waits.
+/// The time by which a response may be late, in addition to all waits.
 pub const RESPONSE_GRACE: Nanos = 500 * MILLISECOND;
-/// A connection that is not established by then has failed.
+/// The time after which a connection attempt to a shared service has failed.
 pub const CONNECT_TIMEOUT: Nanos = 1200 * MILLISECOND;
-/// Delay after a poll that was answered early without changes. The service takes a poll that arrives within 200 ms
-/// for the same watch's next one.
+/// The delay before the next poll after an early response without changes. The service treats a poll that arrives
+/// within 200 ms as a continuation of the same watch.
 pub const EMPTY_RESPONSE_DELAY: Nanos = 100 * MILLISECOND;
 
-/// Wait of a poll at a local agent. Polls cost it nothing, and its silence is noticed only after the wait.
+/// The wait of a poll at a local agent. It is short because polls cost the agent nothing and an unresponsive agent is
+/// detected only after the wait.
 pub const LOCAL_LONG_POLL_WAIT: Nanos = 250 * MILLISECOND;
-/// Wait of the polls that open a watch of a local agent, also while the agent is silent: what it holds counts as
-/// notified from the moment at which it can be reached again.
+/// The wait of the polls that open a watch of a local agent, also while the agent does not respond. It is short because
+/// the agent's changes count as notified from the moment at which the agent is reachable again.
 pub const LOCAL_INITIAL_WAIT: Nanos = 40 * MILLISECOND;
-/// How late a local agent's response may be, beyond the wait; also the connect timeout.
+/// The time by which a local agent's response may be late, in addition to the wait. Also the connect timeout.
 pub const LOCAL_RESPONSE_GRACE: Nanos = 60 * MILLISECOND;
-/// Delay before a local agent is polled again after a poll that failed.
+/// The delay before a local agent is polled again after a failed poll.
 pub const LOCAL_RETRY_DELAY: Nanos = 50 * MILLISECOND;
-/// How long the rest of a local agent's response may take, after its beginning was due.
+/// The time that the rest of a local agent's response may take after its beginning was due.
 pub const LOCAL_BODY_TIMEOUT: Nanos = 1000 * MILLISECOND;
 
-// A watch whose poll has fallen silent is open again, after one further poll, before what it missed counts as notified.
+// A watch whose poll received no response is open again, after one further poll, before a missed change counts as
+// notified.
 const _: () = assert!(LONG_POLL_WAIT + 2 * RESPONSE_GRACE < NOTIFICATION_DEADLINE);
 const _: () = assert!(2 * RESPONSE_GRACE < NOTIFICATION_GRACE_AFTER_WAIT);
 const _: () = assert!(BUSY_LONG_POLL_WAIT > NOTIFICATION_DEADLINE);
-// So is one whose first poll fell silent, also if a connection that is not established is in between.
+// The same holds if the first poll received no response, even if a failed connection attempt follows.
 const _: () = assert!(
     INITIAL_WAIT + QUEUE_ALLOWANCE + RESPONSE_GRACE + CONNECT_TIMEOUT + RESPONSE_GRACE
         < NOTIFICATION_DEADLINE
 );
-// A silent local agent is polled so often that the shortest usual drain grace, 250 ms, is kept when it returns, with
-// 150 ms for which the process may be held up.
+// An unresponsive local agent is polled often enough to meet the shortest usual drain grace of 250 ms when it returns,
+// with a reserve of 150 ms for delays of this process.
 const _: () = assert!(LOCAL_INITIAL_WAIT + LOCAL_RESPONSE_GRACE <= 100 * MILLISECOND);
 const _: () = assert!(LOCAL_RESPONSE_GRACE + LOCAL_RETRY_DELAY <= 110 * MILLISECOND);
 const _: () = assert!(
@@ -65,66 +69,66 @@
         < NOTIFICATION_DEADLINE
 );
 
-/// Who serves the list.
+/// The kind of service that provides the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListService {
-    /// One service for all routers. Each poll is work for it, so the balancer decides when a failed one is repeated.
+    /// One service for all routers. Each poll adds to its load, so the balancer decides when a failed poll is repeated.
     Shared,
-    /// An agent on this machine, to which changes are pushed. What it holds counts as notified whether or not it is
-    /// watched, so it is polled from the start on, and at once after each poll that failed.
+    /// An agent on this machine to which changes are pushed. Its changes count as notified whether or not it is
+    /// watched, so it is polled from the start and again shortly after each failed poll.
     LocalAgent,
 }
 
-/// What the watch's host asks for.
+/// The part of the list that the caller requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListRequest {
-    /// Changes, from now on.
+    /// The changes from now on.
     Changes,
     /// The complete list, once.
     Snapshot,
 }
 
-/// The part of a long poll that waits: for a list newer than the known one.
+/// The parameters of a poll that waits for a newer list version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LongPoll {
-    /// The known version.
+    /// The known list version.
     pub version: u64,
-    /// How long the poll may wait for a newer one, in nanoseconds.
+    /// The time for which the service may wait for a newer version before it responds, in nanoseconds.
     pub wait: Nanos,
 }
 
 /// One poll of the service. All timeouts are in nanoseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PollRequest {
-    /// What the poll waits for; none: it asks for the complete list.
+    /// The version to wait for; `None` requests the complete list at once.
     pub long_poll: Option<LongPoll>,
-    /// No response having begun is a failure by then, counted from the sending.
+    /// The time from sending by which a response must have begun.
     pub response_timeout: Nanos,
-    /// A response that has begun and is incomplete is a failure by then, counted from the sending.
+    /// The time from sending by which the response must be complete.
     pub body_timeout: Nanos,
-    /// A connection that is not established by then has failed.
+    /// The time within which a connection must be established.
     pub connect_timeout: Nanos,
 }
 
-/// How a poll ended.
+/// The outcome of a poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PollOutcome {
-    /// With a list.
+    /// The service returned a list.
     Updated {
         /// The list's version.
         version: u64,
-        /// The list had entries.
+        /// Whether the list had entries.
         has_changes: bool,
     },
     /// The connection stayed open without a response in time.
     TimedOut,
-    /// Rejected: it queued too long, or the service is full or down.
+    /// The service rejected the poll: it queued too long, or the service is overloaded or down.
     Rejected,
-    /// The connection broke, or the response held no list.
+    /// The connection failed, or the response contained no list.
     Failed,
 }
 
-/// What follows a poll.
+/// The next step after a poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
     /// Another poll.
@@ -133,16 +137,16 @@
         request: PollRequest,
         /// The delay before it, in nanoseconds.
         delay: Nanos,
-        /// The outcome is not reported to the balancer: the watch is only opened anew.
+        /// Whether the outcome is withheld from the balancer because the watch is merely reopened.
         should_suppress_report: bool,
     },
-    /// The failure is reported, and the balancer decides when to ask again.
+    /// The failure is reported to the balancer, which decides when to request the list again.
     Idle,
 }
 
-/// The state of the watch of one list.
+/// The state of the watch of one endpoint list.
 ///
-/// Invariant: `is_open` only while the latest poll was answered with a list, whose version is then `version`.
+/// Invariant: while `is_open` is set, the latest poll returned a list, and `version` is the version of that list.
 #[derive(Debug)]
 pub struct ListWatch {
     service: ListService,
@@ -156,7 +160,7 @@
 }
 
 impl ListWatch {
-    /// A closed watch of a list at `service`, known in this version, if at all.
+    /// Returns a closed watch of a list at `service`; `version` is the known list version, if any.
     pub fn new(service: ListService, version: Option<u64>) -> ListWatch {
         ListWatch {
             service,
@@ -168,7 +172,7 @@
         }
     }
 
-    /// The poll that is made at the start without being requested.
+    /// Returns the poll to send at the start without a request; `None` if there is none.
     pub fn initial_poll(&mut self, now: Timestamp) -> Option<PollRequest> {
         match self.service {
             ListService::LocalAgent => Some(self.request(now, ListRequest::Changes)),
@@ -176,19 +180,19 @@
         }
     }
 
-    /// Polls follow one another without being requested.
+    /// Returns whether the watch is open, that is, whether each poll is followed by another one without a request.
     pub fn is_open(&self) -> bool {
         self.is_open
     }
 
-    /// The service was replaced by another one, where versions of the old one mean nothing.
+    /// Resets the watch after the service was replaced, since the versions of the old service are meaningless there.
     pub fn on_service_replaced(&mut self) {
         self.version = None;
         self.is_open = false;
         self.busy_until = 0;
     }
 
-    /// The first poll of a watch, for what is requested.
+    /// Returns the first poll of a watch for the given request.
     pub fn request(&mut self, now: Timestamp, request: ListRequest) -> PollRequest {
         match self.service {
             ListService::Shared => self.poll_shared(now, request, INITIAL_WAIT, QUEUE_ALLOWANCE),
@@ -196,7 +200,7 @@
         }
     }
 
-    /// Records that a poll ended at `now`, and says what follows.
+    /// Records the outcome of a poll that ended at `now`, and returns the next step.
     pub fn complete_poll(&mut self, now: Timestamp, outcome: PollOutcome) -> NextStep {
         let was_open = std::mem::replace(&mut self.is_open, false);
         match outcome {
@@ -212,7 +216,7 @@
     fn after_update(&mut self, now: Timestamp, version: u64, has_changes: bool) -> NextStep {
         self.version = Some(version);
         self.is_open = true;
-        // Polls that follow an early empty response at once would keep both sides busy for nothing.
+        // Polling again at once after an early empty response would waste work on both sides.
         let elapsed = now.saturating_sub(self.poll_started_at);
         let is_early = !has_changes && elapsed < self.poll_wait / 2;
         let delay = if is_early { EMPTY_RESPONSE_DELAY } else { 0 };
@@ -223,13 +227,13 @@
         }
     }
 
-    /// A silent service is polled at once, on a new connection: there is no time for a random delay, and the polls of
-    /// different routers are out of step anyway.
+    /// Polls an unresponsive service again at once on a new connection. There is no time for a random delay, and the
+    /// polls of different routers are not synchronized anyway.
     fn after_timeout(&mut self, now: Timestamp, was_open: bool) -> NextStep {
         let should_suppress_report = match self.service {
-            // The first silence of an open watch is no failure yet.
+            // The first timeout of an open watch is not a failure yet.
             ListService::Shared => was_open,
-            // An agent that can't be reached learns nothing meanwhile: there is nothing to report.
+            // An agent that cannot be reached receives no changes, so there is nothing to report.
             ListService::LocalAgent => true,
         };
         NextStep::Poll {
@@ -255,7 +259,7 @@
         }
     }
 
-    /// A further poll of an open watch.
+    /// Returns the next poll of an open watch.
     fn continue_watch(&mut self, now: Timestamp) -> PollRequest {
         let request = ListRequest::Changes;
         match self.service {
@@ -271,21 +275,21 @@
         wait: Nanos,
         queue_allowance: Nanos,
     ) -> PollRequest {
-        // One poll less for a busy service: the first one is the watch already.
+        // At a busy service the first poll already has the full wait, which saves one poll.
         let (wait, queue_allowance) = if now < self.busy_until {
             (BUSY_LONG_POLL_WAIT, 0)
         } else {
             (wait, queue_allowance)
         };
-        let since = self.begin_poll(now, request, wait);
-        // The complete list waits for nothing but the queue.
-        let longest_wait = match since {
+        let long_poll = self.begin_poll(now, request, wait);
+        // A poll for the complete list waits only in the queue.
+        let longest_wait = match long_poll {
             Some(_) => wait + queue_allowance,
             None => QUEUE_ALLOWANCE,
         };
         let response_timeout = longest_wait + RESPONSE_GRACE;
         PollRequest {
-            long_poll: since,
+            long_poll,
             response_timeout,
             body_timeout: response_timeout,
             connect_timeout: CONNECT_TIMEOUT,
@@ -293,18 +297,18 @@
     }
 
     fn poll_local(&mut self, now: Timestamp, request: ListRequest, wait: Nanos) -> PollRequest {
-        let since = self.begin_poll(now, request, wait);
-        let longest_wait = since.map_or(LOCAL_INITIAL_WAIT, |since| since.wait);
+        let long_poll = self.begin_poll(now, request, wait);
+        let longest_wait = long_poll.map_or(LOCAL_INITIAL_WAIT, |long_poll| long_poll.wait);
         let response_timeout = longest_wait + LOCAL_RESPONSE_GRACE;
         PollRequest {
-            long_poll: since,
+            long_poll,
             response_timeout,
             body_timeout: response_timeout + LOCAL_BODY_TIMEOUT,
             connect_timeout: LOCAL_RESPONSE_GRACE,
         }
     }
 
-    /// Records the beginning of a poll, and says what it waits for.
+    /// Records the start of a poll, and returns its long-poll parameters if it waits for changes.
     fn begin_poll(
         &mut self,
         now: Timestamp,
@@ -312,9 +316,9 @@
         wait: Nanos,
     ) -> Option<LongPoll> {
         let version = self.version.filter(|_| request == ListRequest::Changes);
-        let since = version.map(|version| LongPoll { version, wait });
+        let long_poll = version.map(|version| LongPoll { version, wait });
         self.poll_started_at = now;
-        self.poll_wait = since.map_or(0, |since| since.wait);
-        since
+        self.poll_wait = long_poll.map_or(0, |long_poll| long_poll.wait);
+        long_poll
     }
 }
