--- a/crates/service-discovery/tests/watch.rs
+++ b/crates/service-discovery/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The deadlines by which a change of the list counts as notified, on a simulated clock.
+//! Tests on simulated time that the list watch meets the deadlines at which a change counts as notified.
 
 use reelrill_routing::Timestamp;
 use reelrill_service_discovery::watch::{
@@ -10,7 +10,8 @@
 
 const MILLISECOND: Timestamp = 1_000_000;
 
-fn open(version: u64) -> (ListWatch, PollRequest) {
+/// Returns an open watch of a shared service, and its poll in progress.
+fn open_watch(version: u64) -> (ListWatch, PollRequest) {
     let mut watch = ListWatch::new(ListService::Shared, Some(version));
     watch.request(0, ListRequest::Changes);
     let NextStep::Poll { request, .. } = watch.complete_poll(
@@ -20,42 +21,42 @@
             has_changes: true,
         },
     ) else {
-        panic!()
+        panic!("expected another poll")
     };
     (watch, request)
 }
 
-/// Guards the clock of a silent watch: whenever in its wait it falls silent, it is open again before what it misses
-/// counts as told, also if the new call takes half a second.
+/// Guards against changes missed by a watch whose service stops responding at any time during the wait: the watch must
+/// be open again before they count as notified, even if the next poll takes half a second.
 #[test]
-fn a_silent_watch_is_reopened_before_missed_changes_count_as_notified() {
-    let (_, request) = open(7);
-    let wait = request.long_poll.expect("a watch").wait;
-    for silent_at in (0..wait).step_by(50_000_000) {
-        let (mut watch, request) = open(7);
+fn reopens_before_missed_changes_count_as_notified_when_service_stops_responding() {
+    let (_, request) = open_watch(7);
+    let wait = request.long_poll.expect("expected a long poll").wait;
+    for unresponsive_since in (0..wait).step_by(50_000_000) {
+        let (mut watch, request) = open_watch(7);
         let notified_by =
-            (silent_at + NOTIFICATION_DEADLINE).max(wait + NOTIFICATION_GRACE_AFTER_WAIT);
+            (unresponsive_since + NOTIFICATION_DEADLINE).max(wait + NOTIFICATION_GRACE_AFTER_WAIT);
         let NextStep::Poll {
             request: next,
             delay,
             should_suppress_report: true,
         } = watch.complete_poll(request.response_timeout, PollOutcome::TimedOut)
         else {
-            panic!("it is not opened anew")
+            panic!("expected an unreported poll that reopens the watch")
         };
-        assert_eq!(next.long_poll.map(|since| since.version), Some(7));
+        assert_eq!(next.long_poll.map(|long_poll| long_poll.version), Some(7));
         assert!(
             request.response_timeout + delay + RESPONSE_GRACE < notified_by,
-            "silent at {silent_at}"
+            "unresponsive since {unresponsive_since}"
         );
     }
 }
 
-/// Guards a service that stays silent: the second silence in a row is told, and called anew all the same; a call that
-/// falls silent is made again before its news count as told.
+/// Guards against a watch that ends, or failures that stay unreported, while the service remains unresponsive: from the
+/// second timeout in a row on, each is reported and polled again before a missed change counts as notified.
 #[test]
-fn a_second_timeout_in_a_row_is_reported_and_polled_again() {
-    let (mut watch, request) = open(7);
+fn reports_and_polls_again_when_polls_time_out_in_a_row() {
+    let (mut watch, request) = open_watch(7);
     let mut now = request.response_timeout;
     assert!(matches!(
         watch.complete_poll(now, PollOutcome::TimedOut),
@@ -71,7 +72,7 @@
             should_suppress_report: false,
         } = watch.complete_poll(now, PollOutcome::TimedOut)
         else {
-            panic!()
+            panic!("expected another poll")
         };
         assert!(request.response_timeout + RESPONSE_GRACE < NOTIFICATION_DEADLINE);
         assert!(!watch.is_open());
@@ -79,45 +80,47 @@
     }
 }
 
-/// Guards a busy service: a call that may still wait for its turn there is not given up.
+/// Guards against abandoning a first poll while it may still be queued at a busy service, which would have to process
+/// it twice.
 #[rstest]
 #[case(Some(7), ListRequest::Changes)]
 #[case(Some(7), ListRequest::Snapshot)]
 #[case(None, ListRequest::Changes)]
-fn a_first_poll_may_queue_at_a_busy_service(
+fn first_poll_timeout_covers_the_queue_of_a_busy_service(
     #[case] version: Option<u64>,
-    #[case] wanted: ListRequest,
+    #[case] requested: ListRequest,
 ) {
-    let request = ListWatch::new(ListService::Shared, version).request(0, wanted);
-    let waits = request.long_poll.map_or(0, |since| since.wait);
+    let request = ListWatch::new(ListService::Shared, version).request(0, requested);
+    let wait = request.long_poll.map_or(0, |long_poll| long_poll.wait);
     assert!(
-        request.response_timeout > waits + 2000 * MILLISECOND
+        request.response_timeout > wait + 2000 * MILLISECOND
             && request.response_timeout < NOTIFICATION_DEADLINE - 2000 * MILLISECOND,
         "{request:?}"
     );
     assert_eq!(
         request.long_poll.is_some(),
-        version.is_some() && wanted == ListRequest::Changes
+        version.is_some() && requested == ListRequest::Changes
     );
 }
 
-/// Guards a busy service against calls that only wait: for a while after it has turned one away there are as few as
-/// keep the clock of silence, and the first call is the watch already.
+/// Guards a busy service against needless polls: for a while after a rejection the polls are as rare as the
+/// notification deadline allows, and the first poll already has the long wait.
 #[test]
-fn a_service_that_rejected_a_poll_gets_fewer_polls() {
-    let (mut watch, usual) = open(7);
+fn polls_less_often_after_a_rejection() {
+    let (mut watch, usual) = open_watch(7);
     assert_eq!(
         watch.complete_poll(MILLISECOND, PollOutcome::Rejected),
         NextStep::Idle
     );
     let request = watch.request(2 * MILLISECOND, ListRequest::Changes);
-    let wait = request.long_poll.expect("a watch").wait;
-    assert!(wait > 2 * usual.long_poll.expect("a watch").wait);
-    for silent_at in (0..wait).step_by(50_000_000) {
+    let wait = request.long_poll.expect("expected a long poll").wait;
+    assert!(wait > 2 * usual.long_poll.expect("expected a long poll").wait);
+    for unresponsive_since in (0..wait).step_by(50_000_000) {
         assert!(
             request.response_timeout + RESPONSE_GRACE
-                < (silent_at + NOTIFICATION_DEADLINE).max(wait + NOTIFICATION_GRACE_AFTER_WAIT),
-            "silent at {silent_at}"
+                < (unresponsive_since + NOTIFICATION_DEADLINE)
+                    .max(wait + NOTIFICATION_GRACE_AFTER_WAIT),
+            "unresponsive since {unresponsive_since}"
         );
     }
     let NextStep::Poll { request, .. } = watch.complete_poll(
@@ -127,17 +130,17 @@
             has_changes: false,
         },
     ) else {
-        panic!("an answer ended the watch")
+        panic!("expected another poll after a response")
     };
     assert_eq!(request, usual);
 }
 
-/// Guards both sides against a service that answers at once without changes, and the watch against a pause that makes
-/// it a new one.
+/// Guards against a busy loop when the service responds at once without changes, and against a delay so long that the
+/// service treats the next poll as a new watch.
 #[test]
-fn an_early_response_without_changes_is_followed_after_a_delay() {
-    let (_, request) = open(7);
-    let delay_after = |now, has_changes| match open(7).0.complete_poll(
+fn delays_next_poll_after_early_response_without_changes() {
+    let (_, request) = open_watch(7);
+    let delay_after = |now, has_changes| match open_watch(7).0.complete_poll(
         now,
         PollOutcome::Updated {
             version: 7,
@@ -145,25 +148,25 @@
         },
     ) {
         NextStep::Poll { delay, .. } => delay,
-        NextStep::Idle => panic!("an answer ended the watch"),
+        NextStep::Idle => panic!("expected another poll after a response"),
     };
     assert_eq!(delay_after(10 * MILLISECOND, false), 100 * MILLISECOND);
     assert_eq!(delay_after(10 * MILLISECOND, true), 0);
     assert_eq!(delay_after(request.long_poll.unwrap().wait, false), 0);
 }
 
-/// Guards against versions of another service: after a move the whole list is asked for.
+/// Guards against waiting for a version of the previous service, which is meaningless at its replacement.
 #[test]
-fn after_the_service_is_replaced_a_snapshot_is_requested() {
-    let (mut watch, _) = open(7);
+fn requests_complete_list_after_service_is_replaced() {
+    let (mut watch, _) = open_watch(7);
     watch.on_service_replaced();
     assert_eq!(watch.request(0, ListRequest::Changes).long_poll, None);
 }
 
-/// Guards the owner's own rule for failures: what breaks is told at once.
+/// Guards against a watch that hides a failed poll: the balancer must receive the failure at once.
 #[test]
-fn a_failed_poll_is_reported_and_ends_the_watch() {
-    let (mut watch, _) = open(7);
+fn reports_failure_and_closes_watch_when_poll_fails() {
+    let (mut watch, _) = open_watch(7);
     assert_eq!(
         watch.complete_poll(MILLISECOND, PollOutcome::Failed),
         NextStep::Idle
@@ -171,9 +174,10 @@
     assert!(!watch.is_open());
 }
 
-fn open_at_agent(version: u64) -> (ListWatch, PollRequest) {
+/// Returns an open watch of a local agent, and its poll in progress.
+fn open_agent_watch(version: u64) -> (ListWatch, PollRequest) {
     let mut watch = ListWatch::new(ListService::LocalAgent, Some(version));
-    watch.initial_poll(0).expect("a call at the start");
+    watch.initial_poll(0).expect("expected an initial poll");
     let NextStep::Poll { request, .. } = watch.complete_poll(
         0,
         PollOutcome::Updated {
@@ -181,19 +185,23 @@
             has_changes: true,
         },
     ) else {
-        panic!()
+        panic!("expected another poll")
     };
     (watch, request)
 }
 
-/// A local agent is called at the start without being asked for; a service of all routers is not.
+/// Guards against a router that starts without a watch of its local agent, and against unrequested polls that add to
+/// the load of a shared service.
 #[test]
-fn only_a_local_agent_is_polled_at_the_start() {
+fn only_a_local_agent_is_polled_at_start() {
     for version in [None, Some(7)] {
         let request = ListWatch::new(ListService::LocalAgent, version)
             .initial_poll(0)
-            .expect("a call");
-        assert_eq!(request.long_poll.map(|since| since.version), version);
+            .expect("expected an initial poll");
+        assert_eq!(
+            request.long_poll.map(|long_poll| long_poll.version),
+            version
+        );
         assert_eq!(
             ListWatch::new(ListService::Shared, version).initial_poll(0),
             None
@@ -201,16 +209,14 @@
     }
 }
 
-/// A call that fails at a local agent, in whatever way, is followed by another within 0.1 s, without being asked for,
-/// and never for the whole list again.
+/// Guards against a watch of a local agent that ends after a failed poll, is resumed too late, or requests the complete
+/// list again: the next poll must follow within 0.1 s without a request.
 #[rstest]
 #[case(PollOutcome::Failed)]
 #[case(PollOutcome::Rejected)]
 #[case(PollOutcome::TimedOut)]
-fn a_local_agent_is_polled_for_changes_within_a_tenth_of_a_second_of_any_failure(
-    #[case] outcome: PollOutcome,
-) {
-    let (mut watch, request) = open_at_agent(7);
+fn polls_local_agent_for_changes_within_100_ms_after_any_failure(#[case] outcome: PollOutcome) {
+    let (mut watch, request) = open_agent_watch(7);
     assert_eq!(
         request.long_poll,
         Some(LongPoll {
@@ -221,29 +227,33 @@
     let mut now = request.response_timeout;
     for _ in 0..100 {
         let NextStep::Poll { request, delay, .. } = watch.complete_poll(now, outcome) else {
-            panic!("it rests")
+            panic!("expected another poll after {outcome:?}")
         };
         assert!(
             delay <= LOCAL_RETRY_DELAY
                 && request.response_timeout <= 100 * MILLISECOND
                 && request.connect_timeout <= LOCAL_RESPONSE_GRACE
         );
-        assert_eq!(request.long_poll.map(|since| since.version), Some(7));
+        assert_eq!(
+            request.long_poll.map(|long_poll| long_poll.version),
+            Some(7)
+        );
         now += delay + request.response_timeout;
     }
 }
 
-/// A watch of a local agent that falls silent is open again long before what it misses counts as told.
+/// Guards against changes missed while a local agent does not respond: the watch must be open again long before they
+/// count as notified.
 #[test]
-fn a_silent_watch_of_a_local_agent_is_reopened_within_half_a_second() {
-    let (mut watch, request) = open_at_agent(7);
+fn reopens_within_500_ms_when_local_agent_stops_responding() {
+    let (mut watch, request) = open_agent_watch(7);
     let NextStep::Poll {
         request: next,
         delay: 0,
         ..
     } = watch.complete_poll(request.response_timeout, PollOutcome::TimedOut)
     else {
-        panic!()
+        panic!("expected another poll")
     };
     assert!(
         request.response_timeout + next.connect_timeout + next.response_timeout < 500 * MILLISECOND
