--- a/crates/service-discovery/src/browse/claims.rs
+++ b/crates/service-discovery/src/browse/claims.rs
@@ -1,4 +1,4 @@
-//! Converting resource records into claims: SRV, TXT and address records of an endpoint become one [`Claim`].
+//! Converts the SRV, TXT and address records of an endpoint into one [`Claim`].
 
 use super::types::BrowserOutput;
 use super::{Browser, RecordKey};
@@ -9,13 +9,13 @@
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 
-/// The weight in an SRV record that counts as the usual capacity.
+/// The weight in an SRV record that stands for the usual capacity.
 const USUAL_WEIGHT: f64 = 100.0;
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
-/// The version of a TXT record's pairs that is understood (RFC 6763, 6.7).
+/// The supported version of the pairs in a TXT record (RFC 6763, 6.7).
 const TXT_VERSION: &str = "1";
 
-/// What an SRV record states.
+/// The contents of an SRV record.
 pub(super) struct ServiceTarget {
     pub(super) host: Name,
     port: u16,
@@ -23,14 +23,14 @@
     priority: u16,
 }
 
-/// An endpoint's name, as the registry knows it: DNS names are the same in upper and lower case.
+/// Returns the name of an endpoint for the registry, in lower case since DNS names are case-insensitive.
 fn registry_name(endpoint: &Name) -> Arc<str> {
     endpoint.to_lowercase().to_ascii().into()
 }
 
-/// The pairs of a TXT record (RFC 6763, 6): keys in any case, the first of a key counts. Another version of them
-/// states nothing.
-fn text_pairs(records: &[RData]) -> HashMap<String, String> {
+/// Parses the pairs of a TXT record (RFC 6763, 6). Keys are case-insensitive, and the first pair of a key is used.
+/// Pairs of an unsupported version are ignored.
+fn parse_txt_pairs(records: &[RData]) -> HashMap<String, String> {
     let mut pairs = HashMap::new();
     for record in records {
         let RData::TXT(txt) = record else { continue };
@@ -48,7 +48,8 @@
     }
 }
 
-/// 100 is the usual weight; 0 states nothing of it (RFC 2782).
+/// Converts an SRV weight into a relative capacity. Weight 100 means 1, and so does 0, which states no preference
+/// (RFC 2782).
 fn relative_weight(weight: u16) -> f64 {
     match weight {
         0 => 1.0,
@@ -57,10 +58,12 @@
 }
 
 impl Browser {
-    /// What the SRV record of an endpoint states, if there is one.
+    /// Returns the contents of an endpoint's SRV record, if there is one.
     pub(super) fn service_target(&self, endpoint: &Name) -> Option<ServiceTarget> {
-        let set = self.sets.get(&RecordKey::new(endpoint, RecordType::SRV))?;
-        set.records.iter().find_map(|r| match r {
+        let set = self
+            .record_sets
+            .get(&RecordKey::new(endpoint, RecordType::SRV))?;
+        set.records.iter().find_map(|record| match record {
             RData::SRV(srv) => Some(ServiceTarget {
                 host: srv.target.clone(),
                 port: srv.port,
@@ -71,9 +74,9 @@
         })
     }
 
-    /// Withdraws an endpoint's claim, and drops its records and those of a host that no other endpoint names.
+    /// Withdraws an endpoint's claim, and drops its records and those of its host if no other endpoint uses the host.
     pub(super) fn withdraw_claim(&mut self, endpoint: &Name, outputs: &mut Vec<BrowserOutput>) {
-        if self.claimed.remove(endpoint).is_some() {
+        if self.claims.remove(endpoint).is_some() {
             outputs.push(BrowserOutput::UpdateRegistry(RegistryInput::Withdrawn {
                 source: self.source,
                 name: registry_name(endpoint),
@@ -83,53 +86,56 @@
         if let Some(target) = self.service_target(endpoint) {
             self.release_host(&target.host, endpoint);
         }
-        for kind in [RecordType::SRV, RecordType::TXT] {
-            self.drop_set(&RecordKey::new(endpoint, kind));
+        for record_type in [RecordType::SRV, RecordType::TXT] {
+            self.drop_record_set(&RecordKey::new(endpoint, record_type));
         }
     }
 
     fn release_host(&mut self, host: &Name, endpoint: &Name) {
-        let Some(endpoints) = self.hosted.get_mut(host) else {
+        let Some(endpoints) = self.endpoints_by_host.get_mut(host) else {
             return;
         };
         endpoints.remove(endpoint);
         if endpoints.is_empty() {
-            self.hosted.remove(host);
-            for kind in [RecordType::A, RecordType::AAAA] {
-                self.drop_set(&RecordKey::new(host, kind));
+            self.endpoints_by_host.remove(host);
+            for record_type in [RecordType::A, RecordType::AAAA] {
+                self.drop_record_set(&RecordKey::new(host, record_type));
             }
         }
     }
 
-    /// Claims an endpoint by its records, or requests those that are missing.
+    /// Updates an endpoint's claim from its records, or requests the missing records.
     pub(super) fn update_claim(
         &mut self,
         now: Timestamp,
         endpoint: &Name,
         outputs: &mut Vec<BrowserOutput>,
     ) {
-        let Some((pairs, records_until)) = self.endpoint_records(endpoint) else {
+        let Some((pairs, records_expire_at)) = self.endpoint_records(endpoint) else {
             return;
         };
         let Some(target) = self.service_target(endpoint) else {
-            // The server states that there is no such endpoint.
+            // The server reported that the endpoint has no SRV record.
             return self.withdraw_claim(endpoint, outputs);
         };
         if !self.config.domain.zone_of(&target.host) {
             self.counters.unrelated_records += 1;
             return;
         }
-        let endpoints = self.hosted.entry(target.host.clone()).or_default();
+        let endpoints = self
+            .endpoints_by_host
+            .entry(target.host.clone())
+            .or_default();
         endpoints.insert(endpoint.clone());
-        let Some((ip, address_until)) = self.address_of(&target.host) else {
+        let Some((ip, address_expires_at)) = self.address_of(&target.host) else {
             return self.request_addresses(now, &target.host);
         };
-        let until = records_until.min(address_until);
-        let Some(claim) = self.claim_of(&target, ip, &pairs, until) else {
+        let expires_at = records_expire_at.min(address_expires_at);
+        let Some(claim) = self.build_claim(&target, ip, &pairs, expires_at) else {
             self.counters.incomplete_endpoints += 1;
             return;
         };
-        self.claimed.insert(endpoint.clone(), claim.clone());
+        self.claims.insert(endpoint.clone(), claim.clone());
         outputs.push(BrowserOutput::UpdateRegistry(RegistryInput::Claimed {
             source: self.source,
             name: registry_name(endpoint),
@@ -137,61 +143,75 @@
         }));
     }
 
-    /// The pairs of an endpoint's TXT record, and until when this and its SRV record hold. If either was not asked for
-    /// yet, it is requested.
+    /// Returns the pairs of an endpoint's TXT record, and the time until which both this and its SRV record are valid.
+    /// Requests records that have not been received yet.
     fn endpoint_records(
         &mut self,
         endpoint: &Name,
     ) -> Option<(HashMap<String, String>, Timestamp)> {
         let srv_key = RecordKey::new(endpoint, RecordType::SRV);
         let txt_key = RecordKey::new(endpoint, RecordType::TXT);
-        let srv = self.sets.get(&srv_key).filter(|set| set.until > 0);
-        let txt = self.sets.get(&txt_key).filter(|set| set.until > 0);
+        let srv = self
+            .record_sets
+            .get(&srv_key)
+            .filter(|set| set.expires_at > 0);
+        let txt = self
+            .record_sets
+            .get(&txt_key)
+            .filter(|set| set.expires_at > 0);
         if let (Some(srv), Some(txt)) = (srv, txt) {
-            return Some((text_pairs(&txt.records), srv.until.min(txt.until)));
+            return Some((
+                parse_txt_pairs(&txt.records),
+                srv.expires_at.min(txt.expires_at),
+            ));
         }
         let (has_srv, has_txt) = (srv.is_some(), txt.is_some());
         if !has_srv {
-            self.request(srv_key);
+            self.request_records(srv_key);
         }
         if !has_txt {
-            self.request(txt_key);
+            self.request_records(txt_key);
         }
         None
     }
 
-    /// A host's address, and until when it holds.
+    /// Returns a host's address, and the time until which it is valid.
     fn address_of(&self, host: &Name) -> Option<(IpAddr, Timestamp)> {
-        let keys = [RecordType::A, RecordType::AAAA].map(|kind| RecordKey::new(host, kind));
-        let sets = keys.iter().filter_map(|key| self.sets.get(key));
+        let keys =
+            [RecordType::A, RecordType::AAAA].map(|record_type| RecordKey::new(host, record_type));
+        let sets = keys.iter().filter_map(|key| self.record_sets.get(key));
         let mut addresses = sets.filter_map(|set| {
-            let ip = set.records.iter().find_map(|r| match r {
+            let ip = set.records.iter().find_map(|record| match record {
                 RData::A(a) => Some(IpAddr::V4(a.0)),
                 RData::AAAA(a) => Some(IpAddr::V6(a.0)),
                 _ => None,
             });
-            ip.map(|ip| (ip, set.until))
+            ip.map(|ip| (ip, set.expires_at))
         });
         addresses.next()
     }
 
-    /// Requests a host's addresses, unless it is known that there are none.
+    /// Requests a host's addresses unless a valid response stated that there are none.
     fn request_addresses(&mut self, now: Timestamp, host: &Name) {
-        for kind in [RecordType::A, RecordType::AAAA] {
-            let key = RecordKey::new(host, kind);
-            if self.sets.get(&key).is_none_or(|set| set.until <= now) {
-                self.request(key);
+        for record_type in [RecordType::A, RecordType::AAAA] {
+            let key = RecordKey::new(host, record_type);
+            if self
+                .record_sets
+                .get(&key)
+                .is_none_or(|set| set.expires_at <= now)
+            {
+                self.request_records(key);
             }
         }
     }
 
-    /// The claim that an endpoint's records make; none: they state no replica set.
-    fn claim_of(
+    /// Builds the claim from an endpoint's records; `None` if they state no replica set.
+    fn build_claim(
         &self,
         target: &ServiceTarget,
         ip: IpAddr,
         pairs: &HashMap<String, String>,
-        until: Timestamp,
+        expires_at: Timestamp,
     ) -> Option<Claim> {
         let replica_set = pairs.get("group")?.parse().ok()?;
         let zone = pairs
@@ -216,7 +236,7 @@
             version: 0,
             weight: relative_weight(target.weight),
             tier: target.priority,
-            expires_at: Some(until),
+            expires_at: Some(expires_at),
         })
     }
 }
--- a/crates/service-discovery/src/browse/mod.rs
+++ b/crates/service-discovery/src/browse/mod.rs
@@ -1,15 +1,15 @@
-//! A client of DNS-based service discovery (RFC 6763) over unicast DNS, without I/O: it says which queries go to which
-//! server, takes what comes back, and converts the records into claims.
+//! A browser for DNS-based service discovery (RFC 6763) over unicast DNS, without I/O. It decides which queries are
+//! sent to which server, processes the responses, and converts the records into claims.
 //!
-//! One PTR query names the endpoints; what a response brings along in its additional section (RFC 6763, 12.1) is used
-//! where it belongs to what was asked, and only what is still missing is requested, all at once. So a change of ten
-//! records takes one round trip at a server that sends them along, and three at most.
+//! One PTR query returns the endpoints. Records in the additional section of a response (RFC 6763, 12.1) are used if
+//! they are related to the question, and only the missing records are requested, all at once. A change of ten records
+//! therefore takes one round trip if the server sends additional records, and at most three otherwise.
 //!
-//! What fails takes nothing away: a server that fails is followed by the next, and when all have failed the source is
-//! [`SourceFailed`](crate::RegistryInput::SourceFailed) and requested again after a growing pause. An empty list of
-//! endpoints counts as a failure until it has come [`EMPTY_LIST_THRESHOLD`] times in a row.
+//! A failure does not withdraw any claim. If a server fails, the next one is queried. When all servers have failed, the
+//! browser reports [`SourceFailed`](crate::RegistryInput::SourceFailed) and retries after an increasing pause. An empty
+//! endpoint list counts as a failure until it has been received [`EMPTY_LIST_THRESHOLD`] times in a row.
 //!
-//! [`Browser`] owns the records and the queries in flight. It never opens a socket and reads no clock.
+//! [`Browser`] owns the records and the queries in flight. It opens no sockets and reads no clock.
 
 mod claims;
 mod queries;
@@ -27,32 +27,32 @@
 use reelrill_routing::Timestamp;
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// How often in a row a list of endpoints must be empty before it is believed.
+/// The number of consecutive empty endpoint lists from which on an empty list is accepted.
 pub const EMPTY_LIST_THRESHOLD: u32 = 3;
 
-/// Names a set of records.
+/// Identifies a set of records by name and type.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct RecordKey {
     name: Name,
-    kind: RecordType,
+    record_type: RecordType,
 }
 
 impl RecordKey {
-    fn new(name: &Name, kind: RecordType) -> RecordKey {
+    fn new(name: &Name, record_type: RecordType) -> RecordKey {
         RecordKey {
             name: name.clone(),
-            kind,
+            record_type,
         }
     }
 }
 
-/// Records of one name and type; none: there are none, as the server said.
+/// The cached records of one name and type; empty if the server reported that there are none.
 #[derive(Debug, Default)]
 struct RecordSet {
     records: Vec<RData>,
-    /// Until when they hold; 0: no response has come yet.
-    until: Timestamp,
-    /// When they are requested again.
+    /// The time until which the records are valid; 0 before the first response.
+    expires_at: Timestamp,
+    /// The timer at which the records are requested again.
     timer: Option<TimerHandle>,
 }
 
@@ -63,43 +63,43 @@
     BudgetRefilled,
 }
 
-/// The client of one service.
+/// Browses one service and converts its records into claims.
 pub struct Browser {
     config: BrowserConfig,
     source: SourceId,
-    /// Draws message ids and jitter.
+    /// The generator of message ids and jitter.
     random: StdRng,
     /// Queries in flight, by number.
     pending: HashMap<u64, PendingQuery>,
-    /// Records with a query that is queued or in flight.
+    /// The records for which a query is queued or in flight.
     requested: HashSet<RecordKey>,
-    /// Queries that wait for the budget.
+    /// Queries that wait for the query budget.
     queue: VecDeque<QueuedQuery>,
-    sets: HashMap<RecordKey, RecordSet>,
-    /// Which endpoints run on a host, so that an address finds them.
-    hosted: HashMap<Name, HashSet<Name>>,
+    record_sets: HashMap<RecordKey, RecordSet>,
+    /// The endpoints by host, to find those affected by a change of the host's addresses.
+    endpoints_by_host: HashMap<Name, HashSet<Name>>,
     /// The latest claim of each endpoint.
-    claimed: HashMap<Name, Claim>,
-    /// The list of endpoints can't be had now.
-    is_failing: bool,
-    /// Records to be refreshed once the list can be had: one query at a time tells whether a server is back.
-    deferred: HashSet<RecordKey>,
-    /// There is a timer for the budget.
+    claims: HashMap<Name, Claim>,
+    /// Whether the endpoint list is unavailable: its latest request failed on all servers, or returned an empty list
+    /// that was not accepted.
+    is_list_failing: bool,
+    /// Records to be refreshed once the endpoint list is available again. Until then their refreshes are held back,
+    /// since one query at a time, for the list, is enough to detect that a server has recovered.
+    deferred_refreshes: HashSet<RecordKey>,
+    /// Whether a timer is set for the query budget.
     has_budget_timer: bool,
     wheel: TimerWheel<TimerEvent>,
     last_query_id: u64,
-    /// What is left of the budget, in queries.
+    /// The remaining query budget, in queries.
     tokens: f64,
     tokens_updated_at: Timestamp,
-    /// Failures in a row.
-    failures: u32,
-    /// Empty lists of endpoints in a row.
-    empty_lists: u32,
+    consecutive_failures: u32,
+    consecutive_empty_lists: u32,
     counters: BrowserCounters,
 }
 
 impl Browser {
-    /// A client that has sent nothing yet; `seed` is for message ids and jitter.
+    /// Returns a browser that has not been started. `seed` initializes the generator of message ids and jitter.
     pub fn new(config: BrowserConfig, source: SourceId, seed: u64, now: Timestamp) -> Browser {
         Browser {
             tokens: config.max_queries_per_second.max(1.0),
@@ -109,38 +109,38 @@
             pending: HashMap::new(),
             requested: HashSet::new(),
             queue: VecDeque::new(),
-            sets: HashMap::new(),
-            hosted: HashMap::new(),
-            claimed: HashMap::new(),
-            is_failing: false,
-            deferred: HashSet::new(),
+            record_sets: HashMap::new(),
+            endpoints_by_host: HashMap::new(),
+            claims: HashMap::new(),
+            is_list_failing: false,
+            deferred_refreshes: HashSet::new(),
             has_budget_timer: false,
             wheel: TimerWheel::new(now),
             last_query_id: 0,
             tokens_updated_at: now,
-            failures: 0,
-            empty_lists: 0,
+            consecutive_failures: 0,
+            consecutive_empty_lists: 0,
             counters: BrowserCounters::default(),
         }
     }
 
-    /// What has been counted since the start.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> BrowserCounters {
         self.counters
     }
 
-    /// Begins to browse.
+    /// Starts browsing by requesting the endpoint list.
     pub fn start(&mut self, now: Timestamp, outputs: &mut Vec<BrowserOutput>) {
-        self.request(RecordKey::new(&self.config.service, RecordType::PTR));
+        self.request_records(RecordKey::new(&self.config.service, RecordType::PTR));
         self.send_queued(now, outputs);
     }
 
-    /// When [`Browser::on_due`] is to be called at the latest.
+    /// Returns the latest time at which [`Browser::on_due`] must be called; `None` if no timer is set.
     pub fn next_due(&self) -> Option<Timestamp> {
         self.wheel.next_due()
     }
 
-    /// Handles queries that took too long, and records that must be requested again.
+    /// Processes queries that timed out, records that are due for a refresh, and the query budget.
     pub fn on_due(&mut self, now: Timestamp, outputs: &mut Vec<BrowserOutput>) {
         let mut due = Vec::new();
         self.wheel.expire(now, &mut due);
@@ -159,24 +159,25 @@
     }
 
     fn on_refresh_due(&mut self, key: RecordKey) {
-        if let Some(set) = self.sets.get_mut(&key) {
+        if let Some(set) = self.record_sets.get_mut(&key) {
             set.timer = None;
         }
-        if self.is_failing && key.kind != RecordType::PTR {
-            self.deferred.insert(key);
+        if self.is_list_failing && key.record_type != RecordType::PTR {
+            self.deferred_refreshes.insert(key);
         } else {
-            self.request(key);
+            self.request_records(key);
         }
     }
 
-    /// A query could not be sent, or its connection broke.
+    /// Handles a query that could not be sent or whose connection failed.
     pub fn on_query_failed(&mut self, now: Timestamp, id: u64, outputs: &mut Vec<BrowserOutput>) {
         self.counters.queries_failed += 1;
         self.try_next_server(now, id, outputs);
         self.send_queued(now, outputs);
     }
 
-    /// Takes what came for a query. What is no response to it changes nothing: the true one may still come.
+    /// Processes a message received for a query. A message that is not a response to the query is counted and otherwise
+    /// ignored, since the actual response may still arrive.
     pub fn on_response(
         &mut self,
         now: Timestamp,
@@ -187,7 +188,7 @@
         let Some(pending) = self.pending.get(&id) else {
             return;
         };
-        let Some(message) = responses::read_response(bytes, pending) else {
+        let Some(message) = responses::parse_response(bytes, pending) else {
             self.counters.mismatched_messages += 1;
             return;
         };
@@ -199,11 +200,11 @@
             self.try_next_server(now, id, outputs);
         } else if let Some(query) = self.finish_query(id, outputs) {
             self.requested.remove(&query.key);
-            self.failures = 0;
-            let is_list = query.key.kind == RecordType::PTR;
-            self.is_failing &= !is_list;
-            self.take_response(now, query.key, &message, outputs);
-            if is_list && !self.is_failing {
+            self.consecutive_failures = 0;
+            let is_list = query.key.record_type == RecordType::PTR;
+            self.is_list_failing &= !is_list;
+            self.process_response(now, query.key, &message, outputs);
+            if is_list && !self.is_list_failing {
                 self.request_deferred();
             }
         }
@@ -219,26 +220,26 @@
         }
     }
 
-    /// The list can be had again: what its response did not bring along is refreshed now.
+    /// Requests the deferred records that the response with the endpoint list did not include.
     fn request_deferred(&mut self) {
-        let mut deferred = std::mem::take(&mut self.deferred);
-        deferred.retain(|key| self.sets.contains_key(key));
+        let mut deferred = std::mem::take(&mut self.deferred_refreshes);
+        deferred.retain(|key| self.record_sets.contains_key(key));
         for key in deferred {
-            self.request(key);
+            self.request_records(key);
         }
     }
 
-    /// Sets when records are requested again.
+    /// Sets the time at which records are requested again.
     fn refresh_at(&mut self, at: Timestamp, key: RecordKey) {
-        let set = self.sets.entry(key.clone()).or_default();
+        let set = self.record_sets.entry(key.clone()).or_default();
         match set.timer {
             Some(timer) if self.wheel.reset(timer, at) => {}
             _ => set.timer = Some(self.wheel.insert(at, TimerEvent::RefreshDue(key))),
         }
     }
 
-    fn drop_set(&mut self, key: &RecordKey) {
-        if let Some(timer) = self.sets.remove(key).and_then(|set| set.timer) {
+    fn drop_record_set(&mut self, key: &RecordKey) {
+        if let Some(timer) = self.record_sets.remove(key).and_then(|set| set.timer) {
             self.wheel.cancel(timer);
         }
     }
--- a/crates/service-discovery/src/browse/queries.rs
+++ b/crates/service-discovery/src/browse/queries.rs
@@ -1,4 +1,4 @@
-//! The browser's queries: which wait, which are in flight, the budget that paces them, and what follows a failure.
+//! The browser's queries: the queue, the queries in flight, the query budget, and the handling of failures.
 
 use super::types::{BrowserOutput, DnsQuery};
 use super::{Browser, RecordKey, TimerEvent};
@@ -9,26 +9,27 @@
 use rand::RngExt as _;
 use reelrill_routing::{Nanos, Timestamp};
 
-/// The largest response over UDP that the client takes, in bytes (EDNS, RFC 6891). Servers truncate a larger one, and
-/// the query is repeated over TCP.
+/// The largest UDP response that the browser accepts, in bytes (EDNS, RFC 6891). Servers truncate larger responses, and
+/// the query is then repeated over TCP.
 const MAX_UDP_PAYLOAD: u16 = 1232;
-/// The shortest first pause after a failure.
+/// The lower limit of the maximum first pause after a failure, in nanoseconds. The pause is drawn between half of the
+/// maximum and the maximum.
 const MIN_BACKOFF: Nanos = 100_000_000;
-/// The longest pause between attempts at a source that fails.
+/// The longest pause between attempts while the source fails, in nanoseconds.
 const MAX_BACKOFF: Nanos = 30_000_000_000;
-/// How often the pause doubles at most.
+/// The maximum number of times that the maximum pause doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// The most queries that wait for the budget.
+/// The maximum number of queries that wait for the query budget.
 const MAX_QUEUED: usize = 16_384;
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// A query that waits for the budget.
+/// A query that waits for the query budget.
 #[derive(Debug)]
 pub(super) struct QueuedQuery {
     pub(super) key: RecordKey,
-    /// The server's place in the configuration.
-    pub(super) server: usize,
-    /// Servers tried so far, this one included.
+    /// The index of the server in the configuration.
+    pub(super) server_index: usize,
+    /// The number of servers tried so far, including this one.
     pub(super) attempt: usize,
     pub(super) is_tcp: bool,
 }
@@ -37,16 +38,16 @@
 #[derive(Debug)]
 pub(super) struct PendingQuery {
     pub(super) query: QueuedQuery,
-    /// The id in the message.
+    /// The id in the DNS message.
     pub(super) message_id: u16,
     timer: TimerHandle,
 }
 
-fn message_for(key: &RecordKey, id: u16) -> Message {
+fn query_message(key: &RecordKey, id: u16) -> Message {
     let mut message = Message::query();
     message.metadata.id = id;
     message.metadata.recursion_desired = true;
-    message.add_query(Query::query(key.name.clone(), key.kind));
+    message.add_query(Query::query(key.name.clone(), key.record_type));
     let mut edns = Edns::new();
     edns.set_max_payload(MAX_UDP_PAYLOAD);
     message.set_edns(edns);
@@ -54,19 +55,19 @@
 }
 
 impl Browser {
-    /// Queues a query for these records, unless there is one.
-    pub(super) fn request(&mut self, key: RecordKey) {
+    /// Queues a query for records unless one is queued or in flight, or the queue is full.
+    pub(super) fn request_records(&mut self, key: RecordKey) {
         if self.queue.len() < MAX_QUEUED && self.requested.insert(key.clone()) {
             self.queue.push_back(QueuedQuery {
                 key,
-                server: 0,
+                server_index: 0,
                 attempt: 1,
                 is_tcp: false,
             });
         }
     }
 
-    /// Ends a query that was answered.
+    /// Ends a query that received a response, and returns it.
     pub(super) fn finish_query(
         &mut self,
         id: u64,
@@ -78,7 +79,7 @@
         Some(pending.query)
     }
 
-    /// Queues a query that failed for the next server, or gives up for now.
+    /// Queues a failed query for the next server, or backs off if all servers have been tried.
     pub(super) fn try_next_server(
         &mut self,
         now: Timestamp,
@@ -92,7 +93,7 @@
         let failed = pending.query;
         if failed.attempt < self.config.servers.len() {
             self.queue.push_back(QueuedQuery {
-                server: (failed.server + 1) % self.config.servers.len(),
+                server_index: (failed.server_index + 1) % self.config.servers.len(),
                 attempt: failed.attempt + 1,
                 is_tcp: false,
                 ..failed
@@ -103,7 +104,7 @@
         self.back_off(now, failed.key, outputs);
     }
 
-    /// Nothing new could be learnt; the records are requested again after a pause that grows.
+    /// Reports the source as failed, and requests the records again after an increasing pause.
     pub(super) fn back_off(
         &mut self,
         now: Timestamp,
@@ -114,15 +115,15 @@
             source: self.source,
         }));
         let (min_ttl, _) = self.config.ttl_range;
-        let doublings = self.failures.min(MAX_BACKOFF_DOUBLINGS);
-        let longest = (min_ttl.max(MIN_BACKOFF) << doublings).min(MAX_BACKOFF);
-        self.failures += 1;
-        self.is_failing |= key.kind == RecordType::PTR;
-        let pause = (longest as f64 * self.random.random_range(0.5..1.0)) as Nanos;
+        let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
+        let max_pause = (min_ttl.max(MIN_BACKOFF) << doublings).min(MAX_BACKOFF);
+        self.consecutive_failures += 1;
+        self.is_list_failing |= key.record_type == RecordType::PTR;
+        let pause = (max_pause as f64 * self.random.random_range(0.5..1.0)) as Nanos;
         self.refresh_at(now.saturating_add(pause), key);
     }
 
-    /// Sends what is queued, as far as the budget goes.
+    /// Sends queued queries as far as the query budget allows.
     pub(super) fn send_queued(&mut self, now: Timestamp, outputs: &mut Vec<BrowserOutput>) {
         let budget = self.config.max_queries_per_second.max(1.0);
         let elapsed = now.saturating_sub(self.tokens_updated_at) as f64 / NANOS_PER_SECOND;
@@ -131,7 +132,7 @@
         while self.tokens >= 1.0
             && let Some(query) = self.queue.pop_front()
         {
-            if query.server >= self.config.servers.len() {
+            if query.server_index >= self.config.servers.len() {
                 return;
             }
             self.send(now, query, outputs);
@@ -149,7 +150,7 @@
         self.counters.queries_sent += 1;
         self.counters.tcp_queries += u64::from(query.is_tcp);
         let message_id = self.random.random();
-        let Ok(message) = message_for(&query.key, message_id).to_vec() else {
+        let Ok(message) = query_message(&query.key, message_id).to_vec() else {
             return;
         };
         self.last_query_id += 1;
@@ -158,7 +159,7 @@
         let timer = self.wheel.insert(timeout_at, TimerEvent::QueryTimedOut(id));
         outputs.push(BrowserOutput::SendQuery(DnsQuery {
             id,
-            server: self.config.servers[query.server],
+            server: self.config.servers[query.server_index],
             is_tcp: query.is_tcp,
             message,
         }));
--- a/crates/service-discovery/src/browse/responses.rs
+++ b/crates/service-discovery/src/browse/responses.rs
@@ -1,4 +1,4 @@
-//! Responses: whether a message answers a query, which of its records are kept, and for how long.
+//! The processing of responses: matching them to queries, and selecting and storing their records.
 
 use super::queries::PendingQuery;
 use super::types::BrowserOutput;
@@ -9,36 +9,37 @@
 use reelrill_routing::{Nanos, Timestamp};
 use std::collections::HashSet;
 
-/// The part of a TTL after which records are requested again; up to a tenth of it is taken off at random, so that
-/// routers spread.
+/// The fraction of the TTL after which records are requested again. It is reduced at random by up to a tenth so that
+/// the queries of different routers are spread over time.
 const REFRESH_FRACTION: f64 = 0.8;
-/// Records other than the list of endpoints wait longer by this: a refresh of the list may bring them along.
+/// The additional fraction for records other than the endpoint list, since a refresh of the list may include them.
 const EXTRA_REFRESH_FRACTION: f64 = 0.1;
-/// The most records of one name and type that a response may bring.
+/// The maximum number of records of one name and type that are used from a response.
 const MAX_RECORDS: usize = 4096;
 const NANOS_PER_SECOND: Nanos = 1_000_000_000;
 
-/// The record types that describe an endpoint, and those that give its host's address.
-const ENDPOINT_KINDS: [RecordType; 2] = [RecordType::SRV, RecordType::TXT];
-const ADDRESS_KINDS: [RecordType; 2] = [RecordType::A, RecordType::AAAA];
+/// The record types that describe an endpoint.
+const ENDPOINT_RECORD_TYPES: [RecordType; 2] = [RecordType::SRV, RecordType::TXT];
+/// The record types that contain a host's address.
+const ADDRESS_RECORD_TYPES: [RecordType; 2] = [RecordType::A, RecordType::AAAA];
 
-/// Records of one name and type, with the shortest of their TTLs in seconds.
-struct Found {
+/// The records of one name and type in a response, with the shortest of their TTLs in seconds.
+struct MatchingRecords {
     records: Vec<RData>,
     ttl: u32,
 }
 
-fn find(records: &[Record], key: &RecordKey) -> Found {
-    let fits = |r: &&Record| r.name == key.name && r.data.record_type() == key.kind;
-    let found: Vec<&Record> = records.iter().filter(fits).take(MAX_RECORDS).collect();
-    Found {
+fn find_records(records: &[Record], key: &RecordKey) -> MatchingRecords {
+    let is_match = |r: &&Record| r.name == key.name && r.data.record_type() == key.record_type;
+    let found: Vec<&Record> = records.iter().filter(is_match).take(MAX_RECORDS).collect();
+    MatchingRecords {
         ttl: found.iter().map(|r| r.ttl).min().unwrap_or(0),
         records: found.into_iter().map(|r| r.data.clone()).collect(),
     }
 }
 
-/// How long it holds that there are no such records, in seconds: as long as the SOA says, and its own TTL
-/// (RFC 2308, 5).
+/// Returns the time in seconds for which the absence of records is valid: the smaller of the SOA minimum and the TTL of
+/// the SOA record (RFC 2308, 5), or 0 without an SOA record.
 fn negative_ttl(message: &Message, name: &Name) -> u32 {
     let soa_ttl = message.authorities.iter().find_map(|r| match &r.data {
         RData::SOA(soa) if r.name.zone_of(name) => Some(soa.minimum.min(r.ttl)),
@@ -47,11 +48,11 @@
     soa_ttl.unwrap_or(0)
 }
 
-/// Reads a message, if it is a response to the query.
-pub(super) fn read_response(bytes: &[u8], pending: &PendingQuery) -> Option<Message> {
+/// Parses a message; returns `None` if it is malformed or not a response to the query.
+pub(super) fn parse_response(bytes: &[u8], pending: &PendingQuery) -> Option<Message> {
     let message = Message::from_vec(bytes).ok()?;
     let key = &pending.query.key;
-    let is_question = |q: &Query| q.name == key.name && q.query_type == key.kind;
+    let is_question = |q: &Query| q.name == key.name && q.query_type == key.record_type;
     let is_response = message.metadata.id == pending.message_id
         && message.metadata.message_type == MessageType::Response
         && message.metadata.op_code == OpCode::Query
@@ -60,7 +61,7 @@
     is_response.then_some(message)
 }
 
-/// Whether the server could answer, if only that there are no such records.
+/// Returns whether the server processed the query successfully, including the response that there are no such records.
 pub(super) fn is_success(message: &Message) -> bool {
     matches!(
         message.metadata.response_code,
@@ -68,7 +69,7 @@
     )
 }
 
-/// The endpoints that PTR records name.
+/// Returns the endpoint names in PTR records.
 fn endpoints_in(records: &[RData]) -> impl Iterator<Item = &Name> {
     records.iter().filter_map(|r| match r {
         RData::PTR(name) => Some(&name.0),
@@ -77,36 +78,43 @@
 }
 
 impl Browser {
-    /// Takes in a response: the records asked for, or that there are none, and what it brings along.
-    pub(super) fn take_response(
+    /// Processes a response: stores the requested records or their absence, stores the related additional records, and
+    /// updates the claims of the affected endpoints.
+    pub(super) fn process_response(
         &mut self,
         now: Timestamp,
         key: RecordKey,
         message: &Message,
         outputs: &mut Vec<BrowserOutput>,
     ) {
-        let Found { records, mut ttl } = find(&message.answers, &key);
+        let MatchingRecords { records, mut ttl } = find_records(&message.answers, &key);
         if records.is_empty() {
             ttl = negative_ttl(message, &key.name);
         }
-        if key.kind == RecordType::PTR && !self.believes_list(records.is_empty()) {
-            self.failures = 0;
+        if key.record_type == RecordType::PTR && !self.should_accept_list(records.is_empty()) {
+            self.consecutive_failures = 0;
             return self.back_off(now, key, outputs);
         }
         let mut affected: HashSet<Name> = HashSet::new();
         let mut listed: HashSet<Name> = HashSet::new();
-        match key.kind {
+        match key.record_type {
             RecordType::PTR => {
-                listed = self.take_list(&records, outputs);
+                listed = self.process_list(&records, outputs);
                 affected.extend(listed.iter().cloned());
             }
             RecordType::SRV | RecordType::TXT => {
                 affected.insert(key.name.clone());
             }
-            _ => affected.extend(self.hosted.get(&key.name).into_iter().flatten().cloned()),
+            _ => affected.extend(
+                self.endpoints_by_host
+                    .get(&key.name)
+                    .into_iter()
+                    .flatten()
+                    .cloned(),
+            ),
         }
-        self.keep(now, key, records, ttl);
-        self.keep_additionals(now, message, listed, &affected);
+        self.store_records(now, key, records, ttl);
+        self.store_additionals(now, message, listed, &affected);
         let mut affected: Vec<Name> = affected.into_iter().collect();
         affected.sort();
         for name in affected {
@@ -114,33 +122,38 @@
         }
     }
 
-    /// Counts empty lists in a row, and says whether a list is believed: a server that has lost its zone must not
-    /// empty the router's list.
-    fn believes_list(&mut self, is_empty: bool) -> bool {
+    /// Counts consecutive empty lists, and returns whether a list is accepted. A server that has lost its zone data
+    /// must not empty the router's list.
+    fn should_accept_list(&mut self, is_empty: bool) -> bool {
         if !is_empty {
-            self.empty_lists = 0;
+            self.consecutive_empty_lists = 0;
             return true;
         }
-        self.empty_lists += 1;
-        self.empty_lists >= EMPTY_LIST_THRESHOLD || self.claimed.is_empty()
+        self.consecutive_empty_lists += 1;
+        self.consecutive_empty_lists >= EMPTY_LIST_THRESHOLD || self.claims.is_empty()
     }
 
-    /// Takes in the list of endpoints: withdraws those that are gone, and returns those that are there.
-    fn take_list(&mut self, records: &[RData], outputs: &mut Vec<BrowserOutput>) -> HashSet<Name> {
+    /// Processes the endpoint list: withdraws the claims of endpoints that are no longer listed, and returns the listed
+    /// endpoints.
+    fn process_list(
+        &mut self,
+        records: &[RData],
+        outputs: &mut Vec<BrowserOutput>,
+    ) -> HashSet<Name> {
         let in_domain = |name: &&Name| self.config.domain.zone_of(name);
         let names: HashSet<Name> = endpoints_in(records).filter(in_domain).cloned().collect();
         self.counters.unrelated_records += (records.len() - names.len()) as u64;
-        let is_gone = |name: &&Name| !names.contains(*name);
-        let gone: Vec<Name> = self.claimed.keys().filter(is_gone).cloned().collect();
-        for name in gone {
+        let is_absent = |name: &&Name| !names.contains(*name);
+        let absent: Vec<Name> = self.claims.keys().filter(is_absent).cloned().collect();
+        for name in absent {
             self.withdraw_claim(&name, outputs);
         }
         names
     }
 
-    /// Keeps the additional records that belong to what was asked (RFC 6763, 12.1): those of the listed endpoints
-    /// first, then those of the hosts that the affected endpoints name.
-    fn keep_additionals(
+    /// Stores the additional records that are related to the question (RFC 6763, 12.1): first those of the listed
+    /// endpoints, then those of the hosts that the affected endpoints refer to.
+    fn store_additionals(
         &mut self,
         now: Timestamp,
         message: &Message,
@@ -149,7 +162,7 @@
     ) {
         let mut used = 0;
         for name in listed {
-            used += self.keep_additionals_of(now, message, &name, ENDPOINT_KINDS);
+            used += self.store_additionals_of(now, message, &name, ENDPOINT_RECORD_TYPES);
         }
         let targets = affected.iter().filter_map(|name| self.service_target(name));
         let hosts: HashSet<Name> = targets
@@ -157,47 +170,53 @@
             .filter(|host| self.config.domain.zone_of(host))
             .collect();
         for host in hosts {
-            used += self.keep_additionals_of(now, message, &host, ADDRESS_KINDS);
+            used += self.store_additionals_of(now, message, &host, ADDRESS_RECORD_TYPES);
         }
         self.counters.unrelated_records += message.additionals.len().saturating_sub(used) as u64;
     }
 
-    /// Keeps the additional records of one name; returns how many there are.
-    fn keep_additionals_of(
+    /// Stores the additional records of one name, and returns their number.
+    fn store_additionals_of(
         &mut self,
         now: Timestamp,
         message: &Message,
         name: &Name,
-        kinds: [RecordType; 2],
+        record_types: [RecordType; 2],
     ) -> usize {
         let mut used = 0;
-        for kind in kinds {
-            let key = RecordKey::new(name, kind);
-            let Found { records, ttl } = find(&message.additionals, &key);
+        for record_type in record_types {
+            let key = RecordKey::new(name, record_type);
+            let MatchingRecords { records, ttl } = find_records(&message.additionals, &key);
             used += records.len();
             if !records.is_empty() {
                 self.requested.remove(&key);
                 self.queue.retain(|queued| queued.key != key);
-                self.keep(now, key, records, ttl);
+                self.store_records(now, key, records, ttl);
             }
         }
         used
     }
 
-    /// Keeps a set of records, and sets when it is to be requested again.
-    fn keep(&mut self, now: Timestamp, key: RecordKey, records: Vec<RData>, ttl_seconds: u32) {
+    /// Stores a set of records, and sets the time at which it is requested again.
+    fn store_records(
+        &mut self,
+        now: Timestamp,
+        key: RecordKey,
+        records: Vec<RData>,
+        ttl_seconds: u32,
+    ) {
         let (min_ttl, max_ttl) = self.config.ttl_range;
         let ttl = (u64::from(ttl_seconds) * NANOS_PER_SECOND).clamp(min_ttl, max_ttl);
-        let extra = match key.kind {
+        let extra = match key.record_type {
             RecordType::PTR => 0.0,
             _ => EXTRA_REFRESH_FRACTION,
         };
         let fraction = (REFRESH_FRACTION + extra) * self.random.random_range(0.9..1.0);
         let refresh_at = now.saturating_add((ttl as f64 * fraction) as Nanos);
         self.refresh_at(refresh_at, key.clone());
-        self.deferred.remove(&key);
-        let set = self.sets.entry(key).or_default();
+        self.deferred_refreshes.remove(&key);
+        let set = self.record_sets.entry(key).or_default();
         set.records = records;
-        set.until = now.saturating_add(ttl);
+        set.expires_at = now.saturating_add(ttl);
     }
 }
--- a/crates/service-discovery/src/browse/types.rs
+++ b/crates/service-discovery/src/browse/types.rs
@@ -1,68 +1,68 @@
-//! What the browser takes from its host and gives out.
+//! Configuration, outputs and counters of the browser.
 
 use crate::RegistryInput;
 use hickory_proto::rr::Name;
 use reelrill_routing::Nanos;
 use std::net::SocketAddr;
 
-/// What to browse, and how.
+/// The configuration of a browser.
 #[derive(Debug, Clone)]
 pub struct BrowserConfig {
-    /// Servers, in the order in which they are tried.
+    /// The DNS servers in the order in which they are tried.
     pub servers: Vec<SocketAddr>,
-    /// The service, such as `_postgresql._tcp.qianzhen-dc.example.org`.
+    /// The name of the service, such as `_postgresql._tcp.qianzhen-dc.example.org`.
     pub service: Name,
-    /// Names outside of this domain are not believed.
+    /// The domain of the endpoints and hosts. Records with names outside of it are ignored.
     pub domain: Name,
-    /// The least and the most that a TTL counts for, in nanoseconds.
+    /// The minimum and maximum to which TTLs are clamped, in nanoseconds.
     pub ttl_range: (Nanos, Nanos),
-    /// How long one query may take, in nanoseconds.
+    /// The time after which a query without a response has failed, in nanoseconds.
     pub query_timeout: Nanos,
-    /// The most queries a second.
+    /// The maximum number of queries per second.
     pub max_queries_per_second: f64,
-    /// The zones' names, in the order that [`crate::Claim::zone`] counts.
+    /// The names of the zones; [`crate::Claim::zone`] is an index into them.
     pub zones: Vec<String>,
 }
 
-/// A query that is to be sent, from a port of its own.
+/// A query to be sent from its own local port.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DnsQuery {
-    /// Its number, for [`super::Browser::on_response`].
+    /// The query's number, which is passed to [`super::Browser::on_response`].
     pub id: u64,
-    /// Where it is sent.
+    /// The server's address.
     pub server: SocketAddr,
-    /// It is sent over TCP, with the length in front.
+    /// Whether the query is sent over TCP, preceded by its length, rather than over UDP.
     pub is_tcp: bool,
-    /// The message.
+    /// The encoded DNS message.
     pub message: Vec<u8>,
 }
 
-/// What the host is to do.
+/// An instruction of the browser to its caller.
 #[derive(Debug, Clone)]
 pub enum BrowserOutput {
-    /// Send a query, and give back all that comes until it is cancelled.
+    /// Send a query, and pass back every message received for it until the query is cancelled.
     SendQuery(DnsQuery),
-    /// Wait for the query of this number no longer.
+    /// Stop waiting for responses to the query with this number.
     CancelQuery(u64),
-    /// Give this to the endpoint registry.
+    /// Pass this input to the endpoint registry.
     UpdateRegistry(RegistryInput),
 }
 
-/// What has been counted since the start.
+/// Counters of the browser since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct BrowserCounters {
-    /// Queries sent.
+    /// Number of queries sent.
     pub queries_sent: u64,
-    /// Those of them that were sent over TCP.
+    /// Number of queries sent over TCP.
     pub tcp_queries: u64,
-    /// Those of them without a response in time.
+    /// Number of queries without a response in time.
     pub queries_timed_out: u64,
-    /// Queries that could not be sent, and responses by which the server failed.
+    /// Number of queries that could not be sent, whose connection failed, or whose response reported a server failure.
     pub queries_failed: u64,
-    /// Messages that are no response to the query: another id, question or kind, or unreadable.
+    /// Number of messages that were not a response to the query: another id, question or message type, or malformed.
     pub mismatched_messages: u64,
-    /// Records in a response that do not belong to the question.
+    /// Number of records ignored because they are outside the domain or unrelated to the question.
     pub unrelated_records: u64,
-    /// Endpoints whose records state no replica set.
+    /// Number of endpoint updates whose records state no replica set.
     pub incomplete_endpoints: u64,
 }
