--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -92,18 +92,18 @@
     }
 
     /// Handles an event at `now` and appends the actions to carry out, in order.
-    pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::List { kind, entries } => self.on_list(now, kind, &entries),
-            Event::Request(request) => self.on_request(now, request, out),
-            Event::AttemptEnded(ended) => self.on_attempt_ended(now, ended, out),
+            Event::Request(request) => self.on_request(now, request, actions),
+            Event::AttemptEnded(ended) => self.on_attempt_ended(now, ended, actions),
             Event::ResponseStarted {
                 request, endpoint, ..
             } => self.on_response_started(now, request, &endpoint),
-            Event::ClientDisconnected { request } => self.complete(request, out),
+            Event::ClientDisconnected { request } => self.complete(request, actions),
             Event::Timer { token } if token == TIMER_TOKEN => {
                 self.is_timer_set = false;
-                self.retry_all_queued(now, out);
+                self.retry_all_queued(now, actions);
             }
             Event::Timer { .. } => {}
             // A health check does not detect a full connection table, a cut link or a hang, so its
@@ -117,16 +117,16 @@
             }
         }
         if self.subscription.poll(now) {
-            out.push(Action::Subscribe);
+            actions.push(Action::Subscribe);
         }
-        self.set_timer(out);
+        self.set_timer(actions);
     }
 
-    fn set_timer(&mut self, out: &mut Vec<Action>) {
+    fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let is_needed = !self.pending.is_empty() || self.subscription.is_pending();
         if is_needed && !self.is_timer_set {
             self.is_timer_set = true;
-            out.push(Action::SetTimer {
+            actions.push(Action::SetTimer {
                 after: self.tick,
                 token: TIMER_TOKEN,
             });
@@ -180,9 +180,9 @@
         }
     }
 
-    fn on_request(&mut self, now: Timestamp, request: Request, out: &mut Vec<Action>) {
+    fn on_request(&mut self, now: Timestamp, request: Request, actions: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(request.class as usize) else {
-            out.push(Action::Reject {
+            actions.push(Action::Reject {
                 request: request.id,
                 reason: RejectReason::UnknownClass,
                 retry_after: None,
@@ -211,7 +211,7 @@
             is_queued: false,
             request,
         };
-        self.dispatch(now, pending, out);
+        self.dispatch(now, pending, actions);
     }
 
     fn on_response_started(&mut self, now: Timestamp, request: RequestId, endpoint: &EndpointId) {
@@ -223,7 +223,7 @@
         }
     }
 
-    fn on_attempt_ended(&mut self, now: Timestamp, ended: AttemptEnded, out: &mut Vec<Action>) {
+    fn on_attempt_ended(&mut self, now: Timestamp, ended: AttemptEnded, actions: &mut Vec<Action>) {
         let Some(index) = self.endpoints.find(&ended.endpoint) else {
             return;
         };
@@ -238,9 +238,9 @@
         self.record_outcome(now, index, &attempt, &ended);
         self.record_session_write(now, attempt, &ended);
         if let Some(pending) = self.pending.remove(&ended.request) {
-            self.continue_request(now, pending, &ended, out);
+            self.continue_request(now, pending, &ended, actions);
         }
-        self.retry_queued(now, replica_set, out);
+        self.retry_queued(now, replica_set, actions);
     }
 
     /// Records the commit time of a write for its session. A write that was only possibly executed
@@ -266,7 +266,7 @@
         now: Timestamp,
         mut pending: PendingRequest,
         ended: &AttemptEnded,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         pending.in_flight = pending.in_flight.saturating_sub(1);
         if ended.outcome.is_never_executed() {
@@ -275,11 +275,11 @@
                 .retain(|sent| sent.number != ended.attempt);
         }
         if !ended.is_request_complete && pending.in_flight == 0 && !pending.is_streaming {
-            return self.retry_or_finish(now, pending, ended.outcome, out);
+            return self.retry_or_finish(now, pending, ended.outcome, actions);
         }
         self.pending.insert(ended.request, pending);
         if ended.is_request_complete {
-            self.complete(ended.request, out);
+            self.complete(ended.request, actions);
         }
     }
 
@@ -290,20 +290,20 @@
         now: Timestamp,
         pending: PendingRequest,
         reason: RejectReason,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if !self.is_safe_to_reject(now, &pending) {
-            return self.fail(pending, reason, out);
+            return self.fail(pending, reason, actions);
         }
         let limits = &self.settings.limits;
-        let longest = limits.max_retry_advice as f64;
-        let advice = (longest * (0.5 + self.rng.next_f64() / 2.0)) as Nanos;
-        out.push(Action::Reject {
+        let longest_advice = limits.max_retry_advice as f64;
+        let advice = (longest_advice * (0.5 + self.rng.next_f64() / 2.0)) as Nanos;
+        actions.push(Action::Reject {
             request: pending.request.id,
             reason,
             retry_after: limits.allows_retry_advice.then_some(advice),
         });
-        self.complete_request(pending, out);
+        self.complete_request(pending, actions);
     }
 
     /// Gives the request the final response that leaves its effect unknown.
@@ -311,24 +311,24 @@
         &mut self,
         pending: PendingRequest,
         reason: RejectReason,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        out.push(Action::Fail {
+        actions.push(Action::Fail {
             request: pending.request.id,
             reason,
         });
-        self.complete_request(pending, out);
+        self.complete_request(pending, actions);
     }
 
-    fn complete(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn complete(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(pending) = self.pending.remove(&id) {
-            self.complete_request(pending, out);
+            self.complete_request(pending, actions);
         }
     }
 
     /// Removes a request that has its final response or needs none from the queue, and cancels its
     /// attempts in flight.
-    fn complete_request(&mut self, pending: PendingRequest, out: &mut Vec<Action>) {
+    fn complete_request(&mut self, pending: PendingRequest, actions: &mut Vec<Action>) {
         let id = pending.request.id;
         if pending.is_queued {
             self.remove_from_queue(id, pending.request.replica_set);
@@ -342,7 +342,7 @@
                 .iter()
                 .any(|attempt| attempt.request == id && attempt.number == sent.number);
             if is_in_flight {
-                out.push(Action::Cancel {
+                actions.push(Action::Cancel {
                     request: id,
                     attempt: sent.number,
                 });
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -23,13 +23,13 @@
         &mut self,
         now: Timestamp,
         pending: PendingRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if let Some(reason) = self.dispatch_rejection(now, &pending) {
-            return self.reject_or_fail(now, pending, reason, out);
+            return self.reject_or_fail(now, pending, reason, actions);
         }
         if let Some(index) = self.select_position_refresh(now, &pending) {
-            return self.send(now, index, pending, out);
+            return self.send(now, index, pending, actions);
         }
         let selected = if self.needs_primary(&pending) {
             self.select_primary(now, &pending)
@@ -37,14 +37,14 @@
             self.select_read_endpoint(now, &pending)
         };
         let Some(index) = selected else {
-            return self.queue_or_reject(now, pending, out);
+            return self.queue_or_reject(now, pending, actions);
         };
         if self.is_shed(now, index, &pending) {
-            self.reject_or_fail(now, pending, RejectReason::LoadShed, out);
+            self.reject_or_fail(now, pending, RejectReason::LoadShed, actions);
         } else if !self.is_safe_to_send(now, index, &pending) {
-            self.reject_or_fail(now, pending, RejectReason::NotRetryable, out);
+            self.reject_or_fail(now, pending, RejectReason::NotRetryable, actions);
         } else {
-            self.send(now, index, pending, out);
+            self.send(now, index, pending, actions);
         }
     }
 
@@ -78,10 +78,10 @@
         &mut self,
         now: Timestamp,
         mut pending: PendingRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if pending.attempts_sent == 0 && !self.may_become_available(now, &pending) {
-            return self.reject_or_fail(now, pending, RejectReason::NoEligibleEndpoint, out);
+            return self.reject_or_fail(now, pending, RejectReason::NoEligibleEndpoint, actions);
         }
         let id = pending.request.id;
         let replica_set = pending.request.replica_set;
@@ -99,7 +99,7 @@
         now: Timestamp,
         index: EndpointIndex,
         mut pending: PendingRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let id = pending.request.id;
         let is_write = self.class(&pending).operation == Operation::Write;
@@ -115,7 +115,7 @@
             is_write,
             session: pending.request.session.clone().filter(|_| is_write),
         });
-        out.push(Action::Send {
+        actions.push(Action::Send {
             request: id,
             endpoint: endpoint.id.clone(),
             limit: None,
@@ -134,23 +134,28 @@
     }
 
     /// Dispatches the queued requests of a replica set again, in order of arrival.
-    pub(crate) fn retry_queued(&mut self, now: Timestamp, replica_set: u32, out: &mut Vec<Action>) {
+    pub(crate) fn retry_queued(
+        &mut self,
+        now: Timestamp,
+        replica_set: u32,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(replica_set_state) = self.endpoints.replica_sets.get_mut(&replica_set) else {
             return;
         };
         self.replica_sets_with_queue.remove(&replica_set);
         for id in std::mem::take(&mut replica_set_state.queue) {
             if let Some(pending) = self.pending.remove(&id) {
-                self.dispatch(now, pending, out);
+                self.dispatch(now, pending, actions);
             }
         }
     }
 
     /// Dispatches the queued requests of all replica sets again.
-    pub(crate) fn retry_all_queued(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    pub(crate) fn retry_all_queued(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let replica_sets: Vec<u32> = self.replica_sets_with_queue.iter().copied().collect();
         for replica_set in replica_sets {
-            self.retry_queued(now, replica_set, out);
+            self.retry_queued(now, replica_set, actions);
         }
     }
 
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -257,14 +257,14 @@
             .replica_set_endpoints(replica_set)
             .iter()
             .any(|&other| other != index && self.endpoints[other].accepts_new_work(now));
-        let longest = if has_alternative {
+        let longest_ejection = if has_alternative {
             MAX_EJECTION as f64
         } else {
             self.latency_cost.max_objective
         };
         let base = self.latency_cost.min_objective / 4.0;
-        let pause = (base * f64::from(1u32 << failures)).min(longest);
-        self.endpoints[index].health.ejected_until = now + (pause * jitter) as Nanos;
+        let ejection = (base * f64::from(1u32 << failures)).min(longest_ejection);
+        self.endpoints[index].health.ejected_until = now + (ejection * jitter) as Nanos;
     }
 
     /// Records a response: resets the endpoint's failures and starts its slow start if its process
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -71,17 +71,17 @@
         now: Timestamp,
         mut pending: PendingRequest,
         outcome: AttemptOutcome,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if outcome == AttemptOutcome::InvalidRequest {
-            return self.fail(pending, RejectReason::InvalidRequest, out);
+            return self.fail(pending, RejectReason::InvalidRequest, actions);
         }
         let is_write = self.class(&pending).operation == Operation::Write;
         if is_write && !outcome.is_never_executed() {
             pending.tried.clear();
         }
         if let Some(reason) = self.retry_rejection(now, &pending, outcome) {
-            return self.reject_or_fail(now, pending, reason, out);
+            return self.reject_or_fail(now, pending, reason, actions);
         }
         self.retry_budget.withdraw(retry_cost(outcome));
         if outcome == AttemptOutcome::Overloaded {
@@ -93,7 +93,7 @@
         if let Some(replica_set) = self.endpoints.replica_sets.get_mut(&replica_set) {
             replica_set.primary.record_failed_attempt(now);
         }
-        self.dispatch(now, pending, out);
+        self.dispatch(now, pending, actions);
     }
 
     /// Returns the reason why the request may not be sent again after this outcome, if there is
