--- a/crates/router/src/upstream/dial.rs
+++ b/crates/router/src/upstream/dial.rs
@@ -4,7 +4,7 @@
 //! is never held against the endpoint.
 
 use super::connection::{UpstreamConnection, write_some};
-use super::fault::{Blame, Stage, classify, outcome_of_dial, outcome_of_error};
+use super::fault::{FaultOrigin, Stage, classify, connect_outcome, sqlstate_outcome};
 use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
 use crate::runtime::shared::{DescriptorPermit, Shared};
@@ -62,11 +62,11 @@
     address: SocketAddr,
     permit: DescriptorPermit,
 ) -> Result<UpstreamConnection, AttemptOutcome> {
-    let stream = connect(address).await.map_err(|e| outcome_of_dial(&e))?;
+    let stream = connect(address).await.map_err(|e| connect_outcome(&e))?;
     let mut connection = UpstreamConnection::new(shared, stream, endpoint, address, permit);
     write_startup(&connection.stream)
         .await
-        .map_err(|e| outcome_of_dial(&e))?;
+        .map_err(|e| connect_outcome(&e))?;
     await_welcome(&mut connection).await?;
     // From here on, dropped while in use means that an attempt was abandoned.
     connection.close_reason = CloseReason::AttemptAbandoned;
@@ -80,7 +80,7 @@
         match Async::<TcpStream>::connect(address).await {
             Ok(stream) => break stream,
             Err(e) => {
-                let is_own_fault = classify(&e, Stage::Connect).blame != Blame::Endpoint;
+                let is_own_fault = classify(&e, Stage::Connect).origin != FaultOrigin::Endpoint;
                 if !is_own_fault || retries >= HOST_RETRIES {
                     return Err(e);
                 }
@@ -119,7 +119,7 @@
             }
             Ok(None) => {
                 let filled = connection.buffer.fill(&connection.stream).await;
-                if filled.map_err(|e| outcome_of_dial(&e))? == 0 {
+                if filled.map_err(|e| connect_outcome(&e))? == 0 {
                     return Err(AttemptOutcome::ConnectFailed);
                 }
             }
@@ -134,7 +134,7 @@
         connection.report_alive(true);
     }
     connection.close_reason = CloseReason::Rejected;
-    match code.map(outcome_of_error) {
+    match code.map(sqlstate_outcome) {
         Some(AttemptOutcome::Overloaded) => AttemptOutcome::Overloaded,
         _ => AttemptOutcome::ConnectFailed,
     }
--- a/crates/router/src/upstream/fault.rs
+++ b/crates/router/src/upstream/fault.rs
@@ -1,59 +1,61 @@
-//! Whose fault a failed system call on a connection to an endpoint is, and what the endpoint may have done by then.
+//! Classification of failures on a connection to an endpoint: their origin, and whether the endpoint may have executed
+//! the request.
 //!
-//! A router short of descriptors, ports, memory or routes of its own says nothing about an endpoint, so such a failure
-//! must not count towards its ejection. What a failed call means for a request depends on the stage alone: nothing has
-//! run before the last byte is written, and anything may have run after it.
+//! If the router's host is short of descriptors, ports, memory or routes, that is no evidence about an endpoint, so
+//! such a failure must not count towards its ejection. Whether a request may have been executed depends on the stage
+//! alone: it cannot have been before its last byte was written, and it may have been afterwards.
 
 use reelrill_pg_protocol::sqlstate;
 use reelrill_routing::AttemptOutcome;
 use rustix::io::Errno;
 use std::io;
 
-/// What the connection was doing when a call failed.
+/// The stage of a connection at which a system call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// The connection was being made: socket, connect and the start of the session.
+    /// The connection was being established: socket, connect and startup.
     Connect,
-    /// The request was not written as far as it can run.
+    /// Too little of the request had been written for the endpoint to execute it.
     Write,
-    /// The request was written, and its response was awaited.
+    /// The request had been written, and its response was awaited.
     Read,
 }
 
-/// Who is to blame.
+/// The origin of a failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Blame {
-    /// This host lacks something: descriptors, buffers, memory, ports or a route.
+pub enum FaultOrigin {
+    /// The router's host: it is short of descriptors, buffers, memory, ports or routes.
     Host,
-    /// The endpoint or the network on the way to it.
+    /// The endpoint, or the network between it and the router.
     Endpoint,
-    /// Nobody: the call was interrupted and has to be made again.
-    Nobody,
+    /// None: a signal interrupted the call, which must be repeated.
+    Interrupted,
 }
 
-/// What a failed call means.
+/// The classification of a failed system call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IoFault {
-    pub blame: Blame,
-    /// The request of the connection may have run.
-    pub possibly_executed: bool,
+    /// The origin of the failure.
+    pub origin: FaultOrigin,
+    /// Whether the endpoint may have executed the request.
+    pub is_possibly_executed: bool,
 }
 
-/// Classifies the error of a call that was made at `stage`.
+/// Classifies the error of a system call that was made at `stage`.
 pub fn classify(error: &io::Error, stage: Stage) -> IoFault {
-    let blame = match Errno::from_io_error(error) {
-        Some(Errno::INTR) => Blame::Nobody,
-        Some(errno) if is_lack_of_host(errno) => Blame::Host,
-        _ => Blame::Endpoint,
+    let origin = match Errno::from_io_error(error) {
+        Some(Errno::INTR) => FaultOrigin::Interrupted,
+        Some(errno) if is_host_error(errno) => FaultOrigin::Host,
+        _ => FaultOrigin::Endpoint,
     };
     IoFault {
-        blame,
-        possibly_executed: stage == Stage::Read,
+        origin,
+        is_possibly_executed: stage == Stage::Read,
     }
 }
 
-/// Errors that this host makes without a packet from the network.
-fn is_lack_of_host(errno: Errno) -> bool {
+/// Returns whether the router's host raises this error by itself, without a packet from the network.
+fn is_host_error(errno: Errno) -> bool {
     matches!(
         errno,
         Errno::MFILE
@@ -70,65 +72,67 @@
     )
 }
 
-/// Why a request got no complete response on its connection.
+/// The reason for which a request got no complete response on its connection.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// Nothing was written.
-    #[error("the connection had ended, or held bytes that nobody asked for")]
+    /// The connection was unusable before anything was written.
+    #[error("the connection was closed or held unexpected bytes before the request was written")]
     StaleConnection,
-    /// Nothing has run.
-    #[error("the connection failed before the last byte was written")]
-    NotWritten(Blame),
-    /// The request may have run.
-    #[error("the connection broke or ended before the response was complete")]
+    /// The connection failed too early for the endpoint to execute the request.
+    #[error("the connection failed before the last byte of the request was written")]
+    NotWritten(FaultOrigin),
+    /// The connection failed while the response was awaited. The endpoint may have executed the request.
+    #[error("the connection broke or was closed before the response was complete")]
     ConnectionBroken,
-    /// The request has run, and the connection is of no further use.
-    #[error("what came back is no response")]
+    /// The endpoint may have executed the request, but its response cannot be used, nor can the connection.
+    #[error("the bytes received are not a valid response")]
     MalformedResponse,
 }
 
 impl ExchangeError {
-    /// What a failed write or read means for the request. A lack of this host's own after the write tells nothing of
-    /// the endpoint: it counts as a response that could not be read.
+    /// Converts the error of a failed write or read. A failure of the router's host after the request was written is no
+    /// evidence about the endpoint, so it counts as a response that could not be read.
     pub fn from_io(error: &io::Error, stage: Stage) -> ExchangeError {
         let fault = classify(error, stage);
-        match fault.blame {
-            blame if !fault.possibly_executed => ExchangeError::NotWritten(blame),
-            Blame::Endpoint => ExchangeError::ConnectionBroken,
-            Blame::Host | Blame::Nobody => ExchangeError::MalformedResponse,
+        match fault.origin {
+            origin if !fault.is_possibly_executed => ExchangeError::NotWritten(origin),
+            FaultOrigin::Endpoint => ExchangeError::ConnectionBroken,
+            FaultOrigin::Host | FaultOrigin::Interrupted => ExchangeError::MalformedResponse,
         }
     }
 
-    /// What it means for the attempt.
+    /// Returns the outcome of the attempt.
     pub fn outcome(&self) -> AttemptOutcome {
         match self {
             ExchangeError::StaleConnection
-            | ExchangeError::NotWritten(Blame::Host | Blame::Nobody) => AttemptOutcome::NotSent,
-            ExchangeError::NotWritten(Blame::Endpoint) => AttemptOutcome::ConnectFailed,
+            | ExchangeError::NotWritten(FaultOrigin::Host | FaultOrigin::Interrupted) => {
+                AttemptOutcome::NotSent
+            }
+            ExchangeError::NotWritten(FaultOrigin::Endpoint) => AttemptOutcome::ConnectFailed,
             ExchangeError::ConnectionBroken => AttemptOutcome::ConnectionReset,
             ExchangeError::MalformedResponse => AttemptOutcome::MalformedResponse,
         }
     }
 }
 
-/// What a connection that could not be made means for the attempt that waits for it: nothing has run.
-pub fn outcome_of_dial(error: &io::Error) -> AttemptOutcome {
-    match classify(error, Stage::Connect).blame {
-        Blame::Endpoint => AttemptOutcome::ConnectFailed,
-        Blame::Host | Blame::Nobody => AttemptOutcome::NotSent,
+/// Returns the outcome of an attempt whose connection could not be established. The request cannot have been executed.
+pub fn connect_outcome(error: &io::Error) -> AttemptOutcome {
+    match classify(error, Stage::Connect).origin {
+        FaultOrigin::Endpoint => AttemptOutcome::ConnectFailed,
+        FaultOrigin::Host | FaultOrigin::Interrupted => AttemptOutcome::NotSent,
     }
 }
 
-/// What an endpoint's error code means for the attempt: by the protocol's table, and by the classes of codes that blame
-/// the statement (22 for data, 42 for syntax).
-pub fn outcome_of_error(code: &str) -> AttemptOutcome {
+/// Returns the outcome of an attempt that the endpoint answered with an error: by the SQLSTATE's entry in the
+/// protocol's table, or by its class, where the statement is at fault (22 for data, 42 for syntax).
+pub fn sqlstate_outcome(code: &str) -> AttemptOutcome {
     match code {
         sqlstate::READ_ONLY_SQL_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD => {
             AttemptOutcome::Misrouted
         }
         sqlstate::TOO_MANY_CONNECTIONS => AttemptOutcome::Overloaded,
         sqlstate::PROTOCOL_VIOLATION => AttemptOutcome::InvalidRequest,
-        // Only a prepared statement ends so: the endpoint has forgotten it, twice in a row.
+        // Only a prepared statement gets this error, and only if the endpoint has dropped it twice in a row.
         sqlstate::INVALID_SQL_STATEMENT_NAME => AttemptOutcome::NotSent,
         _ if code.starts_with("22") || code.starts_with("42") => AttemptOutcome::InvalidRequest,
         _ => AttemptOutcome::Error,
--- a/crates/router/src/upstream/response.rs
+++ b/crates/router/src/upstream/response.rs
@@ -3,7 +3,7 @@
 //! Owns what has come so far, and accepts each message only in its place: one description, one row of one column, one
 //! end; or one error before any of these. It never reads from the connection.
 
-use super::fault::outcome_of_error;
+use super::fault::sqlstate_outcome;
 use super::load_report::parse_load_report;
 use crate::messages::{QueryResult, ResultColumn};
 use reelrill_pg_protocol::{backend, split_cstring, sqlstate};
@@ -54,7 +54,7 @@
     /// The outcome, and the answer if it is complete.
     pub fn into_outcome(self) -> (AttemptOutcome, Option<QueryResult>) {
         if let Some(code) = &self.error_code {
-            return (outcome_of_error(code), None);
+            return (sqlstate_outcome(code), None);
         }
         match (self.value, self.command_tag) {
             (Some(value), Some(command_tag)) => {
