--- a/crates/router/src/upstream/endpoint_status.rs
+++ b/crates/router/src/upstream/endpoint_status.rs
@@ -1,13 +1,13 @@
-//! What the endpoint list says of one endpoint now.
+//! The current state of one endpoint in the endpoint list.
 //!
-//! Shared by the pool's handle, which writes it, and the pool's tasks, which read it again before each write.
+//! The pool's handle updates it, and the pool's tasks read it again before each write to the endpoint.
 
 use crate::runtime::shared::Shared;
 use reelrill_routing::Timestamp;
 use std::cell::Cell;
 use std::net::SocketAddr;
 
-/// The endpoint's address, and since when it drains.
+/// Holds the endpoint's address, and the time since when it has been draining.
 #[derive(Debug)]
 pub struct EndpointStatus {
     address: Cell<SocketAddr>,
@@ -15,7 +15,7 @@
 }
 
 impl EndpointStatus {
-    /// An endpoint that does not drain.
+    /// Creates the state of an endpoint that is not draining.
     pub fn new(address: SocketAddr) -> EndpointStatus {
         EndpointStatus {
             address: Cell::new(address),
@@ -23,12 +23,13 @@
         }
     }
 
+    /// Returns the endpoint's current address.
     pub fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// Takes over what the list says now, and returns whether the address has changed. A drain that is already known
-    /// keeps its start.
+    /// Updates the state from the endpoint list, and returns whether the address has changed. The start of a drain that
+    /// is already known stays.
     pub fn update(&self, address: SocketAddr, is_draining: bool, now: Timestamp) -> bool {
         let draining_since = self.draining_since.get().unwrap_or(now);
         self.draining_since
@@ -36,8 +37,8 @@
         self.address.replace(address) != address
     }
 
-    /// It drains, and no request may be written to it any more.
-    pub fn is_closed_to_new(&self, shared: &Shared) -> bool {
+    /// Returns whether the endpoint has been draining for so long that no request may be written to it any more.
+    pub fn has_drain_grace_expired(&self, shared: &Shared) -> bool {
         let cutoff = shared.config.site.settings.rules.drain_cutoff();
         self.draining_since
             .get()
--- a/crates/router/src/upstream/exchange.rs
+++ b/crates/router/src/upstream/exchange.rs
@@ -1,6 +1,6 @@
-//! One attempt or one health check on its connection, as a task of its own.
+//! Runs one attempt or one health check on its connection, as a task of its own.
 //!
-//! Each tells the dispatcher its one result, and gives the connection back to the pool if it is of further use.
+//! Each task sends one result to the dispatcher, and returns the connection to the pool if it can be used again.
 
 use super::connection::UpstreamConnection;
 use super::endpoint_status::EndpointStatus;
@@ -17,29 +17,30 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The shortest time that an endpoint has for its load report.
-const MIN_HEALTH_CHECK_TIME: Nanos = 100_000_000;
-/// What asks an endpoint for its load report.
-const REPORT_QUERY: &[u8] = b"SHOW gauges";
+/// The shortest timeout of a health check in nanoseconds.
+const MIN_HEALTH_CHECK_TIMEOUT: Nanos = 100_000_000;
+/// The query for an endpoint's load report.
+const LOAD_REPORT_QUERY: &[u8] = b"SHOW gauges";
 
 impl Attempt {
-    /// Neither abandoned by the dispatcher nor left by its client.
-    pub(super) fn is_wanted(&self) -> bool {
+    /// Returns whether neither the dispatcher has abandoned the attempt nor the client cancelled the request.
+    pub(super) fn is_still_needed(&self) -> bool {
         !self.abandoned.is_closed() && !self.request_cancelled.is_raised()
     }
 
-    /// How long the endpoint may take if the request is written now, in nanoseconds; none: it must not be written any
-    /// more. Asked in the step that writes, since the attempt may have waited for its turn, and again for each further
-    /// write.
+    /// Returns the endpoint's time to respond, in nanoseconds, if the request is written now, or `None` if it must not
+    /// be written any more. Must be called immediately before each write, because the attempt may have waited.
     fn time_left(&self, shared: &Shared, status: &EndpointStatus) -> Option<Nanos> {
         let now = shared.clock.now();
-        let is_late = now >= self.deadline || self.write_deadline.is_some_and(|by| now >= by);
-        let may_be_written = self.is_wanted() && !is_late && !status.is_closed_to_new(shared);
-        may_be_written.then(|| self.deadline - now)
+        let is_late =
+            now >= self.deadline || self.write_deadline.is_some_and(|deadline| now >= deadline);
+        let can_be_written =
+            self.is_still_needed() && !is_late && !status.has_drain_grace_expired(shared);
+        can_be_written.then(|| self.deadline - now)
     }
 
-    /// The message that tells the dispatcher of this attempt's result.
-    pub(super) fn ended(&self, result: AttemptResult) -> Message {
+    /// Creates the message with this attempt's result for the dispatcher.
+    pub(super) fn ended_message(&self, result: AttemptResult) -> Message {
         Message::AttemptEnded {
             request: self.request,
             attempt: self.number,
@@ -48,7 +49,8 @@
     }
 }
 
-/// Makes an attempt. Once it is abandoned, it drops the connection: a late answer has nowhere to go.
+/// Makes an attempt, and reports its result to the dispatcher. If the attempt is abandoned, the connection is dropped,
+/// because nothing awaits a late response.
 pub async fn run_attempt(
     shared: Rc<Shared>,
     status: Rc<EndpointStatus>,
@@ -57,21 +59,26 @@
     attempt: Box<Attempt>,
 ) {
     let time_left = || attempt.time_left(&shared, &status);
-    let Some(wait) = time_left() else {
-        give_back(&pool, connection).await;
-        if attempt.is_wanted() {
+    let Some(response_time) = time_left() else {
+        return_to_pool(&pool, connection).await;
+        if attempt.is_still_needed() {
             let not_sent = AttemptResult::from_outcome(AttemptOutcome::NotSent);
-            tell_dispatcher(&shared, attempt.ended(not_sent)).await;
+            notify_dispatcher(&shared, attempt.ended_message(not_sent)).await;
         }
         return;
     };
     let abandoned = async {
-        // Nothing is ever sent: it ends when the dispatcher drops its end.
+        // Nothing is ever sent on this channel. The dispatcher closes it to abandon the attempt.
         let _ = attempt.abandoned.recv().await;
         None
     };
     let exchange = async {
-        let response = connection.execute(&attempt.statement, wait, time_left, &attempt.progress);
+        let response = connection.execute(
+            &attempt.statement,
+            response_time,
+            time_left,
+            &attempt.progress,
+        );
         Some(response.await)
     };
     let Some(response) = or(exchange, abandoned).await else {
@@ -79,12 +86,12 @@
     };
     let result = match response {
         Err(error) => AttemptResult::from_outcome(error.outcome()),
-        Ok(response) => finish(&pool, connection, response).await,
+        Ok(response) => finish_response(&pool, connection, response).await,
     };
-    tell_dispatcher(&shared, attempt.ended(result)).await;
+    notify_dispatcher(&shared, attempt.ended_message(result)).await;
 }
 
-/// Asks an endpoint for its load report.
+/// Queries an endpoint's load report, and reports the result to the dispatcher.
 pub async fn run_health_check(
     shared: Rc<Shared>,
     pool: Sender<PoolEvent>,
@@ -93,19 +100,19 @@
 ) {
     count(&shared.counters.health_checks);
     let connect_timeout = shared.config.site.settings.limits.connect_timeout;
-    let limit = Duration::from_nanos(connect_timeout.max(MIN_HEALTH_CHECK_TIME));
+    let limit = Duration::from_nanos(connect_timeout.max(MIN_HEALTH_CHECK_TIMEOUT));
     let timed_out = async {
         Timer::after(limit).await;
         None
     };
     let progress = AttemptProgress::default();
-    let exchange = async { Some(connection.query(REPORT_QUERY, &progress).await) };
+    let exchange = async { Some(connection.query(LOAD_REPORT_QUERY, &progress).await) };
     let result = match or(exchange, timed_out).await {
         None => AttemptResult::from_outcome(AttemptOutcome::TimedOut),
         Some(Err(_)) => AttemptResult::from_outcome(AttemptOutcome::ConnectionReset),
         Some(Ok(response)) => {
             let report = response.text().map(parse_load_report).unwrap_or_default();
-            let result = finish(&pool, connection, response).await;
+            let result = finish_response(&pool, connection, response).await;
             AttemptResult {
                 report,
                 query_result: None,
@@ -113,11 +120,11 @@
             }
         }
     };
-    tell_dispatcher(&shared, Message::HealthCheckEnded { endpoint, result }).await;
+    notify_dispatcher(&shared, Message::HealthCheckEnded { endpoint, result }).await;
 }
 
-/// Turns a response into the result, and gives the connection back if it is ready for another request.
-async fn finish(
+/// Converts a response into the result, and returns the connection to the pool if it is ready for another request.
+async fn finish_response(
     pool: &Sender<PoolEvent>,
     connection: UpstreamConnection,
     response: Response,
@@ -127,7 +134,7 @@
     let report = response.report;
     let (outcome, query_result) = response.into_outcome();
     if is_ready {
-        give_back(pool, connection).await;
+        return_to_pool(pool, connection).await;
     }
     AttemptResult {
         outcome,
@@ -137,12 +144,12 @@
     }
 }
 
-/// A connection that no pool takes any more ends with its log line.
-async fn give_back(pool: &Sender<PoolEvent>, connection: UpstreamConnection) {
+/// Returns a connection to its pool. If the pool has ended, the connection is closed.
+async fn return_to_pool(pool: &Sender<PoolEvent>, connection: UpstreamConnection) {
     let _ = pool.send(PoolEvent::Returned(Box::new(connection))).await;
 }
 
-/// The dispatcher ends last; without it there is nobody to tell.
-pub async fn tell_dispatcher(shared: &Shared, message: Message) {
+/// Sends a message to the dispatcher, which outlives all pools.
+pub async fn notify_dispatcher(shared: &Shared, message: Message) {
     let _ = shared.dispatcher.send(message).await;
 }
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -6,7 +6,7 @@
 use super::connection::UpstreamConnection;
 use super::dial::{connect_timeout, dial};
 use super::endpoint_status::EndpointStatus;
-use super::exchange::{run_attempt, run_health_check, tell_dispatcher};
+use super::exchange::{notify_dispatcher, run_attempt, run_health_check};
 use super::pool_handle::{CommandSender, PoolCommand};
 use crate::messages::{Attempt, AttemptResult, Message};
 use crate::observability::close_reason::CloseReason;
@@ -56,7 +56,7 @@
 impl Job {
     fn is_wanted(&self) -> bool {
         match self {
-            Job::Attempt(attempt) => attempt.is_wanted(),
+            Job::Attempt(attempt) => attempt.is_still_needed(),
             Job::HealthCheck => true,
         }
     }
@@ -305,7 +305,7 @@
     async fn assign_connections(&mut self) {
         self.waiting.retain(|waiting| waiting.job.is_wanted());
         // The grace of a drain counts to the first byte: what waited for a connection meanwhile may be too late.
-        if self.status.is_closed_to_new(&self.shared) {
+        if self.status.has_drain_grace_expired(&self.shared) {
             self.fail_waiting(AttemptOutcome::NotSent).await;
         }
         self.use_idle();
@@ -375,13 +375,13 @@
     async fn fail(&self, job: Job, outcome: AttemptOutcome) {
         let result = AttemptResult::from_outcome(outcome);
         let message = match job {
-            Job::Attempt(attempt) => attempt.ended(result),
+            Job::Attempt(attempt) => attempt.ended_message(result),
             Job::HealthCheck => Message::HealthCheckEnded {
                 endpoint: self.endpoint.clone(),
                 result,
             },
         };
-        tell_dispatcher(&self.shared, message).await;
+        notify_dispatcher(&self.shared, message).await;
     }
 }
 
