--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -196,7 +196,7 @@
         // From here on it may run, whether or not the Sync behind it arrives.
         let executable_length = messages.len();
         frontend::put_sync(&mut messages);
-        let response = Response::of_prepared(confirmations);
+        let response = Response::for_prepared(confirmations);
         let response = self
             .exchange(&messages, executable_length, progress, response)
             .await?;
@@ -276,7 +276,7 @@
         loop {
             let progress = match frame::parse_backend(self.buffer.bytes()) {
                 Ok(Some((kind, body, length))) => {
-                    let progress = response.take(kind, body);
+                    let progress = response.add_message(kind, body);
                     self.buffer.consume(length);
                     progress
                 }
@@ -316,7 +316,7 @@
     /// Waits for more of a response. Once its first byte is there, the rest must not take long: a response whose
     /// length does not fit would otherwise hold its request until the client stops waiting.
     async fn wait_for_bytes(&mut self, so_far: &Response) -> ReadResult {
-        let has_begun = !self.buffer.bytes().is_empty() || so_far.has_begun();
+        let has_begun = !self.buffer.bytes().is_empty() || so_far.has_started();
         let stalled = async {
             if !has_begun {
                 futures_lite::future::pending::<()>().await;
@@ -337,7 +337,7 @@
 
     /// Tells discovery that the endpoint answers for itself: at once that it drains, else now and then.
     fn report_alive_by(&mut self, response: &Response) {
-        let is_draining = response.says_draining();
+        let is_draining = response.has_draining_error();
         let now = self.shared.clock.now();
         let since_last = now.saturating_sub(self.reported_alive_at);
         if is_draining || since_last > ALIVE_REPORT_INTERVAL {
--- a/crates/router/src/upstream/response.rs
+++ b/crates/router/src/upstream/response.rs
@@ -1,7 +1,7 @@
-//! One response of an endpoint, put together from the messages that come on its connection.
+//! Assembles one response of an endpoint from the messages received on its connection.
 //!
-//! Owns what has come so far, and accepts each message only in its place: one description, one row of one column, one
-//! end; or one error before any of these. It never reads from the connection.
+//! Each message is accepted only in its place: one description, one row of one column and one completion, or one error
+//! before any of these. This module never reads from the connection.
 
 use super::fault::sqlstate_outcome;
 use super::load_report::parse_load_report;
@@ -11,39 +11,39 @@
 
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// What has come of a response.
+/// A response that is being received.
 #[derive(Debug, Default)]
 pub struct Response {
-    /// The kinds of messages that must still confirm the steps of a prepared statement, in order, before a row may
-    /// come. There is no description then; the value is in the format that was asked for.
+    /// The tags of the messages that must still confirm the steps of a prepared statement, in order, before the row.
+    /// Such a response has no description, and its value has the requested format.
     confirmations: &'static [u8],
     is_prepared: bool,
     column: Option<ResultColumn>,
     value: Option<Vec<u8>>,
     command_tag: Option<Box<str>>,
     error_code: Option<String>,
-    /// What the endpoint said of its role and position.
+    /// The role and position in the endpoint's parameters.
     pub replication: ReplicationStatus,
-    /// What its load report said of them.
+    /// The role and position in the endpoint's load report.
     pub report: ReplicationStatus,
-    /// The connection is ready for another request.
+    /// Whether ReadyForQuery was received: the connection can be used for another request.
     pub is_ready: bool,
 }
 
-/// What a message means for the response that it belongs to.
+/// The progress of a response after a message.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ResponseProgress {
-    /// More has to come.
+    /// More messages must follow.
     Incomplete,
-    /// It was the last.
+    /// The message was the last one.
     Ready,
-    /// It may not come here.
+    /// The message is invalid or not allowed at this point.
     Unexpected,
 }
 
 impl Response {
-    /// The response to a prepared statement, whose steps are confirmed by messages of these kinds.
-    pub fn of_prepared(confirmations: &'static [u8]) -> Response {
+    /// Creates the response to a prepared statement whose steps are confirmed by messages with these tags.
+    pub fn for_prepared(confirmations: &'static [u8]) -> Response {
         Response {
             confirmations,
             is_prepared: true,
@@ -51,10 +51,10 @@
         }
     }
 
-    /// The outcome, and the answer if it is complete.
+    /// Returns the outcome, and the result if the response is complete.
     pub fn into_outcome(self) -> (AttemptOutcome, Option<QueryResult>) {
-        if let Some(code) = &self.error_code {
-            return (sqlstate_outcome(code), None);
+        if let Some(error_code) = &self.error_code {
+            return (sqlstate_outcome(error_code), None);
         }
         match (self.value, self.command_tag) {
             (Some(value), Some(command_tag)) => {
@@ -69,45 +69,46 @@
         }
     }
 
-    /// Nothing more is needed for its outcome.
+    /// Returns whether the outcome is known.
     pub fn is_complete(&self) -> bool {
         self.command_tag.is_some() || self.error_code.is_some()
     }
 
-    /// Its first message has come.
-    pub fn has_begun(&self) -> bool {
+    /// Returns whether a description, row, completion or error was received.
+    pub fn has_started(&self) -> bool {
         self.column.is_some() || self.value.is_some() || self.is_complete()
     }
 
-    /// How many of the confirmations have not come.
+    /// Returns the number of confirmations that have not been received.
     pub fn missing_confirmations(&self) -> usize {
         self.confirmations.len()
     }
 
-    /// The endpoint does not know the prepared statement that it was asked to run.
+    /// Returns whether the endpoint rejected the request because it does not have the prepared statement.
     pub fn has_unknown_statement(&self) -> bool {
         self.error_code.as_deref() == Some(sqlstate::INVALID_SQL_STATEMENT_NAME)
     }
 
-    /// The endpoint says that it is draining.
-    pub fn says_draining(&self) -> bool {
+    /// Returns whether the endpoint rejected the request because it is draining.
+    pub fn has_draining_error(&self) -> bool {
         self.error_code.as_deref() == Some(sqlstate::CANNOT_CONNECT_NOW)
     }
 
-    /// The one value as text, such as a load report.
+    /// Returns the value as text, such as a load report. `None` if there is no value or it is not valid UTF-8.
     pub fn text(&self) -> Option<&str> {
         std::str::from_utf8(self.value.as_deref()?).ok()
     }
 
-    /// Takes one message. Serving one that is out of place would hand a client what no endpoint made for it.
-    pub fn take(&mut self, kind: u8, body: &[u8]) -> ResponseProgress {
-        let accepted = match kind {
-            b'T' if !self.is_prepared && !self.has_begun() => self.take_description(body),
-            b'D' if self.may_have_row() => self.take_row(body),
-            b'C' if self.value.is_some() && !self.is_complete() => self.take_command_tag(body),
-            b'E' if !self.has_begun() => self.take_error(body),
+    /// Adds one message. Messages out of place are rejected, because a client could otherwise receive a result that no
+    /// endpoint computed for it.
+    pub fn add_message(&mut self, tag: u8, body: &[u8]) -> ResponseProgress {
+        let accepted = match tag {
+            b'T' if !self.is_prepared && !self.has_started() => self.add_description(body),
+            b'D' if self.is_row_expected() => self.add_row(body),
+            b'C' if self.value.is_some() && !self.is_complete() => self.add_command_tag(body),
+            b'E' if !self.has_started() => self.add_error(body),
             b'S' => {
-                self.take_parameter(body);
+                self.add_parameter(body);
                 Some(())
             }
             b'N' => Some(()),
@@ -115,7 +116,7 @@
                 self.is_ready = true;
                 return ResponseProgress::Ready;
             }
-            _ => self.take_confirmation(kind, body),
+            _ => self.add_confirmation(tag, body),
         };
         match accepted {
             Some(()) => ResponseProgress::Incomplete,
@@ -123,16 +124,16 @@
         }
     }
 
-    fn may_have_row(&self) -> bool {
-        let is_announced = if self.is_prepared {
+    fn is_row_expected(&self) -> bool {
+        let has_preamble = if self.is_prepared {
             self.confirmations.is_empty()
         } else {
             self.column.is_some()
         };
-        is_announced && self.value.is_none() && !self.is_complete()
+        has_preamble && self.value.is_none() && !self.is_complete()
     }
 
-    fn take_description(&mut self, body: &[u8]) -> Option<()> {
+    fn add_description(&mut self, body: &[u8]) -> Option<()> {
         let column = backend::parse_single_column(body)?;
         self.column = Some(ResultColumn {
             name: column.name.into(),
@@ -142,29 +143,29 @@
         Some(())
     }
 
-    fn take_row(&mut self, body: &[u8]) -> Option<()> {
+    fn add_row(&mut self, body: &[u8]) -> Option<()> {
         self.value = Some(backend::parse_single_value(body)?.to_vec());
         Some(())
     }
 
-    fn take_command_tag(&mut self, body: &[u8]) -> Option<()> {
+    fn add_command_tag(&mut self, body: &[u8]) -> Option<()> {
         self.command_tag = Some(backend::parse_single_string(body)?.into());
         Some(())
     }
 
-    fn take_error(&mut self, body: &[u8]) -> Option<()> {
+    fn add_error(&mut self, body: &[u8]) -> Option<()> {
         self.error_code = Some(backend::error_sqlstate(body)?.to_owned());
         Some(())
     }
 
-    fn take_confirmation(&mut self, kind: u8, body: &[u8]) -> Option<()> {
+    fn add_confirmation(&mut self, tag: u8, body: &[u8]) -> Option<()> {
         let (expected, rest) = self.confirmations.split_first()?;
-        let is_expected = *expected == kind && body.is_empty() && !self.has_begun();
+        let is_expected = *expected == tag && body.is_empty() && !self.has_started();
         is_expected.then(|| self.confirmations = rest)
     }
 
-    /// Reads what the endpoint says of itself in a parameter; others are left out.
-    fn take_parameter(&mut self, body: &[u8]) {
+    /// Reads the endpoint's role, position or load report from a parameter. Other parameters are ignored.
+    fn add_parameter(&mut self, body: &[u8]) {
         let Some((name, rest)) = split_cstring(body) else {
             return;
         };
