--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -1,8 +1,8 @@
-//! One connection to an endpoint: used for one request at a time, and logged once when it ends.
+//! One connection to an endpoint. It carries one request at a time, and its end is logged once.
 //!
-//! Owns the socket, what was read of it, and which statements are prepared there. It never writes a request while
-//! unread bytes are left, which would be taken for its response, and it raises [`AttemptProgress`] to written no later
-//! than the last byte with which the request may run.
+//! Owns the socket, its read buffer, and the record of the statements prepared on the connection. It never writes a
+//! request while there are unread bytes, which would be taken for its response. It sets [`AttemptProgress`] to written
+//! as soon as enough of a request has been written for the endpoint to execute it.
 
 use super::fault::{ExchangeError, Stage};
 use super::response::{Response, ResponseProgress};
@@ -26,26 +26,26 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a response that has begun may pause.
+/// The longest pause within a response.
 const RESPONSE_PAUSE_LIMIT: Duration = Duration::from_millis(100);
-/// How often a connection tells discovery that its endpoint answers.
-const ALIVE_REPORT_INTERVAL: Nanos = 1_000_000_000;
+/// The interval in nanoseconds at which a connection notifies discovery that its endpoint responds.
+const RESPONSE_REPORT_INTERVAL: Nanos = 1_000_000_000;
 
-/// A connection that is open, or was when it was last looked at.
+/// Owns a connection to an endpoint. The endpoint may close it at any time.
 pub struct UpstreamConnection {
     shared: Rc<Shared>,
     pub(super) stream: Async<TcpStream>,
     pub(super) buffer: Buffer,
     endpoint: EndpointId,
-    /// Where it leads.
+    /// The address that it is connected to.
     pub address: SocketAddr,
-    /// When it was last given back.
+    /// The time at which it was last returned to the pool.
     pub idle_since: Timestamp,
-    /// What its log line says, if it is dropped now.
+    /// The reason that is logged when the connection is dropped.
     pub(super) close_reason: CloseReason,
     prepared: PreparedStatements,
-    /// When discovery was last told that the endpoint answers.
-    reported_alive_at: Timestamp,
+    /// The time at which discovery was last notified that the endpoint responds.
+    last_report_at: Timestamp,
     _permit: DescriptorPermit,
 }
 
@@ -56,19 +56,21 @@
     }
 }
 
-/// What came of waiting for more of a response.
+/// The result of a wait for more bytes of a response.
 enum ReadResult {
+    /// Bytes were read into the buffer.
     Bytes,
     /// The endpoint has closed the connection.
     Closed,
-    /// A response that has begun has paused for [`RESPONSE_PAUSE_LIMIT`].
+    /// A response that has started paused for [`RESPONSE_PAUSE_LIMIT`].
     Stalled,
-    /// This router's memory for large messages is used up.
+    /// The router's memory budget for large messages is exhausted.
     MemoryLimit,
+    /// The read failed.
     Failed(io::Error),
 }
 
-/// Writes once, again where a signal interrupts it.
+/// Writes as many bytes as the socket accepts, and retries a write that a signal interrupts. Returns their number.
 pub(super) async fn write_some(mut stream: &Async<TcpStream>, bytes: &[u8]) -> io::Result<usize> {
     loop {
         match stream.write(bytes).await {
@@ -80,7 +82,7 @@
 }
 
 impl UpstreamConnection {
-    /// A connection whose session has not begun.
+    /// Creates a connection on which the startup message has not been sent.
     pub(super) fn new(
         shared: Rc<Shared>,
         stream: Async<TcpStream>,
@@ -99,17 +101,18 @@
             address,
             close_reason: CloseReason::ConnectFailed,
             prepared: PreparedStatements::new(max_prepared),
-            reported_alive_at: 0,
+            last_report_at: 0,
             _permit: permit,
         }
     }
 
-    /// Closes the connection.
+    /// Closes the connection and logs `reason`.
     pub fn close(mut self, reason: CloseReason) {
         self.close_reason = reason;
     }
 
-    /// Still open and silent: an endpoint that closed it, or said something unasked, has done with it.
+    /// Returns whether the connection is open and has no unread bytes. If the endpoint has closed it or sent unexpected
+    /// bytes, it cannot be used.
     pub fn is_open(&self) -> bool {
         let peeked = loop {
             match self.stream.get_ref().peek(&mut [0]) {
@@ -117,39 +120,45 @@
                 peeked => break peeked,
             }
         };
-        let is_silent = peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
-        is_silent && self.buffer.bytes().is_empty()
+        let has_no_input = peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
+        has_no_input && self.buffer.bytes().is_empty()
     }
 
-    /// Executes what a request asks for, within the time that the router will wait (`wait`, in nanoseconds).
-    /// `time_left` says how long that is when something has to be written again, or that nothing may be.
+    /// Executes a statement. `response_time` is the time in nanoseconds that the router waits for the response. If the
+    /// statement has to be written a second time, `time_left` returns the remaining time, or `None` if it must not be
+    /// written.
     pub async fn execute(
         &mut self,
-        ask: &EndpointQuery,
-        wait: Nanos,
+        statement: &EndpointQuery,
+        response_time: Nanos,
         time_left: impl Fn() -> Option<Nanos>,
         progress: &AttemptProgress,
     ) -> Result<Response, ExchangeError> {
-        let bound = match ask {
+        let bound = match statement {
             EndpointQuery::Simple(simple) => {
-                return self.query(&simple.with_timeout(wait), progress).await;
+                return self
+                    .query(&simple.with_timeout(response_time), progress)
+                    .await;
             }
             EndpointQuery::Bound(bound) => bound,
         };
-        let response = self.execute_prepared(bound, wait, progress).await?;
+        let response = self
+            .execute_prepared(bound, response_time, progress)
+            .await?;
         if !response.has_unknown_statement() || !response.is_ready {
             return Ok(response);
         }
-        // It has lost the statement, and nothing has run: once more, with a Parse, if there still is time.
-        let Some(wait) = time_left() else {
+        // The endpoint does not have the statement and has executed nothing. If time is left, the request is written
+        // again with a Parse.
+        let Some(response_time) = time_left() else {
             return Ok(response);
         };
         count(&self.shared.counters.statements_reprepared);
         self.prepared.remove(bound.template().id);
-        self.execute_prepared(bound, wait, progress).await
+        self.execute_prepared(bound, response_time, progress).await
     }
 
-    /// Sends one simple query and reads all of its response.
+    /// Sends a simple query and reads its complete response.
     pub async fn query(
         &mut self,
         text: &[u8],
@@ -162,18 +171,19 @@
             .await
     }
 
-    /// Executes a prepared statement: all that it needs here in one write, a Parse only where it is lacking.
+    /// Executes a prepared statement. All messages that it needs are sent in one write, with a Parse only if the
+    /// statement is not prepared on this connection.
     async fn execute_prepared(
         &mut self,
         bound: &BoundStatement,
-        wait: Nanos,
+        response_time: Nanos,
         progress: &AttemptProgress,
     ) -> Result<Response, ExchangeError> {
         let template = bound.template();
         let mut messages = Vec::new();
-        let need = self.prepared.preparation(template.id);
+        let preparation = self.prepared.preparation(template.id);
         let name = template.statement_name();
-        let confirmations: &[u8] = match need {
+        let confirmations: &[u8] = match preparation {
             Preparation::NotNeeded => b"2",
             Preparation::Needed { evict: None } => b"12",
             Preparation::Needed { evict: Some(old) } => {
@@ -186,28 +196,28 @@
             }
         };
         if let (Preparation::Needed { .. }, StatementKind::Request(request)) =
-            (need, &template.kind)
+            (preparation, &template.kind)
         {
             count(&self.shared.counters.statements_prepared);
             frontend::put_parse(&mut messages, &name, &request.text, &request.types);
         }
-        bound.put_bind(&mut messages, wait);
+        bound.put_bind(&mut messages, response_time);
         frontend::put_execute(&mut messages, "", 0);
-        // From here on it may run, whether or not the Sync behind it arrives.
+        // Once these bytes have arrived the endpoint may execute the statement, even without the Sync.
         let executable_length = messages.len();
         frontend::put_sync(&mut messages);
         let response = Response::for_prepared(confirmations);
         let response = self
             .exchange(&messages, executable_length, progress, response)
             .await?;
-        if need != Preparation::NotNeeded && response.missing_confirmations() < b"12".len() {
+        if preparation != Preparation::NotNeeded && response.missing_confirmations() < b"12".len() {
             self.prepared.insert(template.id);
         }
         Ok(response)
     }
 
-    /// Writes what asks for one response, and reads all of it. Once the first `executable_length` bytes are written,
-    /// the request may run, and `progress` says so.
+    /// Writes the messages of one request, and reads its complete response. Once the first `executable_length` bytes
+    /// are written, the endpoint may execute the request, and `progress` is set to written.
     async fn exchange(
         &mut self,
         messages: &[u8],
@@ -215,7 +225,7 @@
         progress: &AttemptProgress,
         response: Response,
     ) -> Result<Response, ExchangeError> {
-        // Looked at again right before the write: what came unasked would be taken for this request's response.
+        // Checked again immediately before the write: unexpected bytes would be taken for the response to this request.
         if !self.is_open() {
             self.close_reason = CloseReason::MalformedResponse;
             return Err(ExchangeError::StaleConnection);
@@ -237,8 +247,12 @@
                 Ok(length) => written += length,
                 Err(e) => {
                     self.close_reason = CloseReason::Reset;
-                    let has_run = written >= executable_length;
-                    let stage = if has_run { Stage::Read } else { Stage::Write };
+                    let is_executable = written >= executable_length;
+                    let stage = if is_executable {
+                        Stage::Read
+                    } else {
+                        Stage::Write
+                    };
                     return Err(ExchangeError::from_io(&e, stage));
                 }
             }
@@ -251,20 +265,20 @@
 
     async fn read_response(&mut self, mut response: Response) -> Result<Response, ExchangeError> {
         let Err((close_reason, error)) = self.read_until_ready(&mut response).await else {
-            self.report_alive_by(&response);
+            self.report_response(&response);
             return Ok(response);
         };
         self.close_reason = close_reason;
         if !response.is_complete() {
             return Err(error);
         }
-        // A complete answer needs no ReadyForQuery, and a fatal error has none; what follows it spoils only the
-        // connection.
-        self.report_alive_by(&response);
+        // A complete response is valid without ReadyForQuery, which does not follow a fatal error. Invalid bytes behind
+        // it affect only the connection.
+        self.report_response(&response);
         Ok(response)
     }
 
-    /// Reads up to ReadyForQuery. An error ends the connection.
+    /// Reads messages up to ReadyForQuery. After an error the connection must be closed.
     async fn read_until_ready(
         &mut self,
         response: &mut Response,
@@ -275,8 +289,8 @@
         );
         loop {
             let progress = match frame::parse_backend(self.buffer.bytes()) {
-                Ok(Some((kind, body, length))) => {
-                    let progress = response.add_message(kind, body);
+                Ok(Some((tag, body, length))) => {
+                    let progress = response.add_message(tag, body);
                     self.buffer.consume(length);
                     progress
                 }
@@ -302,7 +316,7 @@
                 CloseReason::MalformedResponse,
                 ExchangeError::MalformedResponse,
             )),
-            // The lack is the router's own: the endpoint is not to blame.
+            // The shortage is the router's own. It is not a failure of the endpoint.
             ReadResult::MemoryLimit => {
                 Err((CloseReason::NoMemory, ExchangeError::MalformedResponse))
             }
@@ -313,12 +327,12 @@
         }
     }
 
-    /// Waits for more of a response. Once its first byte is there, the rest must not take long: a response whose
-    /// length does not fit would otherwise hold its request until the client stops waiting.
+    /// Waits for more bytes of a response. Once its first byte has arrived, the rest must follow soon: otherwise a
+    /// response with a wrong length would block its request until the client's timeout.
     async fn wait_for_bytes(&mut self, so_far: &Response) -> ReadResult {
-        let has_begun = !self.buffer.bytes().is_empty() || so_far.has_started();
+        let has_started = !self.buffer.bytes().is_empty() || so_far.has_started();
         let stalled = async {
-            if !has_begun {
+            if !has_started {
                 futures_lite::future::pending::<()>().await;
             }
             Timer::after(RESPONSE_PAUSE_LIMIT).await;
@@ -335,18 +349,20 @@
         or(filled, stalled).await
     }
 
-    /// Tells discovery that the endpoint answers for itself: at once that it drains, else now and then.
-    fn report_alive_by(&mut self, response: &Response) {
+    /// Notifies discovery that the endpoint responds: at once if it is draining, otherwise at most once in
+    /// [`RESPONSE_REPORT_INTERVAL`].
+    fn report_response(&mut self, response: &Response) {
         let is_draining = response.has_draining_error();
         let now = self.shared.clock.now();
-        let since_last = now.saturating_sub(self.reported_alive_at);
-        if is_draining || since_last > ALIVE_REPORT_INTERVAL {
-            self.reported_alive_at = now;
-            self.report_alive(is_draining);
+        let since_last = now.saturating_sub(self.last_report_at);
+        if is_draining || since_last > RESPONSE_REPORT_INTERVAL {
+            self.last_report_at = now;
+            self.report_endpoint_responded(is_draining);
         }
     }
 
-    pub(super) fn report_alive(&self, is_draining: bool) {
+    /// Notifies discovery that the endpoint responds, and whether it is draining.
+    pub(super) fn report_endpoint_responded(&self, is_draining: bool) {
         self.shared
             .report_endpoint_responded(&self.endpoint, is_draining);
     }
--- a/crates/router/src/upstream/dial.rs
+++ b/crates/router/src/upstream/dial.rs
@@ -131,7 +131,7 @@
 /// The endpoint answered the startup message with an error of this code.
 fn turned_away(connection: &mut UpstreamConnection, code: Option<&str>) -> AttemptOutcome {
     if code == Some(sqlstate::CANNOT_CONNECT_NOW) {
-        connection.report_alive(true);
+        connection.report_endpoint_responded(true);
     }
     connection.close_reason = CloseReason::Rejected;
     match code.map(sqlstate_outcome) {
