--- a/crates/router/src/upstream/dial.rs
+++ b/crates/router/src/upstream/connect.rs
@@ -1,7 +1,7 @@
-//! How a connection to an endpoint comes up: connect, startup message, and the endpoint's welcome.
+//! Establishes a connection to an endpoint: connects, sends the startup message, and waits for ReadyForQuery.
 //!
-//! Nothing has run where this fails. What this host lacks for a moment (descriptors, ports, memory) is tried again and
-//! is never held against the endpoint.
+//! If this fails, no request has been executed. After a temporary shortage of the router's host (descriptors, ports,
+//! memory) the connect is retried, and the failure never counts against the endpoint.
 
 use super::connection::{UpstreamConnection, write_some};
 use super::fault::{FaultOrigin, Stage, classify, connect_outcome, sqlstate_outcome};
@@ -17,14 +17,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Where the settings set no limit, a connection has this long to come up.
+/// The connect timeout in nanoseconds if the settings contain none.
 const DEFAULT_CONNECT_TIMEOUT: Nanos = 1_000_000_000;
-/// Where this host lacks what a connection needs, it tries again so often; then another endpoint gets the request.
-const HOST_RETRIES: u32 = 3;
-/// The pause before each of these.
+/// The number of retries after a shortage of the router's host. After them the request goes to another endpoint.
+const MAX_HOST_RETRIES: u32 = 3;
+/// The pause before each of these retries.
 const HOST_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// How long a connection may take to come up, in nanoseconds; a wait for a descriptor is included.
+/// Returns the connect timeout in nanoseconds. It includes the wait for a file descriptor.
 pub fn connect_timeout(shared: &Shared) -> Nanos {
     match shared.config.site.settings.limits.connect_timeout {
         0 => DEFAULT_CONNECT_TIMEOUT,
@@ -32,8 +32,11 @@
     }
 }
 
-/// Connects and waits for the welcome, within the settings' limit. An error is the outcome of the attempt that waits.
-pub async fn dial(
+/// Opens a connection that is ready for a request, within the connect timeout.
+///
+/// # Errors
+/// Returns the outcome of the attempt that waits for the connection.
+pub async fn open_connection(
     shared: Rc<Shared>,
     endpoint: EndpointId,
     address: SocketAddr,
@@ -46,14 +49,14 @@
         None
     };
     let session = open_session(shared.clone(), endpoint, address, permit);
-    let dialed = or(async { Some(session.await) }, timed_out).await;
-    match &dialed {
+    let result = or(async { Some(session.await) }, timed_out).await;
+    match &result {
         Some(Ok(_)) => {}
         Some(Err(AttemptOutcome::Overloaded)) => count(&shared.counters.connects_rejected),
         Some(Err(_)) => count(&shared.counters.connects_failed),
         None => count(&shared.counters.connects_timed_out),
     }
-    dialed.unwrap_or(Err(AttemptOutcome::ConnectFailed))
+    result.unwrap_or(Err(AttemptOutcome::ConnectFailed))
 }
 
 async fn open_session(
@@ -67,21 +70,21 @@
     write_startup(&connection.stream)
         .await
         .map_err(|e| connect_outcome(&e))?;
-    await_welcome(&mut connection).await?;
-    // From here on, dropped while in use means that an attempt was abandoned.
+    await_ready_for_query(&mut connection).await?;
+    // From here on, a connection that is dropped while in use belongs to an abandoned attempt.
     connection.close_reason = CloseReason::AttemptAbandoned;
     Ok(connection)
 }
 
-/// Connects. What this host lacks for a moment is no failure of the endpoint.
+/// Connects the socket, and retries after a shortage of the router's host, which is not a failure of the endpoint.
 async fn connect(address: SocketAddr) -> io::Result<Async<TcpStream>> {
     let mut retries = 0;
     let stream = loop {
         match Async::<TcpStream>::connect(address).await {
             Ok(stream) => break stream,
             Err(e) => {
-                let is_own_fault = classify(&e, Stage::Connect).origin != FaultOrigin::Endpoint;
-                if !is_own_fault || retries >= HOST_RETRIES {
+                let is_host_fault = classify(&e, Stage::Connect).origin != FaultOrigin::Endpoint;
+                if !is_host_fault || retries >= MAX_HOST_RETRIES {
                     return Err(e);
                 }
             }
@@ -103,17 +106,17 @@
     Ok(())
 }
 
-/// Reads up to ReadyForQuery.
-async fn await_welcome(connection: &mut UpstreamConnection) -> Result<(), AttemptOutcome> {
+/// Reads the endpoint's messages up to ReadyForQuery.
+async fn await_ready_for_query(connection: &mut UpstreamConnection) -> Result<(), AttemptOutcome> {
     loop {
         match frame::parse(connection.buffer.bytes(), frame::MAX_SMALL_MESSAGE_LENGTH) {
             Ok(Some((b'E', body, _))) => {
-                let code = backend::error_sqlstate(body).map(str::to_owned);
-                return Err(turned_away(connection, code.as_deref()));
+                let error_code = backend::error_sqlstate(body).map(str::to_owned);
+                return Err(on_startup_rejected(connection, error_code.as_deref()));
             }
-            Ok(Some((kind, _, length))) => {
+            Ok(Some((tag, _, length))) => {
                 connection.buffer.consume(length);
-                if kind == b'Z' {
+                if tag == b'Z' {
                     return Ok(());
                 }
             }
@@ -128,13 +131,16 @@
     }
 }
 
-/// The endpoint answered the startup message with an error of this code.
-fn turned_away(connection: &mut UpstreamConnection, code: Option<&str>) -> AttemptOutcome {
-    if code == Some(sqlstate::CANNOT_CONNECT_NOW) {
+/// Returns the outcome if the endpoint rejected the startup message with this SQLSTATE.
+fn on_startup_rejected(
+    connection: &mut UpstreamConnection,
+    error_code: Option<&str>,
+) -> AttemptOutcome {
+    if error_code == Some(sqlstate::CANNOT_CONNECT_NOW) {
         connection.report_endpoint_responded(true);
     }
     connection.close_reason = CloseReason::Rejected;
-    match code.map(sqlstate_outcome) {
+    match error_code.map(sqlstate_outcome) {
         Some(AttemptOutcome::Overloaded) => AttemptOutcome::Overloaded,
         _ => AttemptOutcome::ConnectFailed,
     }
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -1,21 +1,21 @@
-//! Connections to endpoints: one pool for each endpoint that is in use.
+//! Connections to endpoints: one pool for each endpoint in use.
 //!
-//! A fleet's list has thousands of endpoints, and a router uses few of them at a time. A [`PoolHandle`] holds what
-//! the list says of its endpoint; the pool's task and mailboxes are started by the first command and retired after
-//! a quiet time, in which the pool has no connection, no waiting attempt and nothing in flight.
+//! An endpoint list may have thousands of entries, of which a router uses few at a time. A [`PoolHandle`] holds the
+//! state of its endpoint; the first command starts the pool's task and channels. A pool without connections, waiting
+//! jobs and jobs in progress is retired after a timeout.
 //!
-//! - `pool_handle`: the dispatcher's end of a pool
-//! - `endpoint_status`: what the endpoint list says of an endpoint
+//! - `pool_handle`: the dispatcher's handle of a pool
+//! - `endpoint_status`: the state of an endpoint in the endpoint list
 //! - `pool`: idle connections, and the attempts and health checks that wait for one
 //! - `exchange`: one attempt or health check on its connection
-//! - `dial`: how a connection comes up
+//! - `connect`: the establishment of a connection
 //! - `connection`: one connection and the requests written to it
-//! - `response`: the messages that make up one response
-//! - `load_report`: the text of an endpoint's report
-//! - `fault`: whose fault a failure is, and what it means for an attempt
+//! - `response`: the messages that form a response
+//! - `load_report`: the parsing of an endpoint's load report
+//! - `fault`: the origin of a failure, and the outcome that it leads to
 
+mod connect;
 mod connection;
-mod dial;
 mod endpoint_status;
 mod exchange;
 mod fault;
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -3,8 +3,8 @@
 //! A task of its own, which owns the idle connections and the queue. It dials as many connections as wait, closes idle
 //! ones before the endpoint would, and never writes to an endpoint that has drained or left the list.
 
+use super::connect::{connect_timeout, open_connection};
 use super::connection::UpstreamConnection;
-use super::dial::{connect_timeout, dial};
 use super::endpoint_status::EndpointStatus;
 use super::exchange::{notify_dispatcher, run_attempt, run_health_check};
 use super::pool_handle::{CommandSender, PoolCommand};
@@ -338,7 +338,7 @@
             self.dialing += 1;
             let endpoint = self.endpoint.clone();
             let address = self.status.address();
-            let dial = dial(self.shared.clone(), endpoint, address, permit);
+            let dial = open_connection(self.shared.clone(), endpoint, address, permit);
             let pool = self.event_sender.clone();
             let task = async move {
                 let result = dial.await.map(Box::new);
