--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -1,7 +1,8 @@
-//! The pool of one endpoint: its idle connections, and the attempts and health checks that wait for one.
+//! The connection pool of one endpoint: its idle connections, and the attempts and health checks that wait for one.
 //!
-//! A task of its own, which owns the idle connections and the queue. It dials as many connections as wait, closes idle
-//! ones before the endpoint would, and never writes to an endpoint that has drained or left the list.
+//! The pool is a task of its own, which owns the idle connections and the queue of jobs. It opens one connection for
+//! each waiting job, closes idle connections before the endpoint would, and sends nothing to an endpoint that has
+//! drained or was removed from the list.
 
 use super::connect::{connect_timeout, open_connection};
 use super::connection::UpstreamConnection;
@@ -23,38 +24,41 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// Part of the idle limit after which a pooled connection is closed: the endpoint's own clock must not close it under
-/// a request.
+/// The fraction of the idle limit after which an idle connection is closed. It must be below 1, so that the endpoint,
+/// which uses its own clock, does not close the connection while a request is sent.
 const MAX_IDLE_FRACTION: f64 = 0.9;
-/// Where the settings set no idle limit, in nanoseconds.
+/// The idle limit in nanoseconds if the settings contain none.
 const DEFAULT_IDLE_LIMIT: f64 = 10e9;
-/// Looks at idle connections in each such time, so that one is closed that much later at the most.
-const IDLE_CHECKS: u64 = 16;
+/// The number of checks for expired connections per maximum idle time. A connection is closed at most one check
+/// interval too late.
+const IDLE_CHECKS_PER_PERIOD: u64 = 16;
 const _: () = assert!(
-    MAX_IDLE_FRACTION * (1.0 + 1.0 / IDLE_CHECKS as f64) < 1.0,
-    "an idle connection would outlive its limit"
+    MAX_IDLE_FRACTION * (1.0 + 1.0 / IDLE_CHECKS_PER_PERIOD as f64) < 1.0,
+    "an idle connection could stay open beyond the idle limit"
 );
-/// A pool that has held nothing for this long is retired; a new one costs some kilobytes and no connection.
-const QUIET_TIME: Duration = Duration::from_secs(2);
-/// What dials and attempts hand back; they wait for a place.
+/// The time without connections and jobs after which a pool is retired. Starting it again costs a few kilobytes and no
+/// connection.
+const UNUSED_TIMEOUT: Duration = Duration::from_secs(2);
+/// The capacity of the channel for the results of connects and exchanges, which wait while it is full.
 const EVENT_CAPACITY: usize = 16;
 
-/// What a pool's own tasks tell it.
+/// An event that a pool receives from its own tasks.
 pub enum PoolEvent {
-    /// A connection has come up, or has failed to.
-    Dialed(Result<Box<UpstreamConnection>, AttemptOutcome>),
-    /// A connection is ready for another request.
+    /// A connection was established, or could not be.
+    ConnectEnded(Result<Box<UpstreamConnection>, AttemptOutcome>),
+    /// A connection can be used for another request.
     Returned(Box<UpstreamConnection>),
 }
 
-/// What needs a connection.
+/// A job that needs a connection.
 enum Job {
     Attempt(Box<Attempt>),
     HealthCheck,
 }
 
 impl Job {
-    fn is_wanted(&self) -> bool {
+    /// Returns whether the result of the job is still of use.
+    fn is_still_needed(&self) -> bool {
         match self {
             Job::Attempt(attempt) => attempt.is_still_needed(),
             Job::HealthCheck => true,
@@ -62,51 +66,55 @@
     }
 }
 
+/// A job that waits for a connection.
 struct WaitingJob {
-    since: Timestamp,
+    queued_at: Timestamp,
     job: Job,
 }
 
-/// Why a pool's task has woken up.
+/// The reason for which a pool's task wakes up.
 enum Wakeup {
+    /// The dispatcher sent a command.
     Command(PoolCommand),
+    /// A task of the pool sent an event.
     Event(PoolEvent),
-    /// The handle has been dropped: the endpoint has left the list.
+    /// The handle was dropped, because the endpoint was removed from the list.
     HandleDropped,
-    /// Time to look for connections that have been idle for too long.
+    /// It is time to close connections that have been idle for too long.
     IdleCheck,
-    /// Another pool has no descriptor left, and this one has an idle connection.
-    DescriptorWanted,
-    /// A descriptor may be free for what waits here.
-    DescriptorFreed,
-    /// What has waited longest got no descriptor in time.
+    /// Another pool needs a file descriptor, and this one has an idle connection.
+    EvictionRequested,
+    /// A descriptor may be available for a waiting job.
+    DescriptorReleased,
+    /// The job that has waited longest got no descriptor in time.
     DescriptorTimeout,
-    /// Nothing has happened for [`QUIET_TIME`].
-    Quiet,
+    /// No event or command arrived for [`UNUSED_TIMEOUT`].
+    UnusedTimeout,
 }
 
-/// See the module.
+/// Owns the idle connections of one endpoint and the jobs that wait for a connection.
 pub struct EndpointPool {
     shared: Rc<Shared>,
     executor: Rc<LocalExecutor<'static>>,
     endpoint: EndpointId,
     status: Rc<EndpointStatus>,
-    /// Where the handle finds this pool; gone once the handle has been dropped.
+    /// The place where the handle stores the sender of this pool's commands. It cannot be upgraded once the handle was
+    /// dropped.
     command_sender: Weak<CommandSender>,
-    /// The one used last is at the end.
+    /// The idle connections. The most recently used one is last.
     idle: Vec<UpstreamConnection>,
     waiting: VecDeque<WaitingJob>,
-    /// Dials in progress.
-    dialing: usize,
+    /// The number of connects in progress.
+    connecting: usize,
     events: Receiver<PoolEvent>,
-    /// Each dial and each attempt in flight has a clone.
+    /// Each connect and each exchange in progress has a clone.
     event_sender: Sender<PoolEvent>,
-    /// An idle connection is closed after this time.
+    /// The time after which an idle connection is closed.
     max_idle: Nanos,
 }
 
 impl EndpointPool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(
         shared: Rc<Shared>,
         executor: Rc<LocalExecutor<'static>>,
@@ -127,14 +135,14 @@
             command_sender,
             idle: Vec::new(),
             waiting: VecDeque::new(),
-            dialing: 0,
+            connecting: 0,
             events,
             event_sender,
             max_idle: (idle_limit * MAX_IDLE_FRACTION) as Nanos,
         }
     }
 
-    /// Runs until the handle is dropped, or until the pool has held nothing for [`QUIET_TIME`].
+    /// Runs until the handle is dropped, or until the pool has been empty for [`UNUSED_TIMEOUT`].
     pub async fn run(mut self, commands: Receiver<PoolCommand>) {
         loop {
             let wakeup = self.next_wakeup(&commands).await;
@@ -147,8 +155,8 @@
 
     async fn next_wakeup(&self, commands: &Receiver<PoolCommand>) -> Wakeup {
         let has_idle = !self.idle.is_empty();
-        // Only a job that has no dial of its own waits for a descriptor.
-        let lacks_descriptor = self.waiting.get(self.dialing).is_some();
+        // Only a job without a connect in progress waits for a descriptor.
+        let lacks_descriptor = self.waiting.get(self.connecting).is_some();
         let event = async {
             let event = self.events.recv().await;
             event.map_or(Wakeup::HandleDropped, Wakeup::Event)
@@ -157,35 +165,35 @@
             let command = commands.recv().await;
             command.map_or(Wakeup::HandleDropped, Wakeup::Command)
         };
-        let descriptor_freed = when(lacks_descriptor, async {
+        let descriptor_released = wait_if(lacks_descriptor, async {
             self.shared.upstream_descriptors.permit_released().await;
-            Wakeup::DescriptorFreed
+            Wakeup::DescriptorReleased
         });
         let descriptor_timeout = self.descriptor_timeout();
-        let descriptor_wanted = when(has_idle, async {
+        let eviction_requested = wait_if(has_idle, async {
             self.shared
                 .upstream_descriptors
                 .eviction_requested(EvictionPriority::Idle)
                 .await;
-            Wakeup::DescriptorWanted
+            Wakeup::EvictionRequested
         });
-        let idle_check = when(has_idle, async {
-            Timer::after(Duration::from_nanos(self.max_idle / IDLE_CHECKS)).await;
+        let idle_check = wait_if(has_idle, async {
+            Timer::after(Duration::from_nanos(self.max_idle / IDLE_CHECKS_PER_PERIOD)).await;
             Wakeup::IdleCheck
         });
-        let quiet = when(!has_idle && self.waiting.is_empty(), async {
-            Timer::after(QUIET_TIME).await;
-            Wakeup::Quiet
+        let unused_timeout = wait_if(!has_idle && self.waiting.is_empty(), async {
+            Timer::after(UNUSED_TIMEOUT).await;
+            Wakeup::UnusedTimeout
         });
-        let descriptor = or(descriptor_freed, descriptor_timeout);
-        let idle = or(or(descriptor_wanted, idle_check), quiet);
+        let descriptor = or(descriptor_released, descriptor_timeout);
+        let idle = or(or(eviction_requested, idle_check), unused_timeout);
         or(event, or(command, or(descriptor, idle))).await
     }
 
     async fn descriptor_timeout(&self) -> Wakeup {
-        match self.waiting.get(self.dialing) {
+        match self.waiting.get(self.connecting) {
             Some(waiting) => {
-                let at = waiting.since + connect_timeout(&self.shared);
+                let at = waiting.queued_at + connect_timeout(&self.shared);
                 Timer::at(self.shared.clock.instant(at)).await;
             }
             None => pending().await,
@@ -193,7 +201,7 @@
         Wakeup::DescriptorTimeout
     }
 
-    /// Breaks when the pool's task is to end.
+    /// Handles a wakeup. Returns [`ControlFlow::Break`] if the pool's task must end.
     async fn handle(
         &mut self,
         wakeup: Wakeup,
@@ -202,11 +210,11 @@
         match wakeup {
             Wakeup::Command(PoolCommand::Attempt(attempt)) => self.enqueue(Job::Attempt(attempt)),
             Wakeup::Command(PoolCommand::HealthCheck) => self.enqueue(Job::HealthCheck),
-            Wakeup::Command(PoolCommand::AddressChanged) => self.close_moved(),
-            Wakeup::Event(PoolEvent::Returned(connection)) => self.keep(*connection),
-            Wakeup::Event(PoolEvent::Dialed(result)) => self.on_dialed(result).await,
+            Wakeup::Command(PoolCommand::AddressChanged) => self.close_outdated(),
+            Wakeup::Event(PoolEvent::Returned(connection)) => self.add_idle(*connection),
+            Wakeup::Event(PoolEvent::ConnectEnded(result)) => self.on_connect_ended(result).await,
             Wakeup::HandleDropped => {
-                // The endpoint has left the list: what still waits must not be sent to it.
+                // The endpoint was removed from the list: waiting jobs must not be sent to it.
                 self.fail_waiting(AttemptOutcome::NotSent).await;
                 self.idle
                     .drain(..)
@@ -214,35 +222,36 @@
                 return ControlFlow::Break(());
             }
             Wakeup::IdleCheck => self.close_expired(),
-            Wakeup::DescriptorWanted => self.evict_oldest(),
-            Wakeup::DescriptorFreed => {}
+            Wakeup::EvictionRequested => self.evict_oldest(),
+            Wakeup::DescriptorReleased => {}
             Wakeup::DescriptorTimeout => {
-                // The one that has waited longest takes the first connection, so it is the first to fail.
+                // The job that has waited longest would get the first connection, so it is the first to fail.
                 if let Some(waiting) = self.waiting.pop_front() {
                     self.fail(waiting.job, AttemptOutcome::NotSent).await;
                 }
             }
-            Wakeup::Quiet => return self.retire_if_unused(commands),
+            Wakeup::UnusedTimeout => return self.retire_if_unused(commands),
         }
         ControlFlow::Continue(())
     }
 
     fn enqueue(&mut self, job: Job) {
-        let since = self.shared.clock.now();
-        self.waiting.push_back(WaitingJob { since, job });
+        let queued_at = self.shared.clock.now();
+        self.waiting.push_back(WaitingJob { queued_at, job });
     }
 
-    async fn on_dialed(&mut self, result: Result<Box<UpstreamConnection>, AttemptOutcome>) {
-        self.dialing -= 1;
+    async fn on_connect_ended(&mut self, result: Result<Box<UpstreamConnection>, AttemptOutcome>) {
+        self.connecting -= 1;
         match result {
-            Ok(connection) => self.keep(*connection),
-            Err(outcome) => self.on_dial_failed(outcome).await,
+            Ok(connection) => self.add_idle(*connection),
+            Err(outcome) => self.on_connect_failed(outcome).await,
         }
     }
 
-    /// One dial was begun for one that waits: without other dials it gets no connection.
-    async fn on_dial_failed(&mut self, outcome: AttemptOutcome) {
-        while self.waiting.len() > self.dialing {
+    /// Fails the waiting jobs that exceed the number of connects still in progress: one connect was started for each
+    /// job.
+    async fn on_connect_failed(&mut self, outcome: AttemptOutcome) {
+        while self.waiting.len() > self.connecting {
             let Some(waiting) = self.waiting.pop_front() else {
                 return;
             };
@@ -250,15 +259,15 @@
         }
     }
 
-    /// Ends the task if the pool holds no connection and no attempt.
+    /// Ends the task if the pool has no connection and no job.
     fn retire_if_unused(&self, commands: &Receiver<PoolCommand>) -> ControlFlow<()> {
         let in_flight = self.event_sender.sender_count() - 1;
-        let holds_nothing = self.idle.is_empty() && self.waiting.is_empty() && in_flight == 0;
-        if !holds_nothing || !commands.is_empty() {
+        let is_empty = self.idle.is_empty() && self.waiting.is_empty() && in_flight == 0;
+        if !is_empty || !commands.is_empty() {
             return ControlFlow::Continue(());
         }
-        // The next command finds no pool and starts one. Nothing else runs between this step and the look at the
-        // mailbox: all tasks share one thread.
+        // The next command starts a new pool. No command can arrive between the check of the channel and this step,
+        // because all tasks share one thread.
         if let Some(command_sender) = self.command_sender.upgrade() {
             command_sender.take();
         }
@@ -269,12 +278,13 @@
     fn close_expired(&mut self) {
         let now = self.shared.clock.now();
         let max_idle = self.max_idle;
-        for connection in self.idle.extract_if(.., |c| has_expired(c, now, max_idle)) {
+        for connection in self.idle.extract_if(.., |c| is_expired(c, now, max_idle)) {
             connection.close(CloseReason::Idle);
         }
     }
 
-    fn close_moved(&mut self) {
+    /// Closes idle connections to a previous address.
+    fn close_outdated(&mut self) {
         let address = self.status.address();
         for connection in self.idle.extract_if(.., |c| c.address != address) {
             connection.close(CloseReason::AddressChanged);
@@ -288,11 +298,12 @@
         }
     }
 
-    fn keep(&mut self, mut connection: UpstreamConnection) {
+    /// Adds a connection to the idle ones, or closes it if it cannot be used again.
+    fn add_idle(&mut self, mut connection: UpstreamConnection) {
         if connection.address != self.status.address() {
             return connection.close(CloseReason::AddressChanged);
         }
-        // An idle connection must not keep a descriptor that another pool waits for.
+        // An idle connection must not hold a descriptor that another pool waits for.
         if self.waiting.is_empty() && self.shared.upstream_descriptors.has_waiters() {
             count(&self.shared.counters.connections_evicted);
             return connection.close(CloseReason::Evicted);
@@ -301,25 +312,25 @@
         self.idle.push(connection);
     }
 
-    /// Gives idle connections to what waits, and dials for the rest.
+    /// Assigns idle connections to waiting jobs, and opens connections for the others.
     async fn assign_connections(&mut self) {
-        self.waiting.retain(|waiting| waiting.job.is_wanted());
-        // The grace of a drain counts to the first byte: what waited for a connection meanwhile may be too late.
+        self.waiting.retain(|waiting| waiting.job.is_still_needed());
+        // The drain grace applies to the first byte written: a job that waited for a connection may be too late.
         if self.status.has_drain_grace_expired(&self.shared) {
             self.fail_waiting(AttemptOutcome::NotSent).await;
         }
-        self.use_idle();
-        self.dial_for_waiting();
+        self.assign_idle();
+        self.connect_for_waiting();
     }
 
-    fn use_idle(&mut self) {
+    fn assign_idle(&mut self) {
         let now = self.shared.clock.now();
         while !self.waiting.is_empty() {
-            // The one used last: the others may grow old and be closed.
+            // The most recently used one, so that the others can expire.
             let Some(connection) = self.idle.pop() else {
                 return;
             };
-            if has_expired(&connection, now, self.max_idle) {
+            if is_expired(&connection, now, self.max_idle) {
                 connection.close(CloseReason::Idle);
             } else if let Some(waiting) = self.waiting.pop_front() {
                 self.start(connection, waiting.job);
@@ -327,28 +338,29 @@
         }
     }
 
-    fn dial_for_waiting(&mut self) {
-        while self.dialing < self.waiting.len() {
+    fn connect_for_waiting(&mut self) {
+        while self.connecting < self.waiting.len() {
             let Some(permit) = self.shared.upstream_descriptors.try_acquire() else {
                 return self
                     .shared
                     .upstream_descriptors
                     .request_eviction_including_stateful();
             };
-            self.dialing += 1;
+            self.connecting += 1;
             let endpoint = self.endpoint.clone();
             let address = self.status.address();
-            let dial = open_connection(self.shared.clone(), endpoint, address, permit);
+            let connect = open_connection(self.shared.clone(), endpoint, address, permit);
             let pool = self.event_sender.clone();
             let task = async move {
-                let result = dial.await.map(Box::new);
-                // A connection that no pool takes ends with its log line.
-                let _ = pool.send(PoolEvent::Dialed(result)).await;
+                let result = connect.await.map(Box::new);
+                // If the pool has ended, the connection is closed.
+                let _ = pool.send(PoolEvent::ConnectEnded(result)).await;
             };
             self.executor.spawn(task).detach();
         }
     }
 
+    /// Starts a job on a connection.
     fn start(&self, connection: UpstreamConnection, job: Job) {
         let shared = self.shared.clone();
         let pool = self.event_sender.clone();
@@ -371,7 +383,7 @@
         }
     }
 
-    /// A job that got no connection has this outcome.
+    /// Reports the outcome of a job that got no connection.
     async fn fail(&self, job: Job, outcome: AttemptOutcome) {
         let result = AttemptResult::from_outcome(outcome);
         let message = match job {
@@ -385,13 +397,13 @@
     }
 }
 
-/// Idle for too long, or closed by the endpoint.
-fn has_expired(connection: &UpstreamConnection, now: Timestamp, max_idle: Nanos) -> bool {
+/// Returns whether a connection has been idle for too long or cannot be used any more.
+fn is_expired(connection: &UpstreamConnection, now: Timestamp, max_idle: Nanos) -> bool {
     connection.idle_since + max_idle < now || !connection.is_open()
 }
 
-/// Waits for something under a condition; else for ever.
-async fn when(condition: bool, future: impl Future<Output = Wakeup>) -> Wakeup {
+/// Waits for `future` if `condition` is true, and forever otherwise.
+async fn wait_if(condition: bool, future: impl Future<Output = Wakeup>) -> Wakeup {
     if condition {
         future.await
     } else {
--- a/crates/router/src/upstream/pool_handle.rs
+++ b/crates/router/src/upstream/pool_handle.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's end of an endpoint's pool.
+//! The dispatcher's handle of an endpoint pool.
 
 use super::endpoint_status::EndpointStatus;
 use super::pool::EndpointPool;
@@ -12,35 +12,36 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Commands that may wait for a pool. The channel allocates all of its slots at once.
+/// The capacity of a pool's command channel, which allocates all of its slots at once.
 const COMMAND_CAPACITY: usize = 256;
 
-/// What a pool is to do.
+/// A command to a pool.
 pub enum PoolCommand {
-    /// Make this attempt on one of its connections.
+    /// Makes this attempt on one of the pool's connections.
     Attempt(Box<Attempt>),
-    /// Ask the endpoint for its load report.
+    /// Queries the endpoint's load report.
     HealthCheck,
-    /// Close the connections to the address that the endpoint had before.
+    /// Closes the connections to the endpoint's previous address.
     AddressChanged,
 }
 
-/// Where a running pool takes its commands; empty while none is running.
+/// The command channel of the running pool; `None` while no pool is running.
 pub type CommandSender = RefCell<Option<Sender<PoolCommand>>>;
 
-/// A listed endpoint. Dropping the handle ends the pool: attempts that still wait are not sent.
+/// Controls the pool of a listed endpoint, and starts it when needed. When the handle is dropped, the pool ends:
+/// attempts that still wait for a connection are not sent.
 pub struct PoolHandle {
     status: Rc<EndpointStatus>,
     commands: Rc<CommandSender>,
 }
 
-/// A pool's mailbox is full: the command was not taken.
+/// The error of a command that the pool did not accept, because its command channel is full.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the pool's mailbox is full")]
+#[error("the pool's command channel is full")]
 pub struct PoolBusy;
 
 impl PoolHandle {
-    /// The handle of an endpoint that does not drain; no pool is running.
+    /// Creates the handle of an endpoint that is not draining, without a running pool.
     pub fn new(address: SocketAddr) -> PoolHandle {
         PoolHandle {
             status: Rc::new(EndpointStatus::new(address)),
@@ -48,16 +49,20 @@
         }
     }
 
-    /// Takes over what the list says now. A drain that is already known keeps its start.
+    /// Updates the endpoint's state from the endpoint list. The start of a drain that is already known stays.
     pub fn update(&self, address: SocketAddr, is_draining: bool, now: Timestamp) {
         let has_moved = self.status.update(address, is_draining, now);
         if has_moved && let Some(commands) = &*self.commands.borrow() {
-            // A full mailbox means that the pool is about to look anyway.
+            // If the channel is full, the command is dropped: the pool is about to run anyway, and checks the address
+            // of each connection that is returned.
             let _ = commands.try_send(PoolCommand::AddressChanged);
         }
     }
 
-    /// Hands a command to the pool, which is started if none is running. Fails while its mailbox is full.
+    /// Sends a command to the pool, and starts a pool if none is running.
+    ///
+    /// # Errors
+    /// Fails if the pool's command channel is full.
     pub fn send(
         &self,
         shared: &Rc<Shared>,
