--- a/crates/router/src/dispatcher/actions.rs
+++ b/crates/router/src/dispatcher/actions.rs
@@ -20,9 +20,9 @@
                 request,
                 endpoint,
                 limit,
-                write_by: by,
+                write_by,
             } => {
-                let write_deadline = by.map(|by| self.platform_clock.to_router_time(by));
+                let write_deadline = write_by.map(|at| self.platform_clock.to_router_time(at));
                 self.start_attempt(now, request, endpoint, limit, write_deadline);
             }
             Action::Reject {
--- a/crates/router/src/dispatcher/attempts.rs
+++ b/crates/router/src/dispatcher/attempts.rs
@@ -89,7 +89,7 @@
         if let Some(query_result) = result.query_result {
             self.complete(id, FinalResponse::Served(query_result));
         }
-        let closed = self
+        let is_request_complete = self
             .requests
             .get(id)
             .is_none_or(PendingRequest::is_completed);
@@ -101,7 +101,7 @@
             replication,
             report,
             latency,
-            is_request_complete: closed,
+            is_request_complete,
         }));
         self.requests.remove_if_finished(id);
     }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -141,7 +141,8 @@
     )?;
     let listener = listener(address).map_err(|e| StartError::Listen(address, e))?;
     let bound_address = listener.get_ref().local_addr().unwrap_or(address);
-    info!(log, "listening on client address"; "address" => %bound_address, "instances" => shared.config.known_list.1.len());
+    info!(log, "listening on client address"; "address" => %bound_address,
+          "instances" => shared.config.known_list.1.len());
     executor.spawn(dispatcher.run(mailbox)).detach();
     if let Some(registry) = registry {
         executor.spawn(registry.run()).detach();
