--- a/crates/router/src/client/accept_loop.rs
+++ b/crates/router/src/client/accept_loop.rs
@@ -1,6 +1,7 @@
-//! Accepts the clients' connections, and starts a task for each.
+//! Accepts client connections, and starts a task for each.
 //!
-//! Must never accept a connection without a descriptor for it: until there is one it waits in the kernel's backlog.
+//! Must never accept a connection without a permit for its descriptor. Until a permit is available, connections wait in
+//! the kernel's backlog.
 
 use super::connection::serve;
 use crate::observability::counters::count;
@@ -14,10 +15,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often a permit is asked for again, and somebody asked to make room, while there is none.
+/// The interval at which a permit and an eviction are requested again while no permit is available.
 const PERMIT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Accepts until the process ends. Without a free descriptor, connections wait in the kernel's backlog.
+/// Accepts connections until the process ends.
 pub async fn accept_connections(
     shared: Rc<Shared>,
     executor: Rc<LocalExecutor<'static>>,
@@ -38,8 +39,8 @@
     }
 }
 
-/// Waits for a descriptor. Where there is none, an expendable connection goes, or the one idle longest; else one has to
-/// end by itself.
+/// Waits for a descriptor permit. If there is none, evicts an expendable connection or the one idle longest; if there
+/// is no such connection either, waits until one ends by itself.
 async fn acquire_permit(shared: &Rc<Shared>) -> DescriptorPermit {
     loop {
         if let Some(permit) = shared.client_descriptors.try_acquire() {
@@ -64,13 +65,13 @@
 ) {
     count(&shared.counters.clients);
     shared.last_arrival.set(shared.clock.now());
-    // Counted from here on, not from when its task first runs: in a burst that is many connections later, and a
-    // connection in use would be asked to make room for those that say nothing.
-    let unproven = shared.client_descriptors.count_unused();
-    let task = serve(shared.clone(), stream, permit, unproven);
+    // The connection counts as unused from here on, not from the first run of its task. In a burst, that run comes many
+    // connections later, and meanwhile connections in use would be evicted in favour of silent ones.
+    let unused = shared.client_descriptors.count_unused();
+    let task = serve(shared.clone(), stream, permit, unused);
     executor.spawn(task).detach();
     if shared.client_descriptors.is_running_low() {
-        // Ahead of the need: the next one must not wait in the backlog for room to be made.
+        // Evicts ahead of need, so that the next connection does not wait in the backlog for an eviction.
         shared.client_descriptors.request_eviction();
     }
 }
--- a/crates/router/src/client/message_kind.rs
+++ b/crates/router/src/client/message_kind.rs
@@ -1,28 +1,28 @@
-//! What a whole message of a client asks of its connection, by the tag and the body alone.
+//! Classifies a client's complete message by its tag and body alone.
 
 use reelrill_pg_protocol::backend;
 use reelrill_pg_protocol::frontend::{self, CommandError};
 
-/// What a whole message asks of the connection.
+/// The kind of a complete message, which determines how the connection processes it.
 pub enum MessageKind {
     /// The first command of a pipeline.
     ExtendedCommand,
-    /// A simple query with a text.
+    /// A simple query whose body is one string.
     SimpleQuery,
     /// The Sync that ends commands which are not supported.
     Sync,
     /// A command of a kind that is not supported.
     Unsupported,
-    /// The client says goodbye.
+    /// The client ends the session.
     Terminate,
-    /// A command that can't be read.
+    /// A command whose body can't be parsed.
     Malformed(CommandError),
-    /// What the protocol does not allow, with what is wrong.
+    /// A protocol violation, with the error message for the client.
     Violation(&'static str),
 }
 
 impl MessageKind {
-    /// The kind of a message by its tag and body; `is_extended`: extended queries are spoken.
+    /// Returns the kind of the message with this tag and body; `is_extended` is whether extended queries are enabled.
     pub fn of(tag: u8, body: &[u8], is_extended: bool) -> MessageKind {
         match tag {
             b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'S' if is_extended => {
--- a/crates/router/src/client/mod.rs
+++ b/crates/router/src/client/mod.rs
@@ -1,10 +1,11 @@
-//! The clients' side: the accept loop, and one task for each connection.
+//! Serves clients: the accept loop, and one task for each connection.
 //!
-//! - `connection` reads the messages of one client in order; `message_kind` tells what each asks.
-//! - `connection_state` is how far a connection has come, `wait_limits` how long it may wait for a message.
-//! - `simple_queries` and `extended_queries` carry out what the client asks; `outstanding` holds the requests that the
-//!   dispatcher has of either, and `wakeup` is what the client's task waits for meanwhile.
-//! - `reading` bounds what is read, `responses` writes final answers, `closing` ends connections, `socket` writes.
+//! - `connection` processes the messages of one client in order; `message_kind` classifies each message.
+//! - `connection_state` records whether a connection has had requests, and `wait_limits` bounds its wait for a message.
+//! - `simple_queries` and `extended_queries` execute the client's queries; `outstanding` holds the requests of either
+//!   that the dispatcher is processing, and `wakeup` holds the events that the client's task waits for meanwhile.
+//! - `reading` bounds how much is read, `responses` encodes final responses, `closing` closes connections, and `socket`
+//!   writes to a client's socket.
 
 mod accept_loop;
 mod closing;
--- a/crates/router/src/client/outstanding.rs
+++ b/crates/router/src/client/outstanding.rs
@@ -1,6 +1,7 @@
-//! The requests of one client that the dispatcher works on, and the channel on which their responses come.
+//! Holds the requests of one client that the dispatcher is processing, and the channel for their responses.
 //!
-//! Owns the cancellation flag of each. Must never drop a request whose client has gone without raising its flag.
+//! Owns the cancellation flag of each. Must never drop a request whose client has disconnected without raising its
+//! flag.
 
 use crate::messages::{CancellationFlag, ClientRequest, FinalResponse, ResponseTarget};
 use async_channel::{Receiver, Sender};
@@ -9,10 +10,10 @@
 
 /// A request that has been sent to the dispatcher and has no final response yet.
 pub struct OutstandingRequest {
-    part: u64,
-    request: RequestId,
-    left: CancellationFlag,
-    /// The format that the client wants the value in.
+    number: u64,
+    id: RequestId,
+    cancelled: CancellationFlag,
+    /// The value's format that the client requested.
     pub result_format: Format,
 }
 
@@ -24,8 +25,8 @@
 }
 
 impl OutstandingRequests {
-    /// `capacity` responses can wait: those of all that may be outstanding, and of those that were abandoned and
-    /// answered at the same moment.
+    /// Creates an empty set. `capacity` is the number of responses that the channel can hold. It must cover all
+    /// requests that may be outstanding, and those that are abandoned at the moment at which their responses are sent.
     pub fn new(capacity: usize) -> OutstandingRequests {
         let (sender, responses) = async_channel::bounded(capacity);
         OutstandingRequests {
@@ -35,68 +36,69 @@
         }
     }
 
-    /// Adds a request that answers a part of what the client has sent. Returns where its response has to go.
+    /// Adds a request under its number among those of the client. Returns the destination of its response.
     pub fn insert(
         &mut self,
-        part: u64,
+        number: u64,
         request: &ClientRequest,
         result_format: Format,
     ) -> ResponseTarget {
         self.requests.push(OutstandingRequest {
-            part,
-            request: request.id,
-            left: request.cancelled.clone(),
+            number,
+            id: request.id,
+            cancelled: request.cancelled.clone(),
             result_format,
         });
         ResponseTarget {
-            part,
+            part: number,
             sender: self.sender.clone(),
         }
     }
 
     /// Removes a request that has its response, if it is still outstanding.
-    pub fn remove(&mut self, part: u64) -> Option<OutstandingRequest> {
-        let index = self.requests.iter().position(|r| r.part == part)?;
+    pub fn remove(&mut self, number: u64) -> Option<OutstandingRequest> {
+        let index = self.requests.iter().position(|r| r.number == number)?;
         Some(self.requests.swap_remove(index))
     }
 
-    /// Raises the flag of a request that its client cancels; it stays outstanding. Returns the request's name.
-    pub fn cancel(&self, part: u64) -> Option<RequestId> {
-        let request = self.requests.iter().find(|r| r.part == part)?;
-        request.left.raise();
-        Some(request.request)
+    /// Raises the flag of a request that its client cancels; the request stays outstanding. Returns the request's id,
+    /// or `None` if the request is not outstanding.
+    pub fn cancel(&self, number: u64) -> Option<RequestId> {
+        let request = self.requests.iter().find(|r| r.number == number)?;
+        request.cancelled.raise();
+        Some(request.id)
     }
 
-    /// Removes requests that are owed nothing any more and raises their flags. Returns their names.
-    pub fn abandon(&mut self, parts: &[u64]) -> Vec<RequestId> {
-        self.abandon_if(|part| parts.contains(&part))
+    /// Removes requests whose responses are not needed any more and raises their flags. Returns their ids.
+    pub fn abandon(&mut self, numbers: &[u64]) -> Vec<RequestId> {
+        self.abandon_if(|number| numbers.contains(&number))
     }
 
-    /// The same for all that are outstanding.
+    /// Removes all requests and raises their flags. Returns their ids.
     pub fn abandon_all(&mut self) -> Vec<RequestId> {
         self.abandon_if(|_| true)
     }
 
     fn abandon_if(&mut self, is_abandoned: impl Fn(u64) -> bool) -> Vec<RequestId> {
         self.requests
-            .extract_if(.., |request| is_abandoned(request.part))
+            .extract_if(.., |request| is_abandoned(request.number))
             .map(|request| {
-                request.left.raise();
-                request.request
+                request.cancelled.raise();
+                request.id
             })
             .collect()
     }
 
-    /// The next response with its part, if one has come.
+    /// Returns the next response with its request's number, if one has been received.
     pub fn try_response(&self) -> Option<(u64, FinalResponse)> {
         self.responses.try_recv().ok()
     }
 
-    /// Waits for the next response.
+    /// Waits for the next response and returns it with its request's number.
     pub async fn response(&self) -> (u64, FinalResponse) {
         match self.responses.recv().await {
             Ok(response) => response,
-            // Not while `sender` is open.
+            // Unreachable: `self.sender` keeps the channel open.
             Err(_) => std::future::pending().await,
         }
     }
