--- a/crates/router/src/client/closing.rs
+++ b/crates/router/src/client/closing.rs
@@ -1,8 +1,9 @@
-//! How the router closes a client's connection: a final error where one is due, then a lingering close.
+//! Closes a client's connection: sends a fatal error if one is due, then performs a lingering close.
 //!
-//! Must never close with bytes unread while an error is on its way: the reset would overtake it.
+//! Must never close the socket with bytes unread while an error is in transit: the client would receive a reset, and
+//! might not receive the error.
 
-use super::connection::Client;
+use super::connection::ClientConnection;
 use super::wait_limits::EXPENDABLE_EVICTION_DELAY;
 use crate::observability::close_reason::CloseReason;
 use crate::observability::counters::count;
@@ -16,32 +17,36 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-/// How long the rest of what a client sends is thrown away after its last answer.
-const AFTER_FINAL_ERROR: Duration = Duration::from_secs(4);
-/// The pause after each piece thrown away: at full speed a client would use up the processor's share of others.
+/// The maximum time for which a client's input is discarded after a fatal error.
+const LINGER_AFTER_ERROR: Duration = Duration::from_secs(4);
+/// The pause after each read of discarded input. Without it, a client that sends at full speed would take processor
+/// time from others.
 const DISCARD_INTERVAL: Duration = Duration::from_millis(3);
-/// How long the rest of what a client sends is thrown away where the router closes a connection between requests.
-pub(super) const BETWEEN_REQUESTS: Duration = Duration::from_millis(500);
-/// The same for one that has never asked anything and makes room for another.
-pub(super) const BETWEEN_REQUESTS_UNUSED: Duration = Duration::from_millis(20);
+/// The maximum time for which a client's input is discarded when the router closes a connection between requests.
+pub(super) const LINGER_BETWEEN_REQUESTS: Duration = Duration::from_millis(500);
+/// The maximum time for which input is discarded when a connection without any request is evicted.
+pub(super) const LINGER_UNUSED: Duration = Duration::from_millis(20);
 
-impl Client {
-    pub(super) async fn broken_frame(&mut self, e: &FrameError) -> CloseReason {
-        self.fatal(&e.to_string()).await;
+impl ClientConnection {
+    /// Sends an invalid frame's error and closes the connection. Returns the reason.
+    pub(super) async fn close_on_frame_error(&mut self, e: &FrameError) -> CloseReason {
+        self.close_on_protocol_violation(&e.to_string()).await;
         match e {
             FrameError::Oversized(_) => CloseReason::Oversized,
             FrameError::Malformed => CloseReason::Malformed,
         }
     }
 
-    pub(super) async fn broken_command(&mut self, e: &CommandError) -> CloseReason {
-        self.final_error(e.sqlstate(), &e.to_string()).await;
+    /// Sends an invalid command's error and closes the connection. Returns the reason.
+    pub(super) async fn close_on_command_error(&mut self, e: &CommandError) -> CloseReason {
+        self.send_fatal_error(e.sqlstate(), &e.to_string()).await;
         CloseReason::Malformed
     }
 
-    /// The request was never taken: trying again is harmless.
-    pub(super) async fn no_memory(&mut self) -> CloseReason {
-        self.final_error(
+    /// Sends an error for a message that the memory limit leaves no room for, and closes the connection. The message
+    /// was not processed, so the client may retry it. Returns the reason.
+    pub(super) async fn close_on_memory_limit(&mut self) -> CloseReason {
+        self.send_fatal_error(
             sqlstate::TOO_MANY_CONNECTIONS,
             "no memory for a message of this size now",
         )
@@ -49,24 +54,26 @@
         CloseReason::NoMemory
     }
 
-    /// Says what is wrong; the connection is closed after it.
-    pub(super) async fn fatal(&mut self, why: &str) -> CloseReason {
-        self.final_error(sqlstate::PROTOCOL_VIOLATION, why).await;
+    /// Sends an error for a protocol violation and closes the connection. Returns the reason.
+    pub(super) async fn close_on_protocol_violation(&mut self, message: &str) -> CloseReason {
+        self.send_fatal_error(sqlstate::PROTOCOL_VIOLATION, message)
+            .await;
         CloseReason::Malformed
     }
 
-    async fn final_error(&mut self, code: &str, why: &str) {
+    async fn send_fatal_error(&mut self, code: &str, message: &str) {
         count(&self.shared.counters.invalid_statements);
         let mut out = Vec::new();
-        backend::put_error_response(&mut out, true, code, why, None);
+        backend::put_error_response(&mut out, true, code, message, None);
         if self.write(&out).await.is_ok() {
-            self.lingering_close(AFTER_FINAL_ERROR).await;
+            self.lingering_close(LINGER_AFTER_ERROR).await;
         }
     }
 
-    /// Closes our side and throws away what still comes: to close with bytes unread would reset the connection,
-    /// and the error might not arrive. Nothing is stored, and others get their turn after each piece.
-    pub(super) async fn lingering_close(&mut self, longest: Duration) {
+    /// Shuts down the router's sending side and discards further input until the client closes its side, `max_duration`
+    /// has passed or the connection is evicted. Closing with bytes unread would reset the connection, and the client
+    /// might not receive the error. Nothing is stored, and other tasks run after each read.
+    pub(super) async fn lingering_close(&mut self, max_duration: Duration) {
         self.buffer.release();
         if self.stream.get_ref().shutdown(Shutdown::Write).is_err() {
             return;
@@ -83,8 +90,8 @@
                 Timer::after(DISCARD_INTERVAL).await;
             }
         };
-        let late = async {
-            Timer::after(longest).await;
+        let timeout = async {
+            Timer::after(max_duration).await;
         };
         let evicted = async {
             Timer::after(EXPENDABLE_EVICTION_DELAY).await;
@@ -93,6 +100,6 @@
                 .eviction_requested(EvictionPriority::Expendable)
                 .await;
         };
-        or(discard, or(late, evicted)).await;
+        or(discard, or(timeout, evicted)).await;
     }
 }
--- a/crates/router/src/client/connection.rs
+++ b/crates/router/src/client/connection.rs
@@ -1,12 +1,12 @@
-//! One client's connection: its startup, its messages in order, and when the router may close it.
+//! Runs one client's connection: its startup, its messages in order, and its close.
 //!
-//! Owns the socket, the buffer and what the connection has asked for. Must never close a connection on which a whole
-//! request has come that has no answer yet.
+//! Owns the socket, the buffer and the client's queries. Must never close a connection on which a complete request has
+//! arrived that has no response yet.
 
 use super::connection_state::ConnectionState;
 use super::extended_queries::ExtendedQueries;
 use super::message_kind::MessageKind;
-use super::reading::{LateReading, READ_AHEAD_LIMIT, is_whole};
+use super::reading::{READ_AHEAD_LIMIT, ShutdownReadLimit, starts_with_complete_message};
 use super::simple_queries::SimpleQueries;
 use super::wait_limits::{ShutdownWait, WaitLimits};
 use super::{closing, socket};
@@ -36,21 +36,21 @@
     shared: Rc<Shared>,
     stream: Async<TcpStream>,
     _permit: DescriptorPermit,
-    unproven: CountGuard,
+    unused: CountGuard,
 ) {
     let _ = stream.get_ref().set_nodelay(true);
-    let mut client = Client::new(shared, stream, unproven);
-    let ended = client.session().await;
+    let mut client = ClientConnection::new(shared, stream, unused);
+    let ended = client.run().await;
     let reason = ended.err().unwrap_or(CloseReason::Terminate);
     if reason.is_initiated_by_router() {
-        // One that has never asked anything is not likely to do so just now, and its place is wanted.
-        let is_expendable = client.state.is_unproven() && reason == CloseReason::Evicted;
-        let longest = if is_expendable {
-            closing::BETWEEN_REQUESTS_UNUSED
+        // An unused connection is unlikely to send a request just now, and its descriptor is needed.
+        let is_expendable = client.state.is_unused() && reason == CloseReason::Evicted;
+        let max_linger = if is_expendable {
+            closing::LINGER_UNUSED
         } else {
-            closing::BETWEEN_REQUESTS
+            closing::LINGER_BETWEEN_REQUESTS
         };
-        client.lingering_close(longest).await;
+        client.lingering_close(max_linger).await;
     }
     if let Some(process) = client.cancellation_process {
         client.shared.cancellations.remove(process);
@@ -59,57 +59,57 @@
 }
 
 /// One client's connection.
-pub struct Client {
+pub struct ClientConnection {
     pub(super) shared: Rc<Shared>,
     pub(super) stream: Async<TcpStream>,
     pub(super) buffer: Buffer,
-    accepted: Timestamp,
+    accepted_at: Timestamp,
     pub(super) state: ConnectionState,
-    /// The client has ended its sending: nothing more will come.
+    /// Whether the client has closed its sending side, so that no more input will arrive.
     has_input_ended: bool,
-    /// Its simple queries that have no answer yet.
+    /// The client's simple queries that have no response yet.
     pub(super) simple_queries: SimpleQueries,
-    /// Commands that are not supported are passed over up to the Sync that ends them.
+    /// Whether unsupported commands are skipped up to the next Sync.
     is_skipping_to_sync: bool,
-    /// Its prepared statements and what it has pipelined, where extended queries are spoken.
+    /// The client's prepared statements and pipeline, if extended queries are enabled.
     pub(super) extended_queries: Option<ExtendedQueries>,
-    /// Told when the client, on another connection, cancels what it waits for.
+    /// Signalled when the client sends a cancel request on another connection.
     pub(super) cancellation: Rc<CancellationSignal>,
-    /// The process number that such a cancellation names.
+    /// The process number by which a cancel request identifies this connection.
     cancellation_process: Option<u32>,
-    /// During a shutdown: how much is read of it.
-    pub(super) late_reading: LateReading,
+    /// Limits how much is read from the connection late in a graceful shutdown.
+    pub(super) shutdown_read_limit: ShutdownReadLimit,
 }
 
-/// What a connection between messages waits for.
-enum Wait {
+/// The event that ends a connection's wait for input.
+enum WaitOutcome {
     CloseDue(CloseReason),
     Read(std::io::Result<usize>),
 }
 
-impl Client {
-    fn new(shared: Rc<Shared>, stream: Async<TcpStream>, unproven: CountGuard) -> Client {
+impl ClientConnection {
+    fn new(shared: Rc<Shared>, stream: Async<TcpStream>, unused: CountGuard) -> ClientConnection {
         let is_extended = shared.config.extensions.extended.mode != ExtendedQueryMode::Off;
-        Client {
+        ClientConnection {
             stream,
             buffer: Buffer::new(&shared.buffer_memory),
-            accepted: shared.clock.now(),
-            state: ConnectionState::AwaitingStartup { unproven },
+            accepted_at: shared.clock.now(),
+            state: ConnectionState::AwaitingStartup { unused },
             has_input_ended: false,
             simple_queries: SimpleQueries::new(),
             is_skipping_to_sync: false,
             extended_queries: is_extended.then(|| ExtendedQueries::new(&shared)),
             cancellation: Rc::default(),
             cancellation_process: None,
-            late_reading: LateReading::default(),
+            shutdown_read_limit: ShutdownReadLimit::default(),
             shared,
         }
     }
 
-    /// Serves the connection to its end. `Ok` is a client that said goodbye.
-    async fn session(&mut self) -> Result<(), CloseReason> {
+    /// Serves the connection to its end. Returns `Ok` if the client sent Terminate, otherwise the close reason.
+    async fn run(&mut self) -> Result<(), CloseReason> {
         self.startup().await?;
-        self.state.on_startup_answered();
+        self.state.on_startup_complete();
         loop {
             let is_extended = self.extended_queries.is_some();
             let (tag, body, len) = match frame::parse_frontend(self.buffer.bytes(), is_extended) {
@@ -118,10 +118,10 @@
                     self.wait_for_input().await?;
                     continue;
                 }
-                Err(e) => return Err(self.broken_frame(&e).await),
+                Err(e) => return Err(self.close_on_frame_error(&e).await),
             };
             let kind = MessageKind::of(tag, body, is_extended);
-            self.state.on_whole_message();
+            self.state.on_complete_message();
             match kind {
                 MessageKind::ExtendedCommand => self.run_pipeline().await?,
                 MessageKind::SimpleQuery => {
@@ -131,8 +131,12 @@
                 MessageKind::Sync => self.on_unsupported_sync(len).await?,
                 MessageKind::Unsupported => self.on_unsupported(tag, len).await?,
                 MessageKind::Terminate => return Ok(()),
-                MessageKind::Malformed(error) => return Err(self.broken_command(&error).await),
-                MessageKind::Violation(why) => return Err(self.fatal(why).await),
+                MessageKind::Malformed(error) => {
+                    return Err(self.close_on_command_error(&error).await);
+                }
+                MessageKind::Violation(message) => {
+                    return Err(self.close_on_protocol_violation(message).await);
+                }
             }
         }
     }
@@ -145,7 +149,7 @@
                     self.wait_for_input().await?;
                     continue;
                 }
-                Err(e) => return Err(self.broken_frame(&e).await),
+                Err(e) => return Err(self.close_on_frame_error(&e).await),
             };
             self.buffer.consume(len);
             match kind {
@@ -155,9 +159,11 @@
                     return Err(CloseReason::CancelRequest);
                 }
                 Startup::UnsupportedVersion => {
-                    return Err(self.fatal("this protocol version is not spoken").await);
+                    return Err(self
+                        .close_on_protocol_violation("this protocol version is not spoken")
+                        .await);
                 }
-                Startup::Session { minor } => return self.welcome(minor).await,
+                Startup::Session { minor } => return self.send_session_start(minor).await,
             }
         }
     }
@@ -169,7 +175,7 @@
         }
     }
 
-    async fn welcome(&mut self, minor: u16) -> Result<(), CloseReason> {
+    async fn send_session_start(&mut self, minor: u16) -> Result<(), CloseReason> {
         let mut key = CancellationKey::default();
         if self.extended_queries.is_some() {
             key = self.shared.cancellations.register(&self.cancellation);
@@ -180,7 +186,7 @@
         self.write(&out).await
     }
 
-    /// Why a read has ended the connection, if it has.
+    /// Returns the close reason if a read with this result ends the connection.
     fn end_of_input(&self, read: &std::io::Result<usize>) -> Option<CloseReason> {
         match read {
             Ok(0) if self.buffer.bytes().is_empty() => Some(CloseReason::Eof),
@@ -190,17 +196,17 @@
         }
     }
 
-    /// Reads what has come, up to what may be read ahead, without waiting for more.
+    /// Reads the input received so far, up to the read-ahead limit, without waiting for more.
     pub(super) fn read_available(&mut self) -> Result<(), CloseReason> {
         while !self.has_input_ended {
-            if self.buffer.bytes().len() >= READ_AHEAD_LIMIT || self.has_reading_ended() {
-                // Nothing more is read: its end can stand behind what is left unread.
-                self.has_input_ended = socket::has_hung_up(self.stream.get_ref());
+            if self.buffer.bytes().len() >= READ_AHEAD_LIMIT || self.has_reached_read_limit() {
+                // Nothing more is read, so the end of input may follow bytes that stay unread.
+                self.has_input_ended = socket::has_disconnected(self.stream.get_ref());
                 return Ok(());
             }
             match self.buffer.try_fill(self.stream.get_ref()) {
-                Ok(n) => self.has_input_ended = n == 0,
-                // Without memory it waits, as with a full buffer.
+                Ok(len) => self.has_input_ended = len == 0,
+                // At the memory limit, input waits in the socket, as with a full buffer.
                 Err(e) if MemoryLimitReached::caused(&e) => return Ok(()),
                 Err(e) => match e.kind() {
                     ErrorKind::Interrupted => {}
@@ -212,23 +218,24 @@
         Ok(())
     }
 
-    /// Whether nothing more may be read, since the router is ending.
-    fn has_reading_ended(&self) -> bool {
-        self.late_reading
-            .has_ended(&self.shared, &self.buffer, self.stream.get_ref())
+    /// Returns whether nothing more may be read because of a graceful shutdown.
+    fn has_reached_read_limit(&self) -> bool {
+        self.shutdown_read_limit
+            .is_reached(&self.shared, &self.buffer, self.stream.get_ref())
     }
 
-    /// Whether the buffer begins with a message that is complete, or can't be read: either is owed an answer.
-    fn has_whole_message(&self) -> bool {
-        is_whole(
+    /// Returns whether the buffer begins with a message that is complete or can't be parsed. Either requires a
+    /// response.
+    fn has_complete_message(&self) -> bool {
+        starts_with_complete_message(
             self.buffer.bytes(),
-            self.state.has_started(),
+            self.state.is_startup_complete(),
             self.extended_queries.is_some(),
         )
     }
 
-    /// Whether its client has gone: it has closed the connection, or said goodbye behind what it has sent.
-    pub(super) fn has_left(&self) -> bool {
+    /// Returns whether the client has disconnected: it has closed the connection, or the buffer contains a Terminate.
+    pub(super) fn has_disconnected(&self) -> bool {
         let mut rest = self.buffer.bytes();
         while let Ok(Some((tag, _, len))) =
             frame::parse_frontend(rest, self.extended_queries.is_some())
@@ -241,39 +248,43 @@
         self.has_input_ended
     }
 
-    /// What ends the wait for the next message or its rest. A message that has stalled or drips in, or a connection
-    /// that says nothing, must not hold a descriptor.
-    fn wait_limits(&mut self, is_between: bool) -> WaitLimits {
+    /// Returns the limits of the wait for the next message or the rest of it. Neither a message that stalls or arrives
+    /// very slowly nor a silent connection may hold a descriptor indefinitely.
+    fn wait_limits(&mut self, is_between_messages: bool) -> WaitLimits {
         let now = self.shared.clock.now();
-        let shutdown = match (is_between, self.state.is_unproven()) {
+        let shutdown = match (is_between_messages, self.state.is_unused()) {
             (false, _) => ShutdownWait::RestOfMessage,
             (true, true) => ShutdownWait::FirstRequest {
-                accepted: self.accepted,
+                accepted_at: self.accepted_at,
             },
-            (true, false) => ShutdownWait::None,
+            (true, false) => ShutdownWait::CloseAtOnce,
         };
-        let (holder, since, timeout) = if self.state.is_unproven() {
-            let timeout = Some(CloseReason::StartupTimeout);
-            (EvictionPriority::Expendable, self.accepted, timeout)
-        } else if is_between {
-            (self.idle_holder(), now, None)
+        let (eviction_priority, started_at, timeout_reason) = if self.state.is_unused() {
+            let timeout_reason = Some(CloseReason::StartupTimeout);
+            (
+                EvictionPriority::Expendable,
+                self.accepted_at,
+                timeout_reason,
+            )
+        } else if is_between_messages {
+            (self.idle_eviction_priority(), now, None)
         } else {
-            let since = self.state.on_partial_message(now);
+            let started_at = self.state.on_partial_message(now);
             (
                 EvictionPriority::Expendable,
-                since,
+                started_at,
                 Some(CloseReason::Stalled),
             )
         };
         WaitLimits {
-            holder,
-            since,
-            timeout,
+            eviction_priority,
+            started_at,
+            timeout_reason,
             shutdown,
         }
     }
 
-    fn idle_holder(&self) -> EvictionPriority {
+    fn idle_eviction_priority(&self) -> EvictionPriority {
         let extended = self.extended_queries.as_ref();
         if extended.is_some_and(ExtendedQueries::has_state) {
             EvictionPriority::Stateful
@@ -282,39 +293,44 @@
         }
     }
 
-    /// Waits for more of the next message. Between messages the router may close the connection, but only
-    /// after a look at what has come: a request that was read is answered.
+    /// Waits for more input of the next message. The router may close the connection meanwhile, but only after it has
+    /// checked the input received so far: a request that was read gets a response.
     async fn wait_for_input(&mut self) -> Result<(), CloseReason> {
         if self.has_input_ended {
             return self.end_of_input(&Ok(0)).map_or(Ok(()), Err);
         }
-        // A part of a message came too late to be owed an answer.
-        if self.has_reading_ended() {
+        // The rest of a partial message would arrive too late for a guaranteed response.
+        if self.has_reached_read_limit() {
             return Err(CloseReason::Shutdown);
         }
-        let is_between = self.buffer.bytes().is_empty();
-        let limits = self.wait_limits(is_between);
-        let is_idle = limits.holder == EvictionPriority::Idle;
+        let is_between_messages = self.buffer.bytes().is_empty();
+        let limits = self.wait_limits(is_between_messages);
+        let is_idle = limits.eviction_priority == EvictionPriority::Idle;
         let _idle = is_idle.then(|| self.shared.client_descriptors.count_idle());
-        let close_due = async { Wait::CloseDue(limits.close_due(&self.shared).await) };
-        let read = async { Wait::Read(self.buffer.fill(&self.stream).await) };
+        let close_due = async { WaitOutcome::CloseDue(limits.close_due(&self.shared).await) };
+        let read = async { WaitOutcome::Read(self.buffer.fill(&self.stream).await) };
         match or(read, close_due).await {
-            Wait::Read(Err(e)) if MemoryLimitReached::caused(&e) => Err(self.no_memory().await),
-            Wait::Read(read) => self.end_of_input(&read).map_or(Ok(()), Err),
-            Wait::CloseDue(reason) => self.close_unless_input_came(reason, is_between),
+            WaitOutcome::Read(Err(e)) if MemoryLimitReached::caused(&e) => {
+                Err(self.close_on_memory_limit().await)
+            }
+            WaitOutcome::Read(read) => self.end_of_input(&read).map_or(Ok(()), Err),
+            WaitOutcome::CloseDue(reason) => {
+                self.close_unless_input_arrived(reason, is_between_messages)
+            }
         }
     }
 
-    /// Decided and done in one step: what has come up to now is served first.
-    fn close_unless_input_came(
+    /// Returns the close reason, unless input that must be served first has arrived. The check and the
+    /// decision are one step without an await: input that has arrived up to now is served first.
+    fn close_unless_input_arrived(
         &mut self,
         reason: CloseReason,
-        is_between: bool,
+        is_between_messages: bool,
     ) -> Result<(), CloseReason> {
         let before = self.buffer.bytes().len();
         self.read_available()?;
-        let has_begun = is_between && self.buffer.bytes().len() > before;
-        if has_begun || self.has_whole_message() {
+        let has_begun = is_between_messages && self.buffer.bytes().len() > before;
+        if has_begun || self.has_complete_message() {
             count(&self.shared.counters.late_request_served);
             return Ok(());
         }
@@ -324,29 +340,30 @@
         Err(reason)
     }
 
-    /// A request that was read at `received_at`.
-    pub(super) fn incoming(
+    /// Creates the dispatcher's request from one that was read at `received_at`.
+    pub(super) fn client_request(
         &self,
-        admitted: &ValidatedRequest,
+        request: &ValidatedRequest,
         statement: Rc<EndpointQuery>,
         received_at: Timestamp,
     ) -> ClientRequest {
         ClientRequest {
             id: self.shared.next_request_id(),
-            client_request_id: admitted.id.unwrap_or_else(rand::random),
-            class: admitted.class,
-            replica_set: admitted.replica_set,
-            session: admitted.session.clone(),
-            required_position: admitted.last_write_at,
-            is_retry: admitted.is_retry,
-            timeout: admitted.timeout,
+            client_request_id: request.id.unwrap_or_else(rand::random),
+            class: request.class,
+            replica_set: request.replica_set,
+            session: request.session.clone(),
+            required_position: request.last_write_at,
+            is_retry: request.is_retry,
+            timeout: request.timeout,
             received_at,
             statement,
             cancelled: CancellationFlag::default(),
         }
     }
 
-    /// Extended queries are not spoken: one error for the sequence, which ends with its Sync.
+    /// Handles a command of an extended query while extended queries are off: sends one error for all commands up to
+    /// the next Sync.
     async fn on_unsupported(&mut self, tag: u8, len: usize) -> Result<(), CloseReason> {
         self.buffer.consume(len);
         if std::mem::replace(&mut self.is_skipping_to_sync, true) {
@@ -354,15 +371,21 @@
         }
         count(&self.shared.counters.invalid_statements);
         let mut out = Vec::new();
-        let why = format!(
+        let message = format!(
             "message '{}' is not supported: use simple queries",
             char::from(tag)
         );
-        backend::put_error_response(&mut out, false, sqlstate::FEATURE_NOT_SUPPORTED, &why, None);
+        backend::put_error_response(
+            &mut out,
+            false,
+            sqlstate::FEATURE_NOT_SUPPORTED,
+            &message,
+            None,
+        );
         self.write(&out).await
     }
 
-    /// The end of a sequence of commands that are not supported.
+    /// Handles the Sync that ends a sequence of unsupported commands.
     async fn on_unsupported_sync(&mut self, len: usize) -> Result<(), CloseReason> {
         self.buffer.consume(len);
         self.is_skipping_to_sync = false;
--- a/crates/router/src/client/connection_state.rs
+++ b/crates/router/src/client/connection_state.rs
@@ -1,75 +1,73 @@
-//! How far a client's connection has come between its commands.
+//! Records a client connection's state between its commands.
 
 use crate::runtime::shared::CountGuard;
 use reelrill_routing::Timestamp;
 
-/// The state of a connection on which no request waits for its answer.
+/// The state of a connection on which no request is outstanding.
 pub enum ConnectionState {
-    /// The startup has not been answered.
+    /// The startup message has not been responded to.
     AwaitingStartup {
-        /// Counts the connection as unproven.
-        unproven: CountGuard,
+        /// Counts the connection as unused.
+        unused: CountGuard,
     },
-    /// The startup has been answered, and no request has come yet.
+    /// The startup is complete, and no request has been received yet.
     AwaitingFirstRequest {
-        /// Counts the connection as unproven until the state changes.
-        _unproven: CountGuard,
+        /// Counts the connection as unused until the state changes.
+        _unused: CountGuard,
     },
-    /// It has had requests. The next message has not begun, or is complete.
+    /// Requests have been received. The next message has not begun, or is complete.
     Idle,
-    /// It has had requests, and a part of the next message came at `since`.
+    /// Requests have been received, and so has a part of the next message.
     PartialMessage {
-        /// When the first part was seen.
+        /// The time at which the first part was seen.
         since: Timestamp,
     },
 }
 
 impl ConnectionState {
-    /// Whether the startup has been answered.
-    pub fn has_started(&self) -> bool {
+    /// Returns whether the startup is complete.
+    pub fn is_startup_complete(&self) -> bool {
         !matches!(self, ConnectionState::AwaitingStartup { .. })
     }
 
-    /// Whether it has never had a request.
-    pub fn is_unproven(&self) -> bool {
+    /// Returns whether no request has been received.
+    pub fn is_unused(&self) -> bool {
         matches!(
             self,
             ConnectionState::AwaitingStartup { .. } | ConnectionState::AwaitingFirstRequest { .. }
         )
     }
 
-    /// The startup has been answered.
-    pub fn on_startup_answered(&mut self) {
+    /// Records that the startup is complete.
+    pub fn on_startup_complete(&mut self) {
         let state = std::mem::replace(self, ConnectionState::Idle);
         *self = match state {
-            ConnectionState::AwaitingStartup { unproven } => {
-                ConnectionState::AwaitingFirstRequest {
-                    _unproven: unproven,
-                }
+            ConnectionState::AwaitingStartup { unused } => {
+                ConnectionState::AwaitingFirstRequest { _unused: unused }
             }
             other => other,
         };
     }
 
-    /// A part of a message is there at `now`. Returns when its first part was seen.
+    /// Records that a part of a message has been received by `now`. Returns the time at which its first part was seen.
     pub fn on_partial_message(&mut self, now: Timestamp) -> Timestamp {
         if let ConnectionState::PartialMessage { since } = self {
             return *since;
         }
-        if !self.is_unproven() {
+        if !self.is_unused() {
             *self = ConnectionState::PartialMessage { since: now };
         }
         now
     }
 
-    /// A message is complete; whether it is a request shows next.
-    pub fn on_whole_message(&mut self) {
-        if !self.is_unproven() {
+    /// Records that a message is complete. Whether it is a request is determined afterwards.
+    pub fn on_complete_message(&mut self) {
+        if !self.is_unused() {
             *self = ConnectionState::Idle;
         }
     }
 
-    /// A request has come.
+    /// Records that a request has been received.
     pub fn on_request(&mut self) {
         *self = ConnectionState::Idle;
     }
--- a/crates/router/src/client/extended_queries.rs
+++ b/crates/router/src/client/extended_queries.rs
@@ -1,10 +1,11 @@
-//! A client's extended queries: carries out what its plan decides. The plan decides the order, what is skipped and what
-//! is owed; here are the bytes, the dispatcher's responses, and the watch over the client.
+//! Executes a client's extended queries as its [`ExtendedSession`] determines. The session decides the order of
+//! requests and responses, and which commands are skipped. This module parses and encodes messages, exchanges requests
+//! and responses with the dispatcher, and detects that the client disconnects.
 
-use super::connection::Client;
+use super::connection::ClientConnection;
 use super::outstanding::OutstandingRequests;
 use super::reading::read_ahead;
-use super::responses::{WRITE_SIZE, put_failure};
+use super::responses::{WRITE_BATCH_SIZE, put_error};
 use super::wakeup::{Wakeup, next_wakeup};
 use crate::messages::FinalResponse;
 use crate::observability::close_reason::CloseReason;
@@ -19,108 +20,115 @@
 use reelrill_routing::RequestId;
 use std::borrow::Cow;
 
-/// Responses that can wait in a client's channel: so many for each read that may run at once, and some for writes.
+/// The capacity of a client's response channel for each read that may run at once, in responses.
 const RESPONSES_PER_READ: usize = 4;
+/// The additional capacity of the channel, used by writes, in responses.
 const EXTRA_RESPONSES: usize = 16;
 
-/// The prepared statements of one client and what it has pipelined.
+/// The prepared statements and the pipeline of one client.
 pub struct ExtendedQueries {
-    plan: ExtendedSession<FinalResponse>,
+    session: ExtendedSession<FinalResponse>,
     outstanding: OutstandingRequests,
-    /// The OID of the type of the one column.
+    /// The OID of the type of the one result column.
     data_type: u32,
 }
 
 impl ExtendedQueries {
-    /// Nothing prepared or pipelined yet.
+    /// Creates a session without prepared statements and with an empty pipeline.
     pub fn new(shared: &Shared) -> ExtendedQueries {
         let capacity = shared.session_resources.limits.reads * RESPONSES_PER_READ + EXTRA_RESPONSES;
         ExtendedQueries {
-            plan: ExtendedSession::new(shared.session_resources.clone()),
+            session: ExtendedSession::new(shared.session_resources.clone()),
             outstanding: OutstandingRequests::new(capacity),
             data_type: shared.config.extensions.extended.data_type.oid(),
         }
     }
 
-    /// Whether its client would miss something if the connection were closed now.
+    /// Returns whether the client would lose state if the connection were closed now.
     pub fn has_state(&self) -> bool {
-        self.plan.statement_count() > 0 || self.plan.has_open_segment()
+        self.session.statement_count() > 0 || self.session.has_open_segment()
     }
 
-    /// A simple query has come: it drops the unnamed statement and all portals.
+    /// Handles the receipt of a simple query: it removes the unnamed statement and all portals.
     pub fn on_simple_query(&mut self) {
-        self.plan.on_simple_query();
+        self.session.on_simple_query();
     }
 
-    /// Runs a simple query that concerns the session's prepared statements alone. None: it is something else.
+    /// Runs a simple query that only affects the session's prepared statements, and returns its command tag. Returns
+    /// `None` for any other query.
+    ///
+    /// # Errors
+    /// If the statement is not supported or names an unknown prepared statement.
     pub fn run_session_statement(
         &mut self,
         text: &str,
     ) -> Option<Result<&'static str, SessionError>> {
-        self.plan.run_utility_query(text)
+        self.session.run_utility_query(text)
     }
 
-    /// The response in the format that its client wants.
-    fn in_format(&self, response: FinalResponse, wanted: Format) -> FinalResponse {
-        let FinalResponse::Served(mut answer) = response else {
+    /// Returns the response with its value in the format that the client requested.
+    fn convert_response(&self, response: FinalResponse, requested: Format) -> FinalResponse {
+        let FinalResponse::Served(mut result) = response else {
             return response;
         };
-        let given = answer.column.as_ref().map_or(wanted, |c| c.format);
-        let Some(value) = convert_format(&answer.value, self.data_type, given, wanted) else {
+        let received = result.column.as_ref().map_or(requested, |c| c.format);
+        let Some(value) = convert_format(&result.value, self.data_type, received, requested) else {
             return FinalResponse::Failed(
                 "it has run; its value can't be given in the format asked for",
             );
         };
         if let Cow::Owned(value) = value {
-            answer.value = value;
+            result.value = value;
         }
-        FinalResponse::Served(answer)
+        FinalResponse::Served(result)
     }
 
-    /// A part has its response. Returns the requests that are owed nothing any more.
-    fn finish(&mut self, part: u64, response: FinalResponse) -> Vec<RequestId> {
-        let Some(request) = self.outstanding.remove(part) else {
+    /// Processes the response to the request with this number. Returns the requests whose responses are not needed any
+    /// more.
+    fn finish(&mut self, number: u64, response: FinalResponse) -> Vec<RequestId> {
+        let Some(request) = self.outstanding.remove(number) else {
             return Vec::new();
         };
-        let response = self.in_format(response, request.result_format);
+        let response = self.convert_response(response, request.result_format);
         let is_served = matches!(response, FinalResponse::Served(_));
-        let abandoned = self.plan.finish(part, response, is_served);
+        let abandoned = self.session.finish(number, response, is_served);
         self.outstanding.abandon(&abandoned)
     }
 
-    /// Its client cancels the first part without an answer. Returns the requests that are owed nothing any more.
+    /// Cancels the first request without a response, as the client requested. Returns the requests whose responses are
+    /// not needed any more.
     fn cancel_first(&mut self) -> Vec<RequestId> {
-        let Some((part, _)) = self.plan.first_pending() else {
+        let Some((number, _)) = self.session.first_pending() else {
             return Vec::new();
         };
-        let Some(request) = self.outstanding.cancel(part) else {
-            // It has not been started, and nothing behind it has.
-            self.plan.finish(part, FinalResponse::Cancelled, false);
+        let Some(request) = self.outstanding.cancel(number) else {
+            // The request has not been started, nor has any later one.
+            self.session.finish(number, FinalResponse::Cancelled, false);
             return Vec::new();
         };
         let mut abandoned = vec![request];
-        abandoned.extend(self.finish(part, FinalResponse::Cancelled));
+        abandoned.extend(self.finish(number, FinalResponse::Cancelled));
         abandoned
     }
 
-    /// Gives the plan the whole commands at the head of `bytes`, until it is full or something comes that is for the
-    /// time after the pipeline. Returns how many bytes were taken.
-    fn take_commands(&mut self, bytes: &[u8]) -> usize {
+    /// Passes the complete commands at the start of `bytes` to the session, until it is full or a message follows that
+    /// must be processed after the pipeline. Returns the number of bytes processed.
+    fn queue_commands(&mut self, bytes: &[u8]) -> usize {
         let mut rest = bytes;
-        while !self.plan.is_full() {
+        while !self.session.is_full() {
             let Ok(Some((tag, body, len))) = frame::parse_frontend(rest, true) else {
                 break;
             };
             match frontend::parse_command(tag, body) {
                 Ok(Command::Terminate | Command::Query(_)) | Err(_) => break,
-                Ok(command) => self.plan.on_command(&command, rand::random()),
+                Ok(command) => self.session.on_command(&command, rand::random()),
             }
             rest = &rest[len..];
         }
         bytes.len() - rest.len()
     }
 
-    /// Puts one output. Returns whether the client waits for it: it ends with a Sync or a Flush, or is an error.
+    /// Appends one output. Returns whether it must be sent now: it is the response to a Sync or a Flush, or an error.
     fn put_output(&self, out: &mut Vec<u8>, output: Output<FinalResponse>) -> bool {
         match output {
             Output::ParseComplete => put_message(out, b'1', &[]),
@@ -136,9 +144,9 @@
             Output::Response {
                 response,
                 is_suspended,
-            } => return put_answer(out, &response, is_suspended),
-            Output::Error(wrong) => {
-                backend::put_error_response(out, false, wrong.sqlstate(), &wrong.to_string(), None);
+            } => return put_execute_response(out, &response, is_suspended),
+            Output::Error(error) => {
+                backend::put_error_response(out, false, error.sqlstate(), &error.to_string(), None);
                 return true;
             }
             Output::Flush => return true,
@@ -151,32 +159,32 @@
     }
 }
 
-/// Puts the answer to an Execute. Returns whether the client waits for it, as for any error.
-fn put_answer(out: &mut Vec<u8>, answer: &FinalResponse, is_suspended: bool) -> bool {
-    let FinalResponse::Served(answer) = answer else {
-        put_failure(out, answer);
+/// Appends the response to an Execute. Returns whether it must be sent now, as any error must.
+fn put_execute_response(out: &mut Vec<u8>, response: &FinalResponse, is_suspended: bool) -> bool {
+    let FinalResponse::Served(result) = response else {
+        put_error(out, response);
         return true;
     };
-    backend::put_data_row(out, &answer.value);
+    backend::put_data_row(out, &result.value);
     if is_suspended {
         put_message(out, b's', &[]);
     } else {
-        backend::put_command_complete(out, &answer.command_tag);
+        backend::put_command_complete(out, &result.command_tag);
     }
     false
 }
 
-impl Client {
-    /// Runs a pipeline until nothing waits; the buffer begins with one of its commands. What stands behind it that
-    /// is none of its commands is left there.
+impl ClientConnection {
+    /// Runs a pipeline until all its commands have been responded to. The buffer begins with one of its commands;
+    /// messages after the pipeline stay in the buffer.
     pub(super) async fn run_pipeline(&mut self) -> Result<(), CloseReason> {
         self.state.on_request();
         self.cancellation.reset();
         let ended = self.serve_pipeline().await;
-        // Only a client that has gone leaves requests behind.
+        // Requests are still outstanding only if the connection has ended.
         if let Some(extended) = &mut self.extended_queries {
             let abandoned = extended.outstanding.abandon_all();
-            self.withdraw(abandoned).await;
+            self.notify_cancelled(abandoned).await;
         }
         ended
     }
@@ -185,23 +193,23 @@
         let mut out = Vec::new();
         let mut is_flush_due = false;
         loop {
-            self.take_commands();
-            // Its end may stand behind what it has sent: nothing is begun for one that has gone.
+            self.queue_commands();
+            // The end of input may follow the commands: no request is started for a client that has disconnected.
             self.read_available()?;
-            if self.has_left() && !self.is_pipeline_idle() {
+            if self.has_disconnected() && !self.is_pipeline_idle() {
                 return Err(CloseReason::DisconnectedWhileWaiting);
             }
-            self.take_commands();
-            self.take_responses().await;
+            self.queue_commands();
+            self.finish_responses().await;
             self.start_pipelined_requests().await;
-            // One write for what belongs together: a BindComplete goes with the answer behind it.
+            // Related messages are sent in one write, such as a BindComplete with the response that follows it.
             is_flush_due |= self.put_outputs(&mut out);
             let is_idle = self.is_pipeline_idle();
-            if !out.is_empty() && (is_flush_due || is_idle || out.len() >= WRITE_SIZE) {
+            if !out.is_empty() && (is_flush_due || is_idle || out.len() >= WRITE_BATCH_SIZE) {
                 self.write(&out).await?;
                 out.clear();
                 is_flush_due = false;
-                // What came meanwhile is looked at before the next wait.
+                // Input and responses that arrived during the write are processed before the next wait.
                 continue;
             }
             if is_idle {
@@ -213,11 +221,11 @@
 
     fn is_pipeline_idle(&self) -> bool {
         let extended = self.extended_queries.as_ref();
-        extended.is_none_or(|extended| extended.plan.is_idle())
+        extended.is_none_or(|extended| extended.session.is_idle())
     }
 
-    /// Waits for a response, a cancellation or more input. What is pipelined stays in the buffer, which must not grow
-    /// without an end.
+    /// Waits for a response, a cancellation or more input. Pipelined input stays in the buffer, whose growth is bounded
+    /// by the read-ahead limit.
     async fn wait_on_pipeline(&mut self) -> Result<(), CloseReason> {
         let Some(extended) = &mut self.extended_queries else {
             return Ok(());
@@ -226,35 +234,35 @@
             &self.shared,
             &mut self.buffer,
             &self.stream,
-            &self.late_reading,
+            &self.shutdown_read_limit,
         );
         let response = extended.outstanding.response();
         let abandoned = match next_wakeup(response, &self.cancellation, read).await? {
-            Wakeup::Response(part, response) => extended.finish(part, response),
+            Wakeup::Response(number, response) => extended.finish(number, response),
             Wakeup::CancelRequested => extended.cancel_first(),
             Wakeup::Progress => Vec::new(),
         };
-        self.withdraw(abandoned).await;
+        self.notify_cancelled(abandoned).await;
         Ok(())
     }
 
-    fn take_commands(&mut self) {
+    fn queue_commands(&mut self) {
         let Some(extended) = &mut self.extended_queries else {
             return;
         };
-        let taken = extended.take_commands(self.buffer.bytes());
-        if taken > 0 {
-            self.buffer.consume(taken);
+        let len = extended.queue_commands(self.buffer.bytes());
+        if len > 0 {
+            self.buffer.consume(len);
             self.shared.last_arrival.set(self.shared.clock.now());
         }
     }
 
-    async fn take_responses(&mut self) {
+    async fn finish_responses(&mut self) {
         while let Some(extended) = &mut self.extended_queries
-            && let Some((part, response)) = extended.outstanding.try_response()
+            && let Some((number, response)) = extended.outstanding.try_response()
         {
-            let abandoned = extended.finish(part, response);
-            self.withdraw(abandoned).await;
+            let abandoned = extended.finish(number, response);
+            self.notify_cancelled(abandoned).await;
         }
     }
 
@@ -262,34 +270,34 @@
         while let Some(start) = self
             .extended_queries
             .as_mut()
-            .and_then(|e| e.plan.start_next())
+            .and_then(|e| e.session.start_next())
         {
             let now = self.shared.clock.now();
-            let incoming = self.incoming(&start.request, start.query, now);
+            let request = self.client_request(&start.request, start.query, now);
             let Some(extended) = &mut self.extended_queries else {
                 return;
             };
             let outstanding = &mut extended.outstanding;
-            let reply = outstanding.insert(start.number, &incoming, start.result_format);
-            if self.dispatch(incoming, reply).await {
+            let response_target = outstanding.insert(start.number, &request, start.result_format);
+            if self.dispatch(request, response_target).await {
                 continue;
             }
             if let Some(extended) = &mut self.extended_queries {
                 let response = FinalResponse::Failed("the router is ending");
                 let abandoned = extended.finish(start.number, response);
-                self.withdraw(abandoned).await;
+                self.notify_cancelled(abandoned).await;
             }
         }
     }
 
-    /// Puts the outputs that are due, up to the size of a write. Returns whether the client waits for one of them.
+    /// Appends the outputs that are available, up to the size of a write. Returns whether one of them must be sent now.
     fn put_outputs(&mut self, out: &mut Vec<u8>) -> bool {
         let Some(extended) = &mut self.extended_queries else {
             return false;
         };
         let mut is_flush_due = false;
-        while out.len() < WRITE_SIZE
-            && let Some(output) = extended.plan.pop_output()
+        while out.len() < WRITE_BATCH_SIZE
+            && let Some(output) = extended.session.pop_output()
         {
             if matches!(output, Output::Error(_)) {
                 count(&self.shared.counters.invalid_statements);
--- a/crates/router/src/client/reading.rs
+++ b/crates/router/src/client/reading.rs
@@ -1,4 +1,4 @@
-//! What may still be read from a client's connection: ahead of the answers it waits for, and late in a shutdown.
+//! Bounds how much is read from a client's connection: ahead of outstanding responses, and late in a graceful shutdown.
 
 use super::socket;
 use crate::runtime::buffer::{Buffer, MemoryLimitReached};
@@ -8,65 +8,71 @@
 use std::cell::Cell;
 use std::net::TcpStream;
 
-/// What a connection may still send, beyond what lies in its socket, once all that is owed an answer has come.
-const LATE_BYTES: u64 = 64 * 1024;
-/// What a client may send ahead while it waits for an answer. Its end can only be read behind what it has sent.
+/// The number of bytes that are still read from a connection, beyond those already in its socket, once the shutdown
+/// does not guarantee a response to new input any more.
+const SHUTDOWN_READ_ALLOWANCE: u64 = 64 * 1024;
+/// The maximum number of bytes that are read ahead while a response is outstanding. Reading ahead is needed because the
+/// end of a client's input can only be read after everything before it.
 pub const READ_AHEAD_LIMIT: usize = 64 * 1024;
 
-/// Bounds what is read from one connection late in a shutdown: a client that never pauses would otherwise be read, and
-/// rejected, at full speed to the end of all reading.
+/// Limits how much is read from one connection late in a graceful shutdown. Without the limit, the requests of a client
+/// that never pauses would be read and rejected at full speed until the router stops reading.
 #[derive(Default)]
-pub struct LateReading {
-    /// The count of bytes read from the connection at which reading ends; none: it is not late yet.
-    until: Cell<Option<u64>>,
+pub struct ShutdownReadLimit {
+    /// The total of bytes read from the connection at which reading ends; `None` until the limit applies.
+    max_bytes_read: Cell<Option<u64>>,
 }
 
-impl LateReading {
-    /// Whether nothing more may be read from the connection.
-    pub fn has_ended(&self, shared: &Shared, buffer: &Buffer, stream: &TcpStream) -> bool {
+impl ShutdownReadLimit {
+    /// Returns whether nothing more may be read from the connection.
+    pub fn is_reached(&self, shared: &Shared, buffer: &Buffer, stream: &TcpStream) -> bool {
         if shared.has_read_deadline_passed() {
             return true;
         }
         if !shared.can_drop_new_input() {
             return false;
         }
-        let until = self.until.get().unwrap_or_else(|| {
-            // What lies in the socket may have come in time.
-            let waiting = rustix::io::ioctl_fionread(stream).unwrap_or(0);
-            buffer.bytes_read() + waiting + LATE_BYTES
+        let max_bytes_read = self.max_bytes_read.get().unwrap_or_else(|| {
+            // The bytes in the socket may have arrived in time for a guaranteed response.
+            let unread = rustix::io::ioctl_fionread(stream).unwrap_or(0);
+            buffer.bytes_read() + unread + SHUTDOWN_READ_ALLOWANCE
         });
-        self.until.set(Some(until));
-        buffer.bytes_read() >= until
+        self.max_bytes_read.set(Some(max_bytes_read));
+        buffer.bytes_read() >= max_bytes_read
     }
 }
 
-/// Whether `bytes` begin with a message that is complete, or can't be read.
-pub fn is_whole(bytes: &[u8], has_started: bool, is_extended: bool) -> bool {
-    if has_started {
+/// Returns whether `bytes` begin with a message that is complete or can't be parsed. Either requires a response.
+pub fn starts_with_complete_message(
+    bytes: &[u8],
+    is_startup_complete: bool,
+    is_extended: bool,
+) -> bool {
+    if is_startup_complete {
         !matches!(frame::parse_frontend(bytes, is_extended), Ok(None))
     } else {
         !matches!(frontend::parse_startup(bytes), Ok(None))
     }
 }
 
-/// Reads what a client sends ahead. Where nothing more may be read it waits until the client hangs up, which is told
-/// like an end: unread bytes would hide the end itself.
+/// Reads ahead while a response is outstanding. If nothing more may be read, waits until the client disconnects and
+/// returns 0 as at the end of input, which unread bytes would otherwise hide.
 pub async fn read_ahead(
     shared: &Shared,
     buffer: &mut Buffer,
     stream: &Async<TcpStream>,
-    late_reading: &LateReading,
+    shutdown_read_limit: &ShutdownReadLimit,
 ) -> std::io::Result<usize> {
     let may_read = buffer.bytes().len() < READ_AHEAD_LIMIT
-        && !late_reading.has_ended(shared, buffer, stream.get_ref());
+        && !shutdown_read_limit.is_reached(shared, buffer, stream.get_ref());
     if may_read {
         match buffer.fill(stream).await {
-            // Without memory it waits, as with a full buffer.
+            // At the memory limit, waits as with a full buffer.
             Err(e) if MemoryLimitReached::caused(&e) => {}
             read => return read,
         }
     }
-    socket::hang_up(stream.get_ref()).await;
+    socket::wait_for_disconnect(stream.get_ref()).await;
     Ok(0)
 }
 
--- a/crates/router/src/client/reading/tests.rs
+++ b/crates/router/src/client/reading/tests.rs
@@ -1,4 +1,4 @@
-//! What the last look before a close has to serve.
+//! Detection of input that requires a response before a connection is closed.
 
 use super::*;
 use rstest::rstest;
@@ -15,21 +15,39 @@
     out
 }
 
-/// Guards a request whose last byte comes in the moment in which its connection is closed: it is served.
+/// Guards against a lost request whose last byte arrives at the moment at which its connection is closed.
 #[rstest]
 #[case(startup(), false)]
 #[case(query(), true)]
-fn a_message_is_whole_with_its_last_byte(#[case] message: Vec<u8>, #[case] has_started: bool) {
+fn a_message_is_complete_with_its_last_byte(
+    #[case] message: Vec<u8>,
+    #[case] is_startup_complete: bool,
+) {
     for len in 0..message.len() {
-        assert!(!is_whole(&message[..len], has_started, false), "{len}");
+        assert!(
+            !starts_with_complete_message(&message[..len], is_startup_complete, false),
+            "{len}"
+        );
     }
-    assert!(is_whole(&message, has_started, false));
-    assert!(is_whole(&[message, query()].concat(), has_started, false));
+    assert!(starts_with_complete_message(
+        &message,
+        is_startup_complete,
+        false
+    ));
+    assert!(starts_with_complete_message(
+        &[message, query()].concat(),
+        is_startup_complete,
+        false
+    ));
 }
 
-/// Guards the error that bytes without sense are owed.
+/// Guards against a connection that is closed without the error for bytes that can't be parsed.
 #[test]
-fn what_can_not_be_read_gets_its_error() {
-    assert!(is_whole(&[b'Q', 0, 0, 0, 1], true, false));
-    assert!(is_whole(&[0, 0, 0, 1], false, false));
+fn bytes_that_can_not_be_parsed_require_a_response() {
+    assert!(starts_with_complete_message(
+        &[b'Q', 0, 0, 0, 1],
+        true,
+        false
+    ));
+    assert!(starts_with_complete_message(&[0, 0, 0, 1], false, false));
 }
--- a/crates/router/src/client/responses.rs
+++ b/crates/router/src/client/responses.rs
@@ -1,32 +1,32 @@
-//! Final responses as messages of the protocol.
+//! Encodes final responses as messages of the PostgreSQL protocol.
 
 use crate::messages::{FinalResponse, QueryResult};
 use reelrill_pg_protocol::{backend, sqlstate};
 
-/// How much is written at once, so that many answers do not pile up.
-pub const WRITE_SIZE: usize = 64 * 1024;
+/// The size from which encoded responses are written, in bytes, so that they do not accumulate in memory.
+pub const WRITE_BATCH_SIZE: usize = 64 * 1024;
 
-/// A served answer to a simple query.
-pub fn put_answer(out: &mut Vec<u8>, answer: &QueryResult) {
-    if let Some(c) = &answer.column {
+/// Appends the result of a simple query.
+pub fn put_result(out: &mut Vec<u8>, result: &QueryResult) {
+    if let Some(column) = &result.column {
         backend::put_row_description(
             out,
             &backend::Column {
-                name: &c.name,
-                type_info: c.origin_and_type,
-                format: c.format,
+                name: &column.name,
+                type_info: column.origin_and_type,
+                format: column.format,
             },
         );
     }
-    backend::put_data_row(out, &answer.value);
-    backend::put_command_complete(out, &answer.command_tag);
+    backend::put_data_row(out, &result.value);
+    backend::put_command_complete(out, &result.command_tag);
 }
 
-/// Any other answer.
-pub fn put_failure(out: &mut Vec<u8>, reply: &FinalResponse) {
-    match reply {
+/// Appends the error message for a response that is not [`FinalResponse::Served`].
+pub fn put_error(out: &mut Vec<u8>, response: &FinalResponse) {
+    match response {
         FinalResponse::Rejected { retry_after } => {
-            let after = retry_after.map(|span| span.div_ceil(1_000_000).to_string());
+            let after = retry_after.map(|delay| delay.div_ceil(1_000_000).to_string());
             let text = "refused: trying again is harmless";
             backend::put_error_response(
                 out,
@@ -36,8 +36,8 @@
                 after.as_deref(),
             );
         }
-        FinalResponse::Failed(why) => {
-            backend::put_error_response(out, false, sqlstate::SYSTEM_ERROR, why, None)
+        FinalResponse::Failed(message) => {
+            backend::put_error_response(out, false, sqlstate::SYSTEM_ERROR, message, None)
         }
         FinalResponse::Cancelled => {
             backend::put_error_response(
--- a/crates/router/src/client/simple_queries.rs
+++ b/crates/router/src/client/simple_queries.rs
@@ -1,10 +1,11 @@
-//! A client's simple queries: carries out what its queue decides. The queue decides the order of requests and answers;
-//! here are the bytes, the dispatcher's responses, and the watch over the client.
+//! Executes a client's simple queries as its [`SimpleQueryQueue`] determines. The queue decides the order of requests
+//! and responses. This module parses and encodes messages, exchanges requests and responses with the dispatcher, and
+//! detects that the client disconnects.
 
-use super::connection::Client;
+use super::connection::ClientConnection;
 use super::outstanding::OutstandingRequests;
 use super::reading::read_ahead;
-use super::responses::{WRITE_SIZE, put_answer, put_failure};
+use super::responses::{WRITE_BATCH_SIZE, put_error, put_result};
 use super::wakeup::{Wakeup, next_wakeup};
 use crate::messages::FinalResponse;
 use crate::observability::close_reason::CloseReason;
@@ -19,8 +20,8 @@
 
 /// A response that needs no endpoint.
 enum LocalResponse {
-    /// The answer to an empty query. The load balancer in front sends clients once it has come: only a router that can
-    /// serve gives it.
+    /// The response to an empty query. The load balancer in front sends clients to the router once it has received this
+    /// response, so it is sent only when the router can serve requests.
     EmptyQuery,
     Complete(&'static str),
     Error {
@@ -29,14 +30,14 @@
     },
 }
 
-/// The simple queries of one client that have no answer yet.
+/// The simple queries of one client that have no response yet.
 pub struct SimpleQueries {
     queue: SimpleQueryQueue<FinalResponse, LocalResponse>,
     outstanding: OutstandingRequests,
 }
 
 impl SimpleQueries {
-    /// No queries yet.
+    /// Creates an empty set of queries.
     pub fn new() -> SimpleQueries {
         let limits = QueueLimits::default();
         let outstanding = OutstandingRequests::new(limits.running * 2);
@@ -46,45 +47,45 @@
         }
     }
 
-    fn finish(&mut self, part: u64, response: FinalResponse) {
-        // A request that was cancelled is not outstanding any more; the queue knows it, too.
-        let _ = self.outstanding.remove(part);
-        self.queue.finish(part, response);
+    fn finish(&mut self, number: u64, response: FinalResponse) {
+        // A cancelled request is not outstanding any more, and the queue ignores its response.
+        let _ = self.outstanding.remove(number);
+        self.queue.finish(number, response);
     }
 }
 
-impl Client {
-    /// Serves simple queries until nothing waits; the buffer begins with one. What stands behind them that is none is
-    /// left there.
+impl ClientConnection {
+    /// Serves simple queries until all of them have been responded to. The buffer begins with one; messages of another
+    /// kind after them stay in the buffer.
     pub(super) async fn run_simple_queries(&mut self) -> Result<(), CloseReason> {
         self.state.on_request();
         self.cancellation.reset();
         let ended = self.serve_simple_queries().await;
-        // Only a client that has gone, or does not read its answers, leaves requests behind.
+        // Requests are still outstanding only if the client has disconnected or does not read its responses.
         let abandoned = self.simple_queries.outstanding.abandon_all();
-        self.withdraw(abandoned).await;
+        self.notify_cancelled(abandoned).await;
         ended
     }
 
     async fn serve_simple_queries(&mut self) -> Result<(), CloseReason> {
         let mut out = Vec::new();
         loop {
-            self.take_simple_queries();
-            // Its end may stand behind what it has sent: nothing is begun for one that has gone.
+            self.queue_simple_queries();
+            // The end of input may follow the queries: no request is started for a client that has disconnected.
             self.read_available()?;
-            if !self.simple_queries.queue.is_empty() && self.has_left() {
+            if !self.simple_queries.queue.is_empty() && self.has_disconnected() {
                 return Err(CloseReason::DisconnectedWhileWaiting);
             }
-            self.take_simple_queries();
-            while let Some((part, response)) = self.simple_queries.outstanding.try_response() {
-                self.simple_queries.finish(part, response);
+            self.queue_simple_queries();
+            while let Some((number, response)) = self.simple_queries.outstanding.try_response() {
+                self.simple_queries.finish(number, response);
             }
             self.start_simple_queries().await;
-            self.put_simple_answers(&mut out);
+            self.put_simple_responses(&mut out);
             if !out.is_empty() {
                 self.write(&out).await?;
                 out.clear();
-                // What came meanwhile is looked at before the next wait.
+                // Input and responses that arrived during the write are processed before the next wait.
                 continue;
             }
             if self.simple_queries.queue.is_empty() {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Waits for a response, a cancellation, more input, or for the router to become able to serve.
+    /// Waits for a response, a cancellation, more input, or for the router to become ready to serve.
     async fn wait_on_simple_queries(&mut self) -> Result<(), CloseReason> {
         let became_ready = async {
             if self.shared.ready.is_raised() {
@@ -108,19 +109,20 @@
             &self.shared,
             &mut self.buffer,
             &self.stream,
-            &self.late_reading,
+            &self.shutdown_read_limit,
         );
         let wakeup = next_wakeup(response, &self.cancellation, read);
         match or(wakeup, became_ready).await? {
-            Wakeup::Response(part, response) => self.simple_queries.finish(part, response),
+            Wakeup::Response(number, response) => self.simple_queries.finish(number, response),
             Wakeup::CancelRequested => self.cancel_simple_query().await,
             Wakeup::Progress => {}
         }
         Ok(())
     }
 
-    /// Gives the queue the whole queries at the head of the buffer, until it is full or something else comes.
-    fn take_simple_queries(&mut self) {
+    /// Passes the complete queries at the start of the buffer to the queue, until it is full or a message of another
+    /// kind follows.
+    fn queue_simple_queries(&mut self) {
         let is_extended = self.extended_queries.is_some();
         while !self.simple_queries.queue.is_full() {
             let Ok(Some((b'Q', body, len))) =
@@ -149,11 +151,11 @@
                 .queue
                 .push_local_response(LocalResponse::EmptyQuery);
         }
-        match self.read_request(text) {
-            Ok((admitted, ask)) => {
-                let arrived = self.shared.clock.now();
+        match self.parse_request(text) {
+            Ok((request, query)) => {
+                let received_at = self.shared.clock.now();
                 let queue = &mut self.simple_queries.queue;
-                queue.push_request(admitted, ask, arrived, len);
+                queue.push_request(request, query, received_at, len);
             }
             Err(error) => {
                 let response = self.local_response(text, &error);
@@ -162,17 +164,18 @@
         }
     }
 
-    fn read_request(
+    fn parse_request(
         &self,
         text: &str,
     ) -> Result<(ValidatedRequest, Rc<EndpointQuery>), SessionError> {
-        let (named, digits) = RequestFields::from_simple_query(text)?;
-        let admitted = self.shared.session_resources.classes.validate(&named)?;
-        let ask = EndpointQuery::Simple(SimpleQuery::new(text.as_bytes().to_vec(), digits));
-        Ok((admitted, Rc::new(ask)))
+        let (fields, digits) = RequestFields::from_simple_query(text)?;
+        let request = self.shared.session_resources.classes.validate(&fields)?;
+        let query = EndpointQuery::Simple(SimpleQuery::new(text.as_bytes().to_vec(), digits));
+        Ok((request, Rc::new(query)))
     }
 
-    /// The response to a query that is no request: a statement for the session, or wrong.
+    /// Returns the response to a query that is not a request, with `error` as the reason: either it is a statement for
+    /// the session, or it is invalid.
     fn local_response(&mut self, text: &str, error: &SessionError) -> LocalResponse {
         let extended = self.extended_queries.as_mut();
         match extended.and_then(|extended| extended.run_session_statement(text)) {
@@ -181,7 +184,7 @@
                 code: error.sqlstate(),
                 message: error.to_string(),
             },
-            // Whatever it is, a simple query that is none of ours has this code.
+            // Any other simple query is reported with this SQLSTATE.
             None => LocalResponse::Error {
                 code: sqlstate::SYNTAX_ERROR,
                 message: error.to_string(),
@@ -191,38 +194,39 @@
 
     async fn start_simple_queries(&mut self) {
         while let Some(start) = self.simple_queries.queue.start_next() {
-            let incoming = self.incoming(&start.request, start.query, start.received_at);
+            let request = self.client_request(&start.request, start.query, start.received_at);
             let outstanding = &mut self.simple_queries.outstanding;
-            let reply = outstanding.insert(start.number, &incoming, Format::Text);
-            if !self.dispatch(incoming, reply).await {
+            let response_target = outstanding.insert(start.number, &request, Format::Text);
+            if !self.dispatch(request, response_target).await {
                 let response = FinalResponse::Failed("the router is ending");
                 self.simple_queries.finish(start.number, response);
             }
         }
     }
 
-    /// Its client cancels the first request without an answer: it fails at once, and the dispatcher owes it nothing
-    /// any more. One that has not been started is only answered.
+    /// Cancels the first request without a response, as the client requested. It fails at once; if it has been started,
+    /// the dispatcher is notified that no response to it is needed any more.
     async fn cancel_simple_query(&mut self) {
-        let Some(part) = self.simple_queries.queue.first_pending() else {
+        let Some(number) = self.simple_queries.queue.first_pending() else {
             return;
         };
         let queue = &mut self.simple_queries.queue;
-        queue.finish(part, FinalResponse::Cancelled);
-        let abandoned = self.simple_queries.outstanding.abandon(&[part]);
-        self.withdraw(abandoned).await;
+        queue.finish(number, FinalResponse::Cancelled);
+        let abandoned = self.simple_queries.outstanding.abandon(&[number]);
+        self.notify_cancelled(abandoned).await;
     }
 
-    /// Puts the answers that are due, up to the size of a write.
-    fn put_simple_answers(&mut self, out: &mut Vec<u8>) {
+    /// Appends the responses that are available, up to the size of a write.
+    fn put_simple_responses(&mut self, out: &mut Vec<u8>) {
         let is_ready = self.shared.ready.is_raised();
-        let may_say = |r: &LocalResponse| is_ready || !matches!(r, LocalResponse::EmptyQuery);
-        while out.len() < WRITE_SIZE
-            && let Some(output) = self.simple_queries.queue.pop_output(may_say)
+        let can_send =
+            |local: &LocalResponse| is_ready || !matches!(local, LocalResponse::EmptyQuery);
+        while out.len() < WRITE_BATCH_SIZE
+            && let Some(output) = self.simple_queries.queue.pop_output(can_send)
         {
             match output {
-                Output::Response(FinalResponse::Served(answer)) => put_answer(out, &answer),
-                Output::Response(other) => put_failure(out, &other),
+                Output::Response(FinalResponse::Served(result)) => put_result(out, &result),
+                Output::Response(response) => put_error(out, &response),
                 Output::LocalResponse(LocalResponse::EmptyQuery) => put_message(out, b'I', &[]),
                 Output::LocalResponse(LocalResponse::Complete(tag)) => {
                     backend::put_command_complete(out, tag)
--- a/crates/router/src/client/socket.rs
+++ b/crates/router/src/client/socket.rs
@@ -1,4 +1,4 @@
-//! Writes to a client's socket, and its hang-up seen without reading.
+//! Writes to a client's socket, and detects without reading that the client has disconnected.
 
 use crate::observability::close_reason::CloseReason;
 use crate::runtime::interrupted::write_all;
@@ -8,44 +8,48 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// A client that does not read its answer for this long has lost it.
+/// The maximum time for a write; the connection of a client that does not read its response within it is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Where nothing is read, how often it is asked whether the client has hung up.
-const HANG_UP_POLL: Duration = Duration::from_millis(25);
+/// The interval at which the socket is polled for the client's disconnect while nothing is read.
+const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Whether the client has closed its connection, also where bytes that nobody reads hide its end.
-pub fn has_hung_up(stream: &TcpStream) -> bool {
-    let mut asked = [PollFd::new(stream, PollFlags::RDHUP)];
-    let gone = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-    poll(&mut asked, Some(&Timespec::default())).is_ok() && asked[0].revents().intersects(gone)
+/// Returns whether the client has closed its connection, even if unread bytes precede the end of its input.
+pub fn has_disconnected(stream: &TcpStream) -> bool {
+    let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
+    let disconnect_flags = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    poll(&mut polled, Some(&Timespec::default())).is_ok()
+        && polled[0].revents().intersects(disconnect_flags)
 }
 
-/// Waits until the client hangs up.
-pub async fn hang_up(stream: &TcpStream) {
+/// Waits until the client disconnects.
+pub async fn wait_for_disconnect(stream: &TcpStream) {
     loop {
-        Timer::after(HANG_UP_POLL).await;
-        if has_hung_up(stream) {
+        Timer::after(DISCONNECT_POLL_INTERVAL).await;
+        if has_disconnected(stream) {
             return;
         }
     }
 }
 
-/// Writes all of `bytes`. A client that hangs up meanwhile is noticed: requests of its own may still be out.
+/// Writes all of `bytes`. Ends early if the client disconnects, since it may have outstanding requests to cancel.
+///
+/// # Errors
+/// If the write fails or times out, or the client disconnects.
 pub async fn write_to_client(stream: &Async<TcpStream>, bytes: &[u8]) -> Result<(), CloseReason> {
     let write = async {
         write_all(stream, bytes)
             .await
             .map_err(|_| CloseReason::Reset)
     };
-    let late = async {
+    let timeout = async {
         Timer::after(WRITE_TIMEOUT).await;
         Err(CloseReason::NotReading)
     };
-    let hung_up = async {
-        hang_up(stream.get_ref()).await;
+    let disconnected = async {
+        wait_for_disconnect(stream.get_ref()).await;
         Err(CloseReason::DisconnectedWhileWaiting)
     };
-    or(write, or(hung_up, late)).await
+    or(write, or(disconnected, timeout)).await
 }
 
 #[cfg(test)]
--- a/crates/router/src/client/socket/tests.rs
+++ b/crates/router/src/client/socket/tests.rs
@@ -1,4 +1,4 @@
-//! Writes that the host cuts short or interrupts.
+//! Writes that are short, interrupted or blocked.
 
 use super::*;
 use futures_lite::AsyncWrite;
@@ -9,23 +9,23 @@
 use std::task::{Context, Poll};
 use std::time::Instant;
 
-/// A writer that does what its script says for each call, and then takes everything.
-struct Scripted {
-    script: VecDeque<io::Result<usize>>,
-    taken: Vec<u8>,
+/// A writer that returns a scripted result for each call, and then accepts everything.
+struct ScriptedWriter {
+    results: VecDeque<io::Result<usize>>,
+    written: Vec<u8>,
 }
 
-impl AsyncWrite for Scripted {
+impl AsyncWrite for ScriptedWriter {
     fn poll_write(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let step = self.script.pop_front().unwrap_or(Ok(bytes.len()));
-        if let Ok(n) = step {
-            self.taken.extend_from_slice(&bytes[..n]);
+        let result = self.results.pop_front().unwrap_or(Ok(bytes.len()));
+        if let Ok(len) = result {
+            self.written.extend_from_slice(&bytes[..len]);
         }
-        Poll::Ready(step)
+        Poll::Ready(result)
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -37,46 +37,51 @@
     }
 }
 
-/// Guards an answer against EINTR and short writes.
+/// Guards against a response that is cut off or damaged by EINTR or a short write.
 #[test]
-fn interrupted_and_short_writes_go_on() {
-    let script = VecDeque::from([
+fn interrupted_and_short_writes_are_continued() {
+    let results = VecDeque::from([
         Err(ErrorKind::Interrupted.into()),
         Ok(2),
         Err(ErrorKind::Interrupted.into()),
     ]);
-    let mut writer = Scripted {
-        script,
-        taken: Vec::new(),
+    let mut writer = ScriptedWriter {
+        results,
+        written: Vec::new(),
     };
     futures_lite::future::block_on(write_all(&mut writer, b"answer")).unwrap();
-    assert_eq!(writer.taken, b"answer");
+    assert_eq!(writer.written, b"answer");
 }
 
-/// Guards against an endless loop on a socket that takes nothing, and against a broken one being written again.
+/// Guards against an endless loop on a socket that accepts no bytes, and against further writes to a broken one.
 #[test]
-fn what_can_not_be_written_is_an_error() {
-    for step in [Ok(0), Err(ErrorKind::BrokenPipe.into())] {
-        let mut writer = Scripted {
-            script: VecDeque::from([step]),
-            taken: Vec::new(),
+fn a_write_without_progress_is_an_error() {
+    for result in [Ok(0), Err(ErrorKind::BrokenPipe.into())] {
+        let mut writer = ScriptedWriter {
+            results: VecDeque::from([result]),
+            written: Vec::new(),
         };
         assert!(futures_lite::future::block_on(write_all(&mut writer, b"answer")).is_err());
     }
 }
 
-/// Guards what else is out for a client that goes without reading its answer: its end is seen during the write.
+/// Guards against a client's outstanding requests that keep running because the client disconnected without reading its
+/// response, and the blocked write does not detect that.
 #[test]
-fn a_hang_up_ends_a_blocked_write() {
-    // More than the system takes for a connection on which nobody reads.
+fn a_disconnect_ends_a_blocked_write() {
+    // More bytes than the system buffers for a connection that is not read.
     const MORE_THAN_FITS: usize = 1 << 26;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let router = Async::new(listener.accept().unwrap().0).unwrap();
     client.shutdown(Shutdown::Write).unwrap();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let written =
         futures_lite::future::block_on(write_to_client(&router, &vec![0; MORE_THAN_FITS]));
     assert_eq!(written, Err(CloseReason::DisconnectedWhileWaiting));
-    assert!(began.elapsed() < WRITE_TIMEOUT / 2, "{:?}", began.elapsed());
+    assert!(
+        started_at.elapsed() < WRITE_TIMEOUT / 2,
+        "{:?}",
+        started_at.elapsed()
+    );
 }
--- a/crates/router/src/client/wait_limits.rs
+++ b/crates/router/src/client/wait_limits.rs
@@ -1,6 +1,6 @@
-//! How long a client's connection may wait for the next message or its rest: timeouts, eviction and shutdown.
+//! Bounds a client connection's wait for the next message or for the rest of one: timeouts, eviction and shutdown.
 //!
-//! Only says when closing is due. Must never close a connection itself: what has come by then is served first.
+//! Only determines when closing is due. Must never close a connection itself: input received by then is served first.
 
 use crate::observability::close_reason::CloseReason;
 use crate::runtime::shared::{EvictionPriority, Shared};
@@ -9,65 +9,66 @@
 use reelrill_routing::{Nanos, Timestamp};
 use std::time::Duration;
 
-/// How long a client may take from connecting to the end of its first request, and from the first byte of any
+/// The maximum time from the accept of a connection to the end of its first request, and from the first byte of any
 /// other message to its last.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection that has asked nothing yet gives way to another only after this time: a request of the usual kind
-/// comes right behind the startup.
+/// The time before an expendable connection may be evicted: a client usually sends its first request right after the
+/// startup.
 pub const EXPENDABLE_EVICTION_DELAY: Duration = Duration::from_millis(100);
-/// An idle connection gives way after this time: its next request may be on its way.
+/// The time before an idle connection may be evicted: its next request may be in transit.
 const IDLE_EVICTION_DELAY: Duration = Duration::from_millis(20);
-/// During a shutdown, how long a new connection may take to send its first request.
+/// The maximum time for a new connection to send its first request during a graceful shutdown, in nanoseconds.
 const SHUTDOWN_FIRST_REQUEST_TIMEOUT: Nanos = 400_000_000;
-/// How much earlier than the end of all reading a connection is closed on which nothing whole has come: what comes in
-/// between is still read.
+/// The time between the close of a connection without a complete message and the router's last read, in nanoseconds:
+/// input that arrives in between is still read.
 const FINAL_READ_MARGIN: Nanos = 50_000_000;
 
-/// How long a connection stays open during a shutdown.
+/// Determines how long a connection stays open during a graceful shutdown.
 #[derive(Debug, Clone, Copy)]
 pub enum ShutdownWait {
-    /// Not at all: it is idle.
-    None,
-    /// For its first request: its client would meet the same on any further connection, and lose that request.
+    /// The connection is closed at once: it is idle.
+    CloseAtOnce,
+    /// The connection stays open for its first request: the client would lose that request, and could not send it on
+    /// any further connection either.
     FirstRequest {
-        /// When the connection was accepted.
-        accepted: Timestamp,
+        /// The time at which the connection was accepted.
+        accepted_at: Timestamp,
     },
-    /// To the end of all reading: once the last byte of a message is here, it is owed an answer.
+    /// The connection stays open until the router stops reading: a message whose last byte arrives requires a response.
     RestOfMessage,
 }
 
 impl ShutdownWait {
-    /// When closing is due, for a shutdown that is on at `now`.
-    fn ends_at(self, shared: &Shared, now: Timestamp) -> Timestamp {
-        let last_read = shared.read_deadline().unwrap_or(now);
-        let last = last_read.saturating_sub(FINAL_READ_MARGIN);
+    /// Returns the time at which closing is due, for a shutdown that is in progress at `now`.
+    fn close_at(self, shared: &Shared, now: Timestamp) -> Timestamp {
+        let read_deadline = shared.read_deadline().unwrap_or(now);
+        let last = read_deadline.saturating_sub(FINAL_READ_MARGIN);
         match self {
-            ShutdownWait::None => now,
-            ShutdownWait::FirstRequest { accepted } => {
-                let began = accepted.max(shared.shutdown_started_at.get().unwrap_or(now));
-                last.min(began.saturating_add(SHUTDOWN_FIRST_REQUEST_TIMEOUT))
+            ShutdownWait::CloseAtOnce => now,
+            ShutdownWait::FirstRequest { accepted_at } => {
+                let started_at = accepted_at.max(shared.shutdown_started_at.get().unwrap_or(now));
+                last.min(started_at.saturating_add(SHUTDOWN_FIRST_REQUEST_TIMEOUT))
             }
             ShutdownWait::RestOfMessage => last,
         }
     }
 }
 
-/// What ends the wait of one connection.
+/// The events that end the wait of one connection.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitLimits {
-    /// What the connection is to the descriptor budget.
-    pub holder: EvictionPriority,
-    /// From when the wait counts.
-    pub since: Timestamp,
-    /// Why the connection is closed where no whole message comes in time; none: it may wait without an end.
-    pub timeout: Option<CloseReason>,
-    /// What a shutdown leaves of the wait.
+    /// The connection's eviction priority in the descriptor budget.
+    pub eviction_priority: EvictionPriority,
+    /// The start of the wait.
+    pub started_at: Timestamp,
+    /// The reason to close the connection if no complete message arrives in time; `None` if there is no timeout.
+    pub timeout_reason: Option<CloseReason>,
+    /// The remaining wait during a graceful shutdown.
     pub shutdown: ShutdownWait,
 }
 
 impl WaitLimits {
-    /// Waits until the connection is due to be closed. Returns why.
+    /// Waits until the connection is due to be closed. Returns the reason.
     pub async fn close_due(self, shared: &Shared) -> CloseReason {
         or(
             self.timed_out(shared),
@@ -77,32 +78,32 @@
     }
 
     async fn timed_out(&self, shared: &Shared) -> CloseReason {
-        let Some(reason) = self.timeout else {
+        let Some(reason) = self.timeout_reason else {
             return std::future::pending().await;
         };
-        Timer::at(shared.clock.instant(self.since) + MESSAGE_TIMEOUT).await;
+        Timer::at(shared.clock.instant(self.started_at) + MESSAGE_TIMEOUT).await;
         reason
     }
 
     async fn shut_down(&self, shared: &Shared) -> CloseReason {
         shared.shutdown_started.wait().await;
         let now = shared.clock.now();
-        let until = self.shutdown.ends_at(shared, now);
-        if until > now {
-            Timer::at(shared.clock.instant(until)).await;
+        let close_at = self.shutdown.close_at(shared, now);
+        if close_at > now {
+            Timer::at(shared.clock.instant(close_at)).await;
         }
         CloseReason::Shutdown
     }
 
     async fn evicted(&self, shared: &Shared) -> CloseReason {
-        let delay = match self.holder {
+        let delay = match self.eviction_priority {
             EvictionPriority::Expendable => EXPENDABLE_EVICTION_DELAY,
             EvictionPriority::Idle | EvictionPriority::Stateful => IDLE_EVICTION_DELAY,
         };
-        Timer::at(shared.clock.instant(self.since) + delay).await;
+        Timer::at(shared.clock.instant(self.started_at) + delay).await;
         shared
             .client_descriptors
-            .eviction_requested(self.holder)
+            .eviction_requested(self.eviction_priority)
             .await;
         CloseReason::Evicted
     }
--- a/crates/router/src/client/wakeup.rs
+++ b/crates/router/src/client/wakeup.rs
@@ -1,6 +1,6 @@
-//! What a client's task waits for while requests of its client are outstanding, and how it tells the dispatcher.
+//! Waits for events of a client with outstanding requests, and sends requests and cancellations to the dispatcher.
 
-use super::connection::Client;
+use super::connection::ClientConnection;
 use crate::messages::{ClientRequest, FinalResponse, Message, ResponseTarget};
 use crate::observability::close_reason::CloseReason;
 use crate::runtime::shared::CancellationSignal;
@@ -8,25 +8,28 @@
 use reelrill_routing::RequestId;
 use std::io;
 
-/// Why the client's task goes on.
+/// An event that wakes the client's task.
 pub enum Wakeup {
-    /// A part has its response.
+    /// The request with this number has its response.
     Response(u64, FinalResponse),
-    /// The client cancels what it waits for.
+    /// The client cancels its first outstanding request.
     CancelRequested,
-    /// More has been read, or the router can serve now.
+    /// More input has been read, or the router has become ready to serve.
     Progress,
 }
 
-/// Waits for a response, a cancellation or more input. An error: the client has gone.
+/// Waits for a response, a cancellation or more input.
+///
+/// # Errors
+/// If the client has disconnected, or reading from it fails.
 pub async fn next_wakeup(
     response: impl Future<Output = (u64, FinalResponse)>,
     cancellation: &CancellationSignal,
     read: impl Future<Output = io::Result<usize>>,
 ) -> Result<Wakeup, CloseReason> {
     let response = async {
-        let (part, response) = response.await;
-        Ok(Wakeup::Response(part, response))
+        let (number, response) = response.await;
+        Ok(Wakeup::Response(number, response))
     };
     let cancelled = async {
         cancellation.wait().await;
@@ -43,8 +46,9 @@
     or(response, or(cancelled, read)).await
 }
 
-impl Client {
-    /// Sends a request to the dispatcher. Returns whether it was taken: not when the router is ending.
+impl ClientConnection {
+    /// Sends a request to the dispatcher. Returns whether the dispatcher accepted it; it does not while the router
+    /// exits.
     pub(super) async fn dispatch(
         &self,
         request: ClientRequest,
@@ -57,11 +61,11 @@
         self.shared.dispatcher.send(message).await.is_ok()
     }
 
-    /// Tells the dispatcher that these requests are owed nothing any more.
-    pub(super) async fn withdraw(&self, requests: Vec<RequestId>) {
+    /// Notifies the dispatcher that no responses to these requests are needed any more.
+    pub(super) async fn notify_cancelled(&self, requests: Vec<RequestId>) {
         for request in requests {
             let message = Message::RequestCancelled { request };
-            // A dispatcher that has ended has forgotten the request already.
+            // Sending fails only when the dispatcher has ended, and the request with it.
             let _ = self.shared.dispatcher.send(message).await;
         }
     }
