--- a/crates/service-discovery/tests/reference.rs
+++ b/crates/service-discovery/tests/reference.rs
@@ -1,4 +1,5 @@
-//! The endpoints against a plain reference: claims in one vector, and all judged anew after every input.
+//! Tests the endpoint registry against a reference implementation that stores all claims in one vector and rebuilds the
+//! whole list after every input.
 
 use proptest::prelude::*;
 use reelrill_service_discovery::{
@@ -9,165 +10,187 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// All times are whole ticks of the wheel, so that both see what is due at the same moment.
+/// One tick of the timer wheel, in nanoseconds. All times are whole ticks, so that both implementations process
+/// expiries at the same time.
 const TICK: u64 = 1 << 20;
 const SECOND: u64 = 1000 * TICK;
-const VOUCH: u64 = 30 * SECOND;
+const HEARTBEAT_TTL: u64 = 30 * SECOND;
 
 type Uid = Arc<str>;
 
-/// Bound by whom, of what kind, at which start and version.
-type Bound = Option<(u16, SourceKind, u64, u64)>;
+/// A drain or removal: its source, the source's kind, the process start and the version.
+type Marker = Option<(u16, SourceKind, u64, u64)>;
 
+/// The reference implementation. Entries are never forgotten.
 #[derive(Default)]
-struct Plain {
+struct ReferenceRegistry {
+    /// The kind of each source, and whether it is unreachable.
     sources: BTreeMap<u16, (SourceKind, bool)>,
     claims: Vec<(Uid, StoredClaim)>,
-    drains: BTreeMap<Uid, Bound>,
-    gone: BTreeMap<Uid, Bound>,
-    own: BTreeMap<Uid, u64>,
+    drains: BTreeMap<Uid, Marker>,
+    removals: BTreeMap<Uid, Marker>,
+    /// The times at which endpoints last reported their own drain.
+    reported_drains: BTreeMap<Uid, u64>,
     known: BTreeSet<Uid>,
-    answered: BTreeMap<Uid, u64>,
-    last: BTreeMap<Uid, (EndpointView, u16)>,
+    /// The times at which endpoints last responded.
+    responses: BTreeMap<Uid, u64>,
+    /// The last entry and tier of each endpoint.
+    last_entries: BTreeMap<Uid, (EndpointView, u16)>,
 }
 
-fn is_nameless(uid: &str) -> bool {
+fn is_provisional(uid: &str) -> bool {
     uid.starts_with("name:")
 }
 
-impl Plain {
-    fn of<'a>(&'a self, uid: &'a str) -> impl Iterator<Item = &'a StoredClaim> {
+impl ReferenceRegistry {
+    fn claims_about<'a>(&'a self, uid: &'a str) -> impl Iterator<Item = &'a StoredClaim> {
         self.claims
             .iter()
-            .filter(move |(u, _)| **u == *uid)
-            .map(|(_, h)| h)
+            .filter(move |(claim_uid, _)| **claim_uid == *uid)
+            .map(|(_, stored)| stored)
     }
 
-    fn best<'a>(&'a self, uid: &'a str) -> Option<&'a StoredClaim> {
-        let order = |h: &StoredClaim| {
-            let source = self.sources.get(&h.source);
-            let (heard, kind) = (source.is_some_and(|s| !s.1), source.map(|s| s.0));
+    fn best_claim<'a>(&'a self, uid: &'a str) -> Option<&'a StoredClaim> {
+        let order = |stored: &StoredClaim| {
+            let source = self.sources.get(&stored.source);
+            let (is_reachable, kind) = (
+                source.is_some_and(|state| !state.1),
+                source.map(|state| state.0),
+            );
             (
-                h.claim.started_at,
-                !h.is_stale,
-                heard,
+                stored.claim.started_at,
+                !stored.is_stale,
+                is_reachable,
                 kind,
-                h.unchanged_since,
-                h.source,
-                h.name.clone(),
+                stored.unchanged_since,
+                stored.source,
+                stored.name.clone(),
             )
         };
-        self.of(uid).max_by_key(|h| order(h))
+        self.claims_about(uid).max_by_key(|stored| order(stored))
     }
 
-    fn at(&self, address: SocketAddr) -> BTreeSet<Uid> {
+    fn endpoints_claiming(&self, address: SocketAddr) -> BTreeSet<Uid> {
         self.claims
             .iter()
-            .filter(|(_, h)| h.claim.address == address)
-            .map(|(u, _)| u.clone())
+            .filter(|(_, stored)| stored.claim.address == address)
+            .map(|(uid, _)| uid.clone())
             .collect()
     }
 
     fn remove(&mut self, source: u16, name: &str) -> Option<(Uid, StoredClaim)> {
-        let at = self
+        let index = self
             .claims
             .iter()
-            .position(|(_, h)| h.source == source && *h.name == *name)?;
-        Some(self.claims.remove(at))
+            .position(|(_, stored)| stored.source == source && *stored.name == *name)?;
+        Some(self.claims.remove(index))
     }
 
-    fn told(&mut self, now: u64, source: u16, name: &Uid, claim: &Claim) {
-        let Some(known) = self.sources.get_mut(&source) else {
+    fn handle_claim(&mut self, now: u64, source: u16, name: &Uid, claim: &Claim) {
+        let Some(source_state) = self.sources.get_mut(&source) else {
             return;
         };
-        known.1 = false;
-        let kind = known.0;
-        let named: Vec<Uid> = self
-            .at(claim.address)
+        source_state.1 = false;
+        let kind = source_state.0;
+        let with_uid: Vec<Uid> = self
+            .endpoints_claiming(claim.address)
             .into_iter()
-            .filter(|u| !is_nameless(u))
+            .filter(|uid| !is_provisional(uid))
             .collect();
-        let uid = match (&claim.uid, &named[..]) {
+        let uid = match (&claim.uid, &with_uid[..]) {
             (Some(uid), _) => uid.clone(),
             (None, [only]) => only.clone(),
             _ => format!("name:{source}:{name}").into(),
         };
-        let last = self.last.get(&uid).map_or(0, |(v, _)| v.started_at);
-        if claim.started_at > last && self.of(&uid).all(|h| h.claim.started_at < claim.started_at) {
-            self.own.remove(&uid);
+        let last_started_at = self
+            .last_entries
+            .get(&uid)
+            .map_or(0, |(view, _)| view.started_at);
+        if claim.started_at > last_started_at
+            && self
+                .claims_about(&uid)
+                .all(|stored| stored.claim.started_at < claim.started_at)
+        {
+            self.reported_drains.remove(&uid);
         }
-        let old = self.remove(source, name).filter(|(u, _)| *u == uid);
-        let same = old.filter(|(_, h)| {
+        let earlier = self
+            .remove(source, name)
+            .filter(|(earlier_uid, _)| *earlier_uid == uid);
+        let unchanged = earlier.filter(|(_, stored)| {
             Claim {
                 version: 0,
                 expires_at: None,
-                ..h.claim.clone()
+                ..stored.claim.clone()
             } == Claim {
                 version: 0,
                 expires_at: None,
                 ..claim.clone()
             }
         });
-        let since = same.map_or(now, |(_, h)| h.unchanged_since);
-        let lifts = |b: &(u16, SourceKind, u64, u64)| {
-            (claim.started_at > b.2 && kind >= b.1)
-                || (source == b.0 && kind == SourceKind::EndpointList && claim.version > b.3)
+        let unchanged_since = unchanged.map_or(now, |(_, stored)| stored.unchanged_since);
+        let lifts_drain = |marker: &(u16, SourceKind, u64, u64)| {
+            (claim.started_at > marker.2 && kind >= marker.1)
+                || (source == marker.0
+                    && kind == SourceKind::EndpointList
+                    && claim.version > marker.3)
         };
-        let gone = self.gone.entry(uid.clone()).or_default();
-        *gone = gone.filter(|b| {
-            claim.started_at <= b.2
-                && !(source == b.0 && kind == SourceKind::EndpointList && claim.version > b.3)
+        let removal = self.removals.entry(uid.clone()).or_default();
+        *removal = removal.filter(|marker| {
+            claim.started_at <= marker.2
+                && !(source == marker.0
+                    && kind == SourceKind::EndpointList
+                    && claim.version > marker.3)
         });
         let drain = self.drains.entry(uid.clone()).or_default();
         *drain = match claim.state {
-            ClaimedState::Ready => drain.filter(|b| !lifts(b)),
+            ClaimedState::Ready => drain.filter(|marker| !lifts_drain(marker)),
             ClaimedState::Draining => drain
-                .filter(|b| b.1 > kind && b.2 >= claim.started_at)
+                .filter(|marker| marker.1 > kind && marker.2 >= claim.started_at)
                 .or(Some((source, kind, claim.started_at, claim.version))),
         };
-        let held = StoredClaim {
+        let stored = StoredClaim {
             source,
             name: name.clone(),
             claim: claim.clone(),
             renewed_at: now,
-            unchanged_since: since,
+            unchanged_since,
             is_stale: false,
         };
-        self.claims.push((uid.clone(), held));
+        self.claims.push((uid.clone(), stored));
         self.known.insert(uid.clone());
-        // One named endpoint at an endpoint takes what nameless ones claimed there.
-        let named: Vec<Uid> = self
-            .at(claim.address)
+        // A single endpoint with a uid takes over the claims of provisional endpoints for the same address.
+        let with_uid: Vec<Uid> = self
+            .endpoints_claiming(claim.address)
             .into_iter()
-            .filter(|u| !is_nameless(u))
+            .filter(|uid| !is_provisional(uid))
             .collect();
-        if named == [uid.clone()] {
-            let mut taken = BTreeSet::new();
-            for (u, h) in &mut self.claims {
-                if is_nameless(u) && h.claim.address == claim.address {
-                    taken.insert(std::mem::replace(u, uid.clone()));
+        if with_uid == [uid.clone()] {
+            let mut merged = BTreeSet::new();
+            for (claim_uid, stored) in &mut self.claims {
+                if is_provisional(claim_uid) && stored.claim.address == claim.address {
+                    merged.insert(std::mem::replace(claim_uid, uid.clone()));
                 }
             }
-            for other in taken {
+            for other in merged {
                 let drain = self.drains.get(&other).copied().flatten();
-                let mine = self.drains.entry(uid.clone()).or_default();
-                *mine = mine.or(drain);
-                if let Some(at) = self.answered.get(&other).copied() {
-                    let mine = self.answered.entry(uid.clone()).or_default();
-                    *mine = at.max(*mine);
+                let own = self.drains.entry(uid.clone()).or_default();
+                *own = own.or(drain);
+                if let Some(at) = self.responses.get(&other).copied() {
+                    let own = self.responses.entry(uid.clone()).or_default();
+                    *own = at.max(*own);
                 }
             }
         }
     }
 
-    fn removed(&mut self, source: u16, name: &str, how: Withdrawal) {
-        if let Some((uid, held)) = self.remove(source, name)
-            && how == Withdrawal::Removed
+    fn handle_withdrawal(&mut self, source: u16, name: &str, withdrawal: Withdrawal) {
+        if let Some((uid, stored)) = self.remove(source, name)
+            && withdrawal == Withdrawal::Removed
         {
             let kind = self.sources[&source].0;
-            self.gone.insert(
+            self.removals.insert(
                 uid,
-                Some((source, kind, held.claim.started_at, held.claim.version)),
+                Some((source, kind, stored.claim.started_at, stored.claim.version)),
             );
         }
     }
@@ -178,37 +201,37 @@
                 self.sources.insert(*source, (*kind, false));
             }
             RegistryInput::SourceRemoved { source } => {
-                self.claims.retain(|(_, h)| h.source != *source);
+                self.claims.retain(|(_, stored)| stored.source != *source);
                 self.sources.remove(source);
-                for bound in self.drains.values_mut().chain(self.gone.values_mut()) {
-                    *bound = bound.filter(|b| b.0 != *source);
+                for marker in self.drains.values_mut().chain(self.removals.values_mut()) {
+                    *marker = marker.filter(|marker| marker.0 != *source);
                 }
             }
             RegistryInput::Claimed {
                 source,
                 name,
                 claim,
-            } => self.told(now, *source, name, claim),
+            } => self.handle_claim(now, *source, name, claim),
             RegistryInput::Withdrawn {
                 source,
                 name,
-                withdrawal: how,
+                withdrawal,
             } => {
-                if let Some(s) = self.sources.get_mut(source) {
-                    s.1 = false;
-                    self.removed(*source, name, *how);
+                if let Some(source_state) = self.sources.get_mut(source) {
+                    source_state.1 = false;
+                    self.handle_withdrawal(*source, name, *withdrawal);
                 }
             }
             RegistryInput::Snapshot { source, names } => {
-                if let Some(s) = self.sources.get_mut(source) {
-                    s.1 = false;
+                if let Some(source_state) = self.sources.get_mut(source) {
+                    source_state.1 = false;
                 }
                 self.claims
-                    .retain(|(_, h)| h.source != *source || names.contains(&h.name));
+                    .retain(|(_, stored)| stored.source != *source || names.contains(&stored.name));
             }
             RegistryInput::SourceFailed { source } => {
-                if let Some(s) = self.sources.get_mut(source) {
-                    s.1 = true;
+                if let Some(source_state) = self.sources.get_mut(source) {
+                    source_state.1 = true;
                 }
             }
             RegistryInput::EndpointResponded {
@@ -216,71 +239,96 @@
                 is_draining,
             } => {
                 if self.known.contains(endpoint) {
-                    self.answered.insert(endpoint.clone(), now);
+                    self.responses.insert(endpoint.clone(), now);
                     if *is_draining {
-                        self.own.insert(endpoint.clone(), now);
+                        self.reported_drains.insert(endpoint.clone(), now);
                     }
                 }
             }
         }
     }
 
-    /// The whole list, judged anew.
+    /// Rebuilds and returns the whole list.
     fn list(&mut self, now: u64) -> BTreeMap<Uid, EndpointView> {
-        self.own.retain(|_, at| now < *at + VOUCH);
-        for (_, h) in &mut self.claims {
-            h.is_stale |= h.claim.expires_at.is_some_and(|u| u <= now);
+        self.reported_drains
+            .retain(|_, at| now < *at + HEARTBEAT_TTL);
+        for (_, stored) in &mut self.claims {
+            stored.is_stale |= stored
+                .claim
+                .expires_at
+                .is_some_and(|expires_at| expires_at <= now);
         }
-        let mut uids: BTreeSet<Uid> = self.claims.iter().map(|(u, _)| u.clone()).collect();
-        uids.extend(self.last.keys().cloned());
-        let hold = |p: &Plain, uid: &Uid| {
-            let started = p.of(uid).map(|h| h.claim.started_at).max().unwrap_or(0);
-            let since = p.of(uid).map(|h| h.unchanged_since).max().unwrap_or(0);
-            (!is_nameless(uid), started, since, uid.clone())
+        let mut uids: BTreeSet<Uid> = self.claims.iter().map(|(uid, _)| uid.clone()).collect();
+        uids.extend(self.last_entries.keys().cloned());
+        let precedence = |registry: &ReferenceRegistry, uid: &Uid| {
+            let started_at = registry
+                .claims_about(uid)
+                .map(|stored| stored.claim.started_at)
+                .max()
+                .unwrap_or(0);
+            let unchanged_since = registry
+                .claims_about(uid)
+                .map(|stored| stored.unchanged_since)
+                .max()
+                .unwrap_or(0);
+            (
+                !is_provisional(uid),
+                started_at,
+                unchanged_since,
+                uid.clone(),
+            )
         };
-        let bound =
-            |map: &BTreeMap<Uid, Bound>, uid: &Uid| map.get(uid).copied().flatten().is_some();
+        let has_marker =
+            |map: &BTreeMap<Uid, Marker>, uid: &Uid| map.get(uid).copied().flatten().is_some();
         let mut list: BTreeMap<Uid, (EndpointView, u16)> = BTreeMap::new();
         for uid in &uids {
-            if bound(&self.gone, uid) {
+            if has_marker(&self.removals, uid) {
                 continue;
             }
-            let answered = self.answered.get(uid).is_some_and(|at| now < at + VOUCH);
-            let (mut view, tier) = match (self.best(uid), self.last.get(uid)) {
-                (Some(h), _) => {
-                    let c = &h.claim;
-                    let started = self.of(uid).map(|h| h.claim.started_at).max().unwrap_or(0);
+            let has_heartbeat = self
+                .responses
+                .get(uid)
+                .is_some_and(|at| now < at + HEARTBEAT_TTL);
+            let (mut view, tier) = match (self.best_claim(uid), self.last_entries.get(uid)) {
+                (Some(stored), _) => {
+                    let claim = &stored.claim;
+                    let started_at = self
+                        .claims_about(uid)
+                        .map(|stored| stored.claim.started_at)
+                        .max()
+                        .unwrap_or(0);
                     let (address, replica_set, zone, weight) =
-                        (c.address, c.replica_set, c.zone, c.weight);
+                        (claim.address, claim.replica_set, claim.zone, claim.weight);
                     (
                         EndpointView {
                             address,
                             replica_set,
                             zone,
                             state: ClaimedState::Ready,
-                            started_at: started,
+                            started_at,
                             weight,
                         },
-                        c.tier,
+                        claim.tier,
                     )
                 }
-                (None, Some(last)) if answered => last.clone(),
+                (None, Some(last)) if has_heartbeat => last.clone(),
                 _ => continue,
             };
-            let shadowed = self
-                .at(view.address)
+            let is_shadowed = self
+                .endpoints_claiming(view.address)
                 .iter()
-                .filter(|o| *o != uid && !bound(&self.gone, o))
-                .any(|o| {
-                    self.best(o)
-                        .is_some_and(|h| h.claim.address == view.address)
-                        && hold(self, o) > hold(self, uid)
+                .filter(|other| *other != uid && !has_marker(&self.removals, other))
+                .any(|other| {
+                    self.best_claim(other)
+                        .is_some_and(|stored| stored.claim.address == view.address)
+                        && precedence(self, other) > precedence(self, uid)
                 });
-            if shadowed {
+            if is_shadowed {
                 continue;
             }
-            let leaves = bound(&self.drains, uid) || self.own.contains_key(uid);
-            view.state = if leaves {
+            let is_draining =
+                has_marker(&self.drains, uid) || self.reported_drains.contains_key(uid);
+            view.state = if is_draining {
                 ClaimedState::Draining
             } else {
                 ClaimedState::Ready
@@ -288,26 +336,27 @@
             list.insert(uid.clone(), (view, tier));
         }
         for (uid, (view, tier)) in &list {
-            self.last.insert(uid.clone(), (view.clone(), *tier));
+            self.last_entries.insert(uid.clone(), (view.clone(), *tier));
         }
-        let mut lowest: BTreeMap<u32, u16> = BTreeMap::new();
+        let mut lowest_tiers: BTreeMap<u32, u16> = BTreeMap::new();
         for (view, tier) in list
             .values()
-            .filter(|(v, _)| v.state == ClaimedState::Ready)
+            .filter(|(view, _)| view.state == ClaimedState::Ready)
         {
-            let lowest = lowest.entry(view.replica_set).or_insert(*tier);
+            let lowest = lowest_tiers.entry(view.replica_set).or_insert(*tier);
             *lowest = *tier.min(lowest);
         }
-        let in_use = |(_, (view, tier)): &(Uid, (EndpointView, u16))| {
-            view.state == ClaimedState::Draining || lowest[&view.replica_set] == *tier
+        let is_listed = |(_, (view, tier)): &(Uid, (EndpointView, u16))| {
+            view.state == ClaimedState::Draining || lowest_tiers[&view.replica_set] == *tier
         };
         list.into_iter()
-            .filter(in_use)
+            .filter(is_listed)
             .map(|(uid, (view, _))| (uid, view))
             .collect()
     }
 }
 
+/// A step of the test: an input, or the passing of time in nanoseconds.
 #[derive(Debug, Clone)]
 enum Step {
     Input(RegistryInput),
@@ -320,41 +369,45 @@
 
 fn claim() -> impl Strategy<Value = Claim> {
     let uid = prop_oneof![3 => uid().prop_map(Some), 1 => Just(None)];
-    let until = prop_oneof![
+    let ttl = prop_oneof![
         Just(None),
         Just(Some(0u64)),
         Just(Some(SECOND)),
         Just(Some(86_400 * SECOND))
     ];
-    let place = (1..5u16, 1..3u32, 0..2u16);
-    (uid, place, proptest::bool::weighted(0.7), 0..3u64, until).prop_map(
-        |(uid, place, ready, started, until)| Claim {
+    let placement = (1..5u16, 1..3u32, 0..2u16);
+    (uid, placement, proptest::bool::weighted(0.7), 0..3u64, ttl).prop_map(
+        |(uid, placement, is_ready, started_at, ttl)| Claim {
             uid,
-            state: if ready {
+            state: if is_ready {
                 ClaimedState::Ready
             } else {
                 ClaimedState::Draining
             },
-            started_at: started,
-            expires_at: until,
-            tier: place.2,
-            ..Claim::new("", SocketAddr::from(([127, 0, 0, 1], place.0)), place.1)
+            started_at,
+            expires_at: ttl,
+            tier: placement.2,
+            ..Claim::new(
+                "",
+                SocketAddr::from(([127, 0, 0, 1], placement.0)),
+                placement.1,
+            )
         },
     )
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let name = || (0..4u8).prop_map(|n| Uid::from(format!("n{n}")));
-    let how = prop_oneof![Just(Withdrawal::Removed), Just(Withdrawal::Absent)];
-    let whole = proptest::collection::hash_set(name(), 0..4);
+    let withdrawal = prop_oneof![Just(Withdrawal::Removed), Just(Withdrawal::Absent)];
+    let names = proptest::collection::hash_set(name(), 0..4);
     let input = prop_oneof![
         8 => (0..3u16, name(), claim()).prop_map(|(source, name, claim)| RegistryInput::Claimed { source, name, claim }),
-        3 => (0..3u16, name(), how).prop_map(|(source, name, how)| RegistryInput::Withdrawn { source, name, withdrawal: how }),
-        1 => (0..3u16, whole).prop_map(|(source, names)| RegistryInput::Snapshot { source, names }),
+        3 => (0..3u16, name(), withdrawal).prop_map(|(source, name, withdrawal)| RegistryInput::Withdrawn { source, name, withdrawal }),
+        1 => (0..3u16, names).prop_map(|(source, names)| RegistryInput::Snapshot { source, names }),
         1 => (0..3u16).prop_map(|source| RegistryInput::SourceFailed { source }),
         3 => (uid(), any::<bool>()).prop_map(|(endpoint, is_draining)| RegistryInput::EndpointResponded { endpoint, is_draining }),
     ];
-    prop_oneof![8 => input.prop_map(Step::Input), 1 => (0..40_000u64).prop_map(|n| Step::Wait(n * TICK))]
+    prop_oneof![8 => input.prop_map(Step::Input), 1 => (0..40_000u64).prop_map(|ticks| Step::Wait(ticks * TICK))]
 }
 
 proptest! {
@@ -365,17 +418,19 @@
         ..ProptestConfig::default()
     })]
 
+    /// Guards against incremental updates that miss a change: after any sequence of inputs the published list must be
+    /// the one that the reference rebuilds.
     #[test]
-    fn the_list_is_the_one_that_is_rebuilt(steps in proptest::collection::vec(step(), 1..40)) {
+    fn published_list_equals_rebuilt_list_after_any_inputs(steps in proptest::collection::vec(step(), 1..40)) {
         let start = 1_000_000 * SECOND;
-        // Nothing is forgotten within the test: the reference never forgets.
-        let settings = RegistrySettings { heartbeat_ttl: VOUCH, retention: u64::MAX / 4, ..RegistrySettings::default() };
-        let (mut endpoints, mut plain) = (EndpointRegistry::new(settings, start), Plain::default());
+        // The reference never forgets an endpoint, so the retention exceeds the length of the test.
+        let settings = RegistrySettings { heartbeat_ttl: HEARTBEAT_TTL, retention: u64::MAX / 4, ..RegistrySettings::default() };
+        let (mut endpoints, mut reference) = (EndpointRegistry::new(settings, start), ReferenceRegistry::default());
         let (mut now, mut changes, mut version) = (start, Vec::new(), 0);
         let mut list: BTreeMap<Uid, EndpointView> = BTreeMap::new();
         for (source, kind) in [(0, SourceKind::EndpointList), (1, SourceKind::DnsRecords), (2, SourceKind::DnsRecords)] {
             let input = RegistryInput::SourceAdded { source, kind };
-            plain.handle(now, &input);
+            reference.handle(now, &input);
             endpoints.handle(now, input, &mut changes);
         }
         for step in steps {
@@ -388,8 +443,8 @@
                         claim.version = if *source == 0 { version } else { 0 };
                         claim.expires_at = claim.expires_at.map(|ttl| now + ttl);
                     }
-                    plain.list(now);
-                    plain.handle(now, &input);
+                    reference.list(now);
+                    reference.handle(now, &input);
                     endpoints.on_due(now, &mut changes);
                     endpoints.handle(now, input, &mut changes);
                 }
@@ -401,14 +456,15 @@
                     ListChange::Removed { endpoint } => drop(list.remove(&endpoint)),
                 }
             }
-            prop_assert_eq!(&list, &plain.list(now));
+            prop_assert_eq!(&list, &reference.list(now));
         }
     }
 }
 
-/// Guards the tables that are kept beside the claims: a removed source leaves nothing behind.
+/// Guards against leftovers in the indexes and timers when a source is removed, and against the loss of other sources'
+/// endpoints.
 #[test]
-fn a_source_that_is_removed_takes_only_its_own() {
+fn removing_a_source_removes_only_endpoints_without_other_sources() {
     let mut endpoints = EndpointRegistry::new(
         RegistrySettings {
             heartbeat_ttl: 0,
@@ -425,24 +481,24 @@
             &mut changes,
         );
     }
-    for n in 0..10u16 {
-        let at = SocketAddr::from(([127, 0, 0, 1], 7000 + n));
-        let claim = Claim::new(&format!("s-{n}"), at, 1);
-        let name: Uid = format!("n{n}").into();
+    for number in 0..10u16 {
+        let address = SocketAddr::from(([127, 0, 0, 1], 7000 + number));
+        let claim = Claim::new(&format!("s-{number}"), address, 1);
+        let name: Uid = format!("n{number}").into();
         endpoints.handle(
             SECOND,
             RegistryInput::Claimed {
-                source: n % 2,
+                source: number % 2,
                 name: name.clone(),
                 claim: claim.clone(),
             },
             &mut changes,
         );
-        if n < 4 {
+        if number < 4 {
             endpoints.handle(
                 SECOND,
                 RegistryInput::Claimed {
-                    source: (n + 1) % 2,
+                    source: (number + 1) % 2,
                     name,
                     claim,
                 },
@@ -456,8 +512,8 @@
         RegistryInput::SourceRemoved { source: 1 },
         &mut changes,
     );
-    let gone: HashSet<&str> = changes.iter().map(ListChange::endpoint).collect();
-    assert_eq!(gone, HashSet::from(["s-5", "s-7", "s-9"]));
+    let removed: HashSet<&str> = changes.iter().map(ListChange::endpoint).collect();
+    assert_eq!(removed, HashSet::from(["s-5", "s-7", "s-9"]));
     assert_eq!(endpoints.len(), 7);
     endpoints.handle(
         2 * SECOND,
@@ -467,12 +523,13 @@
     assert!(endpoints.is_empty() && endpoints.next_due().is_none());
 }
 
-/// Guards the drain that an endpoint tells itself: what it still finishes does not lift it; a newer start does, and time.
+/// Guards against a self-reported drain that is lifted by responses to requests still in progress. Only a later process
+/// start or the heartbeat TTL ends it.
 #[test]
-fn a_endpoint_that_leaves_may_still_answer() {
+fn self_reported_drain_stays_in_force_when_endpoint_still_responds() {
     let mut endpoints = EndpointRegistry::new(
         RegistrySettings {
-            heartbeat_ttl: VOUCH,
+            heartbeat_ttl: HEARTBEAT_TTL,
             ..RegistrySettings::default()
         },
         SECOND,
@@ -486,9 +543,9 @@
         },
         &mut changes,
     );
-    let told = |started| {
+    let claimed = |started_at| {
         let claim = Claim {
-            started_at: started,
+            started_at,
             ..Claim::new("s-1", SocketAddr::from(([127, 0, 0, 1], 1)), 1)
         };
         RegistryInput::Claimed {
@@ -497,27 +554,32 @@
             claim,
         }
     };
-    let answered = |is_draining| RegistryInput::EndpointResponded {
+    let responded = |is_draining| RegistryInput::EndpointResponded {
         endpoint: "s-1".into(),
         is_draining,
     };
-    let state = |m: &EndpointRegistry| m.endpoint_statuses()[0].listed.as_ref().map(|v| v.state);
+    let state = |registry: &EndpointRegistry| {
+        registry.endpoint_statuses()[0]
+            .listed
+            .as_ref()
+            .map(|view| view.state)
+    };
     let steps = [
-        (told(1), ClaimedState::Ready),
-        (answered(true), ClaimedState::Draining),
-        (answered(false), ClaimedState::Draining),
-        (told(1), ClaimedState::Draining),
-        (told(2), ClaimedState::Ready),
-        (answered(true), ClaimedState::Draining),
+        (claimed(1), ClaimedState::Ready),
+        (responded(true), ClaimedState::Draining),
+        (responded(false), ClaimedState::Draining),
+        (claimed(1), ClaimedState::Draining),
+        (claimed(2), ClaimedState::Ready),
+        (responded(true), ClaimedState::Draining),
     ];
     let mut now = SECOND;
-    for (input, wanted) in steps {
+    for (input, expected) in steps {
         now += SECOND;
         endpoints.handle(now, input, &mut changes);
-        assert_eq!(state(&endpoints), Some(wanted));
+        assert_eq!(state(&endpoints), Some(expected));
     }
-    endpoints.on_due(now + VOUCH - TICK, &mut changes);
+    endpoints.on_due(now + HEARTBEAT_TTL - TICK, &mut changes);
     assert_eq!(state(&endpoints), Some(ClaimedState::Draining));
-    endpoints.on_due(now + VOUCH, &mut changes);
+    endpoints.on_due(now + HEARTBEAT_TTL, &mut changes);
     assert_eq!(state(&endpoints), Some(ClaimedState::Ready));
 }
