--- a/crates/service-discovery/tests/browse.rs
+++ b/crates/service-discovery/tests/browse.rs
@@ -1,4 +1,4 @@
-//! The client of service records on a made-up clock, against the stand-in's zone, and the endpoints that come of it.
+//! Tests the DNS-SD browser and the resulting endpoint list on simulated time, against zones of the fake DNS server.
 
 use hickory_proto::rr::Name;
 use proptest::prelude::*;
@@ -12,63 +12,63 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-const MS: u64 = 1_000_000;
-const SECOND: u64 = 1000 * MS;
-const TRIP: u64 = 2 * MS;
+const MILLISECOND: u64 = 1_000_000;
+const SECOND: u64 = 1000 * MILLISECOND;
+const ROUND_TRIP: u64 = 2 * MILLISECOND;
 
-/// A browser, the servers that it asks, and the endpoints that it tells.
-struct World {
+/// A browser with the zones of its simulated servers, and the endpoint registry that it updates.
+struct Simulation {
     zones: Vec<Zone>,
     browser: Browser,
     endpoints: EndpointRegistry,
     list: BTreeMap<String, EndpointView>,
     now: u64,
-    /// Answers on their way: when, for which query, and the bytes.
-    on_way: Vec<(u64, u64, Vec<u8>)>,
-    asked: usize,
-    most_told: usize,
+    /// The arrival time, query number and bytes of each response in flight.
+    responses_in_flight: Vec<(u64, u64, Vec<u8>)>,
+    queries_sent: usize,
+    max_listed: usize,
 }
 
-fn address(n: u16) -> SocketAddr {
-    ([127, 0, 0, 1], 7000 + n).into()
+fn address(number: u16) -> SocketAddr {
+    ([127, 0, 0, 1], 7000 + number).into()
 }
 
-fn zone(instances: u16) -> Zone {
-    let all = (0..instances).map(|n| {
+fn zone(count: u16) -> Zone {
+    let instances = (0..count).map(|number| {
         (
-            format!("db-{n}"),
-            Instance::new(&format!("s-{n}"), address(n), 1),
+            format!("db-{number}"),
+            Instance::new(&format!("s-{number}"), address(number), 1),
         )
     });
     Zone {
-        instances: all.collect(),
+        instances: instances.collect(),
         ..Zone::default()
     }
 }
 
-fn servers(n: usize) -> Vec<SocketAddr> {
-    (0..n)
-        .map(|n| ([127, 0, 0, 53], n as u16 + 1).into())
+fn server_addresses(count: usize) -> Vec<SocketAddr> {
+    (0..count)
+        .map(|index| ([127, 0, 0, 53], index as u16 + 1).into())
         .collect()
 }
 
-impl World {
-    fn new(zones: Vec<Zone>) -> World {
-        World::with_budget(zones, 1000.0)
+impl Simulation {
+    fn new(zones: Vec<Zone>) -> Simulation {
+        Simulation::with_budget(zones, 1000.0)
     }
 
-    fn with_budget(zones: Vec<Zone>, budget: f64) -> World {
-        World::of(SERVICE, zones, budget)
+    fn with_budget(zones: Vec<Zone>, budget: f64) -> Simulation {
+        Simulation::with_service(SERVICE, zones, budget)
     }
 
-    fn of(service: &str, zones: Vec<Zone>, budget: f64) -> World {
+    fn with_service(service: &str, zones: Vec<Zone>, budget: f64) -> Simulation {
         let now = 1 << 60;
         let config = BrowserConfig {
-            servers: servers(zones.len()),
+            servers: server_addresses(zones.len()),
             service: Name::from_ascii(service).unwrap(),
             domain: Name::from_ascii(DOMAIN).unwrap(),
             ttl_range: (SECOND, 60 * SECOND),
-            query_timeout: 500 * MS,
+            query_timeout: 500 * MILLISECOND,
             max_queries_per_second: budget,
             zones: vec!["a".into()],
         };
@@ -82,47 +82,51 @@
             &mut Vec::new(),
         );
         let browser = Browser::new(config, 1, 7, now);
-        let (list, on_way) = (BTreeMap::new(), Vec::new());
-        let mut world = World {
+        let (list, responses_in_flight) = (BTreeMap::new(), Vec::new());
+        let mut simulation = Simulation {
             zones,
             browser,
             endpoints,
             list,
             now,
-            on_way,
-            asked: 0,
-            most_told: 0,
+            responses_in_flight,
+            queries_sent: 0,
+            max_listed: 0,
         };
-        let mut out = Vec::new();
-        world.browser.start(now, &mut out);
-        world.carry(out);
-        world
+        let mut outputs = Vec::new();
+        simulation.browser.start(now, &mut outputs);
+        simulation.handle_outputs(outputs);
+        simulation
     }
 
-    fn carry(&mut self, out: Vec<BrowserOutput>) {
-        for output in out {
+    fn handle_outputs(&mut self, outputs: Vec<BrowserOutput>) {
+        for output in outputs {
             match output {
-                BrowserOutput::SendQuery(ask) => {
-                    self.asked += 1;
-                    let server = servers(self.zones.len())
+                BrowserOutput::SendQuery(query) => {
+                    self.queries_sent += 1;
+                    let server = server_addresses(self.zones.len())
                         .iter()
-                        .position(|s| *s == ask.server)
+                        .position(|s| *s == query.server)
                         .unwrap();
-                    if let Some(answer) = self.zones[server].answer(&ask.message, ask.is_tcp) {
-                        self.on_way.push((self.now + TRIP, ask.id, answer));
+                    if let Some(response) = self.zones[server].answer(&query.message, query.is_tcp)
+                    {
+                        self.responses_in_flight
+                            .push((self.now + ROUND_TRIP, query.id, response));
                     }
                 }
-                BrowserOutput::CancelQuery(query) => self.on_way.retain(|w| w.1 != query),
+                BrowserOutput::CancelQuery(id) => {
+                    self.responses_in_flight.retain(|response| response.1 != id)
+                }
                 BrowserOutput::UpdateRegistry(input) => {
                     let mut changes = Vec::new();
                     self.endpoints.handle(self.now, input, &mut changes);
-                    self.apply(changes);
+                    self.apply_changes(changes);
                 }
             }
         }
     }
 
-    fn apply(&mut self, changes: Vec<ListChange>) {
+    fn apply_changes(&mut self, changes: Vec<ListChange>) {
         for change in changes {
             match change {
                 ListChange::Listed { endpoint, view, .. } => {
@@ -133,52 +137,67 @@
                 }
             }
         }
-        self.most_told = self.most_told.max(self.list.len());
+        self.max_listed = self.max_listed.max(self.list.len());
     }
 
-    /// Lets time pass; `watch` looks at the list after each event.
-    fn run(&mut self, span: u64, mut watch: impl FnMut(u64, &BTreeMap<String, EndpointView>)) {
+    /// Advances time by `span`, and calls `observe` with the time and the list after each event.
+    fn run(&mut self, span: u64, mut observe: impl FnMut(u64, &BTreeMap<String, EndpointView>)) {
         let end = self.now + span;
         loop {
-            let answer = self.on_way.iter().map(|w| w.0).min();
-            let due = [answer, self.browser.next_due(), self.endpoints.next_due()];
+            let response_due = self
+                .responses_in_flight
+                .iter()
+                .map(|response| response.0)
+                .min();
+            let due = [
+                response_due,
+                self.browser.next_due(),
+                self.endpoints.next_due(),
+            ];
             let Some(next) = due.into_iter().flatten().min().filter(|n| *n <= end) else {
                 break;
             };
-            // The wheel's clock goes in ticks.
+            // The due times of the wheel are rounded down to ticks and may lie in the past.
             self.now = self.now.max(next);
-            let (mut out, mut changes) = (Vec::new(), Vec::new());
-            if let Some(at) = self.on_way.iter().position(|w| w.0 <= self.now) {
-                let (_, query, bytes) = self.on_way.swap_remove(at);
-                self.browser.on_response(self.now, query, &bytes, &mut out);
+            let (mut outputs, mut changes) = (Vec::new(), Vec::new());
+            if let Some(index) = self
+                .responses_in_flight
+                .iter()
+                .position(|response| response.0 <= self.now)
+            {
+                let (_, id, bytes) = self.responses_in_flight.swap_remove(index);
+                self.browser.on_response(self.now, id, &bytes, &mut outputs);
             }
-            self.browser.on_due(self.now, &mut out);
+            self.browser.on_due(self.now, &mut outputs);
             self.endpoints.on_due(self.now, &mut changes);
-            self.apply(changes);
-            self.carry(out);
-            watch(self.now, &self.list);
+            self.apply_changes(changes);
+            self.handle_outputs(outputs);
+            observe(self.now, &self.list);
         }
         self.now = end;
     }
 
-    fn names(&self) -> Vec<&str> {
+    fn endpoint_ids(&self) -> Vec<&str> {
         self.list.keys().map(String::as_str).collect()
     }
 }
 
-/// Guards the round trips: one where the server sends all along, three where it sends only what was asked, one more
-/// over TCP where it truncates.
+/// Guards against needless round trips: one is enough if the server sends additional records, three if it does not, and
+/// one more over TCP if it truncates the response.
 #[rstest]
 #[case(Manner::Helpful, 1)]
 #[case(Manner::Truncated, 2)]
 #[case(Manner::Terse, 3)]
-fn ten_endpoints_are_found_in_few_round_trips(#[case] manner: Manner, #[case] trips: u64) {
-    let mut world = World::new(vec![Zone { manner, ..zone(10) }]);
-    world.run(trips * TRIP, |_, _| {});
-    assert_eq!(world.list.len(), 10);
-    assert_eq!(world.list["s-3"].address, address(3));
+fn ten_endpoints_are_listed_within_the_expected_round_trips(
+    #[case] manner: Manner,
+    #[case] round_trips: u64,
+) {
+    let mut simulation = Simulation::new(vec![Zone { manner, ..zone(10) }]);
+    simulation.run(round_trips * ROUND_TRIP, |_, _| {});
+    assert_eq!(simulation.list.len(), 10);
+    assert_eq!(simulation.list["s-3"].address, address(3));
     if manner != Manner::Truncated {
-        let queries = world.browser.counters().queries_sent;
+        let queries = simulation.browser.counters().queries_sent;
         assert_eq!(
             queries,
             if manner == Manner::Helpful {
@@ -190,47 +209,55 @@
     }
 }
 
-/// Guards the time from a change to its use, and that only what changed is told anew.
+/// Guards against late or wrong changes: additions, removals and drains must take effect within the minimum TTL, and an
+/// outdated record must not lift a drain.
 #[test]
-fn changes_are_seen_within_the_floor_of_ttls() {
-    let mut world = World::new(vec![zone(5)]);
-    world.run(5 * SECOND, |_, _| {});
-    world.zones[0]
+fn changes_take_effect_within_the_minimum_ttl() {
+    let mut simulation = Simulation::new(vec![zone(5)]);
+    simulation.run(5 * SECOND, |_, _| {});
+    simulation.zones[0]
         .instances
         .insert("db-9".into(), Instance::new("s-9", address(9), 1));
-    world.zones[0].instances.remove("db-0");
-    let db1 = world.zones[0].instances["db-1"]
+    simulation.zones[0].instances.remove("db-0");
+    let changed = simulation.zones[0].instances["db-1"]
         .clone()
         .with("state", Some("draining"));
-    world.zones[0].instances.insert("db-1".into(), db1);
-    let (began, mut came, mut drained) = (world.now, None, None);
-    world.run(3 * SECOND, |now, list| {
-        came = came.or(list.contains_key("s-9").then_some(now));
-        drained = drained.or((list["s-1"].state == ClaimedState::Draining).then_some(now));
+    simulation.zones[0].instances.insert("db-1".into(), changed);
+    let (changed_at, mut listed_at, mut draining_at) = (simulation.now, None, None);
+    simulation.run(3 * SECOND, |now, list| {
+        listed_at = listed_at.or(list.contains_key("s-9").then_some(now));
+        draining_at = draining_at.or((list["s-1"].state == ClaimedState::Draining).then_some(now));
     });
-    assert!(came.unwrap() - began <= SECOND && drained.unwrap() - began <= SECOND);
-    // Nobody names it and it never answered for itself.
-    assert_eq!(world.names(), ["s-1", "s-2", "s-3", "s-4", "s-9"]);
-    // An older record that still points there lifts nothing; a newer start does.
-    let db1 = world.zones[0].instances["db-1"].clone();
-    world.zones[0]
+    assert!(
+        listed_at.unwrap() - changed_at <= SECOND && draining_at.unwrap() - changed_at <= SECOND
+    );
+    // No source lists s-0, and it has no heartbeat.
+    assert_eq!(
+        simulation.endpoint_ids(),
+        ["s-1", "s-2", "s-3", "s-4", "s-9"]
+    );
+    // An outdated record without a later process start does not lift the drain. A later start does.
+    let changed = simulation.zones[0].instances["db-1"].clone();
+    simulation.zones[0]
         .instances
-        .insert("db-1".into(), db1.clone().with("state", Some("ready")));
-    world.run(3 * SECOND, |_, list| {
+        .insert("db-1".into(), changed.clone().with("state", Some("ready")));
+    simulation.run(3 * SECOND, |_, list| {
         assert_eq!(list["s-1"].state, ClaimedState::Draining)
     });
-    world.zones[0].instances.insert(
+    simulation.zones[0].instances.insert(
         "db-1".into(),
-        db1.with("state", Some("ready")).with("boot_ms", Some("9")),
+        changed
+            .with("state", Some("ready"))
+            .with("boot_ms", Some("9")),
     );
-    world.run(3 * SECOND, |_, _| {});
-    assert_eq!(world.list["s-1"].state, ClaimedState::Ready);
+    simulation.run(3 * SECOND, |_, _| {});
+    assert_eq!(simulation.list["s-1"].state, ClaimedState::Ready);
 }
 
-/// Hard case 2: the servers are out for an hour, then one answer is empty, then all is right; and each other way in
-/// which a server can fail. No endpoint is forgotten at any point.
+/// Guards against endpoints that are withdrawn because of a fault: all servers fail in one of several ways for an hour,
+/// then one response is empty, then the servers recover. No endpoint may be removed at any time.
 #[rstest]
-fn a_server_that_fails_takes_nothing_away(
+fn no_endpoint_is_removed_when_servers_fail(
     #[values(
         Manner::Silent,
         Manner::Fails,
@@ -242,96 +269,118 @@
     manner: Manner,
     #[values(Manner::Empty, Manner::NoName)] empty: Manner,
 ) {
-    let mut world = World::new(vec![zone(5), zone(5)]);
-    world.run(10 * SECOND, |_, _| {});
-    let mut least = usize::MAX;
-    let mut watch = |_, list: &BTreeMap<String, EndpointView>| least = least.min(list.len());
-    world.zones.iter_mut().for_each(|z| z.manner = manner);
-    world.run(3600 * SECOND, &mut watch);
-    assert!(world.endpoints.unreachable_since(1).is_some());
-    // Not at full speed: the pauses grow to half a minute and more.
-    assert!(world.asked < 1000, "{} queries", world.asked);
-    world.zones.iter_mut().for_each(|z| z.manner = empty);
-    let before = world.asked;
-    while world.asked == before {
-        world.run(100 * MS, &mut watch);
+    let mut simulation = Simulation::new(vec![zone(5), zone(5)]);
+    simulation.run(10 * SECOND, |_, _| {});
+    let mut min_listed = usize::MAX;
+    let mut observe =
+        |_, list: &BTreeMap<String, EndpointView>| min_listed = min_listed.min(list.len());
+    simulation
+        .zones
+        .iter_mut()
+        .for_each(|zone| zone.manner = manner);
+    simulation.run(3600 * SECOND, &mut observe);
+    assert!(simulation.endpoints.unreachable_since(1).is_some());
+    // The pauses grow to up to half a minute, so the servers are not queried at the full rate.
+    assert!(
+        simulation.queries_sent < 1000,
+        "{} queries",
+        simulation.queries_sent
+    );
+    simulation
+        .zones
+        .iter_mut()
+        .for_each(|zone| zone.manner = empty);
+    let before = simulation.queries_sent;
+    while simulation.queries_sent == before {
+        simulation.run(100 * MILLISECOND, &mut observe);
     }
-    world
+    simulation
         .zones
         .iter_mut()
-        .for_each(|z| z.manner = Manner::Helpful);
-    world.run(120 * SECOND, &mut watch);
-    assert_eq!((least, world.list.len()), (5, 5));
-    assert!(world.endpoints.unreachable_since(1).is_none());
+        .for_each(|zone| zone.manner = Manner::Helpful);
+    simulation.run(120 * SECOND, &mut observe);
+    assert_eq!((min_listed, simulation.list.len()), (5, 5));
+    assert!(simulation.endpoints.unreachable_since(1).is_none());
 }
 
-/// Guards the other side of it: an empty list that stays is believed.
+/// Guards against a list that is never emptied: an empty list that persists must be accepted.
 #[test]
-fn a_list_that_stays_empty_is_believed() {
-    let mut world = World::new(vec![zone(3)]);
-    world.run(5 * SECOND, |_, _| {});
-    assert_eq!(world.list.len(), 3);
-    world.zones[0].instances.clear();
-    world.run(30 * SECOND, |_, _| {});
-    assert!(world.list.is_empty());
+fn endpoints_are_removed_when_list_stays_empty() {
+    let mut simulation = Simulation::new(vec![zone(3)]);
+    simulation.run(5 * SECOND, |_, _| {});
+    assert_eq!(simulation.list.len(), 3);
+    simulation.zones[0].instances.clear();
+    simulation.run(30 * SECOND, |_, _| {});
+    assert!(simulation.list.is_empty());
 }
 
-/// Hard case 4: records that nobody asked for change nothing.
+/// Guards against injected records: those outside the domain or unrelated to the question must be ignored.
 #[test]
-fn foreign_records_are_not_believed() {
-    let mut world = World::new(vec![Zone {
+fn unrelated_records_are_ignored() {
+    let mut simulation = Simulation::new(vec![Zone {
         manner: Manner::Foreign,
         ..zone(2)
     }]);
-    world.run(10 * SECOND, |_, list| {
-        assert!(list.values().all(|v| v.address.port() != 9))
+    simulation.run(10 * SECOND, |_, list| {
+        assert!(list.values().all(|view| view.address.port() != 9))
     });
-    assert_eq!(world.names(), ["s-0", "s-1"]);
-    assert!(world.browser.counters().unrelated_records > 0);
+    assert_eq!(simulation.endpoint_ids(), ["s-0", "s-1"]);
+    assert!(simulation.browser.counters().unrelated_records > 0);
 }
 
-/// Hard case 3: TTLs flip between 0, 1 and a day, and a replaced node takes over an address.
+/// Guards against the loss of endpoints when TTLs alternate between 0 s, 1 s and a day, and against two endpoints with
+/// one address when a new endpoint replaces another at its address.
 #[test]
-fn ttls_may_flip_and_addresses_change_hands() {
-    let mut world = World::new(vec![zone(4)]);
-    world.run(2 * SECOND, |_, _| {});
-    let mut least = usize::MAX;
+fn endpoints_stay_listed_when_ttls_vary_and_an_address_is_reused() {
+    let mut simulation = Simulation::new(vec![zone(4)]);
+    simulation.run(2 * SECOND, |_, _| {});
+    let mut min_listed = usize::MAX;
     for round in 0..60 {
         let ttl = [0, 1, 86_400][round % 3];
-        world.zones[0]
+        simulation.zones[0]
             .instances
             .values_mut()
-            .for_each(|i| i.ttl = ttl);
-        world.run(7 * SECOND, |_, list| least = least.min(list.len()));
+            .for_each(|instance| instance.ttl = ttl);
+        simulation.run(7 * SECOND, |_, list| {
+            min_listed = min_listed.min(list.len())
+        });
     }
-    assert_eq!(least, 4);
-    world.zones[0].instances.remove("db-2");
-    let next = Instance::new("s-20", address(2), 1).with("boot_ms", Some("5"));
-    world.zones[0].instances.insert("db-20".into(), next);
-    world.run(60 * SECOND, |_, list| {
-        assert!(list.values().filter(|v| v.address == address(2)).count() <= 1);
+    assert_eq!(min_listed, 4);
+    simulation.zones[0].instances.remove("db-2");
+    let replacement = Instance::new("s-20", address(2), 1).with("boot_ms", Some("5"));
+    simulation.zones[0]
+        .instances
+        .insert("db-20".into(), replacement);
+    simulation.run(60 * SECOND, |_, list| {
+        assert!(
+            list.values()
+                .filter(|view| view.address == address(2))
+                .count()
+                <= 1
+        );
     });
-    assert_eq!(world.names(), ["s-0", "s-1", "s-20", "s-3"]);
+    assert_eq!(simulation.endpoint_ids(), ["s-0", "s-1", "s-20", "s-3"]);
 }
 
-/// Guards the first server's users: when it says nothing the next one is asked, within its time-out.
+/// Guards against an unresponsive first server that delays discovery: the next server must be queried after one query
+/// timeout.
 #[test]
-fn the_next_server_is_asked_in_time() {
-    let mut world = World::new(vec![
+fn next_server_is_queried_when_the_first_times_out() {
+    let mut simulation = Simulation::new(vec![
         Zone {
             manner: Manner::Silent,
             ..zone(3)
         },
         zone(3),
     ]);
-    world.run(510 * MS, |_, _| {});
-    assert_eq!(world.list.len(), 3);
+    simulation.run(510 * MILLISECOND, |_, _| {});
+    assert_eq!(simulation.list.len(), 3);
 }
 
-/// Guards the servers: what a large service needs is asked for within the budget.
+/// Guards the servers against overload: the records of a large service are requested within the query budget.
 #[test]
-fn queries_keep_to_their_budget() {
-    let mut world = World::with_budget(
+fn queries_stay_within_the_budget() {
+    let mut simulation = Simulation::with_budget(
         vec![Zone {
             manner: Manner::Terse,
             ..zone(100)
@@ -339,52 +388,55 @@
         50.0,
     );
     for second in 1..=20 {
-        world.run(SECOND, |_, _| {});
+        simulation.run(SECOND, |_, _| {});
         assert!(
-            world.asked <= 50 * (second + 1),
+            simulation.queries_sent <= 50 * (second + 1),
             "{} queries in {second} s",
-            world.asked
+            simulation.queries_sent
         );
     }
-    assert_eq!(world.list.len(), 100);
+    assert_eq!(simulation.list.len(), 100);
 }
 
-/// Guards priorities and weights (RFC 2782): the higher tier stands by until the lower one has none in service.
+/// Guards the meaning of SRV priority and weight (RFC 2782): endpoints of a higher tier are on standby until none of a
+/// lower tier is in service, and the weight is the capacity.
 #[test]
-fn priority_is_a_tier_and_weight_a_size() {
+fn priority_sets_the_tier_and_weight_the_capacity() {
     let mut zone = zone(4);
     for (label, instance) in &mut zone.instances {
         instance.priority = u16::from(label == "db-3") * 10;
         instance.weight = 50;
     }
-    let mut world = World::new(vec![zone]);
-    world.run(2 * SECOND, |_, _| {});
+    let mut simulation = Simulation::new(vec![zone]);
+    simulation.run(2 * SECOND, |_, _| {});
     assert_eq!(
-        (world.names(), world.list["s-0"].weight),
+        (simulation.endpoint_ids(), simulation.list["s-0"].weight),
         (vec!["s-0", "s-1", "s-2"], 0.5)
     );
     for label in ["db-0", "db-1", "db-2"] {
-        let drains = world.zones[0].instances[label]
+        let draining = simulation.zones[0].instances[label]
             .clone()
             .with("state", Some("draining"));
-        world.zones[0].instances.insert(label.into(), drains);
+        simulation.zones[0].instances.insert(label.into(), draining);
     }
-    world.run(2 * SECOND, |_, _| {});
-    assert_eq!(world.list["s-3"].state, ClaimedState::Ready);
+    simulation.run(2 * SECOND, |_, _| {});
+    assert_eq!(simulation.list["s-3"].state, ClaimedState::Ready);
 }
 
-/// Guards subtypes, whose endpoints are named under the service itself, and hosts that only have an IPv6 address.
+/// Guards subtypes, whose endpoints have names under the service itself, and hosts that only have an IPv6 address.
 #[rstest]
-fn subtypes_and_ipv6_hosts_are_found(#[values(Manner::Helpful, Manner::Terse)] manner: Manner) {
+fn endpoints_of_subtypes_and_ipv6_hosts_are_listed(
+    #[values(Manner::Helpful, Manner::Terse)] manner: Manner,
+) {
     let mut zone = Zone { manner, ..zone(2) };
-    let six: SocketAddr = "[::1]:7001".parse().unwrap();
+    let ipv6_address: SocketAddr = "[::1]:7001".parse().unwrap();
     zone.instances
-        .insert("db-1".into(), Instance::new("s-1", six, 1));
-    let mut world = World::of(SUBTYPE, vec![zone], 1000.0);
-    world.run(2 * SECOND, |_, _| {});
+        .insert("db-1".into(), Instance::new("s-1", ipv6_address, 1));
+    let mut simulation = Simulation::with_service(SUBTYPE, vec![zone], 1000.0);
+    simulation.run(2 * SECOND, |_, _| {});
     assert_eq!(
-        (world.names(), world.list["s-1"].address),
-        (vec!["s-0", "s-1"], six)
+        (simulation.endpoint_ids(), simulation.list["s-1"].address),
+        (vec!["s-0", "s-1"], ipv6_address)
     );
 }
 
@@ -396,21 +448,21 @@
         ..ProptestConfig::default()
     })]
 
-    /// Hard case 4, further: from bytes to claims. Whatever is done to an answer, nothing panics or loops, and no
-    /// endpoint comes that lies outside of the domain.
+    /// Guards against damaged responses: however the bytes of a response are altered or truncated, the browser must not
+    /// panic, loop or send queries without bound, and the number of endpoints stays bounded.
     #[test]
-    fn damaged_answers_do_no_harm(
+    fn damaged_responses_cause_no_panic_and_no_query_flood(
         damage in proptest::collection::vec((any::<proptest::sample::Index>(), any::<u8>()), 1..8),
         cut in any::<Option<proptest::sample::Index>>(),
         manner in prop_oneof![Just(Manner::Helpful), Just(Manner::Terse), Just(Manner::Foreign)],
     ) {
-        let mut world = World::new(vec![Zone { manner, ..zone(4) }]);
+        let mut simulation = Simulation::new(vec![Zone { manner, ..zone(4) }]);
         for _ in 0..40 {
-            for (_, _, bytes) in &mut world.on_way {
-                for (at, value) in &damage {
-                    // The id stays: one with another is refused without a further look.
-                    let at = 2 + at.index(bytes.len().max(3) - 2);
-                    if let Some(byte) = bytes.get_mut(at) {
+            for (_, _, bytes) in &mut simulation.responses_in_flight {
+                for (position, value) in &damage {
+                    // The id is left intact, since a response with another id is rejected without further parsing.
+                    let position = 2 + position.index(bytes.len().max(3) - 2);
+                    if let Some(byte) = bytes.get_mut(position) {
                         *byte = *value;
                     }
                 }
@@ -418,9 +470,9 @@
                     bytes.truncate(cut.index(bytes.len() + 1));
                 }
             }
-            world.run(100 * MS, |_, _| {});
+            simulation.run(100 * MILLISECOND, |_, _| {});
         }
-        prop_assert!(world.asked < 500, "{} queries", world.asked);
-        prop_assert!(world.endpoints.len() <= 64);
+        prop_assert!(simulation.queries_sent < 500, "{} queries", simulation.queries_sent);
+        prop_assert!(simulation.endpoints.len() <= 64);
     }
 }
