--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -7,7 +7,7 @@
 use crate::discovery::list::{self, ListError};
 use crate::extensions::{Extensions, ExtensionsError};
 use crate::messages::ListedEndpoint;
-use reelrill_routing_config::{SettingsReadError, Site};
+use reelrill_routing_config::{RoutingConfig, SettingsReadError};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -105,7 +105,7 @@
     /// The last known endpoint list, with which the router starts: its version, if there is a list, and its entries.
     pub known_list: (Option<u64>, Vec<ListedEndpoint>),
     /// The platform's settings, converted to the balancer's types.
-    pub site: Site,
+    pub site: RoutingConfig,
     /// The project's own settings.
     pub extensions: Extensions,
     /// The file that `extensions` was read from.
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -781,7 +781,7 @@
 #[case(&["settings", "ceilings", "maxAttempts"], 0.into(), "max_attempts")]
 #[case(&["settings", "classes", "0", "hardLimit"], 0.into(), "classes[0]")]
 #[case(&["settings", "classes", "0", "onTime"], (-1).into(), "classes[0].onTime")]
-#[case(&["settings", "classes", "0", "repeat"], "sometimes".into(), "classes[0].repeat: unknown word 'sometimes'")]
+#[case(&["settings", "classes", "0", "repeat"], "sometimes".into(), "classes[0].repeat: unknown value 'sometimes'")]
 #[case(&["settings", "rules", "warmAfter"], 0.into(), "warm_after")]
 #[case(&["settings", "rules", "coldFrom"], 7.into(), "cold_from")]
 #[case(&["known", "targets"], "none".into(), "known: targets")]
--- a/crates/routing-config/src/convert.rs
+++ b/crates/routing-config/src/convert.rs
@@ -5,7 +5,7 @@
     Rules, SessionMarks,
 };
 use crate::number::{SmallNumber, WholeNumber};
-use crate::{SettingsReadError, Site};
+use crate::{RoutingConfig, SettingsReadError};
 use reelrill_routing as routing;
 use reelrill_routing::{Consistency, Idempotency, Nanos, Operation, StaleReadPolicy};
 use serde_json::Value;
@@ -50,7 +50,7 @@
 }
 
 /// The whole document.
-pub fn site(document: Document) -> Result<Site> {
+pub fn site(document: Document) -> Result<RoutingConfig> {
     let family = required(document.family_info, "familyInfo")?;
     let ceilings = required(document.ceilings, "ceilings")?;
     let report = required(document.report, "report")?;
@@ -62,7 +62,7 @@
     let positions = required(family.stamps, "familyInfo.stamps")?;
     let documents = required(document.classes, "classes")?;
     let class_names = documents.iter().map(class_name).collect();
-    let idle_close = whole_or_zero(ceilings.idle_close);
+    let endpoint_idle_timeout = whole_or_zero(ceilings.idle_close);
     let settings = routing::Settings {
         router_count: document.group_size.unwrap_or(DEFAULT_ROUTER_COUNT).0,
         zone: document.az.map_or(0, |zone| zone.0),
@@ -81,12 +81,12 @@
         rules: rules(&required(document.rules, "rules")?)?,
         limits: limits(&ceilings)?,
     };
-    Ok(Site {
+    Ok(RoutingConfig {
         settings,
         origin,
         class_names,
         zones: document.zones.unwrap_or_default(),
-        idle_close,
+        endpoint_idle_timeout,
     })
 }
 
--- a/crates/routing-config/src/error.rs
+++ b/crates/routing-config/src/error.rs
@@ -10,7 +10,7 @@
         path: String,
     },
     /// A field has a word that it can't have.
-    #[error("{path}: unknown word '{word}'")]
+    #[error("{path}: unknown value '{word}'")]
     UnknownWord {
         /// The field's path.
         path: String,
--- a/crates/routing-config/src/lib.rs
+++ b/crates/routing-config/src/lib.rs
@@ -21,7 +21,7 @@
 
 /// What a host needs of the settings: the balancer's part, and what only the host itself uses.
 #[derive(Debug, Clone)]
-pub struct Site {
+pub struct RoutingConfig {
     /// What the balancer is told.
     pub settings: Settings,
     /// The clock time from which positions are counted on the simulator's wire, in nanoseconds.
@@ -31,14 +31,14 @@
     /// The zones' names, in the order that `EndpointEntry::zone` counts.
     pub zones: Vec<String>,
     /// An endpoint closes a connection that has been idle this long, in nanoseconds (0: not told).
-    pub idle_close: Nanos,
+    pub endpoint_idle_timeout: Nanos,
 }
 
 /// Reads the settings.
 ///
 /// # Errors
 /// If a field that is needed is absent or null, or if one has a value that it can't have.
-pub fn read(value: &Value) -> Result<Site, SettingsReadError> {
+pub fn read(value: &Value) -> Result<RoutingConfig, SettingsReadError> {
     // What is no object has no fields: the first one that is needed is named.
     let document = if value.is_object() {
         serde_path_to_error::deserialize(value).map_err(SettingsReadError::at_path)?
--- a/crates/routing-config/src/word.rs
+++ b/crates/routing-config/src/word.rs
@@ -15,7 +15,7 @@
         let expected = self.expected.join(", ");
         write!(
             f,
-            "unknown word '{}', expected one of {expected}",
+            "unknown value '{}', expected one of {expected}",
             self.word
         )
     }
--- a/crates/routing-config/tests/read.rs
+++ b/crates/routing-config/tests/read.rs
@@ -3,7 +3,7 @@
 use reelrill_routing::{
     Consistency, Idempotency, KeyScope, ListRole, Operation, ReportSource, StaleReadPolicy,
 };
-use reelrill_routing_config::{Site, read};
+use reelrill_routing_config::{RoutingConfig, read};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -44,7 +44,7 @@
     settings
 }
 
-fn site(settings: &Value) -> Site {
+fn site(settings: &Value) -> RoutingConfig {
     read(settings).unwrap()
 }
 
@@ -110,26 +110,26 @@
     );
     assert_eq!((class.deduplication_window, class.late_weight), (0, 0.0));
     assert_eq!(class.objective_stretch, 0.0);
-    assert_eq!((site.idle_close, site.zones.len()), (0, 0));
+    assert_eq!((site.endpoint_idle_timeout, site.zones.len()), (0, 0));
     assert_eq!(site.class_names, [""]);
 }
 
 #[rstest]
-#[case("/groupSize", json!(5), |s: &Site| s.settings.router_count == 5)]
-#[case("/az", json!(2), |s: &Site| s.settings.zone == 2)]
-#[case("/period", json!(9), |s: &Site| s.settings.min_batch_interval == 9)]
-#[case("/zones", json!(["a", "b"]), |s: &Site| s.zones == ["a", "b"])]
-#[case("/realms", json!([{"name": "acme", "quotaRps": 2}]), |s: &Site| s.settings.tenants[0].quota == 2.0)]
-#[case("/overShareWorth", json!(0.25), |s: &Site| s.settings.over_quota_weight == 0.25)]
-#[case("/rules/droppedStayOpen", json!(true), |s: &Site| s.settings.rules.allows_unlisted_endpoints)]
-#[case("/rules/askEvery", json!(9), |s: &Site| s.settings.rules.poll_interval == 9)]
-#[case("/ceilings/maxRetryAfter", json!(9), |s: &Site| s.settings.limits.max_retry_advice == 9)]
-#[case("/ceilings/connectTimeout", json!(9), |s: &Site| s.settings.limits.connect_timeout == 9)]
-#[case("/ceilings/idleClose", json!(9), |s: &Site| s.idle_close == 9)]
+#[case("/groupSize", json!(5), |s: &RoutingConfig| s.settings.router_count == 5)]
+#[case("/az", json!(2), |s: &RoutingConfig| s.settings.zone == 2)]
+#[case("/period", json!(9), |s: &RoutingConfig| s.settings.min_batch_interval == 9)]
+#[case("/zones", json!(["a", "b"]), |s: &RoutingConfig| s.zones == ["a", "b"])]
+#[case("/realms", json!([{"name": "acme", "quotaRps": 2}]), |s: &RoutingConfig| s.settings.tenants[0].quota == 2.0)]
+#[case("/overShareWorth", json!(0.25), |s: &RoutingConfig| s.settings.over_quota_weight == 0.25)]
+#[case("/rules/droppedStayOpen", json!(true), |s: &RoutingConfig| s.settings.rules.allows_unlisted_endpoints)]
+#[case("/rules/askEvery", json!(9), |s: &RoutingConfig| s.settings.rules.poll_interval == 9)]
+#[case("/ceilings/maxRetryAfter", json!(9), |s: &RoutingConfig| s.settings.limits.max_retry_advice == 9)]
+#[case("/ceilings/connectTimeout", json!(9), |s: &RoutingConfig| s.settings.limits.connect_timeout == 9)]
+#[case("/ceilings/idleClose", json!(9), |s: &RoutingConfig| s.endpoint_idle_timeout == 9)]
 fn optional_fields_are_read_and_may_be_null(
     #[case] pointer: &str,
     #[case] value: Value,
-    #[case] has_arrived: fn(&Site) -> bool,
+    #[case] has_arrived: fn(&RoutingConfig) -> bool,
 ) {
     assert!(has_arrived(&site(&with(pointer, value))));
     assert_eq!(
@@ -184,20 +184,20 @@
 }
 
 #[rstest]
-#[case("/report/source", "piggyback", |s: &Site| s.settings.reports == ReportSource::Responses)]
-#[case("/report/source", "pull", |s: &Site| s.settings.reports == ReportSource::HealthChecks)]
-#[case("/report/source", "silent", |s: &Site| s.settings.reports == ReportSource::None)]
-#[case("/familyInfo/listRole", "trailing", |s: &Site| s.settings.list_role == ListRole::Delayed)]
-#[case("/familyInfo/listRole", "static", |s: &Site| s.settings.list_role == ListRole::Initial)]
-#[case("/familyInfo/listRole", "silent", |s: &Site| s.settings.list_role == ListRole::None)]
-#[case("/familyInfo/sessionMarks", "brought", |s: &Site| s.settings.has_session_positions)]
-#[case("/familyInfo/sessionMarks", "kept", |s: &Site| !s.settings.has_session_positions)]
-#[case("/registryMode", "subscribe", |s: &Site| s.settings.is_subscription_required)]
-#[case("/registryMode", "automatic", |s: &Site| !s.settings.is_subscription_required)]
+#[case("/report/source", "piggyback", |s: &RoutingConfig| s.settings.reports == ReportSource::Responses)]
+#[case("/report/source", "pull", |s: &RoutingConfig| s.settings.reports == ReportSource::HealthChecks)]
+#[case("/report/source", "silent", |s: &RoutingConfig| s.settings.reports == ReportSource::None)]
+#[case("/familyInfo/listRole", "trailing", |s: &RoutingConfig| s.settings.list_role == ListRole::Delayed)]
+#[case("/familyInfo/listRole", "static", |s: &RoutingConfig| s.settings.list_role == ListRole::Initial)]
+#[case("/familyInfo/listRole", "silent", |s: &RoutingConfig| s.settings.list_role == ListRole::None)]
+#[case("/familyInfo/sessionMarks", "brought", |s: &RoutingConfig| s.settings.has_session_positions)]
+#[case("/familyInfo/sessionMarks", "kept", |s: &RoutingConfig| !s.settings.has_session_positions)]
+#[case("/registryMode", "subscribe", |s: &RoutingConfig| s.settings.is_subscription_required)]
+#[case("/registryMode", "automatic", |s: &RoutingConfig| !s.settings.is_subscription_required)]
 fn each_word_has_its_meaning(
     #[case] pointer: &str,
     #[case] word: &str,
-    #[case] holds: fn(&Site) -> bool,
+    #[case] holds: fn(&RoutingConfig) -> bool,
 ) {
     assert!(holds(&site(&with(pointer, word.into()))));
 }
@@ -241,10 +241,10 @@
 #[rstest]
 #[case(with_item("/familyInfo/freshness", json!([])), "familyInfo.freshness[0] is missing")]
 #[case(with_item("/familyInfo/freshness/0", json!(3)), "familyInfo.freshness[0] is missing")]
-#[case(with_item("/familyInfo/freshness/0", json!("new")), "familyInfo.freshness[0]: unknown word 'new'")]
+#[case(with_item("/familyInfo/freshness/0", json!("new")), "familyInfo.freshness[0]: unknown value 'new'")]
 #[case(with_item("/classes/0/repeat", json!("dedup")), "classes[0].group is missing")]
 #[case(with("/realms", json!([{"name": "acme"}])), "realms[0].quotaRps is missing")]
-#[case(with("/registryMode", json!("ask")), "registryMode: unknown word 'ask', expected one of subscribe, automatic")]
+#[case(with("/registryMode", json!("ask")), "registryMode: unknown value 'ask', expected one of subscribe, automatic")]
 #[case(with("/classes/0/onTime", json!("soon")), "classes[0].onTime: invalid type: string \"soon\", expected a whole number")]
 #[case(with("/classes/0/onTime", json!(1.5)), "classes[0].onTime: invalid value: floating point `1.5`, expected a whole number")]
 #[case(with("/classes/0/onTime", json!(-1)), "classes[0].onTime: invalid value: integer `-1`, expected a whole number")]
