--- a/crates/experiments/src/extended.rs
+++ b/crates/experiments/src/extended.rs
@@ -4,8 +4,11 @@
 use anyhow::{Context as _, ensure};
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
-use reelrill_test_support::client::{parse, query, run, sync};
-use reelrill_test_support::{Client, Discovery, Fault, Group, Instance, Router, Stage, settings};
+use reelrill_test_support::client::{bind_and_execute, parse_message, query_message, sync_message};
+use reelrill_test_support::{
+    Client, FakeDiscovery, FakeEndpoint, FakeReplicaSet, Fault, RequestStage, RouterProcess,
+    base_settings,
+};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
@@ -16,22 +19,28 @@
 
 /// A replica set of four, and the router before it.
 struct Bench {
-    replica_set: Group,
-    endpoints: Vec<Instance>,
-    _discovery: Discovery,
-    router: Router,
+    replica_set: FakeReplicaSet,
+    endpoints: Vec<FakeEndpoint>,
+    _discovery: FakeDiscovery,
+    router: RouterProcess,
 }
 
 impl Bench {
     fn start(program: &str, work: Duration, edge: Option<&str>) -> Bench {
-        let replica_set = Group::new(NAMES[0], Duration::ZERO, Duration::from_secs(2));
+        let replica_set = FakeReplicaSet::new(NAMES[0], Duration::ZERO, Duration::from_secs(2));
         let join = |name: &&str| {
-            Instance::join(&replica_set, name, ([127, 0, 0, 1], 0).into(), work, false)
+            FakeEndpoint::start_in_replica_set(
+                &replica_set,
+                name,
+                ([127, 0, 0, 1], 0).into(),
+                work,
+                false,
+            )
         };
-        let endpoints: Vec<Instance> = NAMES.iter().map(join).collect();
-        let list: Vec<_> = endpoints.iter().map(|m| m.target(2, "ready")).collect();
-        let discovery = Discovery::start(Some(list.clone()));
-        let router = Router::start(program, &discovery, &list, 1024, settings(), edge);
+        let endpoints: Vec<FakeEndpoint> = NAMES.iter().map(join).collect();
+        let list: Vec<_> = endpoints.iter().map(|m| m.list_entry(2, "ready")).collect();
+        let discovery = FakeDiscovery::start(Some(list.clone()));
+        let router = RouterProcess::start(program, &discovery, &list, 1024, base_settings(), edge);
         Bench {
             replica_set,
             endpoints,
@@ -43,20 +52,20 @@
     fn connections(&self) -> usize {
         self.endpoints
             .iter()
-            .map(|m| m.seen.change(|s| s.connections))
+            .map(|m| m.activity.with(|s| s.accepted_connections))
             .sum()
     }
 
     /// Processor time of the router so far, in seconds.
     fn cpu(&self) -> anyhow::Result<f64> {
-        let path = format!("/proc/{}/schedstat", self.router.id());
+        let path = format!("/proc/{}/schedstat", self.router.pid());
         let text = std::fs::read_to_string(&path).context(path)?;
         Ok(text.split(' ').next().unwrap_or_default().parse::<f64>()? / 1e9)
     }
 
     /// Its memory, in MB.
     fn memory(&self) -> anyhow::Result<f64> {
-        let path = format!("/proc/{}/status", self.router.id());
+        let path = format!("/proc/{}/status", self.router.pid());
         let text = std::fs::read_to_string(&path).context(path)?;
         let line = text
             .lines()
@@ -76,7 +85,7 @@
 }
 
 fn read_of(statement: &str, id: u64) -> Vec<u8> {
-    run(
+    bind_and_execute(
         statement,
         &[Some("k"), Some(&format!("{id:016x}")), Some("5000")],
     )
@@ -84,7 +93,7 @@
 
 /// The same request as a simple query.
 fn simple(id: u64) -> Vec<u8> {
-    query(&format!(
+    query_message(&format!(
         "SELECT data FROM facts WHERE code = 'k' /* id={id:016x},c=board,d=5000,cluster=2,v=7 */"
     ))
 }
@@ -115,21 +124,21 @@
 fn parses(program: &str, report: &mut Report) -> anyhow::Result<()> {
     const RUNS: usize = 20_000;
     let bench = Bench::start(program, Duration::ZERO, Some(ON));
-    let mut client = bench.router.client();
+    let mut client = bench.router.connect_client();
     let all: Vec<u8> = (0..50)
-        .flat_map(|n| parse(&format!("s{n}"), &text(n), &[]))
+        .flat_map(|n| parse_message(&format!("s{n}"), &text(n), &[]))
         .collect();
     ensure!(
-        client.extended(&[all]).code.is_empty(),
+        client.extended_query(&[all]).sqlstate.is_empty(),
         "the statements were not prepared"
     );
     let mut random = StdRng::seed_from_u64(1);
     for id in 0..RUNS {
         let name = format!("s{}", random.random_range(0..50));
-        let answer = client.extended(&[read_of(&name, id as u64)]);
+        let answer = client.extended_query(&[read_of(&name, id as u64)]);
         ensure!(answer.tags == "2DCZ", "run {id}: {answer:?}");
     }
-    let counts = bench.replica_set.ledger(|l| l.total());
+    let counts = bench.replica_set.with_execution_log(|l| l.total());
     ensure!(
         counts.executes == RUNS,
         "{} executes for {RUNS} runs",
@@ -156,11 +165,11 @@
 fn cpu(program: &str, rounds: usize, report: &mut Report) -> anyhow::Result<()> {
     const REQUESTS: u64 = 1_000;
     let bench = Bench::start(program, Duration::ZERO, Some(ON));
-    let mut client = bench.router.client();
+    let mut client = bench.router.connect_client();
     ensure!(
         client
-            .extended(&[parse("s", &text(7), &[])])
-            .code
+            .extended_query(&[parse_message("s", &text(7), &[])])
+            .sqlstate
             .is_empty(),
         "not prepared"
     );
@@ -170,13 +179,13 @@
         for _ in 0..REQUESTS {
             id += 1;
             let bytes = if prepared {
-                [read_of("s", id), sync()].concat()
+                [read_of("s", id), sync_message()].concat()
             } else {
                 simple(id)
             };
             client.send(&bytes);
-            let answer = client.answer().context("no answer")?;
-            ensure!(answer.code.is_empty(), "{answer:?}");
+            let answer = client.read_response().context("no answer")?;
+            ensure!(answer.sqlstate.is_empty(), "{answer:?}");
         }
         Ok((bench.cpu()? - before) / REQUESTS as f64 * 1e6)
     };
@@ -204,9 +213,12 @@
 fn pipeline(program: &str, rounds: usize, report: &mut Report) -> anyhow::Result<()> {
     const READS: u64 = 16;
     let bench = Bench::start(program, Duration::from_millis(2), Some(ON));
-    let mut client = bench.router.client();
+    let mut client = bench.router.connect_client();
     ensure!(
-        client.extended(&[parse("s", READ, &[])]).code.is_empty(),
+        client
+            .extended_query(&[parse_message("s", READ, &[])])
+            .sqlstate
+            .is_empty(),
         "not prepared"
     );
     let mut id = 0;
@@ -217,8 +229,8 @@
             id += READS;
             let batches: Vec<Vec<u8>> = if at_once { vec![all.concat()] } else { all };
             for batch in batches {
-                let answer = client.extended(&[batch]);
-                ensure!(answer.code.is_empty(), "{answer:?}");
+                let answer = client.extended_query(&[batch]);
+                ensure!(answer.sqlstate.is_empty(), "{answer:?}");
             }
         }
         Ok(10.0 * READS as f64 / began.elapsed().as_secs_f64())
@@ -236,14 +248,19 @@
     Ok(())
 }
 
-const STAGES: [Stage; 5] = [
-    Stage::Parse,
-    Stage::Bind,
-    Stage::HalfExecute,
-    Stage::Executed,
-    Stage::Unanswered,
+const STAGES: [RequestStage; 5] = [
+    RequestStage::Parse,
+    RequestStage::Bind,
+    RequestStage::PartialExecute,
+    RequestStage::Executed,
+    RequestStage::BeforeResponse,
+];
+const FAULTS: [Fault; 4] = [
+    Fault::Kill,
+    Fault::Reset,
+    Fault::NoResponse,
+    Fault::InvalidBytes,
 ];
-const FAULTS: [Fault; 4] = [Fault::Kill, Fault::Reset, Fault::Silence, Fault::Spoil];
 
 /// 5,000 bookings by sixteen clients, each tried again by its client as long as it is refused, while one after another is
 /// hit at a stage of its flight, `apart` bookings after the one before.
@@ -278,10 +295,10 @@
                 }
                 let (stage, fault) = (STAGES[round % 5], FAULTS[round / 5 % 4]);
                 let endpoint = &bench.endpoints[leader];
-                if stage == Stage::Parse {
-                    endpoint.forget();
+                if stage == RequestStage::Parse {
+                    endpoint.forget_prepared_statements();
                 }
-                endpoint.faults.change(|f| f.push_back((stage, fault)));
+                endpoint.faults.with(|f| f.push_back((stage, fault)));
                 let hit = |f: &mut std::collections::VecDeque<_>| f.is_empty().then_some(());
                 if endpoint
                     .faults
@@ -292,19 +309,19 @@
                 }
                 add(&hits);
                 if fault == Fault::Kill {
-                    endpoint.died();
+                    endpoint.wait_until_killed();
                     leader = (leader + 1) % bench.endpoints.len();
                     bench.replica_set.promote(NAMES[leader]);
                     std::thread::sleep(Duration::from_millis(100));
-                    endpoint.revive();
+                    endpoint.restart();
                 }
             }
         });
         let clients: Vec<_> = (0..CLIENTS)
             .map(|_| {
                 scope.spawn(|| {
-                    let mut client = bench.router.client();
-                    client.extended(&[parse("w", WRITE, &[])]);
+                    let mut client = bench.router.connect_client();
+                    client.extended_query(&[parse_message("w", WRITE, &[])]);
                     loop {
                         let n = add(&next);
                         if n >= BOOKINGS {
@@ -312,13 +329,15 @@
                         }
                         let key = format!("k{n}");
                         for _ in 0..20 {
-                            let command =
-                                run("w", &[Some(&key), Some(&key), Some("700"), Some(&key)]);
-                            client.send(&[command, sync()].concat());
-                            let Some(answer) = client.answer() else {
+                            let command = bind_and_execute(
+                                "w",
+                                &[Some(&key), Some(&key), Some("700"), Some(&key)],
+                            );
+                            client.send(&[command, sync_message()].concat());
+                            let Some(answer) = client.read_response() else {
                                 add(&unanswered);
-                                client = bench.router.client();
-                                client.extended(&[parse("w", WRITE, &[])]);
+                                client = bench.router.connect_client();
+                                client.extended_query(&[parse_message("w", WRITE, &[])]);
                                 continue;
                             };
                             match &*answer.tags {
@@ -326,7 +345,7 @@
                                     add(&served);
                                     break;
                                 }
-                                "2EZ" if answer.code == "53300" => add(&refused),
+                                "2EZ" if answer.sqlstate == "53300" => add(&refused),
                                 // It may have run: the protocol's clients do not ask again.
                                 "2EZ" => {
                                     add(&failed);
@@ -347,8 +366,13 @@
         ended.store(true, Ordering::Relaxed);
     });
     let count = |c: &AtomicUsize| [c.load(Ordering::Relaxed) as f64];
-    let twice = bench.replica_set.ledger(|l| l.run_twice().len()) as f64;
-    let never = BOOKINGS as f64 - bench.replica_set.ledger(|l| l.bookings.len()) as f64;
+    let twice = bench
+        .replica_set
+        .with_execution_log(|l| l.keys_executed_more_than_once().len()) as f64;
+    let never = BOOKINGS as f64
+        - bench
+            .replica_set
+            .with_execution_log(|l| l.executed_writes.len()) as f64;
     report.add("bookings run twice", "", &[twice], Aim::AtMost(0.0));
     report.add(
         "bookings without an answer",
@@ -378,25 +402,27 @@
 /// 300 clients with 100 statements of 50 texts, against the same clients without, each on a router of its own.
 fn memory(program: &str, rounds: usize, report: &mut Report) -> anyhow::Result<()> {
     let all: Vec<u8> = (0..100)
-        .flat_map(|n| parse(&format!("s{n}"), &text(n % 50), &[]))
+        .flat_map(|n| parse_message(&format!("s{n}"), &text(n % 50), &[]))
         .collect();
     let resident = |statements: bool| -> anyhow::Result<f64> {
         let bench = Bench::start(program, Duration::ZERO, Some(ON));
         let mut clients = Vec::new();
         for id in 0..300 {
-            let mut client = bench.router.client();
+            let mut client = bench.router.connect_client();
             if statements {
                 ensure!(
                     client
-                        .extended(&[&all[..]].map(<[u8]>::to_vec))
-                        .code
+                        .extended_query(&[&all[..]].map(<[u8]>::to_vec))
+                        .sqlstate
                         .is_empty(),
                     "not prepared"
                 );
             }
             client.send(&simple(id));
             ensure!(
-                client.answer().is_some_and(|a| a.code.is_empty()),
+                client
+                    .read_response()
+                    .is_some_and(|a| a.sqlstate.is_empty()),
                 "client {id} was not served"
             );
             clients.push(client);
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -13,9 +13,11 @@
 use anyhow::Context as _;
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
-use reelrill_test_support::client::query;
-use reelrill_test_support::group::now_ms;
-use reelrill_test_support::{ChangeFeed, Client, Group, Instance, Router, settings, target};
+use reelrill_test_support::client::query_message;
+use reelrill_test_support::replica_set::now_ms;
+use reelrill_test_support::{
+    ChangeFeed, Client, FakeEndpoint, FakeReplicaSet, RouterProcess, base_settings, list_entry,
+};
 use serde_json::{Value, json};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -249,7 +251,7 @@
 /// The endpoints' lines in the list, and the servers behind them.
 struct Endpoints {
     /// The primary of all replica sets, then their replicas.
-    servers: Vec<Instance>,
+    servers: Vec<FakeEndpoint>,
     lines: Vec<Value>,
     /// The lines of endpoints that drain and come back.
     restless: Vec<usize>,
@@ -258,9 +260,9 @@
 impl Endpoints {
     fn start(fleet: Fleet) -> Endpoints {
         const NAMES: [&str; 4] = ["primary", "replica-1", "replica-2", "replica-3"];
-        let replica_set = Group::new(NAMES[0], Duration::ZERO, Duration::from_secs(2));
+        let replica_set = FakeReplicaSet::new(NAMES[0], Duration::ZERO, Duration::from_secs(2));
         let join = |name: &&str| {
-            Instance::join(
+            FakeEndpoint::start_in_replica_set(
                 &replica_set,
                 name,
                 ([127, 0, 0, 1], 0).into(),
@@ -268,7 +270,7 @@
                 false,
             )
         };
-        let servers: Vec<Instance> = NAMES.iter().map(join).collect();
+        let servers: Vec<FakeEndpoint> = NAMES.iter().map(join).collect();
         let line = |index: usize| {
             let (replica_set, place) = (
                 index / fleet.replica_set_size,
@@ -279,7 +281,7 @@
             } else {
                 1 + index % (NAMES.len() - 1)
             };
-            let mut line = target(&format!("s-{index:08x}"), servers[server].address, "ready");
+            let mut line = list_entry(&format!("s-{index:08x}"), servers[server].address, "ready");
             line["pod_group"] = replica_set.into();
             line["part"] = if place == 0 { "master" } else { "replica" }.into();
             line
@@ -298,7 +300,7 @@
     fn connections(&self) -> usize {
         self.servers
             .iter()
-            .map(|server| server.seen.change(|seen| seen.connections))
+            .map(|server| server.activity.with(|seen| seen.accepted_connections))
             .sum()
     }
 
@@ -327,9 +329,9 @@
 fn run(program: &str, fleet: Fleet, span: Duration, seed: u64) -> anyhow::Result<Usage> {
     let mut addresses = Endpoints::start(fleet);
     let feed = ChangeFeed::start(&addresses.lines);
-    let mut settings = settings();
+    let mut settings = base_settings();
     settings["groupSize"] = fleet.routers.into();
-    let router = Router::start_with(
+    let router = RouterProcess::start_with_discovery_at(
         program,
         feed.address,
         &addresses.lines,
@@ -352,7 +354,7 @@
                 break;
             }
             feed.publish(addresses.step(event as usize));
-            let descriptors = std::fs::read_dir(format!("/proc/{}/fd", router.id()));
+            let descriptors = std::fs::read_dir(format!("/proc/{}/fd", router.pid()));
             peak_descriptors = peak_descriptors.max(descriptors.map(Iterator::count).unwrap_or(0));
         }
         traffic.has_ended.store(true, Ordering::Relaxed);
@@ -360,25 +362,25 @@
     })?;
     let asked = traffic.asked.load(Ordering::Relaxed).max(1);
     Ok(Usage {
-        cpu_seconds: cpu_seconds(router.id())?,
-        peak_memory_mb: peak_memory_mb(router.id())?,
+        cpu_seconds: cpu_seconds(router.pid())?,
+        peak_memory_mb: peak_memory_mb(router.pid())?,
         peak_descriptors: peak_descriptors as f64,
         connections: addresses.connections() as f64,
-        list_kb: feed.bytes_sent.change(|bytes| *bytes) as f64 / 1000.0,
+        list_kb: feed.bytes_sent.with(|bytes| *bytes) as f64 / 1000.0,
         served_share: traffic.served.load(Ordering::Relaxed) as f64 / asked as f64,
     })
 }
 
 /// One client's part of the open loop: its requests are due at fixed times, whether or not earlier ones were slow.
 fn send_requests(
-    router: &Router,
+    router: &RouterProcess,
     fleet: Fleet,
     number: usize,
     seed: u64,
     began: Instant,
     traffic: &Traffic,
 ) {
-    let mut client: Client = router.client();
+    let mut client: Client = router.connect_client();
     let mut random = StdRng::seed_from_u64(seed * CLIENTS as u64 + number as u64);
     for turn in 0_u64.. {
         let place = turn * CLIENTS as u64 + number as u64;
@@ -393,13 +395,20 @@
             return;
         }
         let asked = Instant::now();
-        client.send(&query(&statement(place, fleet.replica_sets(), &mut random)));
-        let answer = client.answer();
+        client.send(&query_message(&statement(
+            place,
+            fleet.replica_sets(),
+            &mut random,
+        )));
+        let answer = client.read_response();
         traffic.asked.fetch_add(1, Ordering::Relaxed);
         let is_in_time = asked.elapsed() < CLIENT_DEADLINE;
-        let is_served = is_in_time && answer.as_ref().is_some_and(|answer| answer.code.is_empty());
+        let is_served = is_in_time
+            && answer
+                .as_ref()
+                .is_some_and(|answer| answer.sqlstate.is_empty());
         if answer.is_none() {
-            client = router.client();
+            client = router.connect_client();
         }
         traffic
             .served
--- a/crates/experiments/src/membership.rs
+++ b/crates/experiments/src/membership.rs
@@ -8,8 +8,10 @@
 use reelrill_service_discovery::{
     Claim, ClaimedState, EndpointRegistry, RegistryInput, RegistrySettings, SourceKind,
 };
-use reelrill_test_support::dns::{self, Server, Zone};
-use reelrill_test_support::{Client, Discovery, Group, Instance, Router, settings};
+use reelrill_test_support::dns::{self, DnsZone, FakeDnsServer};
+use reelrill_test_support::{
+    Client, FakeDiscovery, FakeEndpoint, FakeReplicaSet, RouterProcess, base_settings,
+};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::SocketAddr;
@@ -351,7 +353,7 @@
 }
 
 impl Load {
-    fn start(router: &Router, clients: usize) -> Load {
+    fn start(router: &RouterProcess, clients: usize) -> Load {
         let (ended, asked, served) = (Arc::default(), Arc::default(), Arc::default());
         let load = Load {
             ended,
@@ -366,15 +368,15 @@
             let next: Arc<AtomicU64> = next.clone();
             std::thread::spawn(move || {
                 let mut client = Client::connect(address);
-                client.start();
+                client.complete_startup();
                 while !ended.load(Ordering::Relaxed) {
                     let id = next.fetch_add(1, Ordering::Relaxed);
                     let text = format!(
                         "SELECT data FROM facts WHERE code = 'k' /* id={id:016x},c=board,d=1000,cluster=2 */"
                     );
-                    let answer = client.ask(&text);
+                    let answer = client.simple_query(&text);
                     asked.fetch_add(1, Ordering::Relaxed);
-                    served.fetch_add(u64::from(answer.code.is_empty()), Ordering::Relaxed);
+                    served.fetch_add(u64::from(answer.sqlstate.is_empty()), Ordering::Relaxed);
                 }
             })
         });
@@ -394,16 +396,16 @@
 }
 
 struct Site {
-    replica_set: Group,
-    instances: Vec<Instance>,
-    server: Server,
-    discovery: Discovery,
-    router: Router,
+    replica_set: FakeReplicaSet,
+    instances: Vec<FakeEndpoint>,
+    server: FakeDnsServer,
+    discovery: FakeDiscovery,
+    router: RouterProcess,
 }
 
 /// A request takes it 10 ms, so that clients spread.
-fn endpoint(replica_set: &Group, n: usize) -> Instance {
-    Instance::join(
+fn endpoint(replica_set: &FakeReplicaSet, n: usize) -> FakeEndpoint {
+    FakeEndpoint::start_in_replica_set(
         replica_set,
         &format!("s-{n}"),
         ([127, 0, 0, 1], 0).into(),
@@ -412,26 +414,26 @@
     )
 }
 
-fn record(n: usize, instance: &Instance) -> dns::Instance {
-    dns::Instance {
+fn record(n: usize, instance: &FakeEndpoint) -> dns::ServiceInstance {
+    dns::ServiceInstance {
         ttl: 0,
-        ..dns::Instance::new(&format!("s-{n}"), instance.address, 2)
+        ..dns::ServiceInstance::new(&format!("s-{n}"), instance.address, 2)
     }
 }
 
 impl Site {
     fn start(program: &str) -> Site {
-        let replica_set = Group::new("s-0", Duration::ZERO, Duration::from_secs(2));
-        let instances: Vec<Instance> = (0..6).map(|n| endpoint(&replica_set, n)).collect();
+        let replica_set = FakeReplicaSet::new("s-0", Duration::ZERO, Duration::from_secs(2));
+        let instances: Vec<FakeEndpoint> = (0..6).map(|n| endpoint(&replica_set, n)).collect();
         let records = instances
             .iter()
             .enumerate()
             .map(|(n, i)| (format!("db-{n}"), record(n, i)));
-        let server = Server::start(Zone {
+        let server = FakeDnsServer::start(DnsZone {
             instances: records.collect(),
-            ..Zone::default()
+            ..DnsZone::default()
         });
-        let discovery = Discovery::start(None);
+        let discovery = FakeDiscovery::start(None);
         let edge = format!(
             "discovery:\n  dns_sd: {{servers: [\"{}\"], services: [\"{}\"], domain: \"{}\", ttl_floor_ms: {}}}\n",
             server.address,
@@ -439,7 +441,8 @@
             dns::DOMAIN,
             FLOOR.as_millis()
         );
-        let router = Router::start(program, &discovery, &[], 1024, settings(), Some(&edge));
+        let router =
+            RouterProcess::start(program, &discovery, &[], 1024, base_settings(), Some(&edge));
         let site = Site {
             replica_set,
             instances,
@@ -448,32 +451,35 @@
             router,
         };
         site.publish(None);
-        let mut client = site.router.client();
-        client.ask("");
+        let mut client = site.router.connect_client();
+        client.simple_query("");
         site
     }
 
     /// The roster's list, with one that drains.
     fn publish(&self, draining: Option<usize>) {
-        let line = |(n, i): (usize, &Instance)| {
+        let line = |(n, i): (usize, &FakeEndpoint)| {
             let state = if Some(n) == draining {
                 "draining"
             } else {
                 "ready"
             };
-            reelrill_test_support::target(&format!("s-{n}"), i.address, state)
+            reelrill_test_support::list_entry(&format!("s-{n}"), i.address, state)
         };
         self.discovery
             .publish(self.instances.iter().enumerate().map(line).collect());
     }
 
     fn asked(&self, n: usize) -> usize {
-        self.instances[n].seen.change(|s| s.queries.len())
+        self.instances[n].activity.with(|s| s.queries.len())
     }
 
     /// Waits until the records have been asked for once more, and says when that was.
     fn told_by_records(&self) -> anyhow::Result<Instant> {
-        ensure!(self.server.asked(1), "nobody asks for the records");
+        ensure!(
+            self.server.wait_for_queries(1),
+            "nobody asks for the records"
+        );
         Ok(Instant::now())
     }
 }
@@ -500,18 +506,18 @@
         // The roster is out for the second half.
         let by_roster = round % 2 == 0 && since < span / 2;
         if since >= span / 2 {
-            site.discovery.list.change(|l| l.1 = None);
+            site.discovery.list.with(|l| l.1 = None);
         }
         let n = round % 6;
         let label = format!("db-{n}");
         let told = if by_roster {
-            let calls = site.discovery.calls.change(|c| c.len());
+            let calls = site.discovery.requested_paths.with(|c| c.len());
             site.publish(Some(n));
             // The watch is answered at once; its next call shows that it was read.
             let read = |c: &mut Vec<String>| (c.len() > calls).then_some(());
             ensure!(
                 site.discovery
-                    .calls
+                    .requested_paths
                     .wait_for(Duration::from_secs(10), read)
                     .is_some(),
                 "no watch"
@@ -519,17 +525,17 @@
             Instant::now()
         } else {
             let drains = record(n, &site.instances[n])
-                .with("state", Some("draining"))
-                .with("boot_ms", Some(&boot.to_string()));
+                .with_txt("state", Some("draining"))
+                .with_txt("boot_ms", Some(&boot.to_string()));
             site.server
                 .zone
-                .change(|z| z.instances.insert(label.clone(), drains));
+                .with(|z| z.instances.insert(label.clone(), drains));
             site.told_by_records()?
         };
         drains += 1;
         // The records of another go on pointing at it, and one of them vanishes meanwhile.
         let other = format!("db-{}", (n + 1) % 6);
-        let gone = site.server.zone.change(|z| z.instances.remove(&other));
+        let gone = site.server.zone.with(|z| z.instances.remove(&other));
         std::thread::sleep((told + GRACE).saturating_duration_since(Instant::now()));
         let before = site.asked(n);
         // A new endpoint comes in the meantime.
@@ -538,32 +544,36 @@
         let at = format!("db-{number}");
         site.server
             .zone
-            .change(|z| z.instances.insert(at.clone(), record(number, &new)));
-        let used = |s: &mut reelrill_test_support::Seen| (!s.queries.is_empty()).then_some(());
-        let was_used = new.seen.wait_for(Duration::from_secs(10), used).is_some();
+            .with(|z| z.instances.insert(at.clone(), record(number, &new)));
+        let used =
+            |s: &mut reelrill_test_support::EndpointActivity| (!s.queries.is_empty()).then_some(());
+        let was_used = new
+            .activity
+            .wait_for(Duration::from_secs(10), used)
+            .is_some();
         ensure!(
             was_used,
             "s-{number} was never used; {}",
-            site.router.log.change(|l| l[l.len() - 12..].join("\n"))
+            site.router.log.with(|l| l[l.len() - 12..].join("\n"))
         );
         first_use.push(came.elapsed().as_secs_f64() * 1000.0);
         std::thread::sleep((told + pause).saturating_duration_since(Instant::now()));
         late += site.asked(n) - before;
         // It starts again: newer word lifts the drain.
         boot += 1;
-        let again = record(n, &site.instances[n]).with("boot_ms", Some(&boot.to_string()));
-        site.server.zone.change(|z| {
+        let again = record(n, &site.instances[n]).with_txt("boot_ms", Some(&boot.to_string()));
+        site.server.zone.with(|z| {
             z.instances.insert(label, again);
             z.instances.extend(gone.map(|record| (other, record)));
             z.instances.remove(&at);
         });
-        if site.discovery.list.change(|l| l.1.is_some()) {
+        if site.discovery.list.with(|l| l.1.is_some()) {
             site.publish(None);
         }
         site.told_by_records()?;
     }
     let share = load.end();
-    let forgotten = site.router.log.change(|l| {
+    let forgotten = site.router.log.with(|l| {
         let healthy = |l: &&String| (0..6).any(|n| l.contains(&format!("member: s-{n},")));
         l.iter()
             .filter(|l| l.contains("endpoint removed"))
--- a/crates/router/tests/acceptance.rs
+++ b/crates/router/tests/acceptance.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use reelrill_test_support::client::{query, startup};
+use reelrill_test_support::client::{query_message, startup_message};
 use rstest::rstest;
 use serde_json::Value;
 use std::io::{Read as _, Write as _};
@@ -14,7 +14,7 @@
 
 /// Settings in which no class has a longer deadline than this.
 fn with_longest_deadline(deadline: Duration) -> Value {
-    let mut settings = settings();
+    let mut settings = base_settings();
     for class in settings["classes"].as_array_mut().into_iter().flatten() {
         class["hardLimit"] = u64::try_from(deadline.as_nanos()).unwrap().into();
         class["onTime"] = u64::try_from(deadline.as_nanos() / 2).unwrap().into();
@@ -23,10 +23,13 @@
 }
 
 /// One endpoint, and a router that knows it.
-fn one_endpoint(act: Act, settings: Value) -> (Instance, Discovery, Router) {
-    let instance = Instance::start("master", act);
-    let list = vec![target("s-1", instance.address, "ready")];
-    let discovery = Discovery::start(Some(list.clone()));
+fn one_endpoint(
+    act: ScriptedResponse,
+    settings: Value,
+) -> (FakeEndpoint, FakeDiscovery, RouterProcess) {
+    let instance = FakeEndpoint::start("master", act);
+    let list = vec![list_entry("s-1", instance.address, "ready")];
+    let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_with(&discovery, &list, 1024, settings, None);
     (instance, discovery, router)
 }
@@ -46,9 +49,11 @@
     const DEADLINE_MS: u64 = 300;
     const SENT_AT_MS: [u64; 9] = [0, 100, 200, 300, 400, 500, 580, 640, 680];
     let deadline = Duration::from_millis(DEADLINE_MS);
-    let (_instance, _discovery, mut router) =
-        one_endpoint(Act::Silence, with_longest_deadline(deadline));
-    let clients: Vec<Client> = (0..4).map(|_| router.client()).collect();
+    let (_instance, _discovery, mut router) = one_endpoint(
+        ScriptedResponse::NoResponse,
+        with_longest_deadline(deadline),
+    );
+    let clients: Vec<Client> = (0..4).map(|_| router.connect_client()).collect();
     let (mut sending, mut reading) = (Vec::new(), Vec::new());
     let terminated = Instant::now() + Duration::from_millis(60);
     for (mut client, first) in clients.into_iter().zip((0x1000..).step_by(0x1000)) {
@@ -59,7 +64,7 @@
             for (id, at) in (first..).zip(SENT_AT_MS) {
                 std::thread::sleep((begun + Duration::from_millis(at)) - Instant::now());
                 if writer
-                    .write_all(&query(&book(id, &format!("{first}"), DEADLINE_MS)))
+                    .write_all(&query_message(&book(id, &format!("{first}"), DEADLINE_MS)))
                     .is_err()
                 {
                     break;
@@ -70,7 +75,10 @@
         }));
         reading.push(std::thread::spawn(move || {
             let mut answered = Vec::new();
-            while client.answer().is_some_and(|a| a.tags.ends_with('Z')) {
+            while client
+                .read_response()
+                .is_some_and(|a| a.tags.ends_with('Z'))
+            {
                 answered.push(Instant::now());
             }
             (answered, Instant::now())
@@ -81,7 +89,7 @@
     std::thread::sleep((terminated + deadline + Duration::from_millis(700)) - Instant::now());
     // It may have ended by itself.
     let _ = Command::new("kill")
-        .args(["-KILL", &router.id().to_string()])
+        .args(["-KILL", &router.pid().to_string()])
         .status();
     let since = |at: &Instant| at.saturating_duration_since(terminated);
     for (sending, reading) in sending.into_iter().zip(reading) {
@@ -99,22 +107,24 @@
             "sent so long after SIGTERM: {unanswered:?}"
         );
     }
-    router.exit();
+    router.wait_for_exit();
 }
 
 /// An end behind more bytes than are read ahead, all of it there before the first read: no attempt begins for a client
 /// that has gone.
 #[test]
 fn nothing_begins_for_a_client_that_left_before_it_was_read() {
-    let (instance, _discovery, router) = one_endpoint(Act::Serve, settings());
+    let (instance, _discovery, router) = one_endpoint(ScriptedResponse::Serve, base_settings());
     router.signal("STOP");
     let mut client = Client::connect(router.address);
-    let requests: Vec<u8> = (1..=1500).flat_map(|id| query(&read(id, 20_000))).collect();
-    client.send(&[startup(), requests].concat());
-    client.shut();
+    let requests: Vec<u8> = (1..=1500)
+        .flat_map(|id| query_message(&read(id, 20_000)))
+        .collect();
+    client.send(&[startup_message(), requests].concat());
+    client.shutdown_write();
     router.signal("CONT");
-    assert!(router.logged("reason: left_waiting"));
-    assert_eq!(instance.seen.change(|s| s.queries.len()), 0);
+    assert!(router.wait_for_log("reason: left_waiting"));
+    assert_eq!(instance.activity.with(|s| s.queries.len()), 0);
 }
 
 fn limit_descriptors(pid: u32, most: usize) {
@@ -138,9 +148,9 @@
 /// does not spin meanwhile.
 #[test]
 fn accepting_goes_on_after_a_shortage_of_descriptors() {
-    let instance = Instance::start("master", Act::Serve);
-    let list = vec![target("s-1", instance.address, "ready")];
-    let discovery = Discovery::start(Some(list.clone()));
+    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let list = vec![list_entry("s-1", instance.address, "ready")];
+    let discovery = FakeDiscovery::start(Some(list.clone()));
     let dir = tempfile::tempdir().unwrap();
     let socket = dir.path().join("members");
     let edge = format!(
@@ -150,30 +160,30 @@
         dns::DOMAIN,
         socket.display()
     );
-    let router = start_with(&discovery, &list, 1024, settings(), Some(&edge));
+    let router = start_with(&discovery, &list, 1024, base_settings(), Some(&edge));
     // It keeps what it has, and gets nothing more.
-    limit_descriptors(router.id(), 1);
+    limit_descriptors(router.pid(), 1);
     let mut operator = UnixStream::connect(&socket).unwrap();
-    operator.set_read_timeout(Some(LIMIT)).unwrap();
+    operator.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut client = Client::connect(router.address);
-    client.send(&[startup(), query(&read(1, 20_000))].concat());
+    client.send(&[startup_message(), query_message(&read(1, 20_000))].concat());
     assert!(
         router
             .log
-            .wait_for(LIMIT, |l| {
+            .wait_for(WAIT_TIMEOUT, |l| {
                 let failed =
                     |l: &&String| l.contains("accept failed") && l.contains("socket: members");
                 (l.iter().filter(failed).count() > 3).then_some(())
             })
             .is_some()
     );
-    let used = processor_ticks(router.id());
+    let used = processor_ticks(router.pid());
     std::thread::sleep(Duration::from_millis(500));
-    let used = processor_ticks(router.id()) - used;
+    let used = processor_ticks(router.pid()) - used;
     assert!(used < 25, "{used} ticks of 50 while it waited");
-    limit_descriptors(router.id(), 1024);
-    assert_eq!(client.answer().unwrap().tags, "RSSSKZ");
-    assert_eq!(client.answer().unwrap().value, "0000000000000001");
+    limit_descriptors(router.pid(), 1024);
+    assert_eq!(client.read_response().unwrap().tags, "RSSSKZ");
+    assert_eq!(client.read_response().unwrap().value, "0000000000000001");
     let mut table = String::new();
     operator.read_to_string(&mut table).unwrap();
     assert!(table.contains("s-1"), "{table}");
@@ -182,27 +192,27 @@
 /// New configurations in quick succession, faster than they can be read: the last one wins.
 #[test]
 fn the_last_of_many_new_configurations_wins() {
-    let instance = Instance::start("master", Act::Serve);
+    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
     // A long list takes long to read again.
     let list: Vec<Value> = (0..1500)
-        .map(|i| target(&format!("s-{i}"), instance.address, "ready"))
+        .map(|i| list_entry(&format!("s-{i}"), instance.address, "ready"))
         .collect();
     let (first, last) = (
-        Discovery::start(Some(list.clone())),
-        Discovery::start(Some(list.clone())),
+        FakeDiscovery::start(Some(list.clone())),
+        FakeDiscovery::start(Some(list.clone())),
     );
     let router = start(&first, &list, 1024);
     for port in 1..=40u16 {
-        router.reload("discovery", format!("127.0.0.1:{port}").into());
+        router.reload_config("discovery", format!("127.0.0.1:{port}").into());
     }
-    router.reload("discovery", last.address.to_string().into());
+    router.reload_config("discovery", last.address.to_string().into());
     assert!(
-        last.calls
-            .wait_for(LIMIT, |c| (!c.is_empty()).then_some(()))
+        last.requested_paths
+            .wait_for(WAIT_TIMEOUT, |c| (!c.is_empty()).then_some(()))
             .is_some()
     );
     assert_eq!(
-        router.client().ask(&read(1, 5000)).value,
+        router.connect_client().simple_query(&read(1, 5000)).value,
         "0000000000000001"
     );
 }
@@ -212,24 +222,27 @@
 #[test]
 fn a_clock_that_is_behind_takes_no_warm_endpoint_for_a_cold_one() {
     const HOUR_MS: u64 = 3_600_000;
-    let [warm, cold] = [(); 2].map(|()| Instance::start("replica", Act::Serve));
+    let [warm, cold] = [(); 2].map(|()| FakeEndpoint::start("replica", ScriptedResponse::Serve));
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap()
         .as_millis() as u64;
     let mut list = vec![
-        target("s-1", warm.address, "ready"),
-        target("s-2", cold.address, "ready"),
+        list_entry("s-1", warm.address, "ready"),
+        list_entry("s-2", cold.address, "ready"),
     ];
     list[0]["boot_ms"] = (now + HOUR_MS - 60_000).into();
     list[1]["boot_ms"] = (now + HOUR_MS).into();
-    let discovery = Discovery::start(Some(list.clone()));
+    let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start(&discovery, &list, 1024);
-    let mut client = router.client();
+    let mut client = router.connect_client();
     for id in 1..=200 {
-        assert_eq!(client.ask(&read(id, 5000)).value, format!("{id:016x}"));
+        assert_eq!(
+            client.simple_query(&read(id, 5000)).value,
+            format!("{id:016x}")
+        );
     }
-    let asked = |i: &Instance| i.seen.change(|s| s.queries.len());
+    let asked = |i: &FakeEndpoint| i.activity.with(|s| s.queries.len());
     assert!(
         asked(&warm) > 2 * asked(&cold),
         "{} and {}",
@@ -268,13 +281,20 @@
     stops: StopsAfter,
     #[values(false, true)] drips: bool,
 ) {
-    let (_instance, _discovery, router) = one_endpoint(Act::Serve, settings());
+    let (_instance, _discovery, router) = one_endpoint(ScriptedResponse::Serve, base_settings());
     let mut client = Client::connect(router.address);
-    let (hello, first, next) = (startup(), query(&read(1, 5000)), query(&read(2, 5000)));
+    let (hello, first, next) = (
+        startup_message(),
+        query_message(&read(1, 5000)),
+        query_message(&read(2, 5000)),
+    );
     let half = |message: &[u8]| message[..message.len() / 2].to_vec();
     if matches!(stops, StopsAfter::HalfNextQuery) {
-        client.start();
-        assert_eq!(client.ask(&read(3, 5000)).value, "0000000000000003");
+        client.complete_startup();
+        assert_eq!(
+            client.simple_query(&read(3, 5000)).value,
+            "0000000000000003"
+        );
     }
     client.send(&match stops {
         StopsAfter::Nothing => Vec::new(),
@@ -293,11 +313,15 @@
         StopsAfter::Nothing | StopsAfter::Startup | StopsAfter::HalfStartup
     );
     let dripping = std::thread::spawn(move || {
-        while drips && is_inside && stopped.elapsed() < LIMIT && writer.write_all(b"x").is_ok() {
+        while drips
+            && is_inside
+            && stopped.elapsed() < WAIT_TIMEOUT
+            && writer.write_all(b"x").is_ok()
+        {
             std::thread::sleep(Duration::from_millis(100));
         }
     });
-    while client.answer().is_some() {}
+    while client.read_response().is_some() {}
     assert!(
         stopped.elapsed() < Duration::from_secs(3),
         "{:?}",
@@ -310,17 +334,18 @@
 /// Signals in a flood (EINTR from any call) break nothing that is served.
 #[test]
 fn a_flood_of_signals_breaks_nothing() {
-    let (_instance, _discovery, router) = one_endpoint(Act::ServeLarge, settings());
-    let flood = format!("for i in $(seq 2000); do kill -USR1 {}; done", router.id());
+    let (_instance, _discovery, router) =
+        one_endpoint(ScriptedResponse::ServeLarge, base_settings());
+    let flood = format!("for i in $(seq 2000); do kill -USR1 {}; done", router.pid());
     let mut flooding = Command::new("sh").args(["-c", &flood]).spawn().unwrap();
-    let mut client = router.client();
+    let mut client = router.connect_client();
     let mut id = 0;
     while id < 50 || flooding.try_wait().unwrap().is_none() {
         id += 1;
         assert_eq!(
-            client.ask(&read(id, 5000)).value,
+            client.simple_query(&read(id, 5000)).value,
             format!("{id:016x}").repeat(4096)
         );
     }
-    assert!(router.counted("attempts_connection_reset=0"));
+    assert!(router.wait_for_counter("attempts_connection_reset=0"));
 }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -6,13 +6,13 @@
 
 /// The program under test, with settings of its own in YAML, if any.
 pub fn start_with(
-    discovery: &Discovery,
+    discovery: &FakeDiscovery,
     known: &[Value],
     sockets: u64,
     settings: Value,
     edge: Option<&str>,
-) -> Router {
-    Router::start(
+) -> RouterProcess {
+    RouterProcess::start(
         env!("CARGO_BIN_EXE_reelrill"),
         discovery,
         known,
@@ -23,8 +23,8 @@
 }
 
 /// The program under test.
-pub fn start(discovery: &Discovery, known: &[Value], sockets: u64) -> Router {
-    start_with(discovery, known, sockets, settings(), None)
+pub fn start(discovery: &FakeDiscovery, known: &[Value], sockets: u64) -> RouterProcess {
+    start_with(discovery, known, sockets, base_settings(), None)
 }
 
 pub fn read(id: u64, wait_ms: u64) -> String {
--- a/crates/router/tests/pushed_lists.rs
+++ b/crates/router/tests/pushed_lists.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use reelrill_test_support::client::query;
+use reelrill_test_support::client::query_message;
 use rstest::rstest;
 use serde_json::Value;
 use std::io::Write;
@@ -15,27 +15,27 @@
 const KNOWN_WITHIN: Duration = Duration::from_millis(600);
 
 fn pushed() -> Value {
-    let mut settings = settings();
+    let mut settings = base_settings();
     settings["registryMode"] = "automatic".into();
     settings
 }
 
 struct Site {
-    old: Instance,
-    new: Instance,
-    agent: Discovery,
-    router: Router,
+    old: FakeEndpoint,
+    new: FakeEndpoint,
+    agent: FakeDiscovery,
+    router: RouterProcess,
 }
 
 impl Site {
     /// Two endpoints, of which the list at hand names the first.
     fn start() -> Site {
         let (old, new) = (
-            Instance::start("master", Act::Serve),
-            Instance::start("master", Act::Serve),
+            FakeEndpoint::start("master", ScriptedResponse::Serve),
+            FakeEndpoint::start("master", ScriptedResponse::Serve),
         );
-        let known = vec![target("s-old", old.address, "ready")];
-        let agent = Discovery::start(Some(known.clone()));
+        let known = vec![list_entry("s-old", old.address, "ready")];
+        let agent = FakeDiscovery::start(Some(known.clone()));
         let router = start_with(&agent, &known, 1024, pushed(), None);
         Site {
             old,
@@ -48,39 +48,42 @@
     /// The list after the first one's replacement.
     fn replaced(&self) -> Vec<Value> {
         vec![
-            target("s-old", self.old.address, "draining"),
-            target("s-new", self.new.address, "ready"),
+            list_entry("s-old", self.old.address, "draining"),
+            list_entry("s-new", self.new.address, "ready"),
         ]
     }
 
     fn calls(&self) -> usize {
-        self.agent.calls.change(|c| c.len())
+        self.agent.requested_paths.with(|c| c.len())
     }
 
     /// Waits for the call that follows an answer with this version; says when it came.
-    fn until_known(&self, agent: &Discovery, version: u64) -> Instant {
+    fn until_known(&self, agent: &FakeDiscovery, version: u64) -> Instant {
         let since = format!("since={version}&");
         let told = |c: &mut Vec<String>| c.iter().any(|p| p.contains(&since)).then(Instant::now);
         agent
-            .calls
-            .wait_for(LIMIT, told)
+            .requested_paths
+            .wait_for(WAIT_TIMEOUT, told)
             .expect("the list was not read")
     }
 
     fn assert_only_new_is_sent_to(&self) {
-        let before = self.old.seen.change(|s| s.queries.len());
+        let before = self.old.activity.with(|s| s.queries.len());
         for id in 1..=5 {
             assert_eq!(
-                self.router.client().ask(&read(id, 5000)).value,
+                self.router
+                    .connect_client()
+                    .simple_query(&read(id, 5000))
+                    .value,
                 format!("{id:016x}")
             );
         }
         assert_eq!(
-            self.old.seen.change(|s| s.queries.len()),
+            self.old.activity.with(|s| s.queries.len()),
             before,
             "sent to a draining instance"
         );
-        assert_eq!(self.new.seen.change(|s| s.queries.len()), 5);
+        assert_eq!(self.new.activity.with(|s| s.queries.len()), 5);
     }
 }
 
@@ -89,8 +92,8 @@
     let site = Site::start();
     let first = site
         .agent
-        .calls
-        .wait_for(LIMIT, |c| c.first().cloned())
+        .requested_paths
+        .wait_for(WAIT_TIMEOUT, |c| c.first().cloned())
         .expect("no call");
     assert!(first.contains("since=1&"), "{first}");
     site.agent.publish(site.replaced());
@@ -98,66 +101,75 @@
     site.assert_only_new_is_sent_to();
     let whole = site
         .agent
-        .calls
-        .change(|c| c.iter().filter(|p| *p == "/api/targets").count());
+        .requested_paths
+        .with(|c| c.iter().filter(|p| *p == "/api/targets").count());
     assert_eq!(whole, 0, "the whole list was asked for");
 }
 
 #[test]
 fn what_the_agent_holds_at_the_start_is_known_before_the_first_requests() {
     let site = Site::start();
-    let agent = Discovery::start(None);
-    agent.list.change(|l| *l = (9, Some(site.replaced())));
-    let known = vec![target("s-old", site.old.address, "ready")];
+    let agent = FakeDiscovery::start(None);
+    agent.list.with(|l| *l = (9, Some(site.replaced())));
+    let known = vec![list_entry("s-old", site.old.address, "ready")];
     let router = start_with(&agent, &known, 1024, pushed(), None);
     site.until_known(&agent, 9);
     assert_eq!(
-        router.client().ask(&read(1, 5000)).value,
+        router.connect_client().simple_query(&read(1, 5000)).value,
         "0000000000000001"
     );
-    assert_eq!(site.old.seen.change(|s| s.queries.len()), 0);
+    assert_eq!(site.old.activity.with(|s| s.queries.len()), 0);
 }
 
 #[test]
 fn a_router_with_no_list_is_ready_from_the_first_answer() {
-    let instance = Instance::start("master", Act::Serve);
-    let agent = Discovery::start(None);
+    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let agent = FakeDiscovery::start(None);
     let router = start_with(&agent, &[], 1024, pushed(), None);
-    let mut client = router.client();
-    client.stream.write_all(&query("")).unwrap();
+    let mut client = router.connect_client();
+    client.stream.write_all(&query_message("")).unwrap();
     assert!(
         agent
-            .calls
-            .wait_for(LIMIT, |c| (c.len() > 4).then_some(()))
+            .requested_paths
+            .wait_for(WAIT_TIMEOUT, |c| (c.len() > 4).then_some(()))
             .is_some()
     );
-    agent.publish(vec![target("s-1", instance.address, "ready")]);
-    assert_eq!(client.answer().unwrap().tags, "IZ");
-    assert_eq!(client.ask(&read(1, 5000)).value, "0000000000000001");
+    agent.publish(vec![list_entry("s-1", instance.address, "ready")]);
+    assert_eq!(client.read_response().unwrap().tags, "IZ");
+    assert_eq!(
+        client.simple_query(&read(1, 5000)).value,
+        "0000000000000001"
+    );
 }
 
 #[rstest]
 fn what_an_agent_brings_at_its_return_is_known_at_once(
-    #[values(Manner::Silent, Manner::Torn)] down: Manner,
+    #[values(DiscoveryFaultMode::NoResponse, DiscoveryFaultMode::ResetMidBody)]
+    down: DiscoveryFaultMode,
 ) {
     let site = Site::start();
     site.until_known(&site.agent, 1);
-    site.agent.manner.change(|m| *m = down);
+    site.agent.fault_mode.with(|m| *m = down);
     let before = site.calls();
     // Long enough for a pause that grows to have grown.
     assert!(
         site.agent
-            .calls
-            .wait_for(LIMIT, |c| (c.len() > before + 12).then_some(()))
+            .requested_paths
+            .wait_for(WAIT_TIMEOUT, |c| (c.len() > before + 12).then_some(()))
             .is_some()
     );
     assert_eq!(
-        site.router.client().ask(&read(99, 5000)).value,
+        site.router
+            .connect_client()
+            .simple_query(&read(99, 5000))
+            .value,
         format!("{:016x}", 99)
     );
     let back = Instant::now();
-    site.agent.list.change(|l| *l = (2, Some(site.replaced())));
-    site.agent.manner.change(|m| *m = Manner::Proper);
+    site.agent.list.with(|l| *l = (2, Some(site.replaced())));
+    site.agent
+        .fault_mode
+        .with(|m| *m = DiscoveryFaultMode::Normal);
     let known = site.until_known(&site.agent, 2);
     assert!(known - back < KNOWN_WITHIN, "{:?}", known - back);
     site.assert_only_new_is_sent_to();
@@ -168,13 +180,13 @@
 fn an_agent_that_declines_is_called_again_soon_and_not_in_a_busy_loop() {
     let site = Site::start();
     site.until_known(&site.agent, 1);
-    site.agent.list.change(|l| l.1 = None);
+    site.agent.list.with(|l| l.1 = None);
     let before = site.calls();
     let nth = |n: usize| {
         let reached = |c: &mut Vec<String>| (c.len() >= before + n).then(Instant::now);
         site.agent
-            .calls
-            .wait_for(LIMIT, reached)
+            .requested_paths
+            .wait_for(WAIT_TIMEOUT, reached)
             .expect("no further call")
     };
     let (first, last) = (nth(2), nth(12));
@@ -193,7 +205,7 @@
 fn a_silent_watch_of_an_agent_is_opened_anew_for_what_is_newer() {
     let site = Site::start();
     site.until_known(&site.agent, 1);
-    site.agent.mute();
+    site.agent.stall_open_connections();
     let silent = Instant::now();
     site.agent.publish(site.replaced());
     let known = site.until_known(&site.agent, 2);
@@ -205,8 +217,8 @@
     site.assert_only_new_is_sent_to();
     let whole = site
         .agent
-        .calls
-        .change(|c| c.iter().filter(|p| *p == "/api/targets").count());
+        .requested_paths
+        .with(|c| c.iter().filter(|p| *p == "/api/targets").count());
     assert_eq!(whole, 0, "the whole list was asked for");
 }
 
@@ -214,12 +226,12 @@
 fn a_new_configuration_moves_the_watch_to_another_agent() {
     let site = Site::start();
     site.until_known(&site.agent, 1);
-    let next = Discovery::start(Some(site.replaced()));
+    let next = FakeDiscovery::start(Some(site.replaced()));
     site.router
-        .reload("discovery", next.address.to_string().into());
+        .reload_config("discovery", next.address.to_string().into());
     site.until_known(&next, 1);
     site.assert_only_new_is_sent_to();
-    let paths = next.calls.change(|c| c.clone());
+    let paths = next.requested_paths.with(|c| c.clone());
     assert_eq!(paths.iter().filter(|p| *p == "/api/targets").count(), 1);
 }
 
@@ -227,49 +239,55 @@
 /// all routers; a whole list is taken where the service gives one.
 #[rstest]
 #[case::agent(pushed())]
-#[case::shared_service(settings())]
+#[case::shared_service(base_settings())]
 fn after_a_broken_watch_only_what_is_newer_is_asked_for(
     #[case] settings: Value,
-    #[values(Manner::Proper, Manner::Torn)] down: Manner,
+    #[values(DiscoveryFaultMode::Normal, DiscoveryFaultMode::ResetMidBody)]
+    down: DiscoveryFaultMode,
 ) {
     let (old, new) = (
-        Instance::start("master", Act::Serve),
-        Instance::start("master", Act::Serve),
+        FakeEndpoint::start("master", ScriptedResponse::Serve),
+        FakeEndpoint::start("master", ScriptedResponse::Serve),
     );
-    let known = vec![target("s-old", old.address, "ready")];
-    let discovery = Discovery::start(Some(known.clone()));
+    let known = vec![list_entry("s-old", old.address, "ready")];
+    let discovery = FakeDiscovery::start(Some(known.clone()));
     let router = start_with(&discovery, &known, 1024, settings, None);
     assert!(
         discovery
-            .calls
-            .wait_for(LIMIT, |c| (!c.is_empty()).then_some(()))
+            .requested_paths
+            .wait_for(WAIT_TIMEOUT, |c| (!c.is_empty()).then_some(()))
             .is_some()
     );
-    discovery.manner.change(|m| *m = down);
+    discovery.fault_mode.with(|m| *m = down);
+    discovery.list.with(|l| {
+        *l = (
+            2,
+            (down == DiscoveryFaultMode::ResetMidBody).then(|| known.clone()),
+        )
+    });
+    assert!(router.wait_for_log("discovery poll failed"));
     discovery
-        .list
-        .change(|l| *l = (2, (down == Manner::Torn).then(|| known.clone())));
-    assert!(router.logged("discovery poll failed"));
-    discovery.manner.change(|m| *m = Manner::Proper);
-    discovery.publish(vec![target("s-new", new.address, "ready")]);
+        .fault_mode
+        .with(|m| *m = DiscoveryFaultMode::Normal);
+    discovery.publish(vec![list_entry("s-new", new.address, "ready")]);
     assert!(
         discovery
-            .calls
-            .wait_for(LIMIT, |c| c
+            .requested_paths
+            .wait_for(WAIT_TIMEOUT, |c| c
                 .iter()
                 .any(|p| p.contains("since=3&"))
                 .then_some(()))
             .is_some()
     );
     assert_eq!(
-        router.client().ask(&read(1, 5000)).value,
+        router.connect_client().simple_query(&read(1, 5000)).value,
         "0000000000000001"
     );
-    assert_eq!(new.seen.change(|s| s.queries.len()), 1);
+    assert_eq!(new.activity.with(|s| s.queries.len()), 1);
     assert!(
         discovery
-            .calls
-            .change(|c| c.iter().all(|p| p.contains("since="))),
+            .requested_paths
+            .with(|c| c.iter().all(|p| p.contains("since="))),
         "the whole list was asked for"
     );
 }
--- a/crates/router/tests/settings_matrix.rs
+++ b/crates/router/tests/settings_matrix.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use reelrill_test_support::client::query;
+use reelrill_test_support::client::query_message;
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::net::TcpListener;
@@ -16,7 +16,7 @@
 
 /// The usual settings with one field at a path such as `ceilings/probes` set; null stands for the value null.
 fn with(changes: &[(&str, Value)]) -> Value {
-    let mut settings = settings();
+    let mut settings = base_settings();
     for (path, value) in changes {
         set(&mut settings, path, value.clone());
     }
@@ -47,29 +47,29 @@
 
 /// Endpoints `s-1`, `s-2` and so on, all ready, and a router that knows them.
 struct Site {
-    endpoints: Vec<Instance>,
-    discovery: Discovery,
-    router: Router,
+    endpoints: Vec<FakeEndpoint>,
+    discovery: FakeDiscovery,
+    router: RouterProcess,
 }
 
 impl Site {
-    fn start(endpoints: Vec<Instance>, settings: Value) -> Site {
+    fn start(endpoints: Vec<FakeEndpoint>, settings: Value) -> Site {
         Site::start_listed(endpoints, settings, |_, _| {})
     }
 
     /// `amend` changes an endpoint's line of the list, counted from 0.
     fn start_listed(
-        endpoints: Vec<Instance>,
+        endpoints: Vec<FakeEndpoint>,
         settings: Value,
         amend: impl Fn(usize, &mut Value),
     ) -> Site {
         let mut list: Vec<Value> = Vec::new();
         for (index, endpoint) in endpoints.iter().enumerate() {
-            let mut line = target(&name(index), endpoint.address, "ready");
+            let mut line = list_entry(&name(index), endpoint.address, "ready");
             amend(index, &mut line);
             list.push(line);
         }
-        let discovery = Discovery::start(Some(list.clone()));
+        let discovery = FakeDiscovery::start(Some(list.clone()));
         let router = start_with(&discovery, &list, 1024, settings, None);
         Site {
             endpoints,
@@ -79,30 +79,37 @@
     }
 
     /// Endpoints that answer each request with its name.
-    fn of_echoes(roles: &[&'static str], act: Act, settings: Value) -> Site {
-        let start = |role: &&'static str| Instance::start(role, act);
+    fn of_echoes(roles: &[&'static str], act: ScriptedResponse, settings: Value) -> Site {
+        let start = |role: &&'static str| FakeEndpoint::start(role, act);
         Site::start(roles.iter().map(start).collect(), settings)
     }
 
     /// Endpoints of a replica set that `s-1` leads.
-    fn of_replica_set(count: usize, replica_set: &Group, settings: Value) -> Site {
+    fn of_replica_set(count: usize, replica_set: &FakeReplicaSet, settings: Value) -> Site {
         let any_port = ([127, 0, 0, 1], 0).into();
-        let join =
-            |index| Instance::join(replica_set, &name(index), any_port, Duration::ZERO, false);
+        let join = |index| {
+            FakeEndpoint::start_in_replica_set(
+                replica_set,
+                &name(index),
+                any_port,
+                Duration::ZERO,
+                false,
+            )
+        };
         Site::start((0..count).map(join).collect(), settings)
     }
 
     fn line(&self, index: usize, state: &str) -> Value {
-        target(&name(index), self.endpoints[index].address, state)
+        list_entry(&name(index), self.endpoints[index].address, state)
     }
 
     fn asked(&self, index: usize) -> usize {
-        self.endpoints[index].seen.change(|s| s.queries.len())
+        self.endpoints[index].activity.with(|s| s.queries.len())
     }
 
     /// The texts of all requests and probes that the endpoints have read.
     fn all_asked(&self) -> Vec<String> {
-        let queries = |i: &Instance| i.seen.change(|s| s.queries.clone());
+        let queries = |i: &FakeEndpoint| i.activity.with(|s| s.queries.clone());
         self.endpoints.iter().flat_map(queries).collect()
     }
 }
@@ -128,7 +135,7 @@
 }
 
 fn now_ms() -> u64 {
-    reelrill_test_support::group::now_ms()
+    reelrill_test_support::replica_set::now_ms()
 }
 
 /// What endpoints do with stale reads, in the settings' word and in the stand-ins' terms.
@@ -141,19 +148,19 @@
 }
 
 impl Guards {
-    fn apply(self, settings: &mut Value, replica_set: &Group) {
+    fn apply(self, settings: &mut Value, replica_set: &FakeReplicaSet) {
         let hold = Duration::from_millis(50);
         let (word, holds_for, stale_reads) = match self {
-            Guards::Silent => ("silent", None, StaleReads::Serve),
-            Guards::Bounce => ("bounce", None, StaleReads::Reject),
-            Guards::Await => ("await", Some(hold), StaleReads::Wait(hold)),
-            Guards::AwaitNoTime => ("await", None, StaleReads::Wait(Duration::ZERO)),
+            Guards::Silent => ("silent", None, StaleReadPolicy::Serve),
+            Guards::Bounce => ("bounce", None, StaleReadPolicy::Reject),
+            Guards::Await => ("await", Some(hold), StaleReadPolicy::Wait(hold)),
+            Guards::AwaitNoTime => ("await", None, StaleReadPolicy::Wait(Duration::ZERO)),
         };
         settings["familyInfo"]["guards"] = word.into();
         if let Some(hold) = holds_for {
             settings["familyInfo"]["holdsFor"] = (hold.as_nanos() as u64).into();
         }
-        replica_set.set_stale_reads(stale_reads);
+        replica_set.set_stale_read_policy(stale_reads);
     }
 }
 
@@ -172,8 +179,8 @@
     #[values("piggyback", "pull", "silent")] source: &str,
     #[values(false, true)] has_positions: bool,
 ) {
-    let replica_set = Group::new("s-1", LAG, Duration::from_secs(2));
-    replica_set.require("own", Freshness::LastWrite);
+    let replica_set = FakeReplicaSet::new("s-1", LAG, Duration::from_secs(2));
+    replica_set.require_freshness("own", Freshness::LastWrite);
     let mut settings = with(&[
         ("familyInfo/sessionMarks", marks.into()),
         ("familyInfo/stamps", has_positions.into()),
@@ -182,18 +189,18 @@
     let report = report_settings(&mut settings, source, &["x0", "x1"]);
     let site = Site::of_replica_set(3, &replica_set, settings);
     for endpoint in &site.endpoints {
-        endpoint.tell(Telling {
-            position: has_positions,
-            report,
+        endpoint.set_status_content(StatusContent {
+            has_position: has_positions,
+            has_load_report: report,
         });
     }
-    let mut client = site.router.client();
+    let mut client = site.router.connect_client();
     for id in (0x10..0x40).step_by(0x10) {
-        let written = client.ask(&write(id, "s", 8000));
+        let written = client.simple_query(&write(id, "s", 8000));
         assert_eq!(written.value, format!("\\x{id:016x}"), "{written:?}");
         for n in 1..=3 {
             let after = (marks == "brought").then(now_ms);
-            let seen = client.ask(&read_own(id + n, "s", after));
+            let seen = client.simple_query(&read_own(id + n, "s", after));
             assert_eq!(seen.value, format!("\\x{id:016x}"), "{seen:?}");
         }
     }
@@ -202,17 +209,17 @@
 /// Replicas that have caught up take a session's reads; the primary is not the only one.
 #[rstest]
 fn a_session_reads_from_replicas_that_have_caught_up(#[values("brought", "kept")] marks: &str) {
-    let replica_set = Group::new("s-1", Duration::ZERO, Duration::from_secs(2));
+    let replica_set = FakeReplicaSet::new("s-1", Duration::ZERO, Duration::from_secs(2));
     let settings = with(&[("familyInfo/sessionMarks", marks.into())]);
     let site = Site::of_replica_set(3, &replica_set, settings);
-    let mut client = site.router.client();
+    let mut client = site.router.connect_client();
     assert_eq!(
-        client.ask(&write(1, "s", 8000)).value,
+        client.simple_query(&write(1, "s", 8000)).value,
         format!("\\x{:016x}", 1)
     );
     let after = (marks == "brought").then(now_ms);
     for id in 2..=30 {
-        let seen = client.ask(&read_own(id, "s", after));
+        let seen = client.simple_query(&read_own(id, "s", after));
         assert_eq!(seen.value, format!("\\x{:016x}", 1), "{seen:?}");
     }
     assert!(site.asked(1) > 0 && site.asked(2) > 0);
@@ -226,8 +233,8 @@
     #[values(true, false)] has_columns: bool,
 ) {
     const BOUND: Duration = Duration::from_millis(500);
-    let replica_set = Group::new("s-1", LAG, Duration::from_secs(2));
-    replica_set.require("own", Freshness::MaxAge(BOUND));
+    let replica_set = FakeReplicaSet::new("s-1", LAG, Duration::from_secs(2));
+    replica_set.require_freshness("own", Freshness::MaxAge(BOUND));
     let mut settings = with(&[
         ("familyInfo/freshness/1", "lag_bound".into()),
         ("familyInfo/maxAge/1", (BOUND.as_nanos() as u64).into()),
@@ -237,21 +244,21 @@
     let report = report_settings(&mut settings, source, columns);
     let site = Site::of_replica_set(3, &replica_set, settings);
     for endpoint in &site.endpoints {
-        endpoint.tell(Telling {
-            position: true,
-            report,
+        endpoint.set_status_content(StatusContent {
+            has_position: true,
+            has_load_report: report,
         });
     }
-    let mut client = site.router.client();
+    let mut client = site.router.connect_client();
     assert_eq!(
-        client.ask(&write(1, "s", 8000)).value,
+        client.simple_query(&write(1, "s", 8000)).value,
         format!("\\x{:016x}", 1)
     );
     std::thread::sleep(BOUND + Duration::from_millis(100));
     for id in 2..=8 {
         // Reads that any data may answer reach the replicas, which tell how far they are.
-        client.ask(&read(0x100 + id, 8000));
-        let seen = client.ask(&read_own(id, "s", None));
+        client.simple_query(&read(0x100 + id, 8000));
+        let seen = client.simple_query(&read_own(id, "s", None));
         assert_eq!(seen.value, format!("\\x{:016x}", 1), "{seen:?}");
     }
 }
@@ -261,16 +268,16 @@
 fn a_strong_read_is_answered_by_the_primary(
     #[values(Guards::Silent, Guards::Bounce, Guards::Await)] guards: Guards,
 ) {
-    let replica_set = Group::new("s-1", LAG, Duration::from_secs(2));
-    replica_set.require("own", Freshness::LastWrite);
+    let replica_set = FakeReplicaSet::new("s-1", LAG, Duration::from_secs(2));
+    replica_set.require_freshness("own", Freshness::LastWrite);
     let mut settings = with(&[("familyInfo/freshness/1", "strong".into())]);
     guards.apply(&mut settings, &replica_set);
     let site = Site::of_replica_set(3, &replica_set, settings);
-    let mut client = site.router.client();
+    let mut client = site.router.connect_client();
     for id in (0x10..0x30).step_by(0x10) {
-        client.ask(&write(id, "s", 8000));
+        client.simple_query(&write(id, "s", 8000));
         for n in 1..=3 {
-            let seen = client.ask(&read_own(id + n, "s", None));
+            let seen = client.simple_query(&read_own(id + n, "s", None));
             assert_eq!(seen.value, format!("\\x{id:016x}"), "{seen:?}");
         }
     }
@@ -283,16 +290,24 @@
     #[values("trailing", "static")] role: &str,
     #[values(false, true)] is_old: bool,
 ) {
-    let replica_set = Group::new(if is_old { "s-1" } else { "s-2" }, LAG, LAG);
+    let replica_set = FakeReplicaSet::new(if is_old { "s-1" } else { "s-2" }, LAG, LAG);
     let any_port = ([127, 0, 0, 1], 0).into();
-    let join = |index| Instance::join(&replica_set, &name(index), any_port, Duration::ZERO, false);
+    let join = |index| {
+        FakeEndpoint::start_in_replica_set(
+            &replica_set,
+            &name(index),
+            any_port,
+            Duration::ZERO,
+            false,
+        )
+    };
     let settings = with(&[("familyInfo/listRole", role.into())]);
     let site = Site::start_listed((0..3).map(join).collect(), settings, |index, line| {
         line["part"] = if index == 1 { "master" } else { "replica" }.into();
     });
-    let mut client = site.router.client();
+    let mut client = site.router.connect_client();
     for id in 1..=3 {
-        let written = client.ask(&write(id, "s", 8000));
+        let written = client.simple_query(&write(id, "s", 8000));
         assert_eq!(written.value, format!("\\x{id:016x}"), "{written:?}");
     }
     // A list that is old costs attempts that are turned away without effect, and none after the primary is known.
@@ -308,31 +323,46 @@
 /// Where the list does not tell roles, what it says there is not believed.
 #[test]
 fn a_list_that_tells_no_roles_is_not_asked_for_the_primary() {
-    let replica_set = Group::new("s-1", LAG, LAG);
+    let replica_set = FakeReplicaSet::new("s-1", LAG, LAG);
     let any_port = ([127, 0, 0, 1], 0).into();
-    let join = |index| Instance::join(&replica_set, &name(index), any_port, Duration::ZERO, false);
-    let site = Site::start_listed((0..2).map(join).collect(), settings(), |index, line| {
-        line["part"] = if index == 1 { "master" } else { "replica" }.into();
-    });
-    let written = site.router.client().ask(&write(1, "s", 8000));
+    let join = |index| {
+        FakeEndpoint::start_in_replica_set(
+            &replica_set,
+            &name(index),
+            any_port,
+            Duration::ZERO,
+            false,
+        )
+    };
+    let site = Site::start_listed(
+        (0..2).map(join).collect(),
+        base_settings(),
+        |index, line| {
+            line["part"] = if index == 1 { "master" } else { "replica" }.into();
+        },
+    );
+    let written = site
+        .router
+        .connect_client()
+        .simple_query(&write(1, "s", 8000));
     assert_eq!(written.value, format!("\\x{:016x}", 1), "{written:?}");
-    assert!(site.router.counted("attempts_misrouted=0"));
+    assert!(site.router.wait_for_counter("attempts_misrouted=0"));
 }
 
 /// Endpoints are probed where the settings allow it at most, and never where they don't.
 #[rstest]
 fn no_probe_is_sent_where_probes_are_off(
     #[values("piggyback", "pull", "silent")] source: &str,
-    #[values(Act::Serve, Act::Code("53300"))] act: Act,
+    #[values(ScriptedResponse::Serve, ScriptedResponse::Error("53300"))] act: ScriptedResponse,
 ) {
     let mut settings = with(&[("ceilings/probes", false.into())]);
     report_settings(&mut settings, source, &["x0", "x1"]);
     let site = Site::of_echoes(&["master", "replica"], act, settings);
-    let mut client = site.router.client();
+    let mut client = site.router.connect_client();
     for id in 1..=5 {
-        client.ask(&read(id, 300));
+        client.simple_query(&read(id, 300));
     }
-    assert!(site.router.counted("health_checks=0"));
+    assert!(site.router.wait_for_counter("health_checks=0"));
     let is_probe = |text: &String| !text.contains("/*");
     assert_eq!(site.all_asked().iter().filter(|t| is_probe(t)).count(), 0);
 }
@@ -343,9 +373,13 @@
 #[case(true, 2)]
 fn attempts_that_are_out_together_are_bounded(#[case] second_copies: bool, #[case] most: usize) {
     let settings = with(&[("ceilings/secondCopies", second_copies.into())]);
-    let site = Site::of_echoes(&["master", "replica", "replica"], Act::Silence, settings);
-    let answer = site.router.client().ask(&read(1, 2000));
-    assert_eq!(answer.code, "53300", "{answer:?}");
+    let site = Site::of_echoes(
+        &["master", "replica", "replica"],
+        ScriptedResponse::NoResponse,
+        settings,
+    );
+    let answer = site.router.connect_client().simple_query(&read(1, 2000));
+    assert_eq!(answer.sqlstate, "53300", "{answer:?}");
     let asked = site.all_asked().len();
     assert!((1..=most).contains(&asked), "{asked}");
 }
@@ -354,27 +388,33 @@
 #[rstest]
 fn what_a_client_leaves_is_cancelled_where_allowed(#[values(false, true)] may_cancel: bool) {
     let settings = with(&[("ceilings/mayCancel", may_cancel.into())]);
-    let site = Site::of_echoes(&["master"], Act::Silence, settings);
-    let mut client = site.router.client();
-    client.send(&query(&read(1, 20_000)));
-    let is_asked = |s: &mut Seen| (s.queries.len() == 1).then_some(());
-    let seen = &site.endpoints[0].seen;
-    assert!(seen.wait_for(LIMIT, is_asked).is_some());
+    let site = Site::of_echoes(&["master"], ScriptedResponse::NoResponse, settings);
+    let mut client = site.router.connect_client();
+    client.send(&query_message(&read(1, 20_000)));
+    let is_asked = |s: &mut EndpointActivity| (s.queries.len() == 1).then_some(());
+    let seen = &site.endpoints[0].activity;
+    assert!(seen.wait_for(WAIT_TIMEOUT, is_asked).is_some());
     drop(client);
-    assert!(site.router.counted("client_left=1"));
+    assert!(site.router.wait_for_counter("client_left=1"));
     if may_cancel {
-        assert!(site.router.counted("attempts_cancelled=1"));
+        assert!(site.router.wait_for_counter("attempts_cancelled=1"));
     } else {
         // Its answer still comes, on a connection that is kept for the next request.
-        site.endpoints[0].act.change(|a| *a = Act::Serve);
+        site.endpoints[0]
+            .response
+            .with(|a| *a = ScriptedResponse::Serve);
         assert!(
-            site.router.counted("attempts_served=1") && site.router.counted("attempts_cancelled=0")
+            site.router.wait_for_counter("attempts_served=1")
+                && site.router.wait_for_counter("attempts_cancelled=0")
         );
         assert_eq!(
-            site.router.client().ask(&read(2, 5000)).value,
+            site.router
+                .connect_client()
+                .simple_query(&read(2, 5000))
+                .value,
             format!("{:016x}", 2)
         );
-        assert_eq!(seen.change(|s| s.connections), 1);
+        assert_eq!(seen.with(|s| s.accepted_connections), 1);
     }
 }
 
@@ -394,9 +434,9 @@
         Some(longest) => set(&mut settings, "ceilings/maxRetryAfter", longest.into()),
         None => remove(&mut settings, "ceilings/maxRetryAfter"),
     }
-    let site = Site::of_echoes(&["master"], Act::Code("53300"), settings);
-    let answer = site.router.client().ask(&read(1, 300));
-    assert_eq!(answer.code, "53300", "{answer:?}");
+    let site = Site::of_echoes(&["master"], ScriptedResponse::Error("53300"), settings);
+    let answer = site.router.connect_client().simple_query(&read(1, 300));
+    assert_eq!(answer.sqlstate, "53300", "{answer:?}");
     let advice = answer.detail.map(|d| d.parse::<u64>().unwrap());
     match (advice, most_ms) {
         (Some(advice), Some(most)) => assert!(advice <= most.max(1), "{advice}"),
@@ -411,27 +451,35 @@
     #[values(None, Some(false), Some(true))] stay_open: Option<bool>,
     #[values(false, true)] is_told_gone: bool,
 ) {
-    let mut settings = settings();
+    let mut settings = base_settings();
     if let Some(stay_open) = stay_open {
         set(&mut settings, "rules/droppedStayOpen", stay_open.into());
     }
-    let site = Site::of_echoes(&["replica", "replica"], Act::Serve, settings);
-    let mut client = site.router.client();
-    assert_eq!(client.ask(&read(1, 5000)).value, format!("{:016x}", 1));
+    let site = Site::of_echoes(&["replica", "replica"], ScriptedResponse::Serve, settings);
+    let mut client = site.router.connect_client();
+    assert_eq!(
+        client.simple_query(&read(1, 5000)).value,
+        format!("{:016x}", 1)
+    );
     let mut list = vec![site.line(1, "draining")];
     if is_told_gone {
         list.push(site.line(0, "gone"));
     }
     site.discovery.publish(list);
     let is_read = |c: &mut Vec<String>| c.iter().any(|p| p.contains("since=2&")).then_some(());
-    assert!(site.discovery.calls.wait_for(LIMIT, is_read).is_some());
+    assert!(
+        site.discovery
+            .requested_paths
+            .wait_for(WAIT_TIMEOUT, is_read)
+            .is_some()
+    );
     // The grace of a drain.
     std::thread::sleep(Duration::from_millis(300));
     let before = (site.asked(0), site.asked(1));
     let stays = stay_open == Some(true);
     for id in 2..=5 {
-        let answer = client.ask(&read(id, 500));
-        assert_eq!(answer.code.is_empty(), stays, "{answer:?}");
+        let answer = client.simple_query(&read(id, 500));
+        assert_eq!(answer.sqlstate.is_empty(), stays, "{answer:?}");
     }
     let sent = if stays { 4 } else { 0 };
     assert_eq!(
@@ -492,17 +540,21 @@
 
 /// A write runs at `s-1` in zone `a`, which dies before it answers; `s-2` in `other_zone` would take it.
 fn outcome_after_death(settings: Value, other_zone: &str) -> Then {
-    let endpoints = ["master", "master"].map(|role| Instance::start(role, Act::Serve));
-    let dies = (Stage::Unanswered, Fault::Kill);
-    endpoints[0].faults.change(|f| f.push_back(dies));
+    let endpoints =
+        ["master", "master"].map(|role| FakeEndpoint::start(role, ScriptedResponse::Serve));
+    let dies = (RequestStage::BeforeResponse, Fault::Kill);
+    endpoints[0].faults.with(|f| f.push_back(dies));
     let site = Site::start_listed(endpoints.to_vec(), settings, |index, line| {
         line["az"] = if index == 0 { "a" } else { other_zone }.into();
     });
-    let answer = site.router.client().ask(&write(1, "s", 8000));
+    let answer = site
+        .router
+        .connect_client()
+        .simple_query(&write(1, "s", 8000));
     assert_eq!(site.asked(0), 1);
     match site.asked(1) {
         0 => {
-            assert_eq!(answer.code, "58000", "{answer:?}");
+            assert_eq!(answer.sqlstate, "58000", "{answer:?}");
             Then::Fails
         }
         sent => {
@@ -518,9 +570,13 @@
 #[case(3)]
 fn attempts_are_bounded(#[case] most: usize) {
     let settings = with(&[("ceilings/maxAttempts", most.into())]);
-    let site = Site::of_echoes(&["replica", "replica"], Act::Code("72000"), settings);
-    let answer = site.router.client().ask(&read(1, 2000));
-    assert_eq!(answer.code, "53300", "{answer:?}");
+    let site = Site::of_echoes(
+        &["replica", "replica"],
+        ScriptedResponse::Error("72000"),
+        settings,
+    );
+    let answer = site.router.connect_client().simple_query(&read(1, 2000));
+    assert_eq!(answer.sqlstate, "53300", "{answer:?}");
     assert_eq!(site.all_asked().len(), most);
 }
 
@@ -531,13 +587,19 @@
     if is_absent {
         remove(&mut settings, "ceilings/idleClose");
     }
-    let site = Site::of_echoes(&["master"], Act::Serve, settings);
-    let mut client = site.router.client();
+    let site = Site::of_echoes(&["master"], ScriptedResponse::Serve, settings);
+    let mut client = site.router.connect_client();
     for id in 1..=5 {
-        assert_eq!(client.ask(&read(id, 5000)).value, format!("{id:016x}"));
+        assert_eq!(
+            client.simple_query(&read(id, 5000)).value,
+            format!("{id:016x}")
+        );
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(site.endpoints[0].seen.change(|s| s.connections), 1);
+    assert_eq!(
+        site.endpoints[0].activity.with(|s| s.accepted_connections),
+        1
+    );
 }
 
 /// A connection that never comes up has failed after the limit; after one second where none is told.
@@ -550,18 +612,18 @@
     #[case] expected_ms: u64,
 ) {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut settings = settings();
+    let mut settings = base_settings();
     match limit {
         Some(limit) => set(&mut settings, "ceilings/connectTimeout", limit.into()),
         None => remove(&mut settings, "ceilings/connectTimeout"),
     }
-    let list = vec![target("s-1", silent.local_addr().unwrap(), "ready")];
-    let discovery = Discovery::start(Some(list.clone()));
+    let list = vec![list_entry("s-1", silent.local_addr().unwrap(), "ready")];
+    let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_with(&discovery, &list, 1024, settings, None);
-    let mut client = router.client();
+    let mut client = router.connect_client();
     let begun = Instant::now();
-    client.send(&query(&read(1, 5000)));
-    assert!(router.logged("reason: dial_failed"));
+    client.send(&query_message(&read(1, 5000)));
+    assert!(router.wait_for_log("reason: dial_failed"));
     let took = begun.elapsed();
     let expected = Duration::from_millis(expected_ms);
     assert!(
@@ -602,20 +664,20 @@
     if kind == "absent" {
         remove(&mut settings, path);
     }
-    let site = Site::of_echoes(&["master", "replica"], Act::Serve, settings);
-    let mut client = site.router.client();
+    let site = Site::of_echoes(&["master", "replica"], ScriptedResponse::Serve, settings);
+    let mut client = site.router.connect_client();
     for id in (1..=9).step_by(2) {
         assert_eq!(
-            client.ask(&write(id, "s", 5000)).value,
+            client.simple_query(&write(id, "s", 5000)).value,
             format!("{id:016x}")
         );
         assert_eq!(
-            client.ask(&read(id + 1, 5000)).value,
+            client.simple_query(&read(id + 1, 5000)).value,
             format!("{:016x}", id + 1)
         );
     }
     std::thread::sleep(Duration::from_millis(500));
-    let calls = site.discovery.calls.change(|c| c.len());
+    let calls = site.discovery.requested_paths.with(|c| c.len());
     assert!(calls < 20, "{calls} calls");
 }
 
@@ -625,18 +687,21 @@
     #[values(0, 1, 7)] own_zone: u64,
     #[values(Some("a"), Some("nowhere"), None)] zone: Option<&str>,
 ) {
-    let endpoint = Instance::start("master", Act::Serve);
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let settings = with(&[("az", own_zone.into())]);
     let site = Site::start_listed(vec![endpoint], settings, |_, line| match zone {
         Some(zone) => line["az"] = zone.into(),
         None => remove(line, "az"),
     });
-    let mut client = site.router.client();
+    let mut client = site.router.connect_client();
     assert_eq!(
-        client.ask(&write(1, "s", 5000)).value,
+        client.simple_query(&write(1, "s", 5000)).value,
         format!("{:016x}", 1)
     );
-    assert_eq!(client.ask(&read(2, 5000)).value, format!("{:016x}", 2));
+    assert_eq!(
+        client.simple_query(&read(2, 5000)).value,
+        format!("{:016x}", 2)
+    );
 }
 
 /// Where nothing is short, all tenants are served: those within their quota, beyond it, and ones never heard of.
@@ -644,14 +709,14 @@
 fn all_tenants_are_served_where_nothing_is_short(#[values("acme", "other", "")] tenant: &str) {
     let realms = json!([{"name": "acme", "quotaRps": 0.01}, {"name": "zeta", "quotaRps": 1e6}]);
     let settings = with(&[("realms", realms), ("overShareWorth", json!(0.2))]);
-    let site = Site::of_echoes(&["master", "replica"], Act::Serve, settings);
-    let mut client = site.router.client();
+    let site = Site::of_echoes(&["master", "replica"], ScriptedResponse::Serve, settings);
+    let mut client = site.router.connect_client();
     for id in 1..=20 {
         let text = match tenant {
             "" => read(id, 5000),
             tenant => read(id, 5000).replace("c=board", &format!("c=board,t={tenant}")),
         };
-        let answer = client.ask(&text);
+        let answer = client.simple_query(&text);
         assert_eq!(answer.value, format!("{id:016x}"), "{answer:?}");
     }
 }
@@ -671,12 +736,12 @@
         None => remove(&mut settings, "classes/0/lateWorth"),
     }
     // It can't be reached for 0.8 s, which is beyond the objective and within the client's time.
-    let site = Site::of_echoes(&["replica"], Act::Serve, settings);
+    let site = Site::of_echoes(&["replica"], ScriptedResponse::Serve, settings);
     site.endpoints[0].kill();
-    let mut client = site.router.client();
-    client.send(&query(&read(1, 5000)));
+    let mut client = site.router.connect_client();
+    client.send(&query_message(&read(1, 5000)));
     std::thread::sleep(Duration::from_millis(800));
-    site.endpoints[0].revive();
-    let answer = client.answer().unwrap();
-    assert_eq!(answer.code.is_empty(), is_served, "{answer:?}");
+    site.endpoints[0].restart();
+    let answer = client.read_response().unwrap();
+    assert_eq!(answer.sqlstate.is_empty(), is_served, "{answer:?}");
 }
--- a/crates/router/tests/upstream.rs
+++ b/crates/router/tests/upstream.rs
@@ -16,7 +16,7 @@
 /// A list of `count` endpoints in replica sets of four.
 fn fleet(count: usize) -> Vec<Value> {
     let line = |i: usize| {
-        let mut line = target(&format!("s-{i:08x}"), UNUSED, "ready");
+        let mut line = list_entry(&format!("s-{i:08x}"), UNUSED, "ready");
         line["pod_group"] = json!(i / 4);
         line
     };
@@ -37,20 +37,23 @@
 /// discovery then.
 fn idle_peak_kb(count: usize) -> u64 {
     let list = fleet(count);
-    let discovery = Discovery::start(Some(list.clone()));
+    let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start(&discovery, &list, 1024);
     // The first call is made once the list of the configuration has been taken over, the next once a newer one has.
     let has_called = |text: &str| {
         let called = |c: &mut Vec<String>| c.iter().any(|path| path.contains(text)).then_some(());
-        discovery.calls.wait_for(LIMIT, called).is_some()
+        discovery
+            .requested_paths
+            .wait_for(WAIT_TIMEOUT, called)
+            .is_some()
     };
     assert!(has_called("/api/targets"));
-    let at_start = peak_memory_kb(router.id());
+    let at_start = peak_memory_kb(router.pid());
     discovery.publish(list);
     assert!(has_called("since=2"));
     println!("{count} endpoints: peak memory {at_start} kB with the list of the configuration");
     assert!(router.counters().contains(" attempts=0 "));
-    peak_memory_kb(router.id())
+    peak_memory_kb(router.pid())
 }
 
 /// Guards the memory of a router in a large fleet: 1.5 times that of a usual one, 8 MB, and 4 MB per thousand
@@ -67,11 +70,11 @@
 }
 
 /// One endpoint whose idle connections end after half a second.
-fn quick_to_close(instance: &Instance) -> (Discovery, Router) {
-    let mut settings = settings();
+fn quick_to_close(instance: &FakeEndpoint) -> (FakeDiscovery, RouterProcess) {
+    let mut settings = base_settings();
     settings["ceilings"]["idleClose"] = json!(500_000_000u64);
-    let list = vec![target("s-1", instance.address, "ready")];
-    let discovery = Discovery::start(Some(list.clone()));
+    let list = vec![list_entry("s-1", instance.address, "ready")];
+    let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_with(&discovery, &list, 1024, settings, None);
     (discovery, router)
 }
@@ -79,26 +82,29 @@
 /// Guards against a pool that is retired under a request or does not come back.
 #[test]
 fn a_retired_pool_is_started_again_and_serves() {
-    let instance = Instance::start("master", Act::Serve);
+    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let (_discovery, router) = quick_to_close(&instance);
-    let mut client = router.client();
-    assert!(router.counted("pools_started=0"));
+    let mut client = router.connect_client();
+    assert!(router.wait_for_counter("pools_started=0"));
     for id in 1..=3 {
-        assert_eq!(client.ask(&read(id, 5000)).value, format!("{id:016x}"));
-        assert!(router.counted(&format!("pools_started={id}")));
-        assert!(router.counted(&format!("pools_retired={id}")));
+        assert_eq!(
+            client.simple_query(&read(id, 5000)).value,
+            format!("{id:016x}")
+        );
+        assert!(router.wait_for_counter(&format!("pools_started={id}")));
+        assert!(router.wait_for_counter(&format!("pools_retired={id}")));
     }
-    assert!(router.counted("served=3"));
+    assert!(router.wait_for_counter("served=3"));
 }
 
 /// Guards an attempt in flight: its endpoint is silent for longer than the quiet time of a pool.
 #[test]
 fn a_pool_with_an_attempt_in_flight_is_not_retired() {
-    let instance = Instance::start("master", Act::Silence);
+    let instance = FakeEndpoint::start("master", ScriptedResponse::NoResponse);
     let (_discovery, router) = quick_to_close(&instance);
-    let mut client = router.client();
+    let mut client = router.connect_client();
     let begun = Instant::now();
-    assert_eq!(client.ask(&read(1, 4000)).code, "53300");
+    assert_eq!(client.simple_query(&read(1, 4000)).sqlstate, "53300");
     assert!(begun.elapsed() > Duration::from_secs(3));
     let counters = router.counters();
     assert!(counters.contains(" pools_started=1 "), "{counters}");
@@ -110,35 +116,38 @@
 #[case("ready", true)]
 fn a_retired_pool_keeps_what_the_list_says(#[case] state: &str, #[case] moves: bool) {
     let (instance, other) = (
-        Instance::start("master", Act::Serve),
-        Instance::start("master", Act::Serve),
+        FakeEndpoint::start("master", ScriptedResponse::Serve),
+        FakeEndpoint::start("master", ScriptedResponse::Serve),
     );
     let (discovery, router) = quick_to_close(&instance);
-    let mut client = router.client();
-    assert_eq!(client.ask(&read(1, 5000)).value, format!("{:016x}", 1));
-    assert!(router.counted("pools_retired=1"));
+    let mut client = router.connect_client();
+    assert_eq!(
+        client.simple_query(&read(1, 5000)).value,
+        format!("{:016x}", 1)
+    );
+    assert!(router.wait_for_counter("pools_retired=1"));
     let address = if moves {
         other.address
     } else {
         instance.address
     };
-    discovery.publish(vec![target("s-1", address, state)]);
+    discovery.publish(vec![list_entry("s-1", address, state)]);
     let begun = Instant::now();
     let is_over = || match moves {
-        true => other.seen.change(|s| !s.queries.is_empty()),
+        true => other.activity.with(|s| !s.queries.is_empty()),
         // The grace of a drain, with time for the list to come.
         false => begun.elapsed() > Duration::from_secs(1),
     };
     let mut id = 1;
     while !is_over() {
         id += 1;
-        client.ask(&read(id, 500));
-        assert!(begun.elapsed() < LIMIT);
+        client.simple_query(&read(id, 500));
+        assert!(begun.elapsed() < WAIT_TIMEOUT);
     }
-    let asked = instance.seen.change(|s| s.queries.len());
-    let answer = client.ask(&read(id + 1, 500));
-    assert_eq!(answer.code.is_empty(), moves, "{answer:?}");
-    assert_eq!(instance.seen.change(|s| s.queries.len()), asked);
+    let asked = instance.activity.with(|s| s.queries.len());
+    let answer = client.simple_query(&read(id + 1, 500));
+    assert_eq!(answer.sqlstate.is_empty(), moves, "{answer:?}");
+    assert_eq!(instance.activity.with(|s| s.queries.len()), asked);
 }
 
 /// An endpoint that the test itself plays, on one connection.
@@ -152,7 +161,7 @@
         let (stream, _) = listener.accept().unwrap();
         stream.set_nodelay(true).unwrap();
         let mut scripted = Scripted { stream };
-        assert!(!scripted.read_within(LIMIT).is_empty());
+        assert!(!scripted.read_within(WAIT_TIMEOUT).is_empty());
         scripted
     }
 
@@ -197,20 +206,27 @@
 ) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let mut settings = settings();
+    let mut settings = base_settings();
     settings["rules"]["drainGrace"] = json!(grace_ms * 1_000_000);
     settings["ceilings"]["connectTimeout"] = json!(10_000_000_000u64);
     settings["ceilings"]["probes"] = json!(false);
-    let list = vec![target("s-1", address, "ready")];
-    let discovery = Discovery::start(Some(list.clone()));
+    let list = vec![list_entry("s-1", address, "ready")];
+    let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_with(&discovery, &list, 1024, settings, None);
-    let mut client = router.client();
-    client.send(&reelrill_test_support::client::query(&read(1, 8000)));
+    let mut client = router.connect_client();
+    client.send(&reelrill_test_support::client::query_message(&read(
+        1, 8000,
+    )));
     let mut endpoint = Scripted::accept(&listener);
-    discovery.publish(vec![target("s-1", address, "draining")]);
+    discovery.publish(vec![list_entry("s-1", address, "draining")]);
     // The next call tells that the list has been read.
     let called = |c: &mut Vec<String>| c.iter().any(|path| path.contains("since=2")).then_some(());
-    assert!(discovery.calls.wait_for(LIMIT, called).is_some());
+    assert!(
+        discovery
+            .requested_paths
+            .wait_for(WAIT_TIMEOUT, called)
+            .is_some()
+    );
     std::thread::sleep(Duration::from_millis(after_ms));
     endpoint.welcome();
     assert_eq!(
@@ -232,20 +248,20 @@
 /// neither blamed for it nor left out afterwards.
 #[test]
 fn a_lack_of_descriptors_is_not_held_against_the_endpoint() {
-    let instance = Instance::start("master", Act::Serve);
-    let list = vec![target("s-1", instance.address, "ready")];
-    let discovery = Discovery::start(Some(list.clone()));
+    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let list = vec![list_entry("s-1", instance.address, "ready")];
+    let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start(&discovery, &list, 1024);
-    let mut client = router.client();
+    let mut client = router.connect_client();
     assert!(
         discovery
-            .calls
-            .wait_for(LIMIT, |c| (!c.is_empty()).then_some(()))
+            .requested_paths
+            .wait_for(WAIT_TIMEOUT, |c| (!c.is_empty()).then_some(()))
             .is_some()
     );
-    limit_descriptors(router.id(), 1);
+    limit_descriptors(router.pid(), 1);
     for id in 1..=3 {
-        assert_eq!(client.ask(&read(id, 1000)).code, "53300");
+        assert_eq!(client.simple_query(&read(id, 1000)).sqlstate, "53300");
     }
     let counters = router.counters();
     assert!(
@@ -253,9 +269,12 @@
             && !counters.contains(" attempts_not_sent=0 "),
         "{counters}"
     );
-    limit_descriptors(router.id(), 1024);
+    limit_descriptors(router.pid(), 1024);
     let begun = Instant::now();
-    assert_eq!(client.ask(&read(4, 5000)).value, format!("{:016x}", 4));
+    assert_eq!(
+        client.simple_query(&read(4, 5000)).value,
+        format!("{:016x}", 4)
+    );
     assert!(
         begun.elapsed() < Duration::from_secs(1),
         "{:?}",
@@ -283,24 +302,26 @@
 /// Guards reads and writes that a signal interrupts: none of them ends a connection or costs a request.
 #[test]
 fn requests_are_served_under_a_flood_of_signals() {
-    let instance = Instance::start("master", Act::ServeLarge);
-    let list = vec![target("s-1", instance.address, "ready")];
-    let discovery = Discovery::start(Some(list.clone()));
+    let instance = FakeEndpoint::start("master", ScriptedResponse::ServeLarge);
+    let list = vec![list_entry("s-1", instance.address, "ready")];
+    let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start(&discovery, &list, 1024);
-    let mut client = router.client();
-    let flood = SignalFlood::start(router.id());
+    let mut client = router.connect_client();
+    let flood = SignalFlood::start(router.pid());
     for id in 1..=100 {
         assert_eq!(
-            client.ask(&read(id, 5000)).value,
+            client.simple_query(&read(id, 5000)).value,
             format!("{id:016x}").repeat(4096)
         );
     }
     drop(flood);
     assert_eq!(
-        instance.seen.change(|s| (s.connections, s.queries.len())),
+        instance
+            .activity
+            .with(|s| (s.accepted_connections, s.queries.len())),
         (1, 100)
     );
-    assert!(router.counted("served=100"));
+    assert!(router.wait_for_counter("served=100"));
 }
 
 /// The `d` that a statement in words tells.
@@ -319,12 +340,12 @@
 fn a_statement_prepared_again_tells_what_is_left(#[case] pause_ms: u64, #[case] is_sent: bool) {
     const READ: &str = "SELECT data FROM facts WHERE code = $1 /* id=$2,c=board,d=$3,cluster=2 */";
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut settings = settings();
+    let mut settings = base_settings();
     settings["ceilings"]["probes"] = json!(false);
     settings["ceilings"]["secondCopies"] = json!(false);
     settings["ceilings"]["mayCancel"] = json!(false);
-    let list = vec![target("s-1", listener.local_addr().unwrap(), "ready")];
-    let discovery = Discovery::start(Some(list.clone()));
+    let list = vec![list_entry("s-1", listener.local_addr().unwrap(), "ready")];
+    let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_with(
         &discovery,
         &list,
@@ -332,17 +353,17 @@
         settings,
         Some("extended: {mode: on}"),
     );
-    let mut client = router.client();
+    let mut client = router.connect_client();
     let values = [Some("k"), Some("00000000000000a1"), Some("2000")];
     let commands = [
-        reelrill_test_support::client::parse("", READ, &[]),
-        reelrill_test_support::client::run("", &values),
+        reelrill_test_support::client::parse_message("", READ, &[]),
+        reelrill_test_support::client::bind_and_execute("", &values),
     ]
     .concat();
-    client.send(&[commands, reelrill_test_support::client::sync()].concat());
+    client.send(&[commands, reelrill_test_support::client::sync_message()].concat());
     let mut endpoint = Scripted::accept(&listener);
     endpoint.welcome();
-    assert!(!endpoint.read_within(LIMIT).is_empty());
+    assert!(!endpoint.read_within(WAIT_TIMEOUT).is_empty());
     std::thread::sleep(Duration::from_millis(pause_ms));
     // Unknown statement, and ready for the next.
     endpoint
@@ -370,14 +391,14 @@
 /// waited for beyond its time, and the endpoint is not left out for it.
 #[test]
 fn requests_with_little_time_left_are_answered_and_blame_nobody() {
-    let instance = Instance::start("master", Act::Silence);
-    let list = vec![target("s-1", instance.address, "ready")];
-    let discovery = Discovery::start(Some(list.clone()));
+    let instance = FakeEndpoint::start("master", ScriptedResponse::NoResponse);
+    let list = vec![list_entry("s-1", instance.address, "ready")];
+    let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start(&discovery, &list, 1024);
-    let mut client = router.client();
+    let mut client = router.connect_client();
     for (id, wait_ms) in (1..).zip([1, 5, 8, 9, 12, 20, 40]) {
         let begun = Instant::now();
-        assert_eq!(client.ask(&read(id, wait_ms)).code, "53300");
+        assert_eq!(client.simple_query(&read(id, wait_ms)).sqlstate, "53300");
         assert!(
             begun.elapsed() < Duration::from_millis(wait_ms + 500),
             "{:?}",
@@ -385,9 +406,12 @@
         );
     }
     let told = instance
-        .seen
-        .change(|s| s.queries.iter().map(|q| wait_told(q)).max());
+        .activity
+        .with(|s| s.queries.iter().map(|q| wait_told(q)).max());
     assert!(told.is_none_or(|wait| wait <= 40), "{told:?}");
-    instance.act.change(|a| *a = Act::Serve);
-    assert_eq!(client.ask(&read(100, 5000)).value, format!("{:016x}", 100));
+    instance.response.with(|a| *a = ScriptedResponse::Serve);
+    assert_eq!(
+        client.simple_query(&read(100, 5000)).value,
+        format!("{:016x}", 100)
+    );
 }
--- a/crates/service-discovery/tests/browse.rs
+++ b/crates/service-discovery/tests/browse.rs
@@ -7,7 +7,9 @@
     ClaimedState, EndpointRegistry, EndpointView, ListChange, RegistryInput, RegistrySettings,
     SourceKind,
 };
-use reelrill_test_support::dns::{DOMAIN, Instance, Manner, SERVICE, SUBTYPE, Zone};
+use reelrill_test_support::dns::{
+    DOMAIN, DnsFaultMode, DnsZone, SERVICE, SUBTYPE, ServiceInstance,
+};
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,7 +20,7 @@
 
 /// A browser with the zones of its simulated servers, and the endpoint registry that it updates.
 struct Simulation {
-    zones: Vec<Zone>,
+    zones: Vec<DnsZone>,
     browser: Browser,
     endpoints: EndpointRegistry,
     list: BTreeMap<String, EndpointView>,
@@ -33,16 +35,16 @@
     ([127, 0, 0, 1], 7000 + number).into()
 }
 
-fn zone(count: u16) -> Zone {
+fn zone(count: u16) -> DnsZone {
     let instances = (0..count).map(|number| {
         (
             format!("db-{number}"),
-            Instance::new(&format!("s-{number}"), address(number), 1),
+            ServiceInstance::new(&format!("s-{number}"), address(number), 1),
         )
     });
-    Zone {
+    DnsZone {
         instances: instances.collect(),
-        ..Zone::default()
+        ..DnsZone::default()
     }
 }
 
@@ -53,15 +55,15 @@
 }
 
 impl Simulation {
-    fn new(zones: Vec<Zone>) -> Simulation {
+    fn new(zones: Vec<DnsZone>) -> Simulation {
         Simulation::with_budget(zones, 1000.0)
     }
 
-    fn with_budget(zones: Vec<Zone>, budget: f64) -> Simulation {
+    fn with_budget(zones: Vec<DnsZone>, budget: f64) -> Simulation {
         Simulation::with_service(SERVICE, zones, budget)
     }
 
-    fn with_service(service: &str, zones: Vec<Zone>, budget: f64) -> Simulation {
+    fn with_service(service: &str, zones: Vec<DnsZone>, budget: f64) -> Simulation {
         let now = 1 << 60;
         let config = BrowserConfig {
             servers: server_addresses(zones.len()),
@@ -108,7 +110,7 @@
                         .iter()
                         .position(|s| *s == query.server)
                         .unwrap();
-                    if let Some(response) = self.zones[server].answer(&query.message, query.is_tcp)
+                    if let Some(response) = self.zones[server].respond(&query.message, query.is_tcp)
                     {
                         self.responses_in_flight
                             .push((self.now + ROUND_TRIP, query.id, response));
@@ -185,22 +187,25 @@
 /// Guards against needless round trips: one is enough if the server sends additional records, three if it does not, and
 /// one more over TCP if it truncates the response.
 #[rstest]
-#[case(Manner::Helpful, 1)]
-#[case(Manner::Truncated, 2)]
-#[case(Manner::Terse, 3)]
+#[case(DnsFaultMode::Normal, 1)]
+#[case(DnsFaultMode::Truncated, 2)]
+#[case(DnsFaultMode::NoAdditionalRecords, 3)]
 fn ten_endpoints_are_listed_within_the_expected_round_trips(
-    #[case] manner: Manner,
+    #[case] fault_mode: DnsFaultMode,
     #[case] round_trips: u64,
 ) {
-    let mut simulation = Simulation::new(vec![Zone { manner, ..zone(10) }]);
+    let mut simulation = Simulation::new(vec![DnsZone {
+        fault_mode,
+        ..zone(10)
+    }]);
     simulation.run(round_trips * ROUND_TRIP, |_, _| {});
     assert_eq!(simulation.list.len(), 10);
     assert_eq!(simulation.list["s-3"].address, address(3));
-    if manner != Manner::Truncated {
+    if fault_mode != DnsFaultMode::Truncated {
         let queries = simulation.browser.counters().queries_sent;
         assert_eq!(
             queries,
-            if manner == Manner::Helpful {
+            if fault_mode == DnsFaultMode::Normal {
                 1
             } else {
                 1 + 2 * 10 + 2 * 10
@@ -217,11 +222,11 @@
     simulation.run(5 * SECOND, |_, _| {});
     simulation.zones[0]
         .instances
-        .insert("db-9".into(), Instance::new("s-9", address(9), 1));
+        .insert("db-9".into(), ServiceInstance::new("s-9", address(9), 1));
     simulation.zones[0].instances.remove("db-0");
     let changed = simulation.zones[0].instances["db-1"]
         .clone()
-        .with("state", Some("draining"));
+        .with_txt("state", Some("draining"));
     simulation.zones[0].instances.insert("db-1".into(), changed);
     let (changed_at, mut listed_at, mut draining_at) = (simulation.now, None, None);
     simulation.run(3 * SECOND, |now, list| {
@@ -238,17 +243,18 @@
     );
     // An outdated record without a later process start does not lift the drain. A later start does.
     let changed = simulation.zones[0].instances["db-1"].clone();
-    simulation.zones[0]
-        .instances
-        .insert("db-1".into(), changed.clone().with("state", Some("ready")));
+    simulation.zones[0].instances.insert(
+        "db-1".into(),
+        changed.clone().with_txt("state", Some("ready")),
+    );
     simulation.run(3 * SECOND, |_, list| {
         assert_eq!(list["s-1"].state, ClaimedState::Draining)
     });
     simulation.zones[0].instances.insert(
         "db-1".into(),
         changed
-            .with("state", Some("ready"))
-            .with("boot_ms", Some("9")),
+            .with_txt("state", Some("ready"))
+            .with_txt("boot_ms", Some("9")),
     );
     simulation.run(3 * SECOND, |_, _| {});
     assert_eq!(simulation.list["s-1"].state, ClaimedState::Ready);
@@ -259,15 +265,15 @@
 #[rstest]
 fn no_endpoint_is_removed_when_servers_fail(
     #[values(
-        Manner::Silent,
-        Manner::Fails,
-        Manner::Noise,
-        Manner::Loop,
-        Manner::WrongId,
-        Manner::WrongQuestion
+        DnsFaultMode::NoResponse,
+        DnsFaultMode::ServerFailure,
+        DnsFaultMode::InvalidMessage,
+        DnsFaultMode::CompressionLoop,
+        DnsFaultMode::WrongId,
+        DnsFaultMode::WrongQuestion
     )]
-    manner: Manner,
-    #[values(Manner::Empty, Manner::NoName)] empty: Manner,
+    fault_mode: DnsFaultMode,
+    #[values(DnsFaultMode::NoData, DnsFaultMode::NxDomain)] empty: DnsFaultMode,
 ) {
     let mut simulation = Simulation::new(vec![zone(5), zone(5)]);
     simulation.run(10 * SECOND, |_, _| {});
@@ -277,7 +283,7 @@
     simulation
         .zones
         .iter_mut()
-        .for_each(|zone| zone.manner = manner);
+        .for_each(|zone| zone.fault_mode = fault_mode);
     simulation.run(3600 * SECOND, &mut observe);
     assert!(simulation.endpoints.unreachable_since(1).is_some());
     // The pauses grow to up to half a minute, so the servers are not queried at the full rate.
@@ -289,7 +295,7 @@
     simulation
         .zones
         .iter_mut()
-        .for_each(|zone| zone.manner = empty);
+        .for_each(|zone| zone.fault_mode = empty);
     let before = simulation.queries_sent;
     while simulation.queries_sent == before {
         simulation.run(100 * MILLISECOND, &mut observe);
@@ -297,7 +303,7 @@
     simulation
         .zones
         .iter_mut()
-        .for_each(|zone| zone.manner = Manner::Helpful);
+        .for_each(|zone| zone.fault_mode = DnsFaultMode::Normal);
     simulation.run(120 * SECOND, &mut observe);
     assert_eq!((min_listed, simulation.list.len()), (5, 5));
     assert!(simulation.endpoints.unreachable_since(1).is_none());
@@ -317,8 +323,8 @@
 /// Guards against injected records: those outside the domain or unrelated to the question must be ignored.
 #[test]
 fn unrelated_records_are_ignored() {
-    let mut simulation = Simulation::new(vec![Zone {
-        manner: Manner::Foreign,
+    let mut simulation = Simulation::new(vec![DnsZone {
+        fault_mode: DnsFaultMode::UnrelatedRecords,
         ..zone(2)
     }]);
     simulation.run(10 * SECOND, |_, list| {
@@ -347,7 +353,7 @@
     }
     assert_eq!(min_listed, 4);
     simulation.zones[0].instances.remove("db-2");
-    let replacement = Instance::new("s-20", address(2), 1).with("boot_ms", Some("5"));
+    let replacement = ServiceInstance::new("s-20", address(2), 1).with_txt("boot_ms", Some("5"));
     simulation.zones[0]
         .instances
         .insert("db-20".into(), replacement);
@@ -367,8 +373,8 @@
 #[test]
 fn next_server_is_queried_when_the_first_times_out() {
     let mut simulation = Simulation::new(vec![
-        Zone {
-            manner: Manner::Silent,
+        DnsZone {
+            fault_mode: DnsFaultMode::NoResponse,
             ..zone(3)
         },
         zone(3),
@@ -381,8 +387,8 @@
 #[test]
 fn queries_stay_within_the_budget() {
     let mut simulation = Simulation::with_budget(
-        vec![Zone {
-            manner: Manner::Terse,
+        vec![DnsZone {
+            fault_mode: DnsFaultMode::NoAdditionalRecords,
             ..zone(100)
         }],
         50.0,
@@ -416,7 +422,7 @@
     for label in ["db-0", "db-1", "db-2"] {
         let draining = simulation.zones[0].instances[label]
             .clone()
-            .with("state", Some("draining"));
+            .with_txt("state", Some("draining"));
         simulation.zones[0].instances.insert(label.into(), draining);
     }
     simulation.run(2 * SECOND, |_, _| {});
@@ -426,12 +432,15 @@
 /// Guards subtypes, whose endpoints have names under the service itself, and hosts that only have an IPv6 address.
 #[rstest]
 fn endpoints_of_subtypes_and_ipv6_hosts_are_listed(
-    #[values(Manner::Helpful, Manner::Terse)] manner: Manner,
+    #[values(DnsFaultMode::Normal, DnsFaultMode::NoAdditionalRecords)] fault_mode: DnsFaultMode,
 ) {
-    let mut zone = Zone { manner, ..zone(2) };
+    let mut zone = DnsZone {
+        fault_mode,
+        ..zone(2)
+    };
     let ipv6_address: SocketAddr = "[::1]:7001".parse().unwrap();
     zone.instances
-        .insert("db-1".into(), Instance::new("s-1", ipv6_address, 1));
+        .insert("db-1".into(), ServiceInstance::new("s-1", ipv6_address, 1));
     let mut simulation = Simulation::with_service(SUBTYPE, vec![zone], 1000.0);
     simulation.run(2 * SECOND, |_, _| {});
     assert_eq!(
@@ -454,9 +463,9 @@
     fn damaged_responses_cause_no_panic_and_no_query_flood(
         damage in proptest::collection::vec((any::<proptest::sample::Index>(), any::<u8>()), 1..8),
         cut in any::<Option<proptest::sample::Index>>(),
-        manner in prop_oneof![Just(Manner::Helpful), Just(Manner::Terse), Just(Manner::Foreign)],
+        fault_mode in prop_oneof![Just(DnsFaultMode::Normal), Just(DnsFaultMode::NoAdditionalRecords), Just(DnsFaultMode::UnrelatedRecords)],
     ) {
-        let mut simulation = Simulation::new(vec![Zone { manner, ..zone(4) }]);
+        let mut simulation = Simulation::new(vec![DnsZone { fault_mode, ..zone(4) }]);
         for _ in 0..40 {
             for (_, _, bytes) in &mut simulation.responses_in_flight {
                 for (position, value) in &damage {
--- a/crates/test-support/src/change_feed.rs
+++ b/crates/test-support/src/change_feed.rs
@@ -1,7 +1,7 @@
 //! Discovery that tells changes: a caller who names the version it knows gets the lines that changed since, and
 //! waits for the next change where there is none. It counts the bytes that it writes.
 
-use crate::watched::{LIMIT, Watched};
+use crate::shared_state::{SharedState, WAIT_TIMEOUT};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -38,10 +38,10 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Bytes written to all callers so far, with the heads of the answers.
-    pub bytes_sent: Watched<u64>,
+    pub bytes_sent: SharedState<u64>,
     /// Calls so far.
-    pub calls: Watched<u64>,
-    list: Watched<EndpointList>,
+    pub request_count: SharedState<u64>,
+    list: SharedState<EndpointList>,
 }
 
 fn uid(target: &Value) -> String {
@@ -60,20 +60,20 @@
             .iter()
             .map(|t| (uid(t), (FIRST_VERSION, t.clone())))
             .collect();
-        let list = Watched::new(EndpointList {
+        let list = SharedState::new(EndpointList {
             version: FIRST_VERSION,
             entries,
         });
         let feed = ChangeFeed {
             address,
-            bytes_sent: Watched::new(0),
-            calls: Watched::new(0),
+            bytes_sent: SharedState::new(0),
+            request_count: SharedState::new(0),
             list,
         };
         let (list, bytes_sent, calls) = (
             feed.list.clone(),
             feed.bytes_sent.clone(),
-            feed.calls.clone(),
+            feed.request_count.clone(),
         );
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -86,7 +86,7 @@
 
     /// Tells that this line has changed, under the next version.
     pub fn publish(&self, target: Value) {
-        self.list.change(|list| {
+        self.list.with(|list| {
             list.version += 1;
             list.entries.insert(uid(&target), (list.version, target));
         });
@@ -96,9 +96,9 @@
 /// Serves one connection until it ends.
 fn serve(
     stream: &TcpStream,
-    list: &Watched<EndpointList>,
-    bytes_sent: &Watched<u64>,
-    calls: &Watched<u64>,
+    list: &SharedState<EndpointList>,
+    bytes_sent: &SharedState<u64>,
+    calls: &SharedState<u64>,
 ) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let mut lines = BufReader::new(stream.try_clone().ok()?).lines();
@@ -106,17 +106,17 @@
     loop {
         let path = lines.next()?.ok()?.split(' ').nth(1)?.to_owned();
         while !lines.next()?.ok()?.is_empty() {}
-        calls.change(|calls| *calls += 1);
+        calls.with(|calls| *calls += 1);
         let since = query_field(&path, "since=").unwrap_or(0);
         let wait = Duration::from_millis(query_field(&path, "timeout_ms=").unwrap_or(0));
         let has_news = |list: &mut EndpointList| (list.version > since).then_some(());
-        list.wait_for(wait.min(LIMIT), has_news);
-        let body = list.change(|list| list.newer_than(since)).to_string();
+        list.wait_for(wait.min(WAIT_TIMEOUT), has_news);
+        let body = list.with(|list| list.newer_than(since)).to_string();
         let answer = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        bytes_sent.change(|bytes| *bytes += answer.len() as u64);
+        bytes_sent.with(|bytes| *bytes += answer.len() as u64);
         writer.write_all(answer.as_bytes()).ok()?;
     }
 }
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -1,22 +1,22 @@
 //! A client that writes and reads whole messages.
 
-use crate::watched::LIMIT;
+use crate::shared_state::WAIT_TIMEOUT;
 use reelrill_pg_protocol::{Format, backend, frame, frontend};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
 /// Whole messages from a stream that blocks.
 #[derive(Debug)]
-pub struct Reader {
+pub struct MessageReader {
     stream: TcpStream,
     bytes: Vec<u8>,
     start: usize,
 }
 
-impl Reader {
+impl MessageReader {
     /// Reads from this stream.
-    pub fn new(stream: TcpStream) -> Reader {
-        Reader {
+    pub fn new(stream: TcpStream) -> MessageReader {
+        MessageReader {
             stream,
             bytes: Vec::new(),
             start: 0,
@@ -25,7 +25,7 @@
 
     /// Reads until `find` finds something at the head of what has come, and how long it is; none: the stream has
     /// ended, or holds no message.
-    pub fn next<T>(
+    pub fn read_with<T>(
         &mut self,
         find: impl Fn(&[u8]) -> Result<Option<(T, usize)>, frame::FrameError>,
     ) -> Option<T> {
@@ -47,8 +47,8 @@
     }
 
     /// The next message.
-    pub fn message(&mut self) -> Option<(u8, Vec<u8>)> {
-        self.next(|bytes| {
+    pub fn read_message(&mut self) -> Option<(u8, Vec<u8>)> {
+        self.read_with(|bytes| {
             let found = frame::parse(bytes, 1 << 26)?;
             Ok(found.map(|(tag, body, len)| ((tag, body.to_vec()), len)))
         })
@@ -57,7 +57,7 @@
 
 /// All messages up to ReadyForQuery or the end of the connection.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// Their tags, in order.
     pub tags: String,
     /// The last value.
@@ -65,11 +65,11 @@
     /// All values.
     pub values: Vec<String>,
     /// The last error's code.
-    pub code: String,
+    pub sqlstate: String,
     /// The last error's field D.
     pub detail: Option<String>,
     /// The last error's text.
-    pub text: String,
+    pub message: String,
 }
 
 /// A connection to the router.
@@ -77,27 +77,27 @@
 pub struct Client {
     /// Its socket, for what no method does.
     pub stream: TcpStream,
-    reader: Reader,
+    reader: MessageReader,
     /// What a CancelRequest must name.
-    pub key: (u32, u32),
+    pub cancel_key: (u32, u32),
 }
 
 /// The bytes that open a connection.
-pub fn startup() -> Vec<u8> {
+pub fn startup_message() -> Vec<u8> {
     let mut out = Vec::new();
     frontend::put_startup(&mut out);
     out
 }
 
 /// A simple query.
-pub fn query(text: &str) -> Vec<u8> {
+pub fn query_message(text: &str) -> Vec<u8> {
     let mut out = Vec::new();
     frontend::put_query(&mut out, text.as_bytes());
     out
 }
 
 /// Bind and Execute of a statement by the unnamed portal, with values as text; the result comes as text.
-pub fn run(statement: &str, values: &[Option<&str>]) -> Vec<u8> {
+pub fn bind_and_execute(statement: &str, values: &[Option<&str>]) -> Vec<u8> {
     let mut out = Vec::new();
     let values = values.iter().map(|v| (Format::Text, v.map(str::as_bytes)));
     frontend::put_bind(&mut out, "", statement, values, Format::Text);
@@ -106,14 +106,14 @@
 }
 
 /// A Parse.
-pub fn parse(name: &str, text: &str, types: &[u32]) -> Vec<u8> {
+pub fn parse_message(name: &str, text: &str, types: &[u32]) -> Vec<u8> {
     let mut out = Vec::new();
     frontend::put_parse(&mut out, name, text, types);
     out
 }
 
 /// A Sync.
-pub fn sync() -> Vec<u8> {
+pub fn sync_message() -> Vec<u8> {
     let mut out = Vec::new();
     frontend::put_sync(&mut out);
     out
@@ -126,13 +126,15 @@
     /// If nobody listens.
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(LIMIT)).expect("a limit");
+        stream
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("a limit");
         stream.set_nodelay(true).expect("no delay");
-        let reader = Reader::new(stream.try_clone().expect("a second handle"));
+        let reader = MessageReader::new(stream.try_clone().expect("a second handle"));
         Client {
             stream,
             reader,
-            key: (0, 0),
+            cancel_key: (0, 0),
         }
     }
 
@@ -140,10 +142,10 @@
     ///
     /// # Panics
     /// If there is none.
-    pub fn start(&mut self) {
-        self.send(&startup());
+    pub fn complete_startup(&mut self) {
+        self.send(&startup_message());
         assert_eq!(
-            self.answer().map(|a| a.tags).as_deref(),
+            self.read_response().map(|a| a.tags).as_deref(),
             Some("RSSSKZ"),
             "no welcome"
         );
@@ -155,20 +157,20 @@
     }
 
     /// Writes nothing more.
-    pub fn shut(&self) {
+    pub fn shutdown_write(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
     /// The next message.
-    pub fn message(&mut self) -> Option<(u8, Vec<u8>)> {
-        self.reader.message()
+    pub fn read_message(&mut self) -> Option<(u8, Vec<u8>)> {
+        self.reader.read_message()
     }
 
     /// Reads up to ReadyForQuery; none: the connection has ended before a message.
-    pub fn answer(&mut self) -> Option<Answer> {
-        let mut answer = Answer::default();
+    pub fn read_response(&mut self) -> Option<Response> {
+        let mut answer = Response::default();
         loop {
-            let Some((tag, body)) = self.message() else {
+            let Some((tag, body)) = self.read_message() else {
                 return (!answer.tags.is_empty()).then_some(answer);
             };
             answer.tags.push(char::from(tag));
@@ -181,10 +183,11 @@
                 }
                 b'E' => {
                     let field = |f| backend::error_field(&body, f).map(str::to_owned);
-                    (answer.code, answer.detail) = (field(b'C').unwrap_or_default(), field(b'D'));
-                    answer.text = field(b'M').unwrap_or_default();
+                    (answer.sqlstate, answer.detail) =
+                        (field(b'C').unwrap_or_default(), field(b'D'));
+                    answer.message = field(b'M').unwrap_or_default();
                 }
-                b'K' => self.key = backend::parse_key_data(&body).unwrap_or_default(),
+                b'K' => self.cancel_key = backend::parse_key_data(&body).unwrap_or_default(),
                 _ => {}
             }
         }
@@ -194,17 +197,17 @@
     ///
     /// # Panics
     /// If the connection ends without an answer.
-    pub fn ask(&mut self, text: &str) -> Answer {
-        self.send(&query(text));
-        self.answer().expect("no answer")
+    pub fn simple_query(&mut self, text: &str) -> Response {
+        self.send(&query_message(text));
+        self.read_response().expect("no answer")
     }
 
     /// Writes extended commands and a Sync, and reads what comes back.
     ///
     /// # Panics
     /// If the connection ends without an answer.
-    pub fn extended(&mut self, commands: &[Vec<u8>]) -> Answer {
-        self.send(&[commands.concat(), sync()].concat());
-        self.answer().expect("no answer")
+    pub fn extended_query(&mut self, commands: &[Vec<u8>]) -> Response {
+        self.send(&[commands.concat(), sync_message()].concat());
+        self.read_response().expect("no answer")
     }
 }
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -1,64 +1,67 @@
 //! The list of instances over HTTP, as the platform's discovery serves it.
 
-use crate::watched::{LIMIT, Watched};
+use crate::shared_state::{SharedState, WAIT_TIMEOUT};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
 /// One line of the list.
-pub fn target(uid: &str, address: SocketAddr, state: &str) -> Value {
+pub fn list_entry(uid: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": address.to_string(), "az": "a", "model": "m", "pod_group": 2,
            "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
 /// How discovery answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub enum DiscoveryFaultMode {
     /// As the protocol says.
-    Proper,
+    Normal,
     /// Calls that may wait are answered at once, news or none.
-    Hasty,
+    ImmediateResponse,
     /// In two chunks.
     Chunked,
     /// Without a length, closing the connection after it.
-    Closing,
+    CloseDelimited,
     /// Takes the call and says nothing.
-    Silent,
+    NoResponse,
     /// Indented, with a length.
-    Indented,
+    IndentedJson,
     /// In single bytes.
-    Bytes,
+    SingleByteWrites,
     /// Without a length, and reset half-way.
-    Torn,
+    ResetMidBody,
 }
 
 /// Discovery on a port of its own.
-pub struct Discovery {
+pub struct FakeDiscovery {
     /// Where it listens.
     pub address: SocketAddr,
     /// The version and the whole list; none: calls fail.
-    pub list: Watched<(u64, Option<Vec<Value>>)>,
+    pub list: SharedState<(u64, Option<Vec<Value>>)>,
     /// The paths asked for.
-    pub calls: Watched<Vec<String>>,
+    pub requested_paths: SharedState<Vec<String>>,
     /// How it answers.
-    pub manner: Watched<Manner>,
+    pub fault_mode: SharedState<DiscoveryFaultMode>,
     /// Connections made before the newest count are open and say nothing more.
-    mute: Watched<u64>,
+    mute: SharedState<u64>,
 }
 
-impl Discovery {
+impl FakeDiscovery {
     /// Starts on a free port, with this list; none: calls fail.
-    pub fn start(list: Option<Vec<Value>>) -> Discovery {
-        Discovery::start_at(SocketAddr::from(([127, 0, 0, 1], 0)), list)
+    pub fn start(list: Option<Vec<Value>>) -> FakeDiscovery {
+        FakeDiscovery::start_at(SocketAddr::from(([127, 0, 0, 1], 0)), list)
     }
 
     /// The same at an address.
-    pub fn start_at(at: SocketAddr, list: Option<Vec<Value>>) -> Discovery {
+    pub fn start_at(at: SocketAddr, list: Option<Vec<Value>>) -> FakeDiscovery {
         let listener = TcpListener::bind(at).expect("a port for discovery");
         let address = listener.local_addr().expect("an address");
-        let (list, calls) = (Watched::new((1, list)), Watched::new(Vec::new()));
-        let (manner, mute) = (Watched::new(Manner::Proper), Watched::new(0));
+        let (list, calls) = (SharedState::new((1, list)), SharedState::new(Vec::new()));
+        let (manner, mute) = (
+            SharedState::new(DiscoveryFaultMode::Normal),
+            SharedState::new(0),
+        );
         let (l, c, h, m) = (list.clone(), calls.clone(), manner.clone(), mute.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -66,28 +69,28 @@
                 std::thread::spawn(move || Self::serve(stream, &l, &c, &h, &m));
             }
         });
-        Discovery {
+        FakeDiscovery {
             address,
             list,
-            calls,
-            manner,
+            requested_paths: calls,
+            fault_mode: manner,
             mute,
         }
     }
 
     fn serve(
         stream: TcpStream,
-        list: &Watched<(u64, Option<Vec<Value>>)>,
-        calls: &Watched<Vec<String>>,
-        manner: &Watched<Manner>,
-        mute: &Watched<u64>,
+        list: &SharedState<(u64, Option<Vec<Value>>)>,
+        calls: &SharedState<Vec<String>>,
+        manner: &SharedState<DiscoveryFaultMode>,
+        mute: &SharedState<u64>,
     ) -> Option<()> {
-        let made = mute.change(|m| *m);
+        let made = mute.with(|m| *m);
         let mut lines = BufReader::new(stream.try_clone().ok()?).lines();
         loop {
             let path = lines.next()?.ok()?.split(' ').nth(1)?.to_owned();
             while !lines.next()?.ok()?.is_empty() {}
-            calls.change(|c| c.push(path.clone()));
+            calls.with(|c| c.push(path.clone()));
             let field = |name: &str| {
                 path.split(name)
                     .nth(1)
@@ -95,17 +98,19 @@
             };
             let since: u64 = field("since=").unwrap_or(0);
             let wait = Duration::from_millis(field("timeout_ms=").unwrap_or(0));
-            let manner = manner.wait_for(LIMIT, |m| (*m != Manner::Silent).then_some(*m))?;
-            let hasty = manner == Manner::Hasty;
+            let manner = manner.wait_for(WAIT_TIMEOUT, |m| {
+                (*m != DiscoveryFaultMode::NoResponse).then_some(*m)
+            })?;
+            let hasty = manner == DiscoveryFaultMode::ImmediateResponse;
             list.wait_for(wait, |(rev, l)| {
                 (hasty || *rev > since || l.is_none()).then_some(())
             });
-            if mute.change(|m| *m) != made {
+            if mute.with(|m| *m) != made {
                 // Open and quiet, as behind a cut link.
                 let _ = lines.next();
                 return None;
             }
-            let body = list.change(|(rev, l)| {
+            let body = list.with(|(rev, l)| {
                 l.as_ref().map(|l| {
                     let none = Vec::new();
                     json!({"rev": rev, "all": true, "targets": if *rev > since { l } else { &none }})
@@ -125,24 +130,24 @@
                 }
             };
             let indented = || serde_json::to_string_pretty(&answer).unwrap_or_default();
-            let text = if manner == Manner::Indented {
+            let text = if manner == DiscoveryFaultMode::IndentedJson {
                 indented()
             } else {
                 answer.to_string()
             };
             let (a, b) = text.split_at(text.len() / 2);
             let rest = match manner {
-                Manner::Chunked => format!(
+                DiscoveryFaultMode::Chunked => format!(
                     "Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{a}\r\n{:x}\r\n{b}\r\n0\r\n\r\n",
                     a.len(),
                     b.len()
                 ),
-                Manner::Closing => format!("Connection: close\r\n\r\n{text}"),
-                Manner::Torn => format!("Connection: close\r\n\r\n{a}"),
+                DiscoveryFaultMode::CloseDelimited => format!("Connection: close\r\n\r\n{text}"),
+                DiscoveryFaultMode::ResetMidBody => format!("Connection: close\r\n\r\n{a}"),
                 _ => format!("Content-Length: {}\r\n\r\n{text}", text.len()),
             };
             let whole = format!("HTTP/1.1 200 OK\r\n{rest}");
-            let piece = if manner == Manner::Bytes {
+            let piece = if manner == DiscoveryFaultMode::SingleByteWrites {
                 1
             } else {
                 whole.len()
@@ -153,22 +158,25 @@
                 .chunks(piece)
                 .try_for_each(|p| (&stream).write_all(p))
                 .ok()?;
-            if manner == Manner::Torn {
+            if manner == DiscoveryFaultMode::ResetMidBody {
                 let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             }
-            if matches!(manner, Manner::Closing | Manner::Torn) {
+            if matches!(
+                manner,
+                DiscoveryFaultMode::CloseDelimited | DiscoveryFaultMode::ResetMidBody
+            ) {
                 return None;
             }
         }
     }
 
     /// All connections made so far fall silent, and stay open.
-    pub fn mute(&self) {
-        self.mute.change(|m| *m += 1);
+    pub fn stall_open_connections(&self) {
+        self.mute.with(|m| *m += 1);
     }
 
     /// Tells a new list, under the next version.
     pub fn publish(&self, targets: Vec<Value>) {
-        self.list.change(|l| *l = (l.0 + 1, Some(targets)));
+        self.list.with(|l| *l = (l.0 + 1, Some(targets)));
     }
 }
--- a/crates/test-support/src/dns.rs
+++ b/crates/test-support/src/dns.rs
@@ -1,7 +1,7 @@
 //! A DNS server for service records: a zone that changes, over UDP and TCP, with faults by script. What it answers can
 //! also be had without sockets.
 
-use crate::watched::{LIMIT, Watched};
+use crate::shared_state::{SharedState, WAIT_TIMEOUT};
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::rdata::{A, AAAA, PTR, SOA, SRV, TXT};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
@@ -12,22 +12,22 @@
 
 /// An instance of the service, as its records tell it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Instance {
+pub struct ServiceInstance {
     /// Where it listens.
-    pub endpoint: SocketAddr,
+    pub address: SocketAddr,
     /// SRV.
     pub priority: u16,
     /// SRV.
     pub weight: u16,
     /// Pairs of TXT.
-    pub texts: Vec<(String, String)>,
+    pub txt_pairs: Vec<(String, String)>,
     /// Of all its records, in seconds.
     pub ttl: u32,
 }
 
-impl Instance {
+impl ServiceInstance {
     /// An instance in service, with its own name and group.
-    pub fn new(uid: &str, endpoint: SocketAddr, group: u32) -> Instance {
+    pub fn new(uid: &str, address: SocketAddr, group: u32) -> ServiceInstance {
         let pair = |key: &str, value: String| (key.to_owned(), value);
         let texts = vec![
             pair("txtvers", "1".into()),
@@ -37,20 +37,20 @@
             pair("state", "ready".into()),
             pair("boot_ms", "0".into()),
         ];
-        Instance {
-            endpoint,
+        ServiceInstance {
+            address,
             priority: 0,
             weight: 100,
-            texts,
+            txt_pairs: texts,
             ttl: 1,
         }
     }
 
     /// The same with another value of a pair; none: without the pair.
     #[must_use]
-    pub fn with(mut self, key: &str, value: Option<&str>) -> Instance {
-        self.texts.retain(|(k, _)| k != key);
-        self.texts
+    pub fn with_txt(mut self, key: &str, value: Option<&str>) -> ServiceInstance {
+        self.txt_pairs.retain(|(k, _)| k != key);
+        self.txt_pairs
             .extend(value.map(|v| (key.to_owned(), v.to_owned())));
         self
     }
@@ -58,24 +58,24 @@
 
 /// How the server answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Manner {
+pub enum DnsFaultMode {
     /// With all that belongs to the answer in its additional section.
     #[default]
-    Helpful,
+    Normal,
     /// With what was asked and nothing else.
-    Terse,
+    NoAdditionalRecords,
     /// Every other query is lost.
-    Lossy,
+    DropEveryOtherQuery,
     /// Answers come after 150 ms.
-    Slow,
+    Delayed,
     /// An error: it can't.
-    Fails,
+    ServerFailure,
     /// Nothing.
-    Silent,
+    NoResponse,
     /// There is no such name, and the SOA says for how long.
-    NoName,
+    NxDomain,
     /// No records, and no error.
-    Empty,
+    NoData,
     /// Over UDP, truncated and without records.
     Truncated,
     /// Another id than the query's.
@@ -83,25 +83,25 @@
     /// Another question than the query's.
     WrongQuestion,
     /// True records, with others that nobody asked for.
-    Foreign,
+    UnrelatedRecords,
     /// Bytes that are no message.
-    Noise,
+    InvalidMessage,
     /// A name that points at itself.
-    Loop,
+    CompressionLoop,
 }
 
 /// What the server serves.
 #[derive(Debug, Clone, Default)]
-pub struct Zone {
+pub struct DnsZone {
     /// By label.
-    pub instances: BTreeMap<String, Instance>,
+    pub instances: BTreeMap<String, ServiceInstance>,
     /// How it answers.
-    pub manner: Manner,
+    pub fault_mode: DnsFaultMode,
     /// Queries so far.
-    pub queries: usize,
+    pub query_count: usize,
 }
 
-/// The service that a [`Zone`] holds.
+/// The service that a [`DnsZone`] holds.
 pub const SERVICE: &str = "_postgresql._tcp.qianzhen-dc.example.org.";
 /// The domain that it lies in.
 pub const DOMAIN: &str = "qianzhen-dc.example.org.";
@@ -112,18 +112,22 @@
     Name::from_ascii(text).expect("a name")
 }
 
-impl Zone {
+impl DnsZone {
     fn records(&self) -> Vec<Record> {
         let mut all = Vec::new();
         for (label, i) in &self.instances {
             let instance = name(&format!("{label}.{SERVICE}"));
             let host = name(&format!("{label}.{DOMAIN}"));
-            let texts = i.texts.iter().map(|(k, v)| format!("{k}={v}")).collect();
-            let address = match i.endpoint.ip() {
+            let texts = i
+                .txt_pairs
+                .iter()
+                .map(|(k, v)| format!("{k}={v}"))
+                .collect();
+            let address = match i.address.ip() {
                 IpAddr::V4(ip) => RData::A(A(ip)),
                 IpAddr::V6(ip) => RData::AAAA(AAAA(ip)),
             };
-            let srv = SRV::new(i.priority, i.weight, i.endpoint.port(), host.clone());
+            let srv = SRV::new(i.priority, i.weight, i.address.port(), host.clone());
             for service in [SERVICE, SUBTYPE] {
                 all.push(Record::from_rdata(
                     name(service),
@@ -143,8 +147,8 @@
     }
 
     /// Answers a message; none: it says nothing.
-    pub fn answer(&mut self, bytes: &[u8], over_tcp: bool) -> Option<Vec<u8>> {
-        self.queries += 1;
+    pub fn respond(&mut self, bytes: &[u8], over_tcp: bool) -> Option<Vec<u8>> {
+        self.query_count += 1;
         let query = Message::from_vec(bytes).ok()?;
         let asked = query.queries.first()?.clone();
         let mut out = Message::new(query.metadata.id, MessageType::Response, OpCode::Query);
@@ -154,11 +158,11 @@
         let fits = |r: &&Record| r.name == asked.name && r.data.record_type() == asked.query_type;
         let soa = SOA::new(name(DOMAIN), name(DOMAIN), 1, 1, 1, 1, 1);
         let soa = Record::from_rdata(name(DOMAIN), 1, RData::SOA(soa));
-        match self.manner {
-            Manner::Silent => return None,
-            Manner::Lossy if self.queries % 2 == 1 => return None,
-            Manner::Noise => return Some(b"no message at all".to_vec()),
-            Manner::Loop => {
+        match self.fault_mode {
+            DnsFaultMode::NoResponse => return None,
+            DnsFaultMode::DropEveryOtherQuery if self.query_count % 2 == 1 => return None,
+            DnsFaultMode::InvalidMessage => return Some(b"no message at all".to_vec()),
+            DnsFaultMode::CompressionLoop => {
                 let mut bytes = out.to_vec().ok()?;
                 bytes[7] = 1;
                 // An answer whose name is a pointer to itself (RFC 1035, 4.1.4).
@@ -167,26 +171,26 @@
                 bytes.extend_from_slice(&[0, 12, 0, 1, 0, 0, 0, 1, 0, 0]);
                 return Some(bytes);
             }
-            Manner::Fails => out.metadata.response_code = ResponseCode::ServFail,
-            Manner::NoName | Manner::Empty => {
-                if self.manner == Manner::NoName {
+            DnsFaultMode::ServerFailure => out.metadata.response_code = ResponseCode::ServFail,
+            DnsFaultMode::NxDomain | DnsFaultMode::NoData => {
+                if self.fault_mode == DnsFaultMode::NxDomain {
                     out.metadata.response_code = ResponseCode::NXDomain;
                 }
                 out.add_authority(soa);
             }
-            Manner::Truncated if !over_tcp => out.metadata.truncation = true,
+            DnsFaultMode::Truncated if !over_tcp => out.metadata.truncation = true,
             manner => {
                 out.add_answers(all.iter().filter(fits).cloned());
                 if out.answers.is_empty() {
                     out.add_authority(soa);
                 }
-                if manner != Manner::Terse && !out.answers.is_empty() {
+                if manner != DnsFaultMode::NoAdditionalRecords && !out.answers.is_empty() {
                     let rest = all
                         .iter()
                         .filter(|r| !fits(r) && r.data.record_type() != RecordType::PTR);
                     out.add_additionals(rest.cloned());
                 }
-                if manner == Manner::Foreign {
+                if manner == DnsFaultMode::UnrelatedRecords {
                     let evil = name("evil.example.net.");
                     let srv = RData::SRV(SRV::new(0, 100, 9, evil.clone()));
                     out.add_answer(Record::from_rdata(
@@ -201,10 +205,10 @@
                         RData::A(A(Ipv4Addr::LOCALHOST)),
                     ));
                 }
-                if manner == Manner::WrongId {
+                if manner == DnsFaultMode::WrongId {
                     out.metadata.id ^= 1;
                 }
-                if manner == Manner::WrongQuestion {
+                if manner == DnsFaultMode::WrongQuestion {
                     out.queries = vec![Query::query(name("other.example.org."), asked.query_type)];
                 }
             }
@@ -215,19 +219,19 @@
 
 /// A server of a zone on a port of its own, the same for UDP and TCP.
 #[derive(Debug, Clone)]
-pub struct Server {
+pub struct FakeDnsServer {
     /// Where it listens.
     pub address: SocketAddr,
     /// What it serves.
-    pub zone: Watched<Zone>,
+    pub zone: SharedState<DnsZone>,
 }
 
-impl Server {
+impl FakeDnsServer {
     /// Starts on a free port.
     ///
     /// # Panics
     /// If there is none that is free for both.
-    pub fn start(zone: Zone) -> Server {
+    pub fn start(zone: DnsZone) -> FakeDnsServer {
         let (udp, tcp) = (0..100)
             .find_map(|_| {
                 let udp = UdpSocket::bind("127.0.0.1:0").ok()?;
@@ -235,13 +239,16 @@
                 Some((udp, tcp))
             })
             .expect("a port for both");
-        let (address, zone) = (udp.local_addr().expect("an address"), Watched::new(zone));
+        let (address, zone) = (
+            udp.local_addr().expect("an address"),
+            SharedState::new(zone),
+        );
         let z = zone.clone();
         std::thread::spawn(move || {
             let mut bytes = [0; 4096];
             while let Ok((len, from)) = udp.recv_from(&mut bytes) {
-                let (answer, manner) = z.change(|z| (z.answer(&bytes[..len], false), z.manner));
-                if manner == Manner::Slow {
+                let (answer, manner) = z.with(|z| (z.respond(&bytes[..len], false), z.fault_mode));
+                if manner == DnsFaultMode::Delayed {
                     std::thread::sleep(Duration::from_millis(150));
                 }
                 if let Some(answer) = answer {
@@ -259,7 +266,7 @@
                         stream.read_exact(&mut len).ok()?;
                         let mut bytes = vec![0; u16::from_be_bytes(len).into()];
                         stream.read_exact(&mut bytes).ok()?;
-                        let answer = z.change(|z| z.answer(&bytes, true))?;
+                        let answer = z.with(|z| z.respond(&bytes, true))?;
                         stream
                             .write_all(
                                 &[&(answer.len() as u16).to_be_bytes(), &answer[..]].concat(),
@@ -269,19 +276,19 @@
                 });
             }
         });
-        Server { address, zone }
+        FakeDnsServer { address, zone }
     }
 
     /// Waits until it has been asked this many times more.
-    pub fn asked(&self, more: usize) -> bool {
-        self.asked_within(more, LIMIT)
+    pub fn wait_for_queries(&self, more: usize) -> bool {
+        self.wait_for_queries_within(more, WAIT_TIMEOUT)
     }
 
     /// The same within a time.
-    pub fn asked_within(&self, more: usize, within: Duration) -> bool {
-        let before = self.zone.change(|z| z.queries);
+    pub fn wait_for_queries_within(&self, more: usize, within: Duration) -> bool {
+        let before = self.zone.with(|z| z.query_count);
         self.zone
-            .wait_for(within, |z| (z.queries >= before + more).then_some(()))
+            .wait_for(within, |z| (z.query_count >= before + more).then_some(()))
             .is_some()
     }
 }
--- a/crates/test-support/src/instance.rs
+++ b/crates/test-support/src/endpoint.rs
@@ -1,8 +1,8 @@
 //! One instance on a socket.
 
-use crate::client::Reader;
-use crate::group::{Group, now_ms};
-use crate::watched::{LIMIT, Watched};
+use crate::client::MessageReader;
+use crate::replica_set::{FakeReplicaSet, now_ms};
+use crate::shared_state::{SharedState, WAIT_TIMEOUT};
 use reelrill_pg_protocol::backend::{self, Column};
 use reelrill_pg_protocol::frontend::{self, Bind, Command, ObjectKind};
 use reelrill_pg_protocol::{Format, oid, put_message};
@@ -15,7 +15,7 @@
 
 /// What an instance does with each request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
+pub enum ScriptedResponse {
     /// Serves it.
     Serve,
     /// Serves, then closes the connection.
@@ -23,32 +23,32 @@
     /// Serves a value of 64 KiB.
     ServeLarge,
     /// Gives an error of this code.
-    Code(&'static str),
+    Error(&'static str),
     /// Says nothing until the test changes the act.
-    Silence,
+    NoResponse,
     /// Closes after half a row.
-    Break,
+    CloseMidRow,
     /// Says half a row, and then nothing.
-    Stall,
+    StallMidRow,
     /// Says just this, and keeps the connection open.
     Raw(&'static [u8]),
     /// Serves, with this directly behind.
-    ServeAnd(&'static [u8]),
+    ServeWithTrailing(&'static [u8]),
 }
 
 /// How far a request has come when a fault hits it. A simple query has the last three: it is an Execute.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum RequestStage {
     /// Its Parse has been read.
     Parse,
     /// Its Bind has been read.
     Bind,
     /// Half of its Execute has been read: nothing has run.
-    HalfExecute,
+    PartialExecute,
     /// Its Execute has run, and the Sync has not been read.
     Executed,
     /// All of it has been read and has run, and nothing has been answered.
-    Unanswered,
+    BeforeResponse,
 }
 
 /// What hits a request.
@@ -59,35 +59,35 @@
     /// This connection is reset.
     Reset,
     /// This connection stays open and says nothing more.
-    Silence,
+    NoResponse,
     /// Noise, and nothing more.
-    Spoil,
+    InvalidBytes,
 }
 
 /// What an instance has been asked.
 #[derive(Default, Debug)]
-pub struct Seen {
+pub struct EndpointActivity {
     /// Requests in words; a prepared one with its values in place of its parameters.
     pub queries: Vec<String>,
     /// Connections so far.
-    pub connections: usize,
+    pub accepted_connections: usize,
     /// Connections that have ended.
-    pub ended: usize,
+    pub closed_connections: usize,
 }
 
 /// What an instance tells of itself with its answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Telling {
+pub struct StatusContent {
     /// Its position, or a write's commit.
-    pub position: bool,
+    pub has_position: bool,
     /// Its load report.
-    pub report: bool,
+    pub has_load_report: bool,
 }
 
 enum World {
     /// Answers each request with the name that it goes by, in a role of its own.
     Echo(&'static str),
-    Group(Group),
+    FakeReplicaSet(FakeReplicaSet),
 }
 
 struct Inner {
@@ -97,80 +97,80 @@
     work: Duration,
     /// Extended queries are not known.
     simple_only: bool,
-    seen: Watched<Seen>,
-    act: Watched<Act>,
-    faults: Watched<VecDeque<(Stage, Fault)>>,
+    activity: SharedState<EndpointActivity>,
+    response: SharedState<ScriptedResponse>,
+    faults: SharedState<VecDeque<(RequestStage, Fault)>>,
     /// Open connections; none while it is dead.
-    open: Watched<Option<Vec<TcpStream>>>,
+    open: SharedState<Option<Vec<TcpStream>>>,
     /// What it tells with its answers.
-    telling: Watched<Telling>,
+    status_content: SharedState<StatusContent>,
     /// Statements prepared before this changed are forgotten.
-    memory: Watched<usize>,
+    memory: SharedState<usize>,
     /// New connections are taken, and not welcomed while this is so.
-    aloof: Watched<bool>,
+    is_startup_blocked: SharedState<bool>,
 }
 
 /// An instance on a port of its own.
 #[derive(Clone)]
-pub struct Instance {
+pub struct FakeEndpoint {
     /// Where it listens.
     pub address: SocketAddr,
     /// What it has been asked.
-    pub seen: Watched<Seen>,
+    pub activity: SharedState<EndpointActivity>,
     /// What it does with each request.
-    pub act: Watched<Act>,
+    pub response: SharedState<ScriptedResponse>,
     /// What hits the next requests, each once, as soon as one comes to that stage.
-    pub faults: Watched<VecDeque<(Stage, Fault)>>,
+    pub faults: SharedState<VecDeque<(RequestStage, Fault)>>,
     inner: Arc<Inner>,
 }
 
 /// The name of the request that a statement names.
-pub fn id_of(query: &str) -> String {
+pub fn request_id(query: &str) -> String {
     query
         .split("id=")
         .nth(1)
         .map_or(String::new(), |t| t.chars().take(16).collect())
 }
 
-impl Instance {
+impl FakeEndpoint {
     /// Starts one that answers each request with its name.
-    pub fn start(role: &'static str, act: Act) -> Instance {
-        Instance::listen(
+    pub fn start(role: &'static str, response: ScriptedResponse) -> FakeEndpoint {
+        FakeEndpoint::listen(
             ([127, 0, 0, 1], 0).into(),
             role,
             World::Echo(role),
-            act,
+            response,
             Duration::ZERO,
             false,
         )
     }
 
     /// The same, but extended queries are errors to it.
-    pub fn start_simple(role: &'static str) -> Instance {
+    pub fn start_simple_query_only(role: &'static str) -> FakeEndpoint {
         let at = ([127, 0, 0, 1], 0).into();
-        Instance::listen(
+        FakeEndpoint::listen(
             at,
             role,
             World::Echo(role),
-            Act::Serve,
+            ScriptedResponse::Serve,
             Duration::ZERO,
             true,
         )
     }
 
     /// Starts a member of a group; each request takes it `work`.
-    pub fn join(
-        group: &Group,
+    pub fn start_in_replica_set(
+        group: &FakeReplicaSet,
         name: &str,
         at: SocketAddr,
         work: Duration,
         simple_only: bool,
-    ) -> Instance {
-        Instance::listen(
+    ) -> FakeEndpoint {
+        FakeEndpoint::listen(
             at,
             name,
-            World::Group(group.clone()),
-            Act::Serve,
+            World::FakeReplicaSet(group.clone()),
+            ScriptedResponse::Serve,
             work,
             simple_only,
         )
@@ -180,28 +180,32 @@
         at: SocketAddr,
         name: &str,
         world: World,
-        act: Act,
+        response: ScriptedResponse,
         work: Duration,
         simple_only: bool,
-    ) -> Instance {
+    ) -> FakeEndpoint {
         let listener = TcpListener::bind(at).expect("a port for an instance");
         let address = listener.local_addr().expect("an address");
-        let (seen, act, faults) = (Watched::default(), Watched::new(act), Watched::default());
+        let (activity, response, faults) = (
+            SharedState::default(),
+            SharedState::new(response),
+            SharedState::default(),
+        );
         let inner = Arc::new(Inner {
             name: name.to_owned(),
             world,
             work,
             simple_only,
-            seen: Watched::clone(&seen),
-            act: act.clone(),
-            faults: Watched::clone(&faults),
-            open: Watched::new(Some(Vec::new())),
-            telling: Watched::new(Telling {
-                position: true,
-                report: true,
+            activity: SharedState::clone(&activity),
+            response: response.clone(),
+            faults: SharedState::clone(&faults),
+            open: SharedState::new(Some(Vec::new())),
+            status_content: SharedState::new(StatusContent {
+                has_position: true,
+                has_load_report: true,
             }),
-            memory: Watched::new(0),
-            aloof: Watched::new(false),
+            memory: SharedState::new(0),
+            is_startup_blocked: SharedState::new(false),
         });
         let i = inner.clone();
         std::thread::spawn(move || {
@@ -211,12 +215,12 @@
                 };
                 let alive = i
                     .open
-                    .change(|open| open.as_mut().map(|open| open.push(other)).is_some());
+                    .with(|open| open.as_mut().map(|open| open.push(other)).is_some());
                 if !alive {
                     reset(&stream);
                     continue;
                 }
-                i.seen.change(|s| s.connections += 1);
+                i.activity.with(|s| s.accepted_connections += 1);
                 let i = i.clone();
                 std::thread::spawn(move || {
                     let _ = stream.set_nodelay(true);
@@ -227,18 +231,18 @@
                             .ok()
                             .is_none_or(|a| Some(a) == address.as_ref().ok().copied())
                     };
-                    i.open.change(|open| {
+                    i.open.with(|open| {
                         open.iter_mut()
                             .for_each(|open| open.retain(|s| !is_this(s)))
                     });
-                    i.seen.change(|s| s.ended += 1);
+                    i.activity.with(|s| s.closed_connections += 1);
                 });
             }
         });
-        Instance {
+        FakeEndpoint {
             address,
-            seen,
-            act,
+            activity,
+            response,
             faults,
             inner,
         }
@@ -255,36 +259,36 @@
     }
 
     /// It accepts connections again; it has nothing prepared.
-    pub fn revive(&self) {
-        self.inner.open.change(|open| *open = Some(Vec::new()));
+    pub fn restart(&self) {
+        self.inner.open.with(|open| *open = Some(Vec::new()));
     }
 
     /// Waits until it is dead.
-    pub fn died(&self) -> bool {
+    pub fn wait_until_killed(&self) -> bool {
         self.inner
             .open
-            .wait_for(LIMIT, |open| open.is_none().then_some(()))
+            .wait_for(WAIT_TIMEOUT, |open| open.is_none().then_some(()))
             .is_some()
     }
 
     /// What it tells of itself with its answers from now on.
-    pub fn tell(&self, telling: Telling) {
-        self.inner.telling.change(|t| *t = telling);
+    pub fn set_status_content(&self, content: StatusContent) {
+        self.inner.status_content.with(|c| *c = content);
     }
 
     /// Whether it leaves new connections without a welcome, until it is told otherwise.
-    pub fn keep_aloof(&self, aloof: bool) {
-        self.inner.aloof.change(|a| *a = aloof);
+    pub fn set_startup_blocked(&self, is_blocked: bool) {
+        self.inner.is_startup_blocked.with(|b| *b = is_blocked);
     }
 
     /// Forgets all prepared statements, on connections that stay open.
-    pub fn forget(&self) {
-        self.inner.memory.change(|m| *m += 1);
+    pub fn forget_prepared_statements(&self) {
+        self.inner.memory.with(|m| *m += 1);
     }
 
     /// Its line in the list of instances.
-    pub fn target(&self, group: u32, state: &str) -> serde_json::Value {
-        let mut target = crate::discovery::target(&self.inner.name, self.address, state);
+    pub fn list_entry(&self, group: u32, state: &str) -> serde_json::Value {
+        let mut target = crate::discovery::list_entry(&self.inner.name, self.address, state);
         target["pod_group"] = group.into();
         target
     }
@@ -296,14 +300,14 @@
 
 impl Inner {
     fn kill(&self) {
-        for stream in self.open.change(Option::take).unwrap_or_default() {
+        for stream in self.open.with(Option::take).unwrap_or_default() {
             reset(&stream);
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 
-    fn fault(&self, at: Stage) -> Option<Fault> {
-        self.faults.change(|f| {
+    fn fault(&self, at: RequestStage) -> Option<Fault> {
+        self.faults.with(|f| {
             let hit = f.front().is_some_and(|(stage, _)| *stage == at);
             if hit {
                 f.pop_front().map(|(_, fault)| fault)
@@ -313,8 +317,8 @@
         })
     }
 
-    fn group(&self) -> Option<&Group> {
-        if let World::Group(group) = &self.world {
+    fn group(&self) -> Option<&FakeReplicaSet> {
+        if let World::FakeReplicaSet(group) = &self.world {
             Some(group)
         } else {
             None
@@ -330,7 +334,7 @@
 
 struct Connection<'a> {
     inner: &'a Inner,
-    reader: Reader,
+    reader: MessageReader,
     stream: TcpStream,
     out: Vec<u8>,
     statements: HashMap<String, (String, Vec<u32>)>,
@@ -343,26 +347,26 @@
     fn new(inner: &'a Inner, stream: TcpStream) -> Option<Connection<'a>> {
         Some(Connection {
             inner,
-            reader: Reader::new(stream.try_clone().ok()?),
+            reader: MessageReader::new(stream.try_clone().ok()?),
             stream,
             out: Vec::new(),
             statements: HashMap::new(),
             portals: HashMap::new(),
             is_skipping: false,
-            memory: inner.memory.change(|m| *m),
+            memory: inner.memory.with(|m| *m),
         })
     }
 
     fn serve(mut self) -> Option<()> {
-        self.reader.next(frontend::parse_startup)?;
+        self.reader.read_with(frontend::parse_startup)?;
         self.inner
-            .aloof
-            .wait_for(LIMIT, |aloof| (!*aloof).then_some(()))?;
+            .is_startup_blocked
+            .wait_for(WAIT_TIMEOUT, |is_blocked| (!*is_blocked).then_some(()))?;
         put_message(&mut self.out, b'R', &[&[0; 4]]);
         backend::put_ready_for_query(&mut self.out);
         self.flush()?;
         loop {
-            let (tag, body) = self.reader.message()?;
+            let (tag, body) = self.reader.read_message()?;
             let Ok(command) = frontend::parse_command(tag, &body) else {
                 return None;
             };
@@ -371,7 +375,7 @@
                 Command::Query(text) => self.on_query(text)?,
                 Command::Sync => {
                     if !self.is_skipping {
-                        self.at(Stage::Unanswered)?;
+                        self.at(RequestStage::BeforeResponse)?;
                     }
                     self.is_skipping = false;
                     self.portals.clear();
@@ -392,7 +396,7 @@
         self.stream.write_all(&std::mem::take(&mut self.out)).ok()
     }
 
-    fn count(&self, count: impl FnOnce(&mut crate::group::Counts)) {
+    fn count(&self, count: impl FnOnce(&mut crate::replica_set::MessageCounts)) {
         if let Some(group) = self.inner.group() {
             group.count(&self.inner.name, count);
         }
@@ -404,15 +408,15 @@
     }
 
     /// A fault may hit here. None: the connection is over.
-    fn at(&mut self, stage: Stage) -> Option<()> {
+    fn at(&mut self, stage: RequestStage) -> Option<()> {
         match self.inner.fault(stage) {
             None => return Some(()),
             Some(Fault::Kill) => self.inner.kill(),
             Some(Fault::Reset) => reset(&self.stream),
-            Some(Fault::Silence) => while self.reader.message().is_some() {},
-            Some(Fault::Spoil) => {
+            Some(Fault::NoResponse) => while self.reader.read_message().is_some() {},
+            Some(Fault::InvalidBytes) => {
                 let _ = self.stream.write_all(b"noise without end");
-                while self.reader.message().is_some() {}
+                while self.reader.read_message().is_some() {}
             }
         }
         None
@@ -421,8 +425,8 @@
     fn status(&mut self) {
         let (role, position) = match &self.inner.world {
             World::Echo(role) => (*role, now_ms()),
-            World::Group(g) => {
-                let role = if g.leads(&self.inner.name) {
+            World::FakeReplicaSet(g) => {
+                let role = if g.is_primary(&self.inner.name) {
                     "master"
                 } else {
                     "replica"
@@ -431,8 +435,8 @@
             }
         };
         backend::put_parameter_status(&mut self.out, "part", role);
-        let telling = self.inner.telling.change(|t| *t);
-        if telling.position {
+        let content = self.inner.status_content.with(|c| *c);
+        if content.has_position {
             backend::put_parameter_status(&mut self.out, "caught_up_to", &position.to_string());
         }
         let gauges = format!(
@@ -440,7 +444,7 @@
             position as f64 / 1e3,
             u8::from(role == "master")
         );
-        if telling.report {
+        if content.has_load_report {
             backend::put_parameter_status(&mut self.out, "gauges", &gauges);
         }
         backend::put_ready_for_query(&mut self.out);
@@ -448,18 +452,22 @@
 
     /// Runs a request in words: a value, or an error's code and text.
     fn run(&self, text: &str) -> Result<String, (&'static str, &'static str)> {
-        self.inner.seen.change(|s| s.queries.push(text.to_owned()));
+        self.inner
+            .activity
+            .with(|s| s.queries.push(text.to_owned()));
         std::thread::sleep(self.inner.work);
         match &self.inner.world {
-            World::Echo(_) => Ok(id_of(text)),
-            World::Group(group) => group.run(&self.inner.name, text).map(|(value, _)| value),
+            World::Echo(_) => Ok(request_id(text)),
+            World::FakeReplicaSet(group) => group
+                .execute(&self.inner.name, text)
+                .map(|(value, _)| value),
         }
     }
 
-    fn act(&self) -> Option<Act> {
-        self.inner
-            .act
-            .wait_for(LIMIT, |a| (*a != Act::Silence).then_some(*a))
+    fn scripted_response(&self) -> Option<ScriptedResponse> {
+        self.inner.response.wait_for(WAIT_TIMEOUT, |a| {
+            (*a != ScriptedResponse::NoResponse).then_some(*a)
+        })
     }
 
     /// Puts a value and the end of its command.
@@ -481,18 +489,18 @@
     }
 
     /// What comes in place of an answer, if anything does. None: the connection is over.
-    fn spoil(&mut self, act: Act) -> Option<bool> {
+    fn spoil(&mut self, act: ScriptedResponse) -> Option<bool> {
         match act {
-            Act::Raw(bytes) => {
+            ScriptedResponse::Raw(bytes) => {
                 self.stream.write_all(bytes).ok()?;
                 Some(true)
             }
-            Act::Break | Act::Stall => {
+            ScriptedResponse::CloseMidRow | ScriptedResponse::StallMidRow => {
                 let mut row = Vec::new();
                 backend::put_data_row(&mut row, b"half of it");
                 self.out.extend_from_slice(&row[..10]);
                 self.flush()?;
-                (act == Act::Stall).then_some(true)
+                (act == ScriptedResponse::StallMidRow).then_some(true)
             }
             _ => Some(false),
         }
@@ -500,20 +508,20 @@
 
     fn on_query(&mut self, text: &str) -> Option<()> {
         self.count(|c| c.queries += 1);
-        self.at(Stage::HalfExecute)?;
+        self.at(RequestStage::PartialExecute)?;
         let ran = self.run(text);
-        self.at(Stage::Executed)?;
-        self.at(Stage::Unanswered)?;
-        let act = self.act()?;
-        if let Act::Code(code) = act {
+        self.at(RequestStage::Executed)?;
+        self.at(RequestStage::BeforeResponse)?;
+        let act = self.scripted_response()?;
+        if let ScriptedResponse::Error(code) = act {
             backend::put_error_response(&mut self.out, false, code, "no", None);
-        } else if matches!(act, Act::Raw(_)) {
+        } else if matches!(act, ScriptedResponse::Raw(_)) {
             self.spoil(act)?;
             return Some(());
         } else {
             match ran {
                 Ok(mut value) => {
-                    if act == Act::ServeLarge {
+                    if act == ScriptedResponse::ServeLarge {
                         value = value.repeat(4096);
                     }
                     let oid = if self.inner.group().is_some() {
@@ -541,22 +549,22 @@
             }
         }
         self.status();
-        if let Act::ServeAnd(extra) = act {
+        if let ScriptedResponse::ServeWithTrailing(extra) = act {
             self.out.extend_from_slice(extra);
         }
         self.flush()?;
-        (act != Act::ServeAndClose).then_some(())
+        (act != ScriptedResponse::ServeAndClose).then_some(())
     }
 
     fn on_extended(&mut self, command: Command) -> Option<()> {
-        let memory = self.inner.memory.change(|m| *m);
+        let memory = self.inner.memory.with(|m| *m);
         if std::mem::replace(&mut self.memory, memory) != memory {
             self.statements.clear();
         }
         match command {
             Command::Parse { name, text, types } => {
                 self.count(|c| c.parses += 1);
-                self.at(Stage::Parse)?;
+                self.at(RequestStage::Parse)?;
                 if !name.is_empty() && self.statements.contains_key(name) {
                     self.error("42P05", "the statement exists");
                     return Some(());
@@ -567,7 +575,7 @@
             }
             Command::Bind(bind) => {
                 self.count(|c| c.binds += 1);
-                self.at(Stage::Bind)?;
+                self.at(RequestStage::Bind)?;
                 let Some((text, types)) = self.statements.get(bind.statement) else {
                     self.error("26000", "no such statement");
                     return Some(());
@@ -586,7 +594,7 @@
             }
             Command::Execute { portal, .. } => {
                 self.count(|c| c.executes += 1);
-                self.at(Stage::HalfExecute)?;
+                self.at(RequestStage::PartialExecute)?;
                 let Some(p) = self.portals.get_mut(portal).filter(|p| !p.has_run) else {
                     self.error("34000", "no such portal");
                     return Some(());
@@ -594,9 +602,9 @@
                 p.has_run = true;
                 let (text, format) = (p.text.clone(), p.format);
                 let ran = self.run(&text);
-                self.at(Stage::Executed)?;
-                match (self.act()?, ran) {
-                    (Act::Code(code), _) => self.error(code, "no"),
+                self.at(RequestStage::Executed)?;
+                match (self.scripted_response()?, ran) {
+                    (ScriptedResponse::Error(code), _) => self.error(code, "no"),
                     (_, Err((code, text))) => self.error(code, text),
                     (act, Ok(value)) => {
                         if self.spoil(act)? {
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -4,14 +4,14 @@
 //!
 //! | module | what it holds |
 //! | --- | --- |
-//! | [`group`] | a group of instances: who leads, what was written, which keys are remembered, and the ledger |
-//! | [`instance`] | one instance on a socket: simple and extended queries, acts, and faults at named stages |
+//! | [`replica_set`] | a group of instances: who leads, what was written, which keys are remembered, and the ledger |
+//! | [`endpoint`] | one instance on a socket: simple and extended queries, acts, and faults at named stages |
 //! | [`dns`] | service records over UDP and TCP, with faults by script |
 //! | [`discovery`] | the list of instances over HTTP |
 //! | [`change_feed`] | the same told as changes, with a count of the bytes |
 //! | [`process`] | the router as a process, with its configuration, log and signals |
 //! | [`client`] | a client that writes and reads whole messages |
-//! | [`watched`] | values that threads change and others wait on |
+//! | [`shared_state`] | values that threads change and others wait on |
 //!
 //! A stand-in panics where its own set-up fails (no port, no folder): a test has nothing to go on with then.
 #![forbid(unsafe_code)]
@@ -20,15 +20,18 @@
 pub mod client;
 pub mod discovery;
 pub mod dns;
-pub mod group;
-pub mod instance;
+pub mod endpoint;
 pub mod process;
-pub mod watched;
+pub mod replica_set;
+pub mod shared_state;
 
 pub use change_feed::ChangeFeed;
-pub use client::{Answer, Client};
-pub use discovery::{Discovery, Manner, target};
-pub use group::{Freshness, Group, Ledger, StaleReads};
-pub use instance::{Act, Fault, Instance, Seen, Stage, Telling, id_of};
-pub use process::{Router, settings};
-pub use watched::{LIMIT, Watched};
+pub use client::{Client, Response};
+pub use discovery::{DiscoveryFaultMode, FakeDiscovery, list_entry};
+pub use endpoint::{
+    EndpointActivity, FakeEndpoint, Fault, RequestStage, ScriptedResponse, StatusContent,
+    request_id,
+};
+pub use process::{RouterProcess, base_settings};
+pub use replica_set::{ExecutionLog, FakeReplicaSet, Freshness, StaleReadPolicy};
+pub use shared_state::{SharedState, WAIT_TIMEOUT};
--- a/crates/test-support/src/process.rs
+++ b/crates/test-support/src/process.rs
@@ -1,8 +1,8 @@
 //! The router as a process.
 
 use crate::client::Client;
-use crate::discovery::Discovery;
-use crate::watched::{LIMIT, Watched};
+use crate::discovery::FakeDiscovery;
+use crate::shared_state::{SharedState, WAIT_TIMEOUT};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 /// The settings that tests start from: classes `board` (any member), `own` (sessions) and `book` (a keyed write).
-pub fn settings() -> Value {
+pub fn base_settings() -> Value {
     let class = |name: &str, repeat: &str, deadline_ms: u64| {
         json!({"name": name, "repeat": repeat, "group": "cell", "credit": 1.0, "lateWorth": 0.5,
                "onTime": 900_000_000u64, "hardLimit": deadline_ms * 1_000_000, "window": 2_000_000_000u64})
@@ -31,17 +31,17 @@
 }
 
 /// The router as a process; ended when dropped.
-pub struct Router {
+pub struct RouterProcess {
     child: Child,
     /// Where clients connect.
     pub address: SocketAddr,
     /// The lines of its log.
-    pub log: Watched<Vec<String>>,
+    pub log: SharedState<Vec<String>>,
     config: Value,
     dir: tempfile::TempDir,
 }
 
-impl Router {
+impl RouterProcess {
     /// Starts the program at `exe` with these sockets and settings, `edge` as its own settings in YAML, and waits
     /// until it listens.
     ///
@@ -49,27 +49,34 @@
     /// If it can't be started or does not listen in time.
     pub fn start(
         exe: &str,
-        discovery: &Discovery,
+        discovery: &FakeDiscovery,
         known: &[Value],
         sockets: u64,
         settings: Value,
         edge: Option<&str>,
-    ) -> Router {
-        Router::start_with(exe, discovery.address, known, sockets, settings, edge)
+    ) -> RouterProcess {
+        RouterProcess::start_with_discovery_at(
+            exe,
+            discovery.address,
+            known,
+            sockets,
+            settings,
+            edge,
+        )
     }
 
     /// The same with discovery at an address, whoever serves there.
     ///
     /// # Panics
     /// If it can't be started or does not listen in time.
-    pub fn start_with(
+    pub fn start_with_discovery_at(
         exe: &str,
         discovery: SocketAddr,
         known: &[Value],
         sockets: u64,
         settings: Value,
         edge: Option<&str>,
-    ) -> Router {
+    ) -> RouterProcess {
         let dir = tempfile::tempdir().expect("a folder");
         let path = dir.path().join("config.json");
         let config = json!({
@@ -91,11 +98,11 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("the router's program");
-        let log = Watched::new(Vec::<String>::new());
+        let log = SharedState::new(Vec::<String>::new());
         let (l, stderr) = (log.clone(), child.stderr.take().expect("its log"));
         std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                l.change(|l| l.push(line));
+                l.with(|l| l.push(line));
             }
         });
         let listening = |l: &mut Vec<String>| {
@@ -108,9 +115,9 @@
                 .ok()
         };
         let address = log
-            .wait_for(LIMIT, listening)
+            .wait_for(WAIT_TIMEOUT, listening)
             .expect("the router did not start");
-        Router {
+        RouterProcess {
             child,
             address,
             log,
@@ -120,7 +127,7 @@
     }
 
     /// Replaces the router's own settings and has it read them again.
-    pub fn reload_edge(&self, edge: &str) {
+    pub fn reload_extensions(&self, edge: &str) {
         let (new, path) = (
             self.dir.path().join("new.yaml"),
             self.dir.path().join("edge.yaml"),
@@ -131,7 +138,7 @@
     }
 
     /// The number of its process.
-    pub fn id(&self) -> u32 {
+    pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
@@ -147,7 +154,7 @@
     }
 
     /// Replaces a field of the configuration file and has the router read it again.
-    pub fn reload(&self, field: &str, value: Value) {
+    pub fn reload_config(&self, field: &str, value: Value) {
         let mut config = self.config.clone();
         config[field] = value;
         let (new, path) = (
@@ -160,29 +167,31 @@
     }
 
     /// Waits for its end.
-    pub fn exit(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().expect("its end")
     }
 
     /// Waits until a line of its log holds `text`; says whether one does.
-    pub fn logged(&self, text: &str) -> bool {
+    pub fn wait_for_log(&self, text: &str) -> bool {
         self.log
-            .wait_for(LIMIT, |l| l.iter().any(|l| l.contains(text)).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |l| {
+                l.iter().any(|l| l.contains(text)).then_some(())
+            })
             .is_some()
     }
 
     /// The counters as they are now, printed on request.
     pub fn counters(&self) -> String {
-        let before = self.log.change(|l| l.len());
+        let before = self.log.with(|l| l.len());
         self.signal("USR1");
         let line =
             |l: &mut Vec<String>| l[before..].iter().find(|l| l.contains("counters")).cloned();
-        self.log.wait_for(LIMIT, line).expect("no counters")
+        self.log.wait_for(WAIT_TIMEOUT, line).expect("no counters")
     }
 
     /// Waits until the counters hold `text`.
-    pub fn counted(&self, text: &str) -> bool {
-        let until = Instant::now() + LIMIT;
+    pub fn wait_for_counter(&self, text: &str) -> bool {
+        let until = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < until {
             if format!("{} ", self.counters()).contains(&format!(" {text} ")) {
                 return true;
@@ -192,20 +201,20 @@
     }
 
     /// Whether its last line holds this count.
-    pub fn counted_at_exit(&self, text: &str) -> bool {
+    pub fn has_final_counter(&self, text: &str) -> bool {
         self.log
-            .change(|l| l.last().is_some_and(|l| l.contains(&format!(" {text} "))))
+            .with(|l| l.last().is_some_and(|l| l.contains(&format!(" {text} "))))
     }
 
     /// A client that has been welcomed.
-    pub fn client(&self) -> Client {
+    pub fn connect_client(&self) -> Client {
         let mut client = Client::connect(self.address);
-        client.start();
+        client.complete_startup();
         client
     }
 }
 
-impl Drop for Router {
+impl Drop for RouterProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/test-support/src/group.rs
+++ b/crates/test-support/src/replica_set.rs
@@ -1,12 +1,12 @@
-//! A group of instances: who leads it, what was written, which keys it remembers, and a ledger of all that ran.
+//! A group of instances: who leads it, what was written, which keys it remembers, and an execution log of all that ran.
 
-use crate::watched::Watched;
+use crate::shared_state::SharedState;
 use std::collections::HashMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// What a member was asked, by kind of message.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct Counts {
+pub struct MessageCounts {
     /// Statements prepared.
     pub parses: usize,
     /// Portals made.
@@ -21,19 +21,19 @@
 
 /// All that ran.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct ExecutionLog {
     /// By member.
-    pub members: HashMap<String, Counts>,
+    pub endpoints: HashMap<String, MessageCounts>,
     /// Each time that a booking took effect, by key: the member that took it.
-    pub bookings: HashMap<String, Vec<String>>,
+    pub executed_writes: HashMap<String, Vec<String>>,
     /// Repeats that the group dropped.
-    pub repeats: usize,
+    pub suppressed_duplicates: usize,
 }
 
-impl Ledger {
+impl ExecutionLog {
     /// The keys that took effect more than once.
-    pub fn run_twice(&self) -> Vec<&str> {
-        self.bookings
+    pub fn keys_executed_more_than_once(&self) -> Vec<&str> {
+        self.executed_writes
             .iter()
             .filter(|(_, by)| by.len() > 1)
             .map(|(k, _)| &**k)
@@ -41,9 +41,9 @@
     }
 
     /// All members' counts together.
-    pub fn total(&self) -> Counts {
-        let mut total = Counts::default();
-        for c in self.members.values() {
+    pub fn total(&self) -> MessageCounts {
+        let mut total = MessageCounts::default();
+        for c in self.endpoints.values() {
             total.parses += c.parses;
             total.binds += c.binds;
             total.executes += c.executes;
@@ -56,7 +56,7 @@
 
 /// What a member does with a read for which it is too far behind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum StaleReads {
+pub enum StaleReadPolicy {
     /// It answers from what it has.
     Serve,
     /// It rejects the read at once.
@@ -77,7 +77,7 @@
 
 #[derive(Debug)]
 struct World {
-    stale_reads: StaleReads,
+    stale_reads: StaleReadPolicy,
     /// By class.
     freshness: HashMap<String, Freshness>,
     primary: String,
@@ -85,15 +85,15 @@
     window: Duration,
     rows: HashMap<String, (String, u64)>,
     keys: HashMap<String, (Instant, String, u64)>,
-    ledger: Ledger,
+    execution_log: ExecutionLog,
 }
 
 /// A group, shared by its instances.
 #[derive(Debug, Clone)]
-pub struct Group(Watched<World>);
+pub struct FakeReplicaSet(SharedState<World>);
 
 /// What a member answers: a value and its position, or an error's code and text.
-pub type Outcome = Result<(String, u64), (&'static str, &'static str)>;
+pub type ExecutionResult = Result<(String, u64), (&'static str, &'static str)>;
 
 /// Now, in Unix milliseconds.
 pub fn now_ms() -> u64 {
@@ -103,42 +103,42 @@
         .as_millis() as u64
 }
 
-impl Group {
+impl FakeReplicaSet {
     /// A group led by the member of this name, whose replicas are `lag` behind, and which drops a repeat of a key
     /// within `window`.
-    pub fn new(primary: &str, lag: Duration, window: Duration) -> Group {
-        let (rows, keys, ledger) = (HashMap::new(), HashMap::new(), Ledger::default());
-        Group(Watched::new(World {
-            stale_reads: StaleReads::default(),
+    pub fn new(primary: &str, lag: Duration, window: Duration) -> FakeReplicaSet {
+        let (rows, keys, execution_log) = (HashMap::new(), HashMap::new(), ExecutionLog::default());
+        FakeReplicaSet(SharedState::new(World {
+            stale_reads: StaleReadPolicy::default(),
             freshness: HashMap::new(),
             primary: primary.to_owned(),
             lag,
             window,
             rows,
             keys,
-            ledger,
+            execution_log,
         }))
     }
 
     /// Another member leads from now on.
     pub fn promote(&self, member: &str) {
-        self.0.change(|w| member.clone_into(&mut w.primary));
+        self.0.with(|w| member.clone_into(&mut w.primary));
     }
 
     /// What members do with reads for which they are too far behind.
-    pub fn set_stale_reads(&self, policy: StaleReads) {
-        self.0.change(|w| w.stale_reads = policy);
+    pub fn set_stale_read_policy(&self, policy: StaleReadPolicy) {
+        self.0.with(|w| w.stale_reads = policy);
     }
 
     /// Reads of this class need data so recent.
-    pub fn require(&self, class: &str, freshness: Freshness) {
+    pub fn require_freshness(&self, class: &str, freshness: Freshness) {
         self.0
-            .change(|w| w.freshness.insert(class.to_owned(), freshness));
+            .with(|w| w.freshness.insert(class.to_owned(), freshness));
     }
 
     /// How far a member has to have applied the log to answer a read of `row`, in Unix milliseconds.
     fn required_position(&self, row: &str, class: &str, named: u64) -> u64 {
-        self.0.change(|w| match w.freshness.get(class) {
+        self.0.with(|w| match w.freshness.get(class) {
             Some(Freshness::LastWrite) => w.rows.get(row).map_or(named, |r| r.1.max(named)),
             Some(Freshness::MaxAge(age)) => {
                 named.max(now_ms().saturating_sub(age.as_millis() as u64))
@@ -150,10 +150,10 @@
     /// Whether a member may answer a read that needs this position; waits for it where members do so.
     fn may_answer(&self, member: &str, required: u64) -> bool {
         let behind = required.saturating_sub(self.position(member));
-        match self.0.change(|w| w.stale_reads) {
-            StaleReads::Serve => true,
-            StaleReads::Reject => behind == 0,
-            StaleReads::Wait(limit) => {
+        match self.0.with(|w| w.stale_reads) {
+            StaleReadPolicy::Serve => true,
+            StaleReadPolicy::Reject => behind == 0,
+            StaleReadPolicy::Wait(limit) => {
                 let behind = Duration::from_millis(behind);
                 std::thread::sleep(behind.min(limit));
                 behind <= limit
@@ -162,35 +162,41 @@
     }
 
     /// Whether this member leads.
-    pub fn leads(&self, member: &str) -> bool {
-        self.0.change(|w| w.primary == member)
+    pub fn is_primary(&self, member: &str) -> bool {
+        self.0.with(|w| w.primary == member)
     }
 
-    /// Reads the ledger.
-    pub fn ledger<R>(&self, read: impl FnOnce(&mut Ledger) -> R) -> R {
-        self.0.change(|w| read(&mut w.ledger))
+    /// Reads the execution log.
+    pub fn with_execution_log<R>(&self, read: impl FnOnce(&mut ExecutionLog) -> R) -> R {
+        self.0.with(|w| read(&mut w.execution_log))
     }
 
-    /// Waits until the ledger holds what `f` looks for.
+    /// Waits until the execution log holds what `f` looks for.
     pub fn wait_for<R>(
         &self,
         within: Duration,
-        mut f: impl FnMut(&mut Ledger) -> Option<R>,
+        mut f: impl FnMut(&mut ExecutionLog) -> Option<R>,
     ) -> Option<R> {
-        self.0.wait_for(within, |w| f(&mut w.ledger))
+        self.0.wait_for(within, |w| f(&mut w.execution_log))
     }
 
-    pub(crate) fn count(&self, member: &str, count: impl FnOnce(&mut Counts)) {
-        self.0.change(|w| match w.ledger.members.get_mut(member) {
-            Some(counts) => count(counts),
-            None => count(w.ledger.members.entry(member.to_owned()).or_default()),
-        });
+    pub(crate) fn count(&self, member: &str, count: impl FnOnce(&mut MessageCounts)) {
+        self.0
+            .with(|w| match w.execution_log.endpoints.get_mut(member) {
+                Some(counts) => count(counts),
+                None => count(
+                    w.execution_log
+                        .endpoints
+                        .entry(member.to_owned())
+                        .or_default(),
+                ),
+            });
     }
 
     /// How far a member has applied the log, in Unix milliseconds.
     pub fn position(&self, member: &str) -> u64 {
         let now = now_ms();
-        self.0.change(|w| {
+        self.0.with(|w| {
             if w.primary == member {
                 now
             } else {
@@ -200,7 +206,7 @@
     }
 
     /// Runs a statement in words at a member.
-    pub fn run(&self, member: &str, text: &str) -> Outcome {
+    pub fn execute(&self, member: &str, text: &str) -> ExecutionResult {
         let mut quoted = literals(text);
         let Some(row) = quoted.next() else {
             return Err(("08P01", "no quoted key"));
@@ -225,7 +231,7 @@
             }
         }
         let position = self.position(member);
-        self.0.change(|w| {
+        self.0.with(|w| {
             if is_read {
                 let seen = w.rows.get(&row).filter(|(_, at)| *at <= position);
                 return Ok((
@@ -243,11 +249,11 @@
             let (now, window) = (Instant::now(), w.window);
             w.keys.retain(|_, (at, ..)| now - *at < window);
             if let Some((_, value, at)) = w.keys.get(&key) {
-                w.ledger.repeats += 1;
+                w.execution_log.suppressed_duplicates += 1;
                 return Ok((value.clone(), *at));
             }
-            w.ledger
-                .bookings
+            w.execution_log
+                .executed_writes
                 .entry(key.clone())
                 .or_default()
                 .push(member.to_owned());
--- a/crates/test-support/src/watched.rs
+++ b/crates/test-support/src/shared_state.rs
@@ -4,26 +4,26 @@
 use std::time::{Duration, Instant};
 
 /// Ends a wait that has failed; no passing test waits as long.
-pub const LIMIT: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A value that threads change and tests wait on.
 #[derive(Debug, Default)]
-pub struct Watched<T>(Arc<(Mutex<T>, Condvar)>);
+pub struct SharedState<T>(Arc<(Mutex<T>, Condvar)>);
 
-impl<T> Clone for Watched<T> {
+impl<T> Clone for SharedState<T> {
     fn clone(&self) -> Self {
-        Watched(self.0.clone())
+        SharedState(self.0.clone())
     }
 }
 
-impl<T> Watched<T> {
+impl<T> SharedState<T> {
     /// A value to begin with.
     pub fn new(value: T) -> Self {
-        Watched(Arc::new((Mutex::new(value), Condvar::new())))
+        SharedState(Arc::new((Mutex::new(value), Condvar::new())))
     }
 
     /// Changes or reads the value, and wakes all that wait.
-    pub fn change<R>(&self, f: impl FnOnce(&mut T) -> R) -> R {
+    pub fn with<R>(&self, f: impl FnOnce(&mut T) -> R) -> R {
         let result = f(&mut self.0.0.lock().unwrap_or_else(PoisonError::into_inner));
         self.0.1.notify_all();
         result
--- a/crates/test-support/tests/change_feed.rs
+++ b/crates/test-support/tests/change_feed.rs
@@ -1,6 +1,6 @@
 //! The fake discovery that tells changes.
 
-use reelrill_test_support::{ChangeFeed, target};
+use reelrill_test_support::{ChangeFeed, list_entry};
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
@@ -31,8 +31,9 @@
 
 #[test]
 fn a_caller_that_knows_a_version_gets_only_what_changed_since() {
-    let line =
-        |n: u16, state: &str| target(&format!("s-{n}"), ([127, 0, 0, 1], 1000 + n).into(), state);
+    let line = |n: u16, state: &str| {
+        list_entry(&format!("s-{n}"), ([127, 0, 0, 1], 1000 + n).into(), state)
+    };
     let feed = ChangeFeed::start(&[line(1, "ready"), line(2, "ready")]);
     let (whole, first_bytes) = call(&feed, "since=0");
     assert_eq!((&whole["rev"], &whole["all"]), (&1.into(), &true.into()));
@@ -47,7 +48,7 @@
     let (nothing, third_bytes) = call(&feed, "since=2&timeout_ms=1");
     assert_eq!(nothing["targets"], Value::from(Vec::<Value>::new()));
     assert_eq!(
-        feed.bytes_sent.change(|bytes| *bytes),
+        feed.bytes_sent.with(|bytes| *bytes),
         first_bytes + second_bytes + third_bytes
     );
 }
