--- a/crates/routing-config/src/lib.rs
+++ b/crates/routing-config/src/lib.rs
@@ -1,9 +1,9 @@
-//! Reads the platform's settings object, which the simulator's adapter gets on its wire and the router in its
-//! configuration.
+//! Reads the platform's settings from JSON. The simulator's adapter receives them in its input, the router in its
+//! configuration file.
 //!
-//! The object is deserialized into the structs of `document`, one for each JSON object, and converted into the
-//! balancer's [`Settings`] by `convert`. An error names the field by its path. Whether the settings contradict
-//! themselves is checked by the balancer, not here.
+//! The settings are deserialized into the structs of `document`, one for each JSON object, and converted to the
+//! balancer's [`Settings`] by `convert`. An error names the field by its path. Contradictions between fields are
+//! detected by [`Settings::validate`], not here.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -15,35 +15,36 @@
 
 pub use error::SettingsReadError;
 
-use document::Document;
+use document::SettingsDocument;
 use reelrill_routing::{Nanos, Settings, Timestamp};
 use serde_json::Value;
 
-/// What a host needs of the settings: the balancer's part, and what only the host itself uses.
+/// Holds the balancer's settings, and the settings that only the program around the balancer uses.
 #[derive(Debug, Clone)]
 pub struct RoutingConfig {
-    /// What the balancer is told.
+    /// The balancer's settings.
     pub settings: Settings,
-    /// The clock time from which positions are counted on the simulator's wire, in nanoseconds.
-    pub origin: Timestamp,
-    /// The classes' names, in the order that `Request::class` counts.
+    /// The clock time that replication positions in the simulator's input are relative to, in nanoseconds.
+    pub position_origin: Timestamp,
+    /// The names of the classes, indexed by [`Request::class`](reelrill_routing::Request::class); empty for a class
+    /// without a name.
     pub class_names: Vec<String>,
-    /// The zones' names, in the order that `EndpointEntry::zone` counts.
+    /// The names of the zones, indexed by [`EndpointEntry::zone`](reelrill_routing::EndpointEntry::zone).
     pub zones: Vec<String>,
-    /// An endpoint closes a connection that has been idle this long, in nanoseconds (0: not told).
+    /// The idle time after which endpoints close a connection, in nanoseconds (0: not configured).
     pub endpoint_idle_timeout: Nanos,
 }
 
-/// Reads the settings.
+/// Reads the settings object.
 ///
 /// # Errors
-/// If a field that is needed is absent or null, or if one has a value that it can't have.
+/// If a required field is absent or null, or a field has an invalid value.
 pub fn read(value: &Value) -> Result<RoutingConfig, SettingsReadError> {
-    // What is no object has no fields: the first one that is needed is named.
+    // A value that is not an object is read as an object without fields; the error then names the first required field.
     let document = if value.is_object() {
         serde_path_to_error::deserialize(value).map_err(SettingsReadError::at_path)?
     } else {
-        Document::default()
+        SettingsDocument::default()
     };
-    convert::site(document)
+    convert::routing_config(document)
 }
--- a/crates/routing-config/src/word.rs
+++ b/crates/routing-config/src/word.rs
@@ -1,29 +1,29 @@
-//! Fields whose value is one of some words.
+//! Enums that are deserialized from a fixed set of strings.
 
 use std::fmt;
 
-/// A word that a field can't have.
+/// The error of a string that names no variant of the enum.
 #[derive(Debug)]
-pub struct UnknownWord {
-    pub word: String,
-    /// The words that the field can have.
+pub struct UnknownValue {
+    pub value: String,
+    /// The strings that name a variant.
     pub expected: &'static [&'static str],
 }
 
-impl fmt::Display for UnknownWord {
+impl fmt::Display for UnknownValue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let expected = self.expected.join(", ");
         write!(
             f,
             "unknown value '{}', expected one of {expected}",
-            self.word
+            self.value
         )
     }
 }
 
-/// Declares an enum whose variants are words, deserialized from a string.
-macro_rules! words {
-    (pub enum $name:ident { $($variant:ident = $word:literal,)+ }) => {
+/// Declares an enum that is deserialized from a string, with the string of each variant.
+macro_rules! string_enum {
+    (pub enum $name:ident { $($variant:ident = $text:literal,)+ }) => {
         #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Deserialize)]
         #[serde(try_from = "String")]
         pub enum $name {
@@ -31,16 +31,16 @@
         }
 
         impl TryFrom<String> for $name {
-            type Error = crate::word::UnknownWord;
+            type Error = crate::word::UnknownValue;
 
-            fn try_from(word: String) -> Result<Self, Self::Error> {
-                match &*word {
-                    $($word => Ok($name::$variant),)+
-                    _ => Err(crate::word::UnknownWord { word, expected: &[$($word),+] }),
+            fn try_from(value: String) -> Result<Self, Self::Error> {
+                match &*value {
+                    $($text => Ok($name::$variant),)+
+                    _ => Err(crate::word::UnknownValue { value, expected: &[$($text),+] }),
                 }
             }
         }
     };
 }
 
-pub(crate) use words;
+pub(crate) use string_enum;
--- a/crates/routing-config/tests/read.rs
+++ b/crates/routing-config/tests/read.rs
@@ -56,7 +56,10 @@
 fn fields_that_are_told_arrive() {
     let site = site(&least());
     let (settings, class) = (&site.settings, &site.settings.classes[0]);
-    assert_eq!((site.origin, settings.is_subscription_required), (7, false));
+    assert_eq!(
+        (site.position_origin, settings.is_subscription_required),
+        (7, false)
+    );
     assert_eq!(
         (class.latency_objective, class.deadline),
         (300_000_000, 2_000_000_000)
@@ -245,10 +248,10 @@
 #[case(with_item("/classes/0/repeat", json!("dedup")), "classes[0].group is missing")]
 #[case(with("/realms", json!([{"name": "acme"}])), "realms[0].quotaRps is missing")]
 #[case(with("/registryMode", json!("ask")), "registryMode: unknown value 'ask', expected one of subscribe, automatic")]
-#[case(with("/classes/0/onTime", json!("soon")), "classes[0].onTime: invalid type: string \"soon\", expected a whole number")]
-#[case(with("/classes/0/onTime", json!(1.5)), "classes[0].onTime: invalid value: floating point `1.5`, expected a whole number")]
-#[case(with("/classes/0/onTime", json!(-1)), "classes[0].onTime: invalid value: integer `-1`, expected a whole number")]
-#[case(with("/ceilings/maxAttempts", json!(5_000_000_000u64)), "ceilings.maxAttempts: 5000000000 is too large")]
+#[case(with("/classes/0/onTime", json!("soon")), "classes[0].onTime: invalid type: string \"soon\", expected a non-negative whole number")]
+#[case(with("/classes/0/onTime", json!(1.5)), "classes[0].onTime: invalid value: floating point `1.5`, expected a non-negative whole number")]
+#[case(with("/classes/0/onTime", json!(-1)), "classes[0].onTime: invalid value: integer `-1`, expected a non-negative whole number")]
+#[case(with("/ceilings/maxAttempts", json!(5_000_000_000u64)), "ceilings.maxAttempts: 5000000000 exceeds the maximum 4294967295")]
 #[case(with("/ceilings/probes", json!("yes")), "ceilings.probes: invalid type: string \"yes\", expected a boolean")]
 #[case(with("/zones", json!(["a", 3])), "zones[1]: invalid type: integer `3`, expected a string")]
 #[case(with("/rules", json!("none")), "rules: invalid type: string \"none\", expected an object")]
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -136,7 +136,7 @@
         let value = serde_json::from_str(&text).map_err(LineError::SettingsJson)?;
         let site = reelrill_routing_config::read(&value).map_err(LineError::SettingsRead)?;
         let balancer = Balancer::new(seed, site.settings).map_err(LineError::Settings)?;
-        let origin = site.origin;
+        let origin = site.position_origin;
         self.routers.insert(router, Router { balancer, origin });
         Ok(())
     }
