--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -1,17 +1,17 @@
-//! The balancer's actions as lines of the reply.
+//! Formats the balancer's actions as lines of the reply.
 
 use reelrill_routing::{Action, Nanos};
 use std::fmt;
 
-/// An action of one router, displayed as its line.
+/// Displays an action of one router as a line of the reply, without its line end.
 pub struct ActionLine<'a> {
-    /// The router's number.
-    pub router: u64,
-    /// What it does.
+    /// The router's id.
+    pub router_id: u64,
+    /// The action.
     pub action: &'a Action,
 }
 
-/// A span that may not be told.
+/// Displays a duration in nanoseconds, or `-` if there is none.
 struct OptionalNanos(Option<Nanos>);
 
 impl fmt::Display for OptionalNanos {
@@ -25,7 +25,7 @@
 
 impl fmt::Display for ActionLine<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let router = self.router;
+        let router_id = self.router_id;
         match self.action {
             Action::Send {
                 request,
@@ -34,26 +34,28 @@
                 write_by: _,
             } => {
                 let limit = OptionalNanos(*limit);
-                write!(f, "RELAY\t{router}\t{request:016x}\t{endpoint}\t{limit}")
+                write!(f, "RELAY\t{router_id}\t{request:016x}\t{endpoint}\t{limit}")
             }
             Action::Reject {
                 request,
                 reason: _,
                 retry_after,
             } => {
-                let after = OptionalNanos(*retry_after);
-                write!(f, "NOT_NOW\t{router}\t{request:016x}\t{after}")
+                let retry_after = OptionalNanos(*retry_after);
+                write!(f, "NOT_NOW\t{router_id}\t{request:016x}\t{retry_after}")
             }
             Action::Fail { request, reason: _ } => {
-                write!(f, "RESPOND_ERROR\t{router}\t{request:016x}")
+                write!(f, "RESPOND_ERROR\t{router_id}\t{request:016x}")
             }
             Action::Cancel { request, attempt } => {
-                write!(f, "DROP_ATTEMPT\t{router}\t{request:016x}\t{attempt}")
+                write!(f, "DROP_ATTEMPT\t{router_id}\t{request:016x}\t{attempt}")
             }
-            Action::SetTimer { after, token } => write!(f, "SET_TIMER\t{router}\t{after}\t{token}"),
-            Action::CheckHealth { endpoint } => write!(f, "PROBE\t{router}\t{endpoint}"),
-            Action::Subscribe => write!(f, "WATCH\t{router}\t1"),
-            Action::FetchList => write!(f, "REFRESH\t{router}"),
+            Action::SetTimer { after, token } => {
+                write!(f, "SET_TIMER\t{router_id}\t{after}\t{token}")
+            }
+            Action::CheckHealth { endpoint } => write!(f, "PROBE\t{router_id}\t{endpoint}"),
+            Action::Subscribe => write!(f, "WATCH\t{router_id}\t1"),
+            Action::FetchList => write!(f, "REFRESH\t{router_id}"),
         }
     }
 }
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,67 +1,73 @@
-//! The adapter's state between lines: the routers, the lists, and the batch of events that is open.
+//! Processes the simulator's input line by line, and holds the state between lines: the routers, the endpoint lists and
+//! the open batch of events.
 
 use crate::actions::ActionLine;
-use crate::endpoint_lists::{EndpointLists, EndpointNames};
+use crate::endpoint_lists::{EndpointIds, EndpointLists};
 use crate::error::LineError;
 use crate::events;
-use crate::fields::{Fields, unknown_word};
+use crate::fields::{Fields, unknown_value};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use reelrill_routing::{Action, Balancer, Event, Timestamp};
 use std::collections::HashMap;
 
-/// One simulated router.
+/// A simulated router.
 struct Router {
     balancer: Balancer,
-    /// The time from which positions are counted on the wire.
-    origin: Timestamp,
+    /// The clock time that replication positions in the input are relative to, in nanoseconds.
+    position_origin: Timestamp,
 }
 
-/// Events up to the next `END` happen at one time and get one reply.
+/// A batch of events, from `MARK` to `END`: they occur at the same time and get one reply.
 #[derive(Clone, Copy)]
 struct Batch {
     now: Timestamp,
+    /// The number of the batch, which the reply repeats.
     sequence: u64,
 }
 
-/// All that one simulation has told so far.
+/// Holds the state of one simulation.
 #[derive(Default)]
 pub struct Adapter {
     routers: HashMap<u64, Router>,
-    names: EndpointNames,
+    endpoint_ids: EndpointIds,
     lists: EndpointLists,
     batch: Option<Batch>,
     /// The reply to the open batch so far.
     reply: String,
+    /// The actions of the event being handled; empty between events.
     actions: Vec<Action>,
 }
 
 impl Adapter {
-    /// Whether a batch is open.
+    /// Returns whether a batch is open.
     pub fn is_in_batch(&self) -> bool {
         self.batch.is_some()
     }
 
-    /// Takes one line without its end; returns the reply where the line ends a batch.
-    pub fn line(&mut self, line: &str) -> Result<Option<String>, LineError> {
+    /// Processes one line, given without its line end. Returns the reply if the line ends a batch.
+    ///
+    /// # Errors
+    /// If a field is invalid, or the message is not allowed at this place.
+    pub fn process_line(&mut self, line: &str) -> Result<Option<String>, LineError> {
         let mut fields = Fields::new(line);
         let message = fields.text("message")?;
-        if let Some(left) = self.lists.rows_expected() {
+        if let Some(missing_rows) = self.lists.rows_expected() {
             if message != "ROW" {
-                return Err(LineError::RowExpected(left));
+                return Err(LineError::RowExpected(missing_rows));
             }
-            self.lists.add_row(&mut fields, &mut self.names)?;
+            self.lists.add_row(&mut fields, &mut self.endpoint_ids)?;
             return Ok(None);
         }
         if message == "MARK" {
             self.begin_batch(&mut fields)?;
             return Ok(None);
         }
-        let batch = self.batch.ok_or(LineError::NoBatch)?;
+        let batch = self.batch.ok_or(LineError::OutsideBatch)?;
         if message == "END" {
             return Ok(Some(self.end_batch(batch)));
         }
-        self.message(batch, message, &mut fields)?;
+        self.process_message(batch, message, &mut fields)?;
         Ok(None)
     }
 
@@ -82,8 +88,8 @@
         reply
     }
 
-    /// A message inside a batch.
-    fn message(
+    /// Processes a message inside a batch.
+    fn process_message(
         &mut self,
         batch: Batch,
         message: &str,
@@ -96,59 +102,77 @@
                 self.routers.remove(&fields.number("proxyId")?);
                 Ok(())
             }
-            "HEARD" => check_gossip(fields),
+            "HEARD" => check_router_message(fields),
             "VIEW" | "ORDER" | "OUTCOME" | "SAMPLED" | "FLOWING" | "CLIENT_LEFT"
             | "DEADLINE_HIT" => {
-                let router = fields.number("proxyId")?;
-                let event = self.event(router, message, fields)?;
-                self.handle(batch.now, router, event)
+                let router_id = fields.number("proxyId")?;
+                let event = self.parse_event(router_id, message, fields)?;
+                self.handle_event(batch.now, router_id, event)
             }
-            other => unknown_word("message", other),
+            other => unknown_value("message", other),
         }
     }
 
-    fn event(
+    /// Parses the fields after the router's id of a message that is an event.
+    fn parse_event(
         &mut self,
-        router: u64,
+        router_id: u64,
         message: &str,
         fields: &mut Fields<'_>,
     ) -> Result<Event, LineError> {
-        let known = self.routers.get(&router);
-        let origin = known
-            .map(|router| router.origin)
-            .ok_or(LineError::UnknownRouter(router));
+        let known_router = self.routers.get(&router_id);
+        let position_origin = known_router
+            .map(|router| router.position_origin)
+            .ok_or(LineError::UnknownRouter(router_id));
         match message {
-            "VIEW" => self.lists.event(fields),
+            "VIEW" => self.lists.list_event(fields),
             "ORDER" => events::request(fields),
-            "OUTCOME" => events::attempt_ended(fields, &mut self.names, origin),
-            "SAMPLED" => events::probe_ended(fields, &mut self.names, origin),
-            "FLOWING" => events::response_started(fields, &mut self.names),
-            "CLIENT_LEFT" => events::client_left(fields),
+            "OUTCOME" => events::attempt_ended(fields, &mut self.endpoint_ids, position_origin),
+            "SAMPLED" => {
+                events::health_check_ended(fields, &mut self.endpoint_ids, position_origin)
+            }
+            "FLOWING" => events::response_started(fields, &mut self.endpoint_ids),
+            "CLIENT_LEFT" => events::client_disconnected(fields),
             _ => events::timer(fields),
         }
     }
 
-    /// `UP`: a router starts, with the settings as JSON up to the line's end.
+    /// Processes `UP`: starts a router. The settings are JSON and extend to the end of the line.
     fn start_router(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
-        let router = fields.number("proxyId")?;
+        let router_id = fields.number("proxyId")?;
         let seed = fields.number("rngSeed")?;
-        let text = fields.rest("bootInfo")?;
-        let value = serde_json::from_str(&text).map_err(LineError::SettingsJson)?;
-        let site = reelrill_routing_config::read(&value).map_err(LineError::SettingsRead)?;
-        let balancer = Balancer::new(seed, site.settings).map_err(LineError::Settings)?;
-        let origin = site.position_origin;
-        self.routers.insert(router, Router { balancer, origin });
+        let settings_text = fields.rest("bootInfo")?;
+        let settings_json =
+            serde_json::from_str(&settings_text).map_err(LineError::SettingsJson)?;
+        let config =
+            reelrill_routing_config::read(&settings_json).map_err(LineError::SettingsRead)?;
+        let balancer = Balancer::new(seed, config.settings).map_err(LineError::InvalidSettings)?;
+        let position_origin = config.position_origin;
+        self.routers.insert(
+            router_id,
+            Router {
+                balancer,
+                position_origin,
+            },
+        );
         Ok(())
     }
 
-    /// Hands an event to a router's balancer, and adds what it does to the reply.
-    fn handle(&mut self, now: Timestamp, router: u64, event: Event) -> Result<(), LineError> {
-        let known = self.routers.get_mut(&router);
-        let balancer = &mut known.ok_or(LineError::UnknownRouter(router))?.balancer;
+    /// Passes an event to a router's balancer, and appends the resulting actions to the reply.
+    fn handle_event(
+        &mut self,
+        now: Timestamp,
+        router_id: u64,
+        event: Event,
+    ) -> Result<(), LineError> {
+        let known_router = self.routers.get_mut(&router_id);
+        let balancer = &mut known_router
+            .ok_or(LineError::UnknownRouter(router_id))?
+            .balancer;
         balancer.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             let line = ActionLine {
-                router,
+                router_id,
                 action: &action,
             };
             self.reply.push_str(&format!("{line}\n"));
@@ -157,12 +181,15 @@
     }
 }
 
-/// `HEARD`: what another router has said. Routers of this family share nothing: the line is checked and passed over.
-fn check_gossip(fields: &mut Fields<'_>) -> Result<(), LineError> {
+/// Processes `HEARD`: a message from another router. These routers exchange no state, so the fields are checked and
+/// ignored.
+fn check_router_message(fields: &mut Fields<'_>) -> Result<(), LineError> {
     fields.number::<u64>("proxyId")?;
     fields.number::<u64>("from")?;
     if let Some(payload) = fields.optional_text("payload")? {
-        STANDARD.decode(payload).map_err(LineError::Payload)?;
+        STANDARD
+            .decode(payload)
+            .map_err(LineError::InvalidPayload)?;
     }
     Ok(())
 }
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -1,17 +1,17 @@
-//! Endpoint lists, which come once and are then named by their number, and the names of endpoints.
+//! Stores the endpoint lists, which are defined once and then referred to by number, and the ids of endpoints.
 
 use crate::error::LineError;
-use crate::fields::{Fields, unknown_word};
+use crate::fields::{Fields, unknown_value};
 use reelrill_routing::{EndpointEntry, EndpointId, EndpointState, Event, ListKind};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// One id for each endpoint's name, shared by all that name it.
+/// Interns the names of endpoints: every use of a name shares one id.
 #[derive(Default)]
-pub struct EndpointNames(HashMap<String, EndpointId>);
+pub struct EndpointIds(HashMap<String, EndpointId>);
 
-impl EndpointNames {
-    /// The id of this name.
+impl EndpointIds {
+    /// Returns the id of an endpoint by its name.
     pub fn id(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.0.get(name) {
             return id.clone();
@@ -22,73 +22,77 @@
     }
 }
 
-/// The lists so far, by number.
+/// Stores the endpoint lists by number.
 #[derive(Default)]
 pub struct EndpointLists {
     lists: HashMap<u64, Vec<EndpointEntry>>,
-    /// The list whose rows are being read, and how many are still to come (never 0).
-    open: Option<(u64, usize)>,
+    /// The number of the list whose rows are being read, and the number of its missing rows (never 0).
+    open_list: Option<(u64, usize)>,
 }
 
 impl EndpointLists {
-    /// How many rows have to come before any other line; none: no list is open.
+    /// Returns the number of rows that must precede any other line; `None` if all lists are complete.
     pub fn rows_expected(&self) -> Option<usize> {
-        self.open.map(|(_, left)| left)
+        self.open_list.map(|(_, missing_rows)| missing_rows)
     }
 
-    /// `CATALOG`: a list begins, in place of any of its number.
+    /// Processes `CATALOG`: begins a list, which replaces any earlier one of the same number.
     pub fn begin(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
-        let list = fields.number("sheet")?;
+        let list_number = fields.number("sheet")?;
         let rows = fields.number("membersList")?;
-        self.lists.insert(list, Vec::new());
-        self.open = (rows > 0).then_some((list, rows));
+        self.lists.insert(list_number, Vec::new());
+        self.open_list = (rows > 0).then_some((list_number, rows));
         Ok(())
     }
 
-    /// `ROW`: one entry of the open list.
+    /// Processes `ROW`: adds an entry to the open list.
     pub fn add_row(
         &mut self,
         fields: &mut Fields<'_>,
-        names: &mut EndpointNames,
+        endpoint_ids: &mut EndpointIds,
     ) -> Result<(), LineError> {
-        let entry = entry(fields, names)?;
-        if let Some((list, left)) = self.open {
-            self.lists.entry(list).or_default().push(entry);
-            self.open = (left > 1).then_some((list, left - 1));
+        let entry = parse_entry(fields, endpoint_ids)?;
+        if let Some((list_number, missing_rows)) = self.open_list {
+            self.lists.entry(list_number).or_default().push(entry);
+            self.open_list = (missing_rows > 1).then_some((list_number, missing_rows - 1));
         }
         Ok(())
     }
 
-    /// `VIEW`: a router is given a list.
-    pub fn event(&self, fields: &mut Fields<'_>) -> Result<Event, LineError> {
+    /// Processes `VIEW`: returns the event by which a router receives an endpoint list.
+    pub fn list_event(&self, fields: &mut Fields<'_>) -> Result<Event, LineError> {
         let kind = match fields.text("kind")? {
             "diff" => ListKind::Changes,
             "snapshot" => ListKind::Full,
             "disk" => ListKind::Cached,
             "error" => ListKind::Failed,
-            other => return unknown_word("kind", other),
+            other => return unknown_value("kind", other),
         };
         fields.optional_number::<u64>("epoch")?;
-        let list: Option<u64> = fields.optional_number("sheet")?;
+        let list_number: Option<u64> = fields.optional_number("sheet")?;
         let entries = if kind == ListKind::Failed {
             Vec::new()
         } else {
-            let known = list.and_then(|list| self.lists.get(&list));
-            known.cloned().ok_or(LineError::UnknownList)?
+            let known_list = list_number.and_then(|number| self.lists.get(&number));
+            known_list.cloned().ok_or(LineError::UnknownList)?
         };
         Ok(Event::List { kind, entries })
     }
 }
 
-fn entry(fields: &mut Fields<'_>, names: &mut EndpointNames) -> Result<EndpointEntry, LineError> {
-    let endpoint = names.id(fields.text("member")?);
+/// Parses the fields of `ROW`.
+fn parse_entry(
+    fields: &mut Fields<'_>,
+    endpoint_ids: &mut EndpointIds,
+) -> Result<EndpointEntry, LineError> {
+    let endpoint = endpoint_ids.id(fields.text("member")?);
     let started = fields.optional_number("startTime")?.unwrap_or(0);
-    let leads: Option<f64> = fields.optional_number("leads")?;
+    let primary_flag: Option<f64> = fields.optional_number("leads")?;
     let state = match fields.text("condition")? {
         "SERVING" => EndpointState::Serving,
         "DRAINING" => EndpointState::Draining,
         "DELETED" => EndpointState::Removed,
-        other => return unknown_word("condition", other),
+        other => return unknown_value("condition", other),
     };
     let weight = fields.optional_number("capacityHint")?.unwrap_or(1.0);
     let replica_set = fields.number("db")?;
@@ -97,7 +101,7 @@
     Ok(EndpointEntry {
         endpoint,
         started,
-        is_primary: leads == Some(1.0),
+        is_primary: primary_flag == Some(1.0),
         state,
         weight,
         replica_set,
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,61 +1,61 @@
-//! What can be wrong with the simulator's input.
+//! The errors of the simulator's input and of the adapter.
 
 use reelrill_routing::SettingsError;
 use reelrill_routing_config::SettingsReadError;
 use std::io;
 
-/// What is wrong with a line: the field and why, or that the line is out of place.
+/// The error of a line: an invalid field, or a message that is not allowed at this place.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    #[error("field {field}: missing")]
+    #[error("field {field}: missing, the line ends before it")]
     Missing { field: &'static str },
-    #[error("field {field}: '{text}' is not a number of its kind")]
-    NotANumber { field: &'static str, text: String },
-    #[error("field {field}: '{text}' is not 16 hex digits")]
-    NotAnId { field: &'static str, text: String },
-    #[error("field {field}: '{text}' is neither 0 nor 1")]
-    NotAFlag { field: &'static str, text: String },
-    #[error("field {field}: unknown word '{word}'")]
-    UnknownWord { field: &'static str, word: String },
-    #[error("field feedback: '{0}' is not a pair")]
-    ReportPair(String),
-    #[error("field feedback: '{0}' is not a number")]
-    ReportNumber(String),
-    #[error("field payload: {0}")]
-    Payload(base64::DecodeError),
-    #[error("field bootInfo: {0}")]
+    #[error("field {field}: expected a number of the field's type and range, found '{text}'")]
+    InvalidNumber { field: &'static str, text: String },
+    #[error("field {field}: expected 16 hexadecimal digits, found '{text}'")]
+    InvalidRequestId { field: &'static str, text: String },
+    #[error("field {field}: expected 0 or 1, found '{text}'")]
+    InvalidFlag { field: &'static str, text: String },
+    #[error("field {field}: unknown value '{value}'")]
+    UnknownValue { field: &'static str, value: String },
+    #[error("field feedback: expected a pair name:value, found '{0}'")]
+    InvalidReportPair(String),
+    #[error("field feedback: expected a number as value, found '{0}'")]
+    InvalidReportValue(String),
+    #[error("field payload: expected Base64: {0}")]
+    InvalidPayload(base64::DecodeError),
+    #[error("field bootInfo: expected JSON: {0}")]
     SettingsJson(serde_json::Error),
     #[error("field bootInfo: {0}")]
     SettingsRead(SettingsReadError),
     #[error("field bootInfo: {0}")]
-    Settings(SettingsError),
-    #[error("field proxyId: no instance {0}")]
+    InvalidSettings(SettingsError),
+    #[error("field proxyId: unknown router {0}, expected one that UP has started")]
     UnknownRouter(u64),
-    #[error("field sheet: no such CATALOG")]
+    #[error("field sheet: expected the number of an endpoint list that CATALOG has defined")]
     UnknownList,
-    #[error("out of place: no MARK before it")]
-    NoBatch,
-    #[error("out of place: the batch before has not ended")]
+    #[error("outside a batch, expected MARK first")]
+    OutsideBatch,
+    #[error("inside a batch, expected END first")]
     BatchNotEnded,
-    #[error("out of place: {0} more ROW lines were announced")]
+    #[error("inside an endpoint list, expected ROW first; rows still missing: {0}")]
     RowExpected(usize),
 }
 
-/// Why the adapter ends early.
+/// The error that ends the adapter.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    #[error("standard input: {0}")]
+    #[error("can't read standard input: {0}")]
     Input(io::Error),
-    #[error("standard output: {0}")]
+    #[error("can't write standard output: {0}")]
     Output(io::Error),
-    #[error("line {0}: not UTF-8")]
+    #[error("line {0}: expected UTF-8 text")]
     NotUtf8(u64),
-    #[error("line {0}: the input ends inside a batch")]
+    #[error("line {0}: the input ends inside a batch, expected END")]
     EndsInsideBatch(u64),
-    #[error("line {number}: {message}: {source}")]
+    #[error("line {line_number}: {message}: {source}")]
     Line {
-        number: u64,
-        /// The line's first word.
+        line_number: u64,
+        /// The line's first field.
         message: String,
         source: LineError,
     },
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,19 +1,21 @@
-//! Lines that become events of the balancer. Each function takes the fields behind the router's number.
+//! Parses messages into events of the balancer. Each function reads the fields after the router's id.
 
-use crate::endpoint_lists::EndpointNames;
+use crate::endpoint_lists::EndpointIds;
 use crate::error::LineError;
-use crate::fields::{Fields, unknown_word};
+use crate::fields::{Fields, unknown_value};
 use crate::replication;
 use reelrill_routing::{AttemptEnded, AttemptOutcome, Event, Nanos, Request, Timestamp};
 use std::sync::Arc;
 
-/// Bits of a request's flags.
-const HAS_WORK: u64 = 1;
-const IS_RETRY: u64 = 2;
-const MILLISECOND_NS: f64 = 1e6;
+/// The bit of a request's flags which states that the `work` field is valid.
+const FLAG_HAS_EXPECTED_EXECUTION_TIME: u64 = 1;
+/// The bit of a request's flags which states that the client marked the request as a retry.
+const FLAG_IS_RETRY: u64 = 2;
+const NANOS_PER_MILLISECOND: f64 = 1e6;
 
-fn outcome(word: &str) -> Result<AttemptOutcome, LineError> {
-    Ok(match word {
+/// Parses the outcome of an attempt or a health check.
+fn parse_outcome(text: &str) -> Result<AttemptOutcome, LineError> {
+    Ok(match text {
         "delivered" => AttemptOutcome::Served,
         "app_error" => AttemptOutcome::Error,
         "shed" => AttemptOutcome::Overloaded,
@@ -23,73 +25,80 @@
         "revoked" => AttemptOutcome::Cancelled,
         "unused" => AttemptOutcome::Abandoned,
         "empty" => AttemptOutcome::Misrouted,
-        other => return unknown_word("ending", other),
+        other => return unknown_value("ending", other),
     })
 }
 
-/// `ORDER`: a client's request.
+/// Parses `ORDER`: a client's request.
 pub fn request(fields: &mut Fields<'_>) -> Result<Event, LineError> {
     let id = fields.request_id("call")?;
     let session = fields.optional_text("clientKey")?.map(Arc::from);
     let since_write_ms: Option<f64> = fields.optional_number("sinceWriteMs")?;
     let replica_set = fields.number::<f64>("cluster")? as u32;
-    let work: Option<Nanos> = fields.optional_number("work")?;
+    let execution_time: Option<Nanos> = fields.optional_number("work")?;
     let tenant = fields.optional_number("project")?;
     let class = fields.number("band")?;
     let flags: u64 = fields.number("flags")?;
     let time_left = fields.number("ttl")?;
-    let has_written = since_write_ms.filter(|ms| *ms > 0.0);
+    // 0 means that the session has not written anything.
+    let positive_since_write_ms = since_write_ms.filter(|ms| *ms > 0.0);
     Ok(Event::Request(Request {
         id,
         class,
         replica_set,
         session,
-        since_write: has_written.map(|ms| (ms * MILLISECOND_NS) as Nanos),
+        since_write: positive_since_write_ms.map(|ms| (ms * NANOS_PER_MILLISECOND) as Nanos),
         tenant,
-        expected_execution_time: work.filter(|work| flags & HAS_WORK != 0 && *work > 0),
-        is_retry: flags & IS_RETRY != 0,
+        expected_execution_time: execution_time
+            .filter(|time| flags & FLAG_HAS_EXPECTED_EXECUTION_TIME != 0 && *time > 0),
+        is_retry: flags & FLAG_IS_RETRY != 0,
         time_left,
     }))
 }
 
-/// `OUTCOME`: the end of an attempt.
+/// Parses `OUTCOME`: the end of an attempt. `position_origin` is an error if the router is unknown; errors in the
+/// fields before the load report take precedence over it.
 pub fn attempt_ended(
     fields: &mut Fields<'_>,
-    names: &mut EndpointNames,
-    origin: Result<Timestamp, LineError>,
+    endpoint_ids: &mut EndpointIds,
+    position_origin: Result<Timestamp, LineError>,
 ) -> Result<Event, LineError> {
     let request = fields.request_id("call")?;
-    let endpoint = names.id(fields.text("member")?);
-    let outcome = outcome(fields.text("ending")?)?;
-    let note: Option<u64> = fields.optional_number("stand")?;
+    let endpoint = endpoint_ids.id(fields.text("member")?);
+    let outcome = parse_outcome(fields.text("ending")?)?;
+    let encoded_status: Option<u64> = fields.optional_number("stand")?;
     let latency = fields.number("took")?;
     let attempt = fields.number("n")?;
-    let closed = fields.flag("doneFlag")?;
-    let origin = origin?;
-    let report = replication::report(fields.optional_text("feedback")?, origin)?;
+    let is_complete = fields.flag("doneFlag")?;
+    let position_origin = position_origin?;
+    let report =
+        replication::parse_load_report(fields.optional_text("feedback")?, position_origin)?;
     Ok(Event::AttemptEnded(AttemptEnded {
         request,
         endpoint,
         attempt,
         outcome,
-        replication: replication::note(note.unwrap_or(0), origin),
+        replication: replication::decode_response_status(
+            encoded_status.unwrap_or(0),
+            position_origin,
+        ),
         report,
         latency,
-        is_request_complete: closed,
+        is_request_complete: is_complete,
     }))
 }
 
-/// `SAMPLED`: the result of a probe.
-pub fn probe_ended(
+/// Parses `SAMPLED`: the end of a health check. `position_origin` is as in [`attempt_ended`].
+pub fn health_check_ended(
     fields: &mut Fields<'_>,
-    names: &mut EndpointNames,
-    origin: Result<Timestamp, LineError>,
+    endpoint_ids: &mut EndpointIds,
+    position_origin: Result<Timestamp, LineError>,
 ) -> Result<Event, LineError> {
-    let endpoint = names.id(fields.text("member")?);
-    let outcome = outcome(fields.text("ending")?)?;
+    let endpoint = endpoint_ids.id(fields.text("member")?);
+    let outcome = parse_outcome(fields.text("ending")?)?;
     fields.number::<u64>("took")?;
-    let text = fields.optional_text("feedback")?;
-    let report = replication::report(text, origin?)?;
+    let report_text = fields.optional_text("feedback")?;
+    let report = replication::parse_load_report(report_text, position_origin?)?;
     Ok(Event::HealthCheckEnded {
         endpoint,
         outcome,
@@ -97,15 +106,15 @@
     })
 }
 
-/// `FLOWING`: a streamed answer has begun.
+/// Parses `FLOWING`: the start of a streamed response.
 pub fn response_started(
     fields: &mut Fields<'_>,
-    names: &mut EndpointNames,
+    endpoint_ids: &mut EndpointIds,
 ) -> Result<Event, LineError> {
     let request = fields.request_id("call")?;
     fields.number::<u64>("took")?;
     let attempt = fields.number("n")?;
-    let endpoint = names.id(fields.text("member")?);
+    let endpoint = endpoint_ids.id(fields.text("member")?);
     Ok(Event::ResponseStarted {
         request,
         attempt,
@@ -113,13 +122,13 @@
     })
 }
 
-/// `CLIENT_LEFT`.
-pub fn client_left(fields: &mut Fields<'_>) -> Result<Event, LineError> {
+/// Parses `CLIENT_LEFT`: the disconnection of a client.
+pub fn client_disconnected(fields: &mut Fields<'_>) -> Result<Event, LineError> {
     let request = fields.request_id("call")?;
     Ok(Event::ClientDisconnected { request })
 }
 
-/// `DEADLINE_HIT`: a timer is due.
+/// Parses `DEADLINE_HIT`: a timer that is due.
 pub fn timer(fields: &mut Fields<'_>) -> Result<Event, LineError> {
     let token = fields.number("ref")?;
     Ok(Event::Timer { token })
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -45,13 +45,13 @@
 fn bad_lines_name_the_line_and_the_field() {
     let cases = [
         ("MARK\tx\t1\n", "line 1", "clock"),
-        ("END\n", "line 1", "out of place"),
+        ("END\n", "line 1", "outside a batch"),
         ("MARK\t1\t1\nORDER\t3\tzz\n", "line 2", "call"),
         ("MARK\t1\t1\nCLIENT_LEFT\t3\n", "line 2", "call"),
         ("MARK\t1\t1\nNEWS\t3\n", "line 2", "message"),
         ("MARK\t1\t1\nCATALOG\t0\t2\nEND\n", "line 3", "ROW"),
         ("MARK\t1\t1\nHEARD\t3\t1\t%%\n", "line 2", "payload"),
-        ("MARK\t1\t1\n", "line 2", "inside a batch"),
+        ("MARK\t1\t1\n", "line 2", "input ends inside a batch"),
     ];
     for (input, line, field) in cases {
         let out = run(input);
