--- a/crates/routing/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -1,8 +1,9 @@
-//! Guards every decision against a change that was not meant: scripted days, seeded, with all kinds of events, and the
-//! exact sequence of actions that each led to when this was written, as a hash and a count by kind.
+//! Golden test of every decision of the balancer: scripted, seeded runs with all kinds of events,
+//! compared with the recorded sequence of actions, as a hash and a count of each kind.
 //!
-//! The hash is over numbers that this file assigns, never over a type's debug text: renaming a type or a field changes
-//! nothing here. A commit that is meant to change decisions replaces the expected values and says why.
+//! The hash covers numbers that this file assigns, never the debug text of a type: renaming a type
+//! or a field doesn't change it. A commit that is meant to change decisions replaces the expected
+//! values and gives the reason.
 
 mod common;
 use common::{KEYED, MS, START_TIME, WRITE, class};
@@ -10,17 +11,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-const DAY: Timestamp = 30_000 * MS;
+/// Length of a scripted run, nanoseconds.
+const RUN_LENGTH: Timestamp = 30_000 * MS;
 const ENDPOINTS: u64 = 48;
 const REPLICA_SETS: u64 = 6;
-const KINDS: usize = 8;
+/// Number of kinds of actions.
+const ACTION_KINDS: usize = 8;
 
-/// What one seed's day is expected to lead to.
+/// Expected result of the scripted run with one seed.
 struct Expected {
     seed: u64,
+    /// Hash of all actions, with the time of each event and the number of endpoints after it.
     hash: u64,
-    /// Sends, refusals, failures, cancellations, timers, probes, subscriptions, list fetches.
-    counts: [u64; KINDS],
+    /// Number of sends, rejections, failures, cancellations, timers, health checks, subscriptions
+    /// and list fetches.
+    counts: [u64; ACTION_KINDS],
 }
 
 const EXPECTED: [Expected; 8] = [
@@ -66,7 +71,7 @@
     },
 ];
 
-/// FNV-1a over 64-bit numbers, byte by byte.
+/// FNV-1a hash over 64-bit numbers, byte by byte.
 struct Fnv(u64);
 
 impl Fnv {
@@ -77,10 +82,10 @@
     }
 }
 
-/// A linear congruence for the script's own choices, apart from the generator under test.
-struct Choices(u64);
+/// Linear congruential generator for the choices of the run, apart from the balancer's generator.
+struct Rng(u64);
 
-impl Choices {
+impl Rng {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
@@ -90,57 +95,67 @@
     }
 }
 
-/// What comes at a point of time.
-enum Scheduled {
+/// Event that is due at a later time of the run.
+enum ScheduledEvent {
     Timer(u64),
     AttemptEnded {
         request: RequestId,
         endpoint: u64,
         attempt: u32,
         outcome: AttemptOutcome,
-        sent: Timestamp,
+        sent_at: Timestamp,
     },
-    Started {
+    ResponseStarted {
         request: RequestId,
         endpoint: u64,
         attempt: u32,
     },
-    ClientLeaves(RequestId),
+    ClientDisconnected(RequestId),
 }
 
+/// A scripted endpoint.
 struct Endpoint {
     state: EndpointState,
     started: Timestamp,
-    /// How its attempts end: 0 well, 1 slowly, 2 by errors, 3 not at all, 4 it can't be reached, 5 full, 6 anyhow.
-    condition: u64,
+    /// How its attempts end: 0 served, 1 served slowly, 2 mostly with errors, 3 timed out, 4
+    /// unreachable, 5 mostly rejected at capacity, 6 with a random outcome.
+    fault_mode: u64,
+    /// Replication lag while it is a replica, nanoseconds.
     lag: Timestamp,
 }
 
-struct Day {
+/// A balancer with scripted clients and endpoints, and the hash and counts of its actions.
+struct ScriptedRun {
     balancer: Balancer,
     settings: Settings,
-    choices: Choices,
+    rng: Rng,
     now: Timestamp,
-    order: u64,
-    queue: BTreeMap<(Timestamp, u64), Scheduled>,
+    /// Number of events scheduled so far, which orders events that are due at the same time.
+    scheduled_count: u64,
+    /// Scheduled events, by the time at which they are due and their order.
+    scheduled_events: BTreeMap<(Timestamp, u64), ScheduledEvent>,
     endpoints: Vec<Endpoint>,
+    /// Number of the primary of each replica set.
     primaries: Vec<u64>,
+    /// Class of each request.
     classes: BTreeMap<RequestId, u32>,
+    /// Number of attempts sent for each request.
     attempts: BTreeMap<RequestId, u32>,
-    over: BTreeSet<RequestId>,
+    /// Requests that are complete or whose client has disconnected.
+    completed: BTreeSet<RequestId>,
     hash: Fnv,
-    counts: [u64; KINDS],
+    counts: [u64; ACTION_KINDS],
 }
 
-fn name(endpoint: u64) -> EndpointId {
-    Arc::from(format!("e{endpoint}"))
+fn endpoint_name(number: u64) -> EndpointId {
+    Arc::from(format!("e{number}"))
 }
 
-fn number(name: &str) -> u64 {
-    name[1..].parse().expect("a name of this test's own")
+fn endpoint_number(name: &str) -> u64 {
+    name[1..].parse().expect("a name from `endpoint_name`")
 }
 
-fn cause_code(reason: RejectReason) -> u64 {
+fn reason_code(reason: RejectReason) -> u64 {
     match reason {
         RejectReason::UnknownClass => 1,
         RejectReason::UnknownReplicaSet => 2,
@@ -155,88 +170,97 @@
     }
 }
 
-/// Each seed has settings of its own, so that every way of reading and repeating comes up.
-fn settings_of(seed: u64) -> Settings {
-    let mut set = common::settings();
-    set.classes.push(class(
+/// Returns the settings of the run with this seed. All runs together cover every consistency,
+/// idempotency, key scope, stale read policy, list role and report source.
+fn settings_for_seed(seed: u64) -> Settings {
+    let mut settings = common::settings();
+    settings.classes.push(class(
         Operation::Read(Consistency::Eventual),
         Idempotency::Idempotent,
     ));
-    set.classes.push(class(
+    settings.classes.push(class(
         Operation::Write,
         Idempotency::IdempotencyKey(KeyScope::Zone),
     ));
-    set.classes.push(class(
+    settings.classes.push(class(
         Operation::Write,
         Idempotency::IdempotencyKey(KeyScope::All),
     ));
-    set.router_count = [1, 3, 40, 300][seed as usize % 4];
-    set.stale_reads = [
+    settings.router_count = [1, 3, 40, 300][seed as usize % 4];
+    settings.stale_reads = [
         StaleReadPolicy::Serve,
         StaleReadPolicy::Reject,
         StaleReadPolicy::Wait(100 * MS),
     ][seed as usize % 3];
-    set.has_session_positions = seed & 1 == 1;
-    set.rules.allows_unlisted_endpoints = seed & 4 == 4;
-    set.list_role = [ListRole::Delayed, ListRole::None, ListRole::Initial][seed as usize % 3];
-    set.reports = [
+    settings.has_session_positions = seed & 1 == 1;
+    settings.rules.allows_unlisted_endpoints = seed & 4 == 4;
+    settings.list_role = [ListRole::Delayed, ListRole::None, ListRole::Initial][seed as usize % 3];
+    settings.reports = [
         ReportSource::None,
         ReportSource::Responses,
         ReportSource::HealthChecks,
     ][seed as usize % 3];
-    set.is_subscription_required = seed & 2 == 2;
-    set.rules.slow_start_duration = 3000 * MS;
-    set.tenants = vec![Tenant { quota: 20.0 }, Tenant { quota: 2000.0 }];
-    set
+    settings.is_subscription_required = seed & 2 == 2;
+    settings.rules.slow_start_duration = 3000 * MS;
+    settings.tenants = vec![Tenant { quota: 20.0 }, Tenant { quota: 2000.0 }];
+    settings
 }
 
-impl Day {
-    fn new(seed: u64) -> Day {
-        let settings = settings_of(seed);
-        let new = |n: u64| Endpoint {
-            state: if n < ENDPOINTS / 2 {
+impl ScriptedRun {
+    fn new(seed: u64) -> ScriptedRun {
+        let settings = settings_for_seed(seed);
+        let new_endpoint = |number: u64| Endpoint {
+            state: if number < ENDPOINTS / 2 {
                 EndpointState::Serving
             } else {
                 EndpointState::Removed
             },
             started: 0,
-            condition: 0,
-            lag: n % 7 * 60 * MS,
+            fault_mode: 0,
+            lag: number % 7 * 60 * MS,
         };
-        Day {
-            balancer: Balancer::new(seed, settings.clone()).expect("good settings"),
+        ScriptedRun {
+            balancer: Balancer::new(seed, settings.clone()).expect("valid settings"),
             settings,
-            choices: Choices(seed),
+            rng: Rng(seed),
             now: START_TIME,
-            order: 0,
-            queue: BTreeMap::new(),
-            endpoints: (0..ENDPOINTS).map(new).collect(),
+            scheduled_count: 0,
+            scheduled_events: BTreeMap::new(),
+            endpoints: (0..ENDPOINTS).map(new_endpoint).collect(),
             primaries: (0..REPLICA_SETS).collect(),
             classes: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            over: BTreeSet::new(),
+            completed: BTreeSet::new(),
             hash: Fnv(0xcbf2_9ce4_8422_2325),
-            counts: [0; KINDS],
+            counts: [0; ACTION_KINDS],
         }
     }
 
-    fn run(mut self) -> (u64, [u64; KINDS]) {
-        self.tell_whole_list(ListKind::Cached);
+    /// Runs the script and returns the hash and the counts of the actions.
+    fn run(mut self) -> (u64, [u64; ACTION_KINDS]) {
+        self.send_whole_list(ListKind::Cached);
         let (mut next_request, mut next_change) = (START_TIME, START_TIME + 500 * MS);
         let mut id = 1;
-        while self.now < START_TIME + DAY {
-            let due = self.queue.keys().next().map_or(Timestamp::MAX, |key| key.0);
+        while self.now < START_TIME + RUN_LENGTH {
+            let due = self
+                .scheduled_events
+                .keys()
+                .next()
+                .map_or(Timestamp::MAX, |key| key.0);
             self.now = due.min(next_request).min(next_change).max(self.now);
             if due <= self.now {
-                let (_, scheduled) = self.queue.pop_first().expect("one that is due");
+                let (_, scheduled) = self
+                    .scheduled_events
+                    .pop_first()
+                    .expect("a scheduled event");
                 self.on_scheduled(scheduled);
             } else if next_change <= self.now {
-                next_change += (20 + self.choices.below(250)) * MS;
-                self.change_world();
+                next_change += (20 + self.rng.below(250)) * MS;
+                self.apply_random_change();
             } else {
-                // Bursts and quiet spells.
+                // Bursts of 4 s alternate with 4 s of lower load.
                 let is_burst = (self.now / (4000 * MS)).is_multiple_of(2);
-                next_request += self.choices.below(if is_burst { 12 } else { 60 }) * MS;
+                next_request += self.rng.below(if is_burst { 12 } else { 60 }) * MS;
                 self.request(id);
                 id += 1;
             }
@@ -244,52 +268,56 @@
         (self.hash.0, self.counts)
     }
 
-    fn schedule(&mut self, after: Nanos, scheduled: Scheduled) {
-        self.order += 1;
-        self.queue.insert((self.now + after, self.order), scheduled);
+    fn schedule(&mut self, after: Nanos, scheduled: ScheduledEvent) {
+        self.scheduled_count += 1;
+        self.scheduled_events
+            .insert((self.now + after, self.scheduled_count), scheduled);
     }
 
-    fn entry(&self, endpoint: u64) -> EndpointEntry {
-        let it = &self.endpoints[endpoint as usize];
-        let replica_set = endpoint % REPLICA_SETS;
+    fn entry(&self, number: u64) -> EndpointEntry {
+        let endpoint = &self.endpoints[number as usize];
+        let replica_set = number % REPLICA_SETS;
         EndpointEntry {
-            endpoint: name(endpoint),
-            started: it.started,
-            is_primary: self.primaries[replica_set as usize] == endpoint,
-            state: it.state,
+            endpoint: endpoint_name(number),
+            started: endpoint.started,
+            is_primary: self.primaries[replica_set as usize] == number,
+            state: endpoint.state,
             weight: 1.0,
             replica_set: replica_set as u32,
-            zone: (endpoint / REPLICA_SETS % 2) as u32,
+            zone: (number / REPLICA_SETS % 2) as u32,
         }
     }
 
-    fn tell_whole_list(&mut self, kind: ListKind) {
-        let is_listed = |n: &u64| self.endpoints[*n as usize].state != EndpointState::Removed;
+    fn send_whole_list(&mut self, kind: ListKind) {
+        let is_listed =
+            |number: &u64| self.endpoints[*number as usize].state != EndpointState::Removed;
         let entries = (0..ENDPOINTS)
             .filter(is_listed)
-            .map(|n| self.entry(n))
+            .map(|number| self.entry(number))
             .collect();
-        self.feed(Event::List { kind, entries });
+        self.handle(Event::List { kind, entries });
     }
 
-    fn change_world(&mut self) {
-        let endpoint = self.choices.below(ENDPOINTS);
-        let at = endpoint as usize;
-        match self.choices.below(20) {
-            0..4 => self.endpoints[at].state = EndpointState::Draining,
-            4..7 => self.endpoints[at].state = EndpointState::Removed,
+    /// Changes the list state or the fault mode of a random endpoint, makes it the primary, or
+    /// passes the whole list, a failed list update, or the end of a health check to the balancer.
+    fn apply_random_change(&mut self) {
+        let endpoint = self.rng.below(ENDPOINTS);
+        let index = endpoint as usize;
+        match self.rng.below(20) {
+            0..4 => self.endpoints[index].state = EndpointState::Draining,
+            4..7 => self.endpoints[index].state = EndpointState::Removed,
             7..13 => {
-                self.endpoints[at].state = EndpointState::Serving;
-                self.endpoints[at].started = self.now;
-                self.endpoints[at].condition = 0;
+                self.endpoints[index].state = EndpointState::Serving;
+                self.endpoints[index].started = self.now;
+                self.endpoints[index].fault_mode = 0;
             }
             13 => {
                 self.primaries[(endpoint % REPLICA_SETS) as usize] = endpoint;
                 return;
             }
-            14 => return self.tell_whole_list(ListKind::Full),
+            14 => return self.send_whole_list(ListKind::Full),
             15 => {
-                self.feed(Event::List {
+                self.handle(Event::List {
                     kind: ListKind::Failed,
                     entries: Vec::new(),
                 });
@@ -300,76 +328,76 @@
                     role: Some(Role::Replica),
                     applied_position: Some(self.now),
                 };
-                self.feed(Event::HealthCheckEnded {
-                    endpoint: name(endpoint),
+                self.handle(Event::HealthCheckEnded {
+                    endpoint: endpoint_name(endpoint),
                     outcome: AttemptOutcome::Served,
                     report,
                 });
                 return;
             }
             _ => {
-                self.endpoints[at].condition = self.choices.below(10).saturating_sub(3);
+                self.endpoints[index].fault_mode = self.rng.below(10).saturating_sub(3);
                 return;
             }
         }
         let entries = vec![self.entry(endpoint)];
-        self.feed(Event::List {
+        self.handle(Event::List {
             kind: ListKind::Changes,
             entries,
         });
     }
 
     fn request(&mut self, id: RequestId) {
-        let class = self.choices.below(8) as u32;
-        let session = self.choices.below(40);
-        let time_left = (30 + self.choices.below(2000)) * MS;
+        let class = self.rng.below(8) as u32;
+        let session = self.rng.below(40);
+        let time_left = (30 + self.rng.below(2000)) * MS;
         let request = Request {
             id,
             class,
-            // Seldom one that no endpoint belongs to.
-            replica_set: (self.choices.below(100) * REPLICA_SETS / 99) as u32,
+            // One request in 100 is for a replica set without endpoints.
+            replica_set: (self.rng.below(100) * REPLICA_SETS / 99) as u32,
             session: (session < 30).then(|| Arc::from(format!("session {session}"))),
             since_write: (session < 20).then_some(session * 37 * MS),
-            tenant: [None, Some(0), Some(1)][self.choices.below(3) as usize],
+            tenant: [None, Some(0), Some(1)][self.rng.below(3) as usize],
             expected_execution_time: (session.is_multiple_of(4)).then_some(session * MS),
             is_retry: session.is_multiple_of(9),
             time_left,
         };
         self.classes.insert(id, class);
-        if self.choices.below(20) == 0 {
-            let after = self.choices.below(300) * MS;
-            self.schedule(after, Scheduled::ClientLeaves(id));
+        if self.rng.below(20) == 0 {
+            let after = self.rng.below(300) * MS;
+            self.schedule(after, ScheduledEvent::ClientDisconnected(id));
         }
-        self.feed(Event::Request(request));
+        self.handle(Event::Request(request));
     }
 
-    fn on_scheduled(&mut self, scheduled: Scheduled) {
+    fn on_scheduled(&mut self, scheduled: ScheduledEvent) {
         match scheduled {
-            Scheduled::Timer(token) => self.feed(Event::Timer { token }),
-            Scheduled::Started {
+            ScheduledEvent::Timer(token) => self.handle(Event::Timer { token }),
+            ScheduledEvent::ResponseStarted {
                 request,
                 endpoint,
                 attempt,
             } => {
-                self.feed(Event::ResponseStarted {
+                self.handle(Event::ResponseStarted {
                     request,
                     attempt,
-                    endpoint: name(endpoint),
+                    endpoint: endpoint_name(endpoint),
                 });
             }
-            Scheduled::ClientLeaves(request) => {
-                if self.over.insert(request) {
-                    self.feed(Event::ClientDisconnected { request });
+            ScheduledEvent::ClientDisconnected(request) => {
+                if self.completed.insert(request) {
+                    self.handle(Event::ClientDisconnected { request });
                 }
             }
-            Scheduled::AttemptEnded {
+            ScheduledEvent::AttemptEnded {
                 request,
                 endpoint,
                 attempt,
                 outcome,
-                sent,
+                sent_at,
             } => {
-                self.end_attempt(request, endpoint, attempt, outcome, sent);
+                self.end_attempt(request, endpoint, attempt, outcome, sent_at);
             }
         }
     }
@@ -380,16 +408,20 @@
         endpoint: u64,
         attempt: u32,
         outcome: AttemptOutcome,
-        sent: Timestamp,
+        sent_at: Timestamp,
     ) {
-        let leads = self.primaries[(endpoint % REPLICA_SETS) as usize] == endpoint;
-        let lag = if leads {
+        let is_primary = self.primaries[(endpoint % REPLICA_SETS) as usize] == endpoint;
+        let lag = if is_primary {
             0
         } else {
             self.endpoints[endpoint as usize].lag
         };
-        let role = if leads { Role::Primary } else { Role::Replica };
-        let says = matches!(
+        let role = if is_primary {
+            Role::Primary
+        } else {
+            Role::Replica
+        };
+        let has_status = matches!(
             outcome,
             AttemptOutcome::Served
                 | AttemptOutcome::Error
@@ -400,16 +432,16 @@
             role: Some(role),
             applied_position: Some(self.now - lag),
         };
-        let has_report = says && self.settings.reports == ReportSource::Responses;
+        let has_report = has_status && self.settings.reports == ReportSource::Responses;
         if outcome == AttemptOutcome::Served {
-            self.over.insert(request);
+            self.completed.insert(request);
         }
-        self.feed(Event::AttemptEnded(AttemptEnded {
+        self.handle(Event::AttemptEnded(AttemptEnded {
             request,
-            endpoint: name(endpoint),
+            endpoint: endpoint_name(endpoint),
             attempt,
             outcome,
-            replication: if says {
+            replication: if has_status {
                 status
             } else {
                 ReplicationStatus::default()
@@ -419,14 +451,14 @@
             } else {
                 ReplicationStatus::default()
             },
-            latency: self.now - sent,
-            is_request_complete: self.over.contains(&request),
+            latency: self.now - sent_at,
+            is_request_complete: self.completed.contains(&request),
         }));
     }
 
-    /// How an attempt at an endpoint will end, and after how long.
-    fn fate(&mut self, class: u32, endpoint: u64) -> (AttemptOutcome, Nanos) {
-        const ANY: [AttemptOutcome; 12] = [
+    /// Draws the outcome of an attempt, and the time until it ends.
+    fn draw_outcome(&mut self, class: u32, endpoint: u64) -> (AttemptOutcome, Nanos) {
+        const ALL_OUTCOMES: [AttemptOutcome; 12] = [
             AttemptOutcome::Served,
             AttemptOutcome::Error,
             AttemptOutcome::Overloaded,
@@ -440,27 +472,34 @@
             AttemptOutcome::NotSent,
             AttemptOutcome::InvalidRequest,
         ];
-        let chance = self.choices.below(100);
-        let quick = (1 + self.choices.below(40)) * MS;
-        let writes = matches!(
+        let draw = self.rng.below(100);
+        let short_latency = (1 + self.rng.below(40)) * MS;
+        let is_write = matches!(
             self.settings.classes[class as usize].operation,
             Operation::Write
         );
-        let leads = self.primaries[(endpoint % REPLICA_SETS) as usize] == endpoint;
-        match self.endpoints[endpoint as usize].condition {
-            4 => (AttemptOutcome::ConnectFailed, quick),
-            _ if writes && !leads => (AttemptOutcome::Misrouted, quick),
-            1 => (AttemptOutcome::Served, quick * 20),
-            2 if chance < 70 => (AttemptOutcome::Error, quick),
+        let is_primary = self.primaries[(endpoint % REPLICA_SETS) as usize] == endpoint;
+        match self.endpoints[endpoint as usize].fault_mode {
+            4 => (AttemptOutcome::ConnectFailed, short_latency),
+            _ if is_write && !is_primary => (AttemptOutcome::Misrouted, short_latency),
+            1 => (AttemptOutcome::Served, short_latency * 20),
+            2 if draw < 70 => (AttemptOutcome::Error, short_latency),
             3 => (AttemptOutcome::TimedOut, 600 * MS),
-            5 if chance < 60 => (AttemptOutcome::Overloaded, quick / 4),
-            6 => (ANY[self.choices.below(ANY.len() as u64) as usize], quick),
-            _ if chance < 2 => (ANY[self.choices.below(ANY.len() as u64) as usize], quick),
-            _ => (AttemptOutcome::Served, quick),
+            5 if draw < 60 => (AttemptOutcome::Overloaded, short_latency / 4),
+            6 => (
+                ALL_OUTCOMES[self.rng.below(ALL_OUTCOMES.len() as u64) as usize],
+                short_latency,
+            ),
+            _ if draw < 2 => (
+                ALL_OUTCOMES[self.rng.below(ALL_OUTCOMES.len() as u64) as usize],
+                short_latency,
+            ),
+            _ => (AttemptOutcome::Served, short_latency),
         }
     }
 
-    fn feed(&mut self, event: Event) {
+    /// Passes an event to the balancer, and hashes, counts and executes the actions.
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         self.hash.add(self.now);
@@ -468,58 +507,67 @@
         self.hash.add(self.now);
         self.hash.add(self.balancer.endpoint_count() as u64);
         for action in actions {
-            let codes = self.carry_out(action);
+            let codes = self.execute(action);
             self.counts[codes[0] as usize - 1] += 1;
             codes.into_iter().for_each(|code| self.hash.add(code));
         }
     }
 
-    /// Does what is asked, and says it in numbers, the kind first.
-    fn carry_out(&mut self, action: Action) -> [u64; 4] {
+    /// Executes an action and returns its codes for the hash. The first is its kind, counted from 1
+    /// in the order of [`Expected::counts`].
+    fn execute(&mut self, action: Action) -> [u64; 4] {
         match action {
             Action::Send {
                 request,
                 endpoint,
                 limit,
-                write_by: by,
+                write_by: latest_write,
             } => {
-                assert_eq!(limit, None, "not used so far: give it a code if it is");
-                self.send(request, number(&endpoint));
-                [1, request, number(&endpoint), by.unwrap_or(0)]
+                assert_eq!(
+                    limit, None,
+                    "the hash has no code for a limit of an attempt"
+                );
+                self.send(request, endpoint_number(&endpoint));
+                [
+                    1,
+                    request,
+                    endpoint_number(&endpoint),
+                    latest_write.unwrap_or(0),
+                ]
             }
             Action::Reject {
                 request,
                 reason,
                 retry_after,
             } => {
-                self.over.insert(request);
-                [2, request, cause_code(reason), retry_after.unwrap_or(0)]
+                self.completed.insert(request);
+                [2, request, reason_code(reason), retry_after.unwrap_or(0)]
             }
             Action::Fail { request, reason } => {
-                self.over.insert(request);
-                [3, request, cause_code(reason), 0]
+                self.completed.insert(request);
+                [3, request, reason_code(reason), 0]
             }
             Action::Cancel { request, attempt } => {
                 self.cancel(request, attempt);
                 [4, request, u64::from(attempt), 0]
             }
             Action::SetTimer { after, token } => {
-                self.schedule(after, Scheduled::Timer(token));
+                self.schedule(after, ScheduledEvent::Timer(token));
                 [5, after, token, 0]
             }
-            Action::CheckHealth { endpoint } => [6, number(&endpoint), 0, 0],
+            Action::CheckHealth { endpoint } => [6, endpoint_number(&endpoint), 0, 0],
             Action::Subscribe => [7, 0, 0, 0],
             Action::FetchList => [8, 0, 0, 0],
         }
     }
 
     fn send(&mut self, request: RequestId, endpoint: u64) {
-        let counted = self.attempts.entry(request).or_insert(0);
-        let attempt = *counted;
-        *counted += 1;
+        let attempt_count = self.attempts.entry(request).or_insert(0);
+        let attempt = *attempt_count;
+        *attempt_count += 1;
         let class = self.classes[&request];
-        let (outcome, after) = self.fate(class, endpoint);
-        // Some reads are streamed.
+        let (outcome, after) = self.draw_outcome(class, endpoint);
+        // One served read in 16 has a streamed response.
         let is_streamed = outcome == AttemptOutcome::Served
             && class != WRITE
             && class != KEYED
@@ -527,7 +575,7 @@
         if is_streamed {
             self.schedule(
                 after / 2,
-                Scheduled::Started {
+                ScheduledEvent::ResponseStarted {
                     request,
                     endpoint,
                     attempt,
@@ -536,47 +584,50 @@
         }
         self.schedule(
             after,
-            Scheduled::AttemptEnded {
+            ScheduledEvent::AttemptEnded {
                 request,
                 endpoint,
                 attempt,
                 outcome,
-                sent: self.now,
+                sent_at: self.now,
             },
         );
     }
 
-    /// The attempt ends at once as cancelled, in place of its fate.
+    /// Ends an attempt at once as cancelled, in place of the outcome that was drawn for it.
     fn cancel(&mut self, request: RequestId, attempt: u32) {
-        let is_it = |scheduled: &Scheduled| matches!(scheduled, Scheduled::AttemptEnded { request: r, attempt: a, .. } if *r == request && *a == attempt);
+        let is_attempt_end = |scheduled: &ScheduledEvent| matches!(scheduled, ScheduledEvent::AttemptEnded { request: r, attempt: a, .. } if *r == request && *a == attempt);
         let key = self
-            .queue
+            .scheduled_events
             .iter()
-            .find(|(_, scheduled)| is_it(scheduled))
+            .find(|(_, scheduled)| is_attempt_end(scheduled))
             .map(|(key, _)| *key);
-        if let Some(Scheduled::AttemptEnded { endpoint, sent, .. }) =
-            key.and_then(|key| self.queue.remove(&key))
+        if let Some(ScheduledEvent::AttemptEnded {
+            endpoint, sent_at, ..
+        }) = key.and_then(|key| self.scheduled_events.remove(&key))
         {
             let outcome = AttemptOutcome::Cancelled;
             self.schedule(
                 0,
-                Scheduled::AttemptEnded {
+                ScheduledEvent::AttemptEnded {
                     request,
                     endpoint,
                     attempt,
                     outcome,
-                    sent,
+                    sent_at,
                 },
             );
         }
     }
 }
 
+/// Guards every decision against an unintended change, such as by a refactoring: each run must give
+/// exactly the recorded actions, in the same order.
 #[test]
-fn scripted_days_give_the_recorded_actions() {
+fn scripted_runs_give_the_recorded_actions() {
     let mut changed = Vec::new();
     for expected in EXPECTED {
-        let (hash, counts) = Day::new(expected.seed).run();
+        let (hash, counts) = ScriptedRun::new(expected.seed).run();
         if (hash, counts) != (expected.hash, expected.counts) {
             changed.push(format!(
                 "seed: {}, hash: {hash:#018x}, counts: {counts:?}",
