--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -47,7 +47,8 @@
         /// [`AttemptOutcome::NotSent`](crate::AttemptOutcome::NotSent).
         write_by: Option<Timestamp>,
     },
-    /// Return the final response: not executed, or safe to retry.
+    /// Return the final response that rejects the request: it was not executed, or the client may
+    /// safely retry it.
     Reject {
         /// The request.
         request: RequestId,
@@ -56,7 +57,7 @@
         /// Time after which the client is advised to retry, nanoseconds.
         retry_after: Option<Nanos>,
     },
-    /// Return the final response: failed, with an unknown effect.
+    /// Return the final response that fails the request: its effect counts as unknown.
     Fail {
         /// The request.
         request: RequestId,
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -24,7 +24,7 @@
 const PRIMARY_READ_PENALTY: f64 = 2.0;
 /// Factor on the expected latency of a request over its tenant's quota.
 const OVER_QUOTA_PENALTY: f64 = 2.0;
-/// Averaging window of a tenant's request rate, in longest latency objectives.
+/// Averaging window of a tenant's request rate, as a multiple of the longest latency objective.
 const QUOTA_WINDOW: f64 = 4.0;
 /// Nanoseconds per second.
 const NANOS_PER_SECOND: f64 = 1e9;
@@ -77,8 +77,8 @@
 
 impl Balancer {
     /// Returns whether load shedding rejects the request's first attempt at the endpoint. A
-    /// recovery probe is never shed. Known limitation: a queue at the selected endpoint alone is
-    /// taken for a queue at the whole replica set.
+    /// recovery probe is never shed. Known limitation: a request is shed because of a queue at the
+    /// selected endpoint, even if another endpoint of its replica set has none.
     pub(crate) fn is_shed(
         &mut self,
         now: Timestamp,
--- a/crates/routing/src/discovery_backoff.rs
+++ b/crates/routing/src/discovery_backoff.rs
@@ -10,11 +10,12 @@
 use crate::settings::Settings;
 use crate::units::{Nanos, Timestamp};
 
-/// Time of the discovery service that each router's call may take, nanoseconds. If more calls
-/// arrive, the queue grows longer than their time limits and no call succeeds.
+/// Time that is reserved at the discovery service for each router's call, nanoseconds. If calls
+/// arrive at a higher rate, they wait longer than their time limits and none succeeds.
 const CALL_SLOT: Nanos = 30_000_000;
 /// Longest span of the backoff, nanoseconds, for any number of routers. A router counts as notified
-/// of a change 6 s after the service had it and was reachable, and one more failure must fit in.
+/// of a change 6 s after the discovery service had the change and was reachable; one more failed
+/// call must fit into this time.
 const MAX_BACKOFF: Nanos = 2_000_000_000;
 /// Highest exponent of the backoff, as a power of 2.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -13,8 +13,7 @@
 use crate::settings::Operation;
 use crate::units::{Nanos, RequestId, Timestamp};
 
-/// Highest expected latency, in latency objectives, that is assumed when a request is checked for
-/// enough time.
+/// Highest expected latency, in latency objectives, that the check for enough time assumes.
 const MAX_EXPECTED_LATENCY: f64 = 0.5;
 
 impl Balancer {
--- a/crates/routing/src/latency_cost.rs
+++ b/crates/routing/src/latency_cost.rs
@@ -1,8 +1,8 @@
 //! Calibrated cost of endpoints: a running average of observed over estimated latency, as in the
-//! query cost calibrator, where the estimate is the request's latency objective.
+//! query cost calibrator. The estimate is the request's latency objective.
 //!
 //! There are two averages per endpoint. The calibrated cost has a long window and ranks replicas.
-//! The load estimate has a short window, is measured in shortest latency objectives, and shows
+//! The load estimate has a short window, is a multiple of the shortest latency objective, and shows
 //! queueing. Attempts in flight contribute their age, like censored observations in a mean
 //! lifetime: the estimates rise with a hang, a cut link, a slow machine or a queue before any
 //! timeout. Known limitation: a class that is far slower than its objective distorts the estimates.
@@ -14,7 +14,7 @@
 use crate::endpoint_list::{Attempt, EndpointIndex, EndpointList};
 use crate::units::{Nanos, Timestamp};
 
-/// Averaging window of the calibrated cost, in longest latency objectives.
+/// Averaging window of the calibrated cost, as a multiple of the longest latency objective.
 const COST_WINDOW: f64 = 2.0;
 /// Smallest number of samples that the calibrated cost of an endpoint covers, at this router's
 /// request rate.
@@ -25,7 +25,7 @@
 /// Smallest number of samples that the load estimate of a role covers, at this router's request
 /// rate.
 const ROLE_LOAD_MIN_SAMPLES: f64 = 8.0;
-/// Averaging window of the request rate, in longest latency objectives.
+/// Averaging window of the request rate, as a multiple of the longest latency objective.
 const REQUEST_RATE_WINDOW: f64 = 8.0;
 /// Weight, in samples, of the prior in the calibrated cost of each endpoint: without recent
 /// samples, the cost returns to the mean of the replica set.
@@ -38,9 +38,9 @@
 /// Latency samples of one endpoint.
 #[derive(Default)]
 pub(crate) struct LatencySamples {
-    /// Samples of the calibrated cost, in the latency objectives of their requests.
+    /// Samples of the calibrated cost, each as a multiple of its request's latency objective.
     cost: DecayingAverage,
-    /// Samples of the load estimate, in shortest latency objectives.
+    /// Samples of the load estimate, as multiples of the shortest latency objective.
     load: DecayingAverage,
     /// Send time of the attempt that was sent last among those that it has served.
     latest_served_send: Timestamp,
@@ -69,9 +69,9 @@
     pub(crate) max_objective: f64,
     /// Requests of this router: their rate limits the rate of samples.
     requests: DecayingAverage,
-    /// Load samples of all replicas, in shortest latency objectives.
+    /// Load samples of all replicas, as multiples of the shortest latency objective.
     replica_load: DecayingAverage,
-    /// Load samples of all primaries, in shortest latency objectives.
+    /// Load samples of all primaries, as multiples of the shortest latency objective.
     primary_load: DecayingAverage,
 }
 
@@ -138,7 +138,7 @@
         observed / estimated
     }
 
-    /// Returns the calibrated cost of an endpoint, in latency objectives.
+    /// Returns the calibrated cost of an endpoint, as a multiple of the latency objective.
     pub(crate) fn calibrated_cost(
         &self,
         list: &EndpointList,
@@ -157,13 +157,14 @@
         (sum + in_flight_age + prior) / (count + PRIOR_WEIGHT)
     }
 
-    /// Returns the load estimate of an endpoint: its latency over a short window, in shortest
-    /// latency objectives.
+    /// Returns the load estimate of an endpoint: its latency over a short window, as a multiple of
+    /// the shortest latency objective.
     pub(crate) fn load(&self, list: &EndpointList, now: Timestamp, index: EndpointIndex) -> f64 {
         let endpoint = &list[index];
-        // If an attempt that was sent more than a shortest objective later has been served already,
-        // this one is not in a queue: it takes long to execute, or its response is lost. Within a
-        // shorter time, endpoints with several cores complete attempts out of order by chance.
+        // If an attempt that was sent later, by more than the shortest latency objective, has been
+        // served already, this one is not in a queue: it takes long to execute, or its response is
+        // lost. Within a shorter time, endpoints with several cores complete attempts out of order
+        // by chance.
         let latest_served_send = endpoint.latency.latest_served_send;
         let margin = self.min_objective as Nanos;
         let in_flight_age: f64 = endpoint
--- a/crates/routing/src/primary_tracking.rs
+++ b/crates/routing/src/primary_tracking.rs
@@ -30,7 +30,8 @@
 pub(crate) struct PrimaryState {
     /// The endpoint that was the last to report itself as the primary, and not as a replica since.
     confirmed: Option<EndpointIndex>,
-    /// Time from which it, or any endpoint that had failed, is available again.
+    /// Time at which a new primary was confirmed or a failed endpoint of the replica set became
+    /// available again, whichever is later.
     available_since: Timestamp,
     /// Earliest time of the next discovery attempt.
     next_discovery_at: Timestamp,
@@ -143,8 +144,8 @@
         (endpoint.is_listed && is_usable).then_some(index)
     }
 
-    /// Returns the primary, if it can take the request now. One that returned errors is returned,
-    /// too, since there is no other.
+    /// Returns the primary if it can accept the request now. An ejection for errors does not
+    /// exclude it, since there is no other primary.
     fn available_primary(&self, now: Timestamp, pending: &PendingRequest) -> Option<EndpointIndex> {
         let replica_set = pending.request.replica_set;
         let index = self.current_primary(now, replica_set)?;
@@ -189,7 +190,7 @@
     }
 
     /// Returns whether primary discovery is needed: no usable primary is known, it is unreachable,
-    /// or the list is wrong about it.
+    /// or an attempt has shown that the list names the wrong endpoint.
     fn should_discover_primary(&self, now: Timestamp, pending: &PendingRequest) -> bool {
         let replica_set = pending.request.replica_set;
         let Some(index) = self.current_primary(now, replica_set) else {
--- a/crates/routing/src/replica_selection.rs
+++ b/crates/routing/src/replica_selection.rs
@@ -1,11 +1,11 @@
 //! Replica selection: selects the endpoint for a read.
 //!
 //! Reads rotate (round robin) over the sufficiently fresh replicas whose calibrated cost is within
-//! 20% of the cheapest, as in the query cost calibrator; the second cheapest takes part in any
-//! case, unless it costs far more. A read is sent as a recovery probe to an ejected endpoint for
-//! which one is due. The primary gets reads only if it is far cheaper than every replica, or if no
-//! replica is available. Owns the order of the rotation; it must never select an endpoint that is
-//! draining or not fresh enough, nor, other than for a recovery probe, an ejected one.
+//! 20% of the cheapest, as in the query cost calibrator; the second cheapest takes part up to twice
+//! the cheapest cost. A read is sent as a recovery probe to an ejected endpoint for which one is
+//! due. The primary gets reads only if it is far cheaper than every replica, or if no replica is
+//! available. Owns the order of the rotation; it must never select an endpoint that is draining or
+//! not fresh enough, nor, other than for a recovery probe, an ejected one.
 
 use crate::balancer::Balancer;
 use crate::endpoint_list::EndpointIndex;
@@ -33,12 +33,12 @@
 
 impl Rotation {
     /// Returns the position of a new endpoint: last, and random among several new ones. Routers
-    /// that learn of the same endpoints at the same moment must not all select the same one first.
+    /// that get the same new endpoints at the same moment must not all select the same one first.
     pub(crate) fn initial_position(&self, rng: &mut SplitMix64) -> f64 {
         self.selections + rng.next_f64()
     }
 
-    /// Returns the next position at the end.
+    /// Returns the position of an endpoint that moves to the end of the rotation.
     fn next_position(&mut self) -> f64 {
         self.selections += 1.0;
         self.selections
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -85,8 +85,8 @@
         }
         self.retry_budget.withdraw(retry_cost(outcome));
         if outcome == AttemptOutcome::Overloaded {
-            // The rejection has cost an endpoint in slow start capacity: the next one admits the
-            // request with half the probability, or not at all.
+            // A rejection uses capacity, too. If the next endpoint is in slow start, it therefore
+            // admits the request with half the probability, or not at all.
             pending.admission_draw = 2.0 * pending.admission_draw.max(0.5);
         }
         let replica_set = pending.request.replica_set;
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -55,9 +55,9 @@
         pending.admission_draw < capacity_at_arrival * load_multiple
     }
 
-    /// Returns the load, as a multiple of its capacity, up to which a starting endpoint admits such
-    /// requests. Writes have no other endpoint and get most of the overload multiple; reads get
-    /// half of it.
+    /// Returns the load, as a multiple of its capacity, up to which a starting endpoint admits
+    /// requests of the same class. Writes have no other endpoint and get most of the overload
+    /// multiple; reads get half of it.
     fn slow_start_load_multiple(&self, is_primary: bool, pending: &PendingRequest) -> f64 {
         let multiple = self.settings.rules.overload_multiple;
         match self.class(pending).operation {
