--- a/crates/routing/tests/failures/admission.rs
+++ b/crates/routing/tests/failures/admission.rs
@@ -140,7 +140,7 @@
         .any(|endpoint| endpoint != "b");
     assert!(
         is_other_tried,
-        "the ejection of the endpoint that failed last lasts 1.5 longest objectives at most"
+        "the last ejection lasts at most 1.5 times the longest latency objective"
     );
 }
 
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -2,7 +2,8 @@
 //! late responses and list changes.
 //!
 //! - Rule 1: each request gets exactly one final response in time, and no attempt after it.
-//! - Rule 2: a possibly executed write is not rejected, and sent again only with an idempotency key.
+//! - Rule 2: a possibly executed write is not rejected, and is sent again only with an idempotency
+//!   key.
 //! - Rule 3: no attempt is sent to an endpoint after its drain grace.
 //! - Rule 5: no read is sent to a replica whose known position is older than the staleness bound.
 
