--- a/crates/router/tests/acceptance.rs
+++ b/crates/router/tests/acceptance.rs
@@ -30,7 +30,7 @@
     let instance = FakeEndpoint::start("master", act);
     let list = vec![list_entry("s-1", instance.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start_with(&discovery, &list, 1024, settings, None);
+    let router = start_router_with(&discovery, &list, 1024, settings, None);
     (instance, discovery, router)
 }
 
@@ -118,7 +118,7 @@
     router.signal("STOP");
     let mut client = Client::connect(router.address);
     let requests: Vec<u8> = (1..=1500)
-        .flat_map(|id| query_message(&read(id, 20_000)))
+        .flat_map(|id| query_message(&select_query(id, 20_000)))
         .collect();
     client.send(&[startup_message(), requests].concat());
     client.shutdown_write();
@@ -160,13 +160,13 @@
         dns::DOMAIN,
         socket.display()
     );
-    let router = start_with(&discovery, &list, 1024, base_settings(), Some(&edge));
+    let router = start_router_with(&discovery, &list, 1024, base_settings(), Some(&edge));
     // It keeps what it has, and gets nothing more.
     limit_descriptors(router.pid(), 1);
     let mut operator = UnixStream::connect(&socket).unwrap();
     operator.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut client = Client::connect(router.address);
-    client.send(&[startup_message(), query_message(&read(1, 20_000))].concat());
+    client.send(&[startup_message(), query_message(&select_query(1, 20_000))].concat());
     assert!(
         router
             .log
@@ -201,7 +201,7 @@
         FakeDiscovery::start(Some(list.clone())),
         FakeDiscovery::start(Some(list.clone())),
     );
-    let router = start(&first, &list, 1024);
+    let router = start_router(&first, &list, 1024);
     for port in 1..=40u16 {
         router.reload_config("discovery", format!("127.0.0.1:{port}").into());
     }
@@ -212,7 +212,10 @@
             .is_some()
     );
     assert_eq!(
-        router.connect_client().simple_query(&read(1, 5000)).value,
+        router
+            .connect_client()
+            .simple_query(&select_query(1, 5000))
+            .value,
         "0000000000000001"
     );
 }
@@ -234,11 +237,11 @@
     list[0]["boot_ms"] = (now + HOUR_MS - 60_000).into();
     list[1]["boot_ms"] = (now + HOUR_MS).into();
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start(&discovery, &list, 1024);
+    let router = start_router(&discovery, &list, 1024);
     let mut client = router.connect_client();
     for id in 1..=200 {
         assert_eq!(
-            client.simple_query(&read(id, 5000)).value,
+            client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
     }
@@ -285,14 +288,14 @@
     let mut client = Client::connect(router.address);
     let (hello, first, next) = (
         startup_message(),
-        query_message(&read(1, 5000)),
-        query_message(&read(2, 5000)),
+        query_message(&select_query(1, 5000)),
+        query_message(&select_query(2, 5000)),
     );
     let half = |message: &[u8]| message[..message.len() / 2].to_vec();
     if matches!(stops, StopsAfter::HalfNextQuery) {
         client.complete_startup();
         assert_eq!(
-            client.simple_query(&read(3, 5000)).value,
+            client.simple_query(&select_query(3, 5000)).value,
             "0000000000000003"
         );
     }
@@ -343,7 +346,7 @@
     while id < 50 || flooding.try_wait().unwrap().is_none() {
         id += 1;
         assert_eq!(
-            client.simple_query(&read(id, 5000)).value,
+            client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}").repeat(4096)
         );
     }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,33 +1,45 @@
-//! What the tests share: the real program, and stand-ins of all that it meets.
+//! Starts the built router binary for the tests and formats the query that most of them send.
 #![allow(dead_code)]
 
 pub use reelrill_test_support::*;
 use serde_json::Value;
 
-/// The program under test, with settings of its own in YAML, if any.
-pub fn start_with(
+/// Starts the router with the endpoint list, descriptor limit and settings given and waits until it listens.
+/// `extensions` is the text of the extensions file (YAML), if there is one.
+pub fn start_router_with(
     discovery: &FakeDiscovery,
-    known: &[Value],
-    sockets: u64,
+    configured_endpoints: &[Value],
+    descriptor_limit: u64,
     settings: Value,
-    edge: Option<&str>,
+    extensions: Option<&str>,
 ) -> RouterProcess {
     RouterProcess::start(
         env!("CARGO_BIN_EXE_reelrill"),
         discovery,
-        known,
-        sockets,
+        configured_endpoints,
+        descriptor_limit,
         settings,
-        edge,
+        extensions,
     )
 }
 
-/// The program under test.
-pub fn start(discovery: &FakeDiscovery, known: &[Value], sockets: u64) -> RouterProcess {
-    start_with(discovery, known, sockets, base_settings(), None)
+/// Starts the router with the base settings and without extensions.
+pub fn start_router(
+    discovery: &FakeDiscovery,
+    configured_endpoints: &[Value],
+    descriptor_limit: u64,
+) -> RouterProcess {
+    start_router_with(
+        discovery,
+        configured_endpoints,
+        descriptor_limit,
+        base_settings(),
+        None,
+    )
 }
 
-pub fn read(id: u64, wait_ms: u64) -> String {
+/// Returns a read of class `board` for replica set 2, with `wait_ms` as the time in milliseconds that the client waits.
+pub fn select_query(id: u64, wait_ms: u64) -> String {
     format!(
         "SELECT data FROM facts WHERE code = 'k' /* id={id:016x},c=board,d={wait_ms},cluster=2 */"
     )
--- a/crates/router/tests/edges.rs
+++ b/crates/router/tests/edges.rs
@@ -68,7 +68,7 @@
     let instance = FakeEndpoint::start(role, act);
     let list = vec![list_entry("s-1", instance.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start_with(&discovery, &list, 1024, settings, None);
+    let router = start_router_with(&discovery, &list, 1024, settings, None);
     (instance, discovery, router)
 }
 
@@ -108,7 +108,7 @@
     client.send(&query_message(&if is_write {
         book(ID, "s", 20_000)
     } else {
-        read(ID, 20_000)
+        select_query(ID, 20_000)
     }));
     until_dialled(&instance);
     let _left = how.go(client);
@@ -118,7 +118,10 @@
     );
     instance.set_startup_blocked(false);
     assert_eq!(
-        router.connect_client().simple_query(&read(2, 20_000)).value,
+        router
+            .connect_client()
+            .simple_query(&select_query(2, 20_000))
+            .value,
         "0000000000000002"
     );
     assert_eq!(asked(&instance), 1);
@@ -138,7 +141,7 @@
     instance.set_startup_blocked(true);
     let mut clients: Vec<Client> = (0..100).map(|_| router.connect_client()).collect();
     for (client, id) in clients.iter_mut().zip(100..) {
-        client.send(&query_message(&read(id, 3_000_000)));
+        client.send(&query_message(&select_query(id, 3_000_000)));
     }
     assert!(router.wait_for_counter("requests=100"));
     drop(clients);
@@ -147,7 +150,7 @@
     assert_eq!(
         router
             .connect_client()
-            .simple_query(&read(2, 3_000_000))
+            .simple_query(&select_query(2, 3_000_000))
             .value,
         "0000000000000002"
     );
@@ -235,7 +238,7 @@
     instance.set_startup_blocked(true);
     let list = vec![list_entry("s-1", instance.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start_with(
+    let router = start_router_with(
         &discovery,
         &list,
         1024,
@@ -243,7 +246,7 @@
         Some("extended: {mode: on}\n"),
     );
     let mut client = router.connect_client();
-    client.send(&query_message(&read(ID, 20_000)));
+    client.send(&query_message(&select_query(ID, 20_000)));
     until_dialled(&instance);
     let mut cancel = Vec::new();
     frontend::put_cancel_request(&mut cancel, client.cancel_key.0, client.cancel_key.1);
@@ -252,7 +255,7 @@
     assert!(router.wait_for_counter("attempts_unwritten_client_left=1"));
     instance.set_startup_blocked(false);
     assert_eq!(
-        client.simple_query(&read(2, 20_000)).value,
+        client.simple_query(&select_query(2, 20_000)).value,
         "0000000000000002"
     );
     assert_eq!(asked(&instance), 1);
@@ -269,7 +272,7 @@
     let mut client = router.connect_client();
     client.send(
         &(1..=8)
-            .flat_map(|id| query_message(&read(id, 20_000)))
+            .flat_map(|id| query_message(&select_query(id, 20_000)))
             .collect::<Vec<u8>>(),
     );
     until_asked(&instance, 8);
@@ -286,14 +289,17 @@
         one("master", ScriptedResponse::Serve, base_settings());
     let mut client = router.connect_client();
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
-    let whole = query_message(&read(2, 5000));
+    let whole = query_message(&select_query(2, 5000));
     client.send(&whole[..40]);
     // Another connection's end says that the first half has been read.
     assert_eq!(
-        router.connect_client().simple_query(&read(3, 5000)).value,
+        router
+            .connect_client()
+            .simple_query(&select_query(3, 5000))
+            .value,
         "0000000000000003"
     );
     router.signal("TERM");
@@ -311,12 +317,12 @@
         one("master", ScriptedResponse::Serve, base_settings());
     let mut client = router.connect_client();
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
     router.signal("TERM");
     assert_eq!(client.stream.peek(&mut [0]).unwrap(), 0);
-    client.send(&query_message(&read(2, 5000)));
+    client.send(&query_message(&select_query(2, 5000)));
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
     assert!(router.wait_for_exit().success());
     assert_eq!(asked(&instance), 1);
@@ -335,7 +341,7 @@
     let mut clients: Vec<Client> = (0..5).map(|_| router.connect_client()).collect();
     for (client, id) in clients.iter_mut().zip(10..) {
         client.send(&query_message(&if id % 2 == 0 {
-            read(id, 20_000)
+            select_query(id, 20_000)
         } else {
             book(id, "s", 20_000)
         }));
@@ -376,13 +382,16 @@
     );
     let mut client = router.connect_client();
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
     let mut writer = client.stream.try_clone().unwrap();
     let sending = std::thread::spawn(move || {
         for id in 2.. {
-            if writer.write_all(&query_message(&read(id, 5000))).is_err() {
+            if writer
+                .write_all(&query_message(&select_query(id, 5000)))
+                .is_err()
+            {
                 return;
             }
         }
@@ -422,13 +431,13 @@
     instance.set_startup_blocked(true);
     let mut client = router.connect_client();
     let sent = Instant::now();
-    client.send(&query_message(&read(ID, 20_000)));
+    client.send(&query_message(&select_query(ID, 20_000)));
     until_dialled(&instance);
     // The other request's end says that time has passed.
     assert_eq!(
         router
             .connect_client()
-            .simple_query(&read(2, 2500))
+            .simple_query(&select_query(2, 2500))
             .sqlstate,
         "53300"
     );
@@ -484,7 +493,7 @@
     assert_eq!(
         router
             .connect_client()
-            .simple_query(&read(2, 2500))
+            .simple_query(&select_query(2, 2500))
             .sqlstate,
         "53300"
     );
@@ -505,7 +514,7 @@
 fn idle_clients_hold_up_neither_discovery_nor_requests() {
     let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let discovery = FakeDiscovery::start(None);
-    let router = start(&discovery, &[], 64);
+    let router = start_router(&discovery, &[], 64);
     let mut idle: Vec<Client> = Vec::new();
     for _ in 0..60 {
         let mut client = Client::connect(router.address);
@@ -523,7 +532,7 @@
     let mut client = router.connect_client();
     assert_eq!(client.simple_query("").tags, "IZ");
     assert_eq!(
-        client.simple_query(&read(1, 15_000)).value,
+        client.simple_query(&select_query(1, 15_000)).value,
         "0000000000000001"
     );
     assert!(router.wait_for_counter("accept_errors=0"));
@@ -539,7 +548,7 @@
             .fault_mode
             .with(|m| *m = DiscoveryFaultMode::NoResponse);
     }
-    let router = start(
+    let router = start_router(
         &discovery,
         &[list_entry("s-1", instance.address, "ready")],
         1024,
@@ -548,7 +557,7 @@
     let mut client = router.connect_client();
     assert_eq!(client.simple_query("").tags, "IZ");
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
     assert!(began.elapsed() < Duration::from_secs(6));
@@ -563,7 +572,7 @@
             .map(|i| list_entry(&format!("s-{i}"), instance.address, "ready"))
             .collect();
         let discovery = FakeDiscovery::start(Some(list.clone()));
-        let router = start(&discovery, &list, 256);
+        let router = start_router(&discovery, &list, 256);
         assert_eq!(router.connect_client().simple_query("").tags, "IZ");
         let status = std::fs::read_to_string(format!("/proc/{}/status", router.pid())).unwrap();
         let line = status
@@ -598,7 +607,7 @@
         .map(|(i, m)| list_entry(&format!("s-{i}"), m.address, "ready"))
         .collect();
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let mut router = start_with(&discovery, &list, 128, settings, None);
+    let mut router = start_router_with(&discovery, &list, 128, settings, None);
     let acts = [
         ScriptedResponse::Serve,
         ScriptedResponse::NoResponse,
@@ -636,7 +645,7 @@
                     let text = if next_f64(3) == 0 {
                         book(id, "s", wait)
                     } else {
-                        read(id, wait)
+                        select_query(id, wait)
                     };
                     open[at].send(&query_message(&text));
                 }
--- a/crates/router/tests/extended.rs
+++ b/crates/router/tests/extended.rs
@@ -56,7 +56,7 @@
     let instance = FakeEndpoint::start("master", act);
     let list = vec![list_entry("s-1", instance.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start_with(&discovery, &list, 1024, base_settings(), Some(edge));
+    let router = start_router_with(&discovery, &list, 1024, base_settings(), Some(edge));
     (instance, discovery, router)
 }
 
@@ -83,7 +83,7 @@
     let endpoints: Vec<FakeEndpoint> = names.iter().map(join).collect();
     let list: Vec<_> = endpoints.iter().map(|m| m.list_entry(2, "ready")).collect();
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start_with(&discovery, &list, 1024, base_settings(), Some(edge));
+    let router = start_router_with(&discovery, &list, 1024, base_settings(), Some(edge));
     (replica_set, endpoints, discovery, router)
 }
 
@@ -546,7 +546,7 @@
         router.wait_for_counter("client_left=2")
             && router.wait_for_counter("cancel_requests_matched=2")
     );
-    client.send(&query_message(&common::read(9, 20_000)));
+    client.send(&query_message(&common::select_query(9, 20_000)));
     assert!(wait_asked(&instance, 3));
     cancel(process, secret);
     let answer = client.read_response().unwrap();
@@ -704,7 +704,7 @@
     let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let list = vec![list_entry("s-1", instance.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start_with(&discovery, &list, 64, base_settings(), Some(ON));
+    let router = start_router_with(&discovery, &list, 64, base_settings(), Some(ON));
     let mut prepared = router.connect_client();
     assert_eq!(
         prepared
@@ -716,7 +716,12 @@
     let mut kept = Vec::new();
     for id in 2..60 {
         let mut client = router.connect_client();
-        assert_eq!(client.simple_query(&common::read(id, 5000)).sqlstate, "");
+        assert_eq!(
+            client
+                .simple_query(&common::select_query(id, 5000))
+                .sqlstate,
+            ""
+        );
         kept.push(client);
     }
     assert!(router.log.with(evicted) > 10);
@@ -730,7 +735,7 @@
     let instance = FakeEndpoint::start_simple_query_only("master");
     let list = vec![list_entry("s-1", instance.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start_with(
+    let router = start_router_with(
         &discovery,
         &list,
         1024,
@@ -794,7 +799,7 @@
     let list = vec![instance.list_entry(2, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let edge = format!("extended: {{mode: {mode}}}");
-    let router = start_with(&discovery, &list, 1024, base_settings(), Some(&edge));
+    let router = start_router_with(&discovery, &list, 1024, base_settings(), Some(&edge));
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -879,7 +884,7 @@
     let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let list = vec![list_entry("s-1", instance.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start(&discovery, &list, 1024);
+    let router = start_router(&discovery, &list, 1024);
     let mut client = router.connect_client();
     assert_eq!(client.cancel_key, (0, 0));
     let answer = client.extended_query(&[parse_message("", READ, &[]), read_of("", 1)]);
--- a/crates/router/tests/membership.rs
+++ b/crates/router/tests/membership.rs
@@ -48,7 +48,7 @@
 fn ask_until(client: &mut Client, instance: &FakeEndpoint) -> usize {
     let (began, before) = (Instant::now(), asked(instance));
     for n in 0.. {
-        let answer = client.simple_query(&read(0x1000 + n as u64, 5000));
+        let answer = client.simple_query(&select_query(0x1000 + n as u64, 5000));
         if asked(instance) > before {
             return n;
         }
@@ -75,7 +75,7 @@
         ..zone(&[("s-1", &instance)])
     });
     let discovery = FakeDiscovery::start(None);
-    let router = start_with(
+    let router = start_router_with(
         &discovery,
         &[],
         1024,
@@ -84,7 +84,7 @@
     );
     let mut client = ready(&router);
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
     assert_eq!(discovery.requested_paths.with(|c| c.len()), 0);
@@ -113,7 +113,7 @@
     };
     let discovery = FakeDiscovery::start(Some(list("ready")));
     let edge = edge(&server, true, "");
-    let router = start_with(
+    let router = start_router_with(
         &discovery,
         &list("ready"),
         1024,
@@ -135,7 +135,7 @@
     // The records are asked for again and again meanwhile, and the roster's list comes again.
     for id in 1..=30 {
         assert_eq!(
-            client.simple_query(&read(id, 5000)).value,
+            client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
         if id % 10 == 0 {
@@ -148,7 +148,7 @@
     server.zone.with(|z| z.instances.remove("db-2"));
     assert!(server.wait_for_queries(3));
     assert_eq!(
-        client.simple_query(&read(99, 5000)).value,
+        client.simple_query(&select_query(99, 5000)).value,
         format!("{:016x}", 99)
     );
     assert!(
@@ -167,7 +167,7 @@
     );
     let server = FakeDnsServer::start(zone(&[("s-1", &leaving), ("s-2", &other)]));
     let discovery = FakeDiscovery::start(None);
-    let router = start_with(
+    let router = start_router_with(
         &discovery,
         &[],
         1024,
@@ -184,7 +184,7 @@
     let before = asked(&leaving);
     for id in 1..=20 {
         assert_eq!(
-            client.simple_query(&read(id, 5000)).value,
+            client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
     }
@@ -206,7 +206,7 @@
     let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let server = FakeDnsServer::start(zone(&[("s-1", &instance)]));
     let discovery = FakeDiscovery::start(None);
-    let router = start_with(
+    let router = start_router_with(
         &discovery,
         &[],
         1024,
@@ -215,19 +215,19 @@
     );
     let mut client = ready(&router);
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
     server.zone.with(|z| z.fault_mode = manner);
     assert!(server.wait_for_queries(2));
     assert_eq!(
-        client.simple_query(&read(2, 5000)).value,
+        client.simple_query(&select_query(2, 5000)).value,
         "0000000000000002"
     );
     server.zone.with(|z| z.fault_mode = DnsFaultMode::Normal);
     assert!(server.wait_for_queries(2));
     assert_eq!(
-        client.simple_query(&read(3, 5000)).value,
+        client.simple_query(&select_query(3, 5000)).value,
         "0000000000000003"
     );
     assert!(
@@ -242,7 +242,7 @@
     let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let server = FakeDnsServer::start(zone(&[("s-1", &instance)]));
     let discovery = FakeDiscovery::start(None);
-    let router = start_with(
+    let router = start_router_with(
         &discovery,
         &[],
         1024,
@@ -251,7 +251,7 @@
     );
     let mut client = ready(&router);
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
     assert!(
@@ -276,7 +276,7 @@
     let first = FakeDnsServer::start(zone(&[("s-1", &one)]));
     let second = FakeDnsServer::start(zone(&[("s-1", &one), ("s-2", &two)]));
     let discovery = FakeDiscovery::start(None);
-    let router = start_with(
+    let router = start_router_with(
         &discovery,
         &[],
         1024,
@@ -285,7 +285,7 @@
     );
     let mut client = ready(&router);
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
     router.reload_extensions(&edge(&second, false, ""));
@@ -301,7 +301,7 @@
     router.reload_extensions("discovery: {dns_sd: {servers: [], services: [], domain: x}}");
     assert!(router.wait_for_log("discovery.dns_sd.servers"));
     assert_eq!(
-        client.simple_query(&read(2, 5000)).value,
+        client.simple_query(&select_query(2, 5000)).value,
         "0000000000000002"
     );
 }
@@ -320,10 +320,10 @@
         true,
         &format!("members_socket: {}\n", socket.display()),
     );
-    let router = start_with(&discovery, &[], 1024, base_settings(), Some(&edge));
+    let router = start_router_with(&discovery, &[], 1024, base_settings(), Some(&edge));
     let mut client = ready(&router);
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
     assert_eq!(
--- a/crates/router/tests/pushed_lists.rs
+++ b/crates/router/tests/pushed_lists.rs
@@ -36,7 +36,7 @@
         );
         let known = vec![list_entry("s-old", old.address, "ready")];
         let agent = FakeDiscovery::start(Some(known.clone()));
-        let router = start_with(&agent, &known, 1024, pushed(), None);
+        let router = start_router_with(&agent, &known, 1024, pushed(), None);
         Site {
             old,
             new,
@@ -73,7 +73,7 @@
             assert_eq!(
                 self.router
                     .connect_client()
-                    .simple_query(&read(id, 5000))
+                    .simple_query(&select_query(id, 5000))
                     .value,
                 format!("{id:016x}")
             );
@@ -112,10 +112,13 @@
     let agent = FakeDiscovery::start(None);
     agent.list.with(|l| *l = (9, Some(site.replaced())));
     let known = vec![list_entry("s-old", site.old.address, "ready")];
-    let router = start_with(&agent, &known, 1024, pushed(), None);
+    let router = start_router_with(&agent, &known, 1024, pushed(), None);
     site.until_known(&agent, 9);
     assert_eq!(
-        router.connect_client().simple_query(&read(1, 5000)).value,
+        router
+            .connect_client()
+            .simple_query(&select_query(1, 5000))
+            .value,
         "0000000000000001"
     );
     assert_eq!(site.old.activity.with(|s| s.queries.len()), 0);
@@ -125,7 +128,7 @@
 fn a_router_with_no_list_is_ready_from_the_first_answer() {
     let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let agent = FakeDiscovery::start(None);
-    let router = start_with(&agent, &[], 1024, pushed(), None);
+    let router = start_router_with(&agent, &[], 1024, pushed(), None);
     let mut client = router.connect_client();
     client.stream.write_all(&query_message("")).unwrap();
     assert!(
@@ -137,7 +140,7 @@
     agent.publish(vec![list_entry("s-1", instance.address, "ready")]);
     assert_eq!(client.read_response().unwrap().tags, "IZ");
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
 }
@@ -161,7 +164,7 @@
     assert_eq!(
         site.router
             .connect_client()
-            .simple_query(&read(99, 5000))
+            .simple_query(&select_query(99, 5000))
             .value,
         format!("{:016x}", 99)
     );
@@ -251,7 +254,7 @@
     );
     let known = vec![list_entry("s-old", old.address, "ready")];
     let discovery = FakeDiscovery::start(Some(known.clone()));
-    let router = start_with(&discovery, &known, 1024, settings, None);
+    let router = start_router_with(&discovery, &known, 1024, settings, None);
     assert!(
         discovery
             .requested_paths
@@ -280,7 +283,10 @@
             .is_some()
     );
     assert_eq!(
-        router.connect_client().simple_query(&read(1, 5000)).value,
+        router
+            .connect_client()
+            .simple_query(&select_query(1, 5000))
+            .value,
         "0000000000000001"
     );
     assert_eq!(new.activity.with(|s| s.queries.len()), 1);
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -15,7 +15,7 @@
     let instance = FakeEndpoint::start("master", act);
     let list = vec![list_entry("s-1", instance.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start(&discovery, &list, 1024);
+    let router = start_router(&discovery, &list, 1024);
     (instance, discovery, router)
 }
 
@@ -27,7 +27,7 @@
     let mut client = Client::connect(router.address);
     client
         .stream
-        .write_all(&[startup_message(), query_message(&read(0xa1, 5000))].concat())
+        .write_all(&[startup_message(), query_message(&select_query(0xa1, 5000))].concat())
         .unwrap();
     assert_eq!(client.read_response().unwrap().tags, "RSSSKZ");
     let answer = client.read_response().unwrap();
@@ -46,7 +46,7 @@
         .parse()
         .unwrap();
     assert!(wait <= 5000 && wait > 1000, "{sent}");
-    assert_eq!(sent, read(0xa1, wait));
+    assert_eq!(sent, select_query(0xa1, wait));
 }
 
 /// Guards the order of answers on a connection whose client does not wait for them.
@@ -55,7 +55,7 @@
     let (_instance, _discovery, router) = one(ScriptedResponse::Serve);
     let mut client = router.connect_client();
     let all: Vec<u8> = (1..=20)
-        .flat_map(|id| query_message(&read(id, 5000)))
+        .flat_map(|id| query_message(&select_query(id, 5000)))
         .collect();
     client.stream.write_all(&all).unwrap();
     for id in 1..=20 {
@@ -113,7 +113,7 @@
     let (_instance, _discovery, router) = one(act);
     let began = Instant::now();
     // A silent endpoint is given 2 s; from the others an outcome comes long before the end.
-    let answer = router.connect_client().simple_query(&read(1, 2000));
+    let answer = router.connect_client().simple_query(&select_query(1, 2000));
     assert!(
         ["53300", "58000"].contains(&&*answer.sqlstate),
         "{answer:?}"
@@ -151,7 +151,7 @@
     let mut client = router.connect_client();
     for id in 1..=5 {
         assert_eq!(
-            client.simple_query(&read(id, 5000)).value,
+            client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
     }
@@ -169,7 +169,7 @@
     let (_instance, _discovery, router) = one(ScriptedResponse::NoResponse);
     let mut client = router.connect_client();
     let began = Instant::now();
-    let answer = client.simple_query(&read(1, 2000));
+    let answer = client.simple_query(&select_query(1, 2000));
     assert!(
         began.elapsed() >= Duration::from_millis(1500),
         "{:?}",
@@ -187,10 +187,13 @@
 fn a_late_answer_reaches_nobody_else() {
     let (instance, _discovery, router) = one(ScriptedResponse::NoResponse);
     let mut client = router.connect_client();
-    assert_eq!(client.simple_query(&read(1, 2000)).sqlstate, "53300");
+    assert_eq!(
+        client.simple_query(&select_query(1, 2000)).sqlstate,
+        "53300"
+    );
     instance.response.with(|a| *a = ScriptedResponse::Serve);
     assert_eq!(
-        client.simple_query(&read(2, 5000)).value,
+        client.simple_query(&select_query(2, 5000)).value,
         "0000000000000002"
     );
     assert_eq!(instance.activity.with(|s| s.accepted_connections), 2);
@@ -204,7 +207,7 @@
     let mut client = router.connect_client();
     for id in 1..=5 {
         assert_eq!(
-            client.simple_query(&read(id, 5000)).value,
+            client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
         let ended = |s: &mut EndpointActivity| (s.closed_connections == id as usize).then_some(());
@@ -223,7 +226,7 @@
     let mut client = router.connect_client();
     for id in 1..=20 {
         assert_eq!(
-            client.simple_query(&read(id, 5000)).value,
+            client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
     }
@@ -245,7 +248,7 @@
     let mut client = router.connect_client();
     client
         .stream
-        .write_all(&query_message(&read(1, 20_000)))
+        .write_all(&query_message(&select_query(1, 20_000)))
         .unwrap();
     assert!(
         instance
@@ -271,7 +274,7 @@
     let mut owner = router.connect_client();
     owner
         .stream
-        .write_all(&query_message(&read(1, 20_000)))
+        .write_all(&query_message(&select_query(1, 20_000)))
         .unwrap();
     assert!(
         instance
@@ -282,21 +285,30 @@
     assert_eq!(
         router
             .connect_client()
-            .simple_query(&read(1, 20_000))
+            .simple_query(&select_query(1, 20_000))
             .sqlstate,
         "58000"
     );
     let mut leaving = router.connect_client();
     leaving
         .stream
-        .write_all(&[query_message(&read(1, 20_000)), vec![b'X', 0, 0, 0, 4]].concat())
+        .write_all(
+            &[
+                query_message(&select_query(1, 20_000)),
+                vec![b'X', 0, 0, 0, 4],
+            ]
+            .concat(),
+        )
         .unwrap();
     while leaving.read_response().is_some() {}
     instance.response.with(|a| *a = ScriptedResponse::Serve);
     assert_eq!(owner.read_response().unwrap().value, "0000000000000001");
     assert_eq!(instance.activity.with(|s| s.queries.len()), 1);
     assert_eq!(
-        router.connect_client().simple_query(&read(1, 20_000)).value,
+        router
+            .connect_client()
+            .simple_query(&select_query(1, 20_000))
+            .value,
         "0000000000000001"
     );
 }
@@ -310,11 +322,11 @@
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let mut settings = base_settings();
     settings["ceilings"]["mayCancel"] = false.into();
-    let router = start_with(&discovery, &list, 1024, settings, None);
+    let router = start_router_with(&discovery, &list, 1024, settings, None);
     let mut client = router.connect_client();
     client
         .stream
-        .write_all(&query_message(&read(1, 2000)))
+        .write_all(&query_message(&select_query(1, 2000)))
         .unwrap();
     assert!(
         instance
@@ -341,10 +353,10 @@
 /// what harms nobody.
 #[rstest]
 #[case("SELECT 1", "42601")]
-#[case(&read(1, 5000).replace("c=board", "c=nonsense"), "42601")]
-#[case(&read(1, 5000).replace("c=board", "c=book,k=5c0f"), "42601")]
-#[case(&read(1, 0), "42601")]
-#[case(&read(1, 5000).replace("5000", "99999999999999999999"), "42601")]
+#[case(&select_query(1, 5000).replace("c=board", "c=nonsense"), "42601")]
+#[case(&select_query(1, 5000).replace("c=board", "c=book,k=5c0f"), "42601")]
+#[case(&select_query(1, 0), "42601")]
+#[case(&select_query(1, 5000).replace("5000", "99999999999999999999"), "42601")]
 #[case(
     "INSERT INTO facts (code, data) VALUES ('k', '\\x00') RETURNING data /* id=00000000000000a1,c=book,d=5000,cluster=2 */",
     "42601"
@@ -356,7 +368,7 @@
     assert_eq!((&*answer.tags, &*answer.sqlstate), ("EZ", code));
     assert_eq!(instance.activity.with(|s| s.queries.len()), 0);
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
 }
@@ -377,7 +389,10 @@
     assert_eq!(client.stream.read(&mut [0]).unwrap_or(0), 0);
     assert!(router.wait_for_log(&format!("reason: {reason}")));
     assert_eq!(
-        router.connect_client().simple_query(&read(1, 5000)).value,
+        router
+            .connect_client()
+            .simple_query(&select_query(1, 5000))
+            .value,
         "0000000000000001"
     );
 }
@@ -388,12 +403,12 @@
     let (_instance, _discovery, router) = one(ScriptedResponse::Serve);
     let mut client = router.connect_client();
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
     client
         .stream
-        .write_all(&query_message(&read(2, 5000))[..30])
+        .write_all(&query_message(&select_query(2, 5000))[..30])
         .unwrap();
     assert!(client.read_response().is_none());
     assert!(router.wait_for_log("reason: stalled"));
@@ -413,7 +428,7 @@
     let answer = client.read_response().unwrap();
     assert_eq!((&*answer.tags, &*answer.sqlstate), ("EZ", "0A000"));
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
 }
@@ -423,7 +438,7 @@
 fn the_empty_query_waits_until_the_router_can_serve() {
     let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let discovery = FakeDiscovery::start(None);
-    let router = start(&discovery, &[], 1024);
+    let router = start_router(&discovery, &[], 1024);
     let mut client = router.connect_client();
     client.stream.write_all(&query_message("")).unwrap();
     // Several calls have failed, so the router has long looked at the query.
@@ -457,11 +472,11 @@
     let discovery = FakeDiscovery::start(None);
     discovery.fault_mode.with(|m| *m = manner);
     discovery.publish(vec![list_entry("s-1", instance.address, "ready")]);
-    let router = start(&discovery, &[], 1024);
+    let router = start_router(&discovery, &[], 1024);
     let mut client = router.connect_client();
     assert_eq!(client.simple_query("").tags, "IZ");
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
 }
@@ -481,7 +496,10 @@
     ]);
     assert!(router.wait_for_log("discovery poll failed"));
     assert_eq!(
-        router.connect_client().simple_query(&read(1, 5000)).value,
+        router
+            .connect_client()
+            .simple_query(&select_query(1, 5000))
+            .value,
         "0000000000000001"
     );
     discovery
@@ -515,7 +533,7 @@
         ]
     };
     let discovery = FakeDiscovery::start(Some(list("ready")));
-    let router = start(&discovery, &list("ready"), 1024);
+    let router = start_router(&discovery, &list("ready"), 1024);
     let mut client = router.connect_client();
     discovery.publish(list("draining"));
     // The next call of the watch carries the version that names it as draining.
@@ -533,7 +551,7 @@
     let before = old.activity.with(|s| s.queries.len());
     for id in 1..=20 {
         assert_eq!(
-            client.simple_query(&read(id, 5000)).value,
+            client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
     }
@@ -546,14 +564,14 @@
     let (instance, discovery, router) = one(ScriptedResponse::Serve);
     let mut client = router.connect_client();
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
     let moved = FakeEndpoint::start("master", ScriptedResponse::Serve);
     discovery.publish(vec![list_entry("s-1", moved.address, "ready")]);
     assert!(router.wait_for_log("reason: moved"));
     assert_eq!(
-        client.simple_query(&read(2, 5000)).value,
+        client.simple_query(&select_query(2, 5000)).value,
         "0000000000000002"
     );
     let asked = |i: &FakeEndpoint| i.activity.with(|s| s.queries.len());
@@ -566,11 +584,11 @@
     // No stand-in is ever given a port so low.
     let nobody = "127.0.0.1:1".parse().unwrap();
     let discovery = FakeDiscovery::start(None);
-    let router = start(&discovery, &[list_entry("s-1", nobody, "ready")], 1024);
+    let router = start_router(&discovery, &[list_entry("s-1", nobody, "ready")], 1024);
     assert_eq!(
         router
             .connect_client()
-            .simple_query(&read(1, 2000))
+            .simple_query(&select_query(1, 2000))
             .sqlstate,
         "53300"
     );
@@ -610,9 +628,12 @@
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let mut settings = base_settings();
     settings["ceilings"]["idleClose"] = 2_000_000_000u64.into();
-    let router = start_with(&discovery, &list, 1024, settings, None);
+    let router = start_router_with(&discovery, &list, 1024, settings, None);
     assert_eq!(
-        router.connect_client().simple_query(&read(1, 5000)).value,
+        router
+            .connect_client()
+            .simple_query(&select_query(1, 5000))
+            .value,
         "0000000000000001"
     );
     let since = Instant::now();
@@ -632,7 +653,10 @@
     assert!(router.wait_for_log("discovery poll failed"));
     // Meanwhile the list it has stands.
     assert_eq!(
-        router.connect_client().simple_query(&read(1, 5000)).value,
+        router
+            .connect_client()
+            .simple_query(&select_query(1, 5000))
+            .value,
         "0000000000000001"
     );
     let calls = discovery.requested_paths.with(|c| c.len());
@@ -660,7 +684,7 @@
         .fault_mode
         .with(|m| *m = DiscoveryFaultMode::NoResponse);
     let list = vec![list_entry("s-1", instance.address, "ready")];
-    let router = start(&discovery, &list, 1024);
+    let router = start_router(&discovery, &list, 1024);
     // A service ends a call that has waited for its turn for 2 s.
     let calls = |n: usize| {
         discovery
@@ -673,7 +697,10 @@
     assert!(calls(2).is_none(), "repeated while it waits");
     // Meanwhile the router serves from the list it has.
     assert_eq!(
-        router.connect_client().simple_query(&read(1, 5000)).value,
+        router
+            .connect_client()
+            .simple_query(&select_query(1, 5000))
+            .value,
         "0000000000000001"
     );
     discovery.list.with(|l| l.1 = Some(list.clone()));
@@ -797,7 +824,10 @@
         ["/api/targets", "/api/targets?since=1&timeout_ms=3000"]
     );
     assert_eq!(
-        router.connect_client().simple_query(&read(1, 5000)).value,
+        router
+            .connect_client()
+            .simple_query(&select_query(1, 5000))
+            .value,
         "0000000000000001"
     );
     assert_eq!(moved.activity.with(|s| s.queries.len()), 1);
@@ -878,7 +908,10 @@
     router.reload_config(field, value.into());
     assert!(router.wait_for_log(wanted));
     assert_eq!(
-        router.connect_client().simple_query(&read(1, 5000)).value,
+        router
+            .connect_client()
+            .simple_query(&select_query(1, 5000))
+            .value,
         "0000000000000001"
     );
 }
@@ -948,12 +981,12 @@
     let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let list = vec![list_entry("s-1", instance.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start(&discovery, &list, 64);
+    let router = start_router(&discovery, &list, 64);
     let mut kept = Vec::new();
     for id in 1..=40 {
         let mut client = router.connect_client();
         assert_eq!(
-            client.simple_query(&read(id, 5000)).value,
+            client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
         kept.push(client);
@@ -969,11 +1002,11 @@
     let list = vec![list_entry("s-1", instance.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     // At this limit clients have 22 descriptors.
-    let router = start(&discovery, &list, 64);
+    let router = start_router(&discovery, &list, 64);
     let ask = |id: u64| {
         let mut client = router.connect_client();
         assert_eq!(
-            client.simple_query(&read(id, 5000)).value,
+            client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
         client
@@ -997,13 +1030,19 @@
     let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let list = vec![list_entry("s-1", instance.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start(&discovery, &list, 64);
+    let router = start_router(&discovery, &list, 64);
     let mut kept = router.connect_client();
-    assert_eq!(kept.simple_query(&read(1, 5000)).value, "0000000000000001");
+    assert_eq!(
+        kept.simple_query(&select_query(1, 5000)).value,
+        "0000000000000001"
+    );
     let mut silent: Vec<Client> = (0..100).map(|_| Client::connect(router.address)).collect();
     let began = Instant::now();
     assert_eq!(
-        router.connect_client().simple_query(&read(2, 5000)).value,
+        router
+            .connect_client()
+            .simple_query(&select_query(2, 5000))
+            .value,
         "0000000000000002"
     );
     assert!(
@@ -1011,7 +1050,10 @@
         "{:?}",
         began.elapsed()
     );
-    assert_eq!(kept.simple_query(&read(3, 5000)).value, "0000000000000003");
+    assert_eq!(
+        kept.simple_query(&select_query(3, 5000)).value,
+        "0000000000000003"
+    );
     drop(kept);
     assert!(
         silent
@@ -1056,10 +1098,10 @@
     let list: Vec<_> = instances.iter().enumerate().map(listed).collect();
     let discovery = FakeDiscovery::start(Some(list.clone()));
     // At the least number that the router takes, sixteen are for endpoints.
-    let router = start(&discovery, &list, 64);
+    let router = start_router(&discovery, &list, 64);
     let mut client = router.connect_client();
     for id in 0..72 {
-        let text = read(id, 5000).replace("cluster=2", &format!("cluster={}", id / 3));
+        let text = select_query(id, 5000).replace("cluster=2", &format!("cluster={}", id / 3));
         assert_eq!(client.simple_query(&text).value, format!("{id:016x}"));
     }
     assert!(
@@ -1077,13 +1119,16 @@
 fn sigterm_answers_all_and_ends() {
     let (instance, _discovery, mut router) = one(ScriptedResponse::Serve);
     let (mut idle, mut waiting) = (router.connect_client(), router.connect_client());
-    assert_eq!(idle.simple_query(&read(3, 5000)).value, "0000000000000003");
+    assert_eq!(
+        idle.simple_query(&select_query(3, 5000)).value,
+        "0000000000000003"
+    );
     instance
         .response
         .with(|a| *a = ScriptedResponse::NoResponse);
     waiting
         .stream
-        .write_all(&query_message(&read(1, 20_000)))
+        .write_all(&query_message(&select_query(1, 20_000)))
         .unwrap();
     assert!(
         instance
@@ -1096,7 +1141,7 @@
     instance.response.with(|a| *a = ScriptedResponse::Serve);
     let mut late = Client::connect(router.address);
     late.stream
-        .write_all(&[startup_message(), query_message(&read(2, 5000))].concat())
+        .write_all(&[startup_message(), query_message(&select_query(2, 5000))].concat())
         .unwrap();
     assert_eq!(late.read_response().unwrap().tags, "RSSSKZ");
     assert_eq!(late.read_response().unwrap().value, "0000000000000002");
@@ -1111,11 +1156,17 @@
 fn a_new_connection_gets_its_first_answer_after_sigterm() {
     let (_instance, _discovery, router) = one(ScriptedResponse::Serve);
     let mut idle = router.connect_client();
-    assert_eq!(idle.simple_query(&read(1, 5000)).value, "0000000000000001");
+    assert_eq!(
+        idle.simple_query(&select_query(1, 5000)).value,
+        "0000000000000001"
+    );
     router.signal("TERM");
     assert!(idle.read_response().is_none());
     let mut new = router.connect_client();
-    assert_eq!(new.simple_query(&read(2, 5000)).value, "0000000000000002");
+    assert_eq!(
+        new.simple_query(&select_query(2, 5000)).value,
+        "0000000000000002"
+    );
     assert!(new.read_response().is_none());
 }
 
@@ -1125,8 +1176,8 @@
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let list = vec![list_entry("s-1", silent.local_addr().unwrap(), "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start(&discovery, &list, 1024);
-    let answer = router.connect_client().simple_query(&read(1, 2000));
+    let router = start_router(&discovery, &list, 1024);
+    let answer = router.connect_client().simple_query(&select_query(1, 2000));
     assert_eq!(answer.sqlstate, "53300");
     assert!(router.wait_for_log("reason: dial_failed"));
     assert!(router.wait_for_counter("attempts_timed_out=0"));
--- a/crates/router/tests/settings_matrix.rs
+++ b/crates/router/tests/settings_matrix.rs
@@ -70,7 +70,7 @@
             list.push(line);
         }
         let discovery = FakeDiscovery::start(Some(list.clone()));
-        let router = start_with(&discovery, &list, 1024, settings, None);
+        let router = start_router_with(&discovery, &list, 1024, settings, None);
         Site {
             endpoints,
             discovery,
@@ -257,7 +257,7 @@
     std::thread::sleep(BOUND + Duration::from_millis(100));
     for id in 2..=8 {
         // Reads that any data may answer reach the replicas, which tell how far they are.
-        client.simple_query(&read(0x100 + id, 8000));
+        client.simple_query(&select_query(0x100 + id, 8000));
         let seen = client.simple_query(&read_own(id, "s", None));
         assert_eq!(seen.value, format!("\\x{:016x}", 1), "{seen:?}");
     }
@@ -360,7 +360,7 @@
     let site = Site::of_echoes(&["master", "replica"], act, settings);
     let mut client = site.router.connect_client();
     for id in 1..=5 {
-        client.simple_query(&read(id, 300));
+        client.simple_query(&select_query(id, 300));
     }
     assert!(site.router.wait_for_counter("health_checks=0"));
     let is_probe = |text: &String| !text.contains("/*");
@@ -378,7 +378,10 @@
         ScriptedResponse::NoResponse,
         settings,
     );
-    let answer = site.router.connect_client().simple_query(&read(1, 2000));
+    let answer = site
+        .router
+        .connect_client()
+        .simple_query(&select_query(1, 2000));
     assert_eq!(answer.sqlstate, "53300", "{answer:?}");
     let asked = site.all_asked().len();
     assert!((1..=most).contains(&asked), "{asked}");
@@ -390,7 +393,7 @@
     let settings = with(&[("ceilings/mayCancel", may_cancel.into())]);
     let site = Site::of_echoes(&["master"], ScriptedResponse::NoResponse, settings);
     let mut client = site.router.connect_client();
-    client.send(&query_message(&read(1, 20_000)));
+    client.send(&query_message(&select_query(1, 20_000)));
     let is_asked = |s: &mut EndpointActivity| (s.queries.len() == 1).then_some(());
     let seen = &site.endpoints[0].activity;
     assert!(seen.wait_for(WAIT_TIMEOUT, is_asked).is_some());
@@ -410,7 +413,7 @@
         assert_eq!(
             site.router
                 .connect_client()
-                .simple_query(&read(2, 5000))
+                .simple_query(&select_query(2, 5000))
                 .value,
             format!("{:016x}", 2)
         );
@@ -435,7 +438,10 @@
         None => remove(&mut settings, "ceilings/maxRetryAfter"),
     }
     let site = Site::of_echoes(&["master"], ScriptedResponse::Error("53300"), settings);
-    let answer = site.router.connect_client().simple_query(&read(1, 300));
+    let answer = site
+        .router
+        .connect_client()
+        .simple_query(&select_query(1, 300));
     assert_eq!(answer.sqlstate, "53300", "{answer:?}");
     let advice = answer.detail.map(|d| d.parse::<u64>().unwrap());
     match (advice, most_ms) {
@@ -458,7 +464,7 @@
     let site = Site::of_echoes(&["replica", "replica"], ScriptedResponse::Serve, settings);
     let mut client = site.router.connect_client();
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         format!("{:016x}", 1)
     );
     let mut list = vec![site.line(1, "draining")];
@@ -478,7 +484,7 @@
     let before = (site.asked(0), site.asked(1));
     let stays = stay_open == Some(true);
     for id in 2..=5 {
-        let answer = client.simple_query(&read(id, 500));
+        let answer = client.simple_query(&select_query(id, 500));
         assert_eq!(answer.sqlstate.is_empty(), stays, "{answer:?}");
     }
     let sent = if stays { 4 } else { 0 };
@@ -575,7 +581,10 @@
         ScriptedResponse::Error("72000"),
         settings,
     );
-    let answer = site.router.connect_client().simple_query(&read(1, 2000));
+    let answer = site
+        .router
+        .connect_client()
+        .simple_query(&select_query(1, 2000));
     assert_eq!(answer.sqlstate, "53300", "{answer:?}");
     assert_eq!(site.all_asked().len(), most);
 }
@@ -591,7 +600,7 @@
     let mut client = site.router.connect_client();
     for id in 1..=5 {
         assert_eq!(
-            client.simple_query(&read(id, 5000)).value,
+            client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
         std::thread::sleep(Duration::from_millis(100));
@@ -619,10 +628,10 @@
     }
     let list = vec![list_entry("s-1", silent.local_addr().unwrap(), "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start_with(&discovery, &list, 1024, settings, None);
+    let router = start_router_with(&discovery, &list, 1024, settings, None);
     let mut client = router.connect_client();
     let begun = Instant::now();
-    client.send(&query_message(&read(1, 5000)));
+    client.send(&query_message(&select_query(1, 5000)));
     assert!(router.wait_for_log("reason: dial_failed"));
     let took = begun.elapsed();
     let expected = Duration::from_millis(expected_ms);
@@ -672,7 +681,7 @@
             format!("{id:016x}")
         );
         assert_eq!(
-            client.simple_query(&read(id + 1, 5000)).value,
+            client.simple_query(&select_query(id + 1, 5000)).value,
             format!("{:016x}", id + 1)
         );
     }
@@ -699,7 +708,7 @@
         format!("{:016x}", 1)
     );
     assert_eq!(
-        client.simple_query(&read(2, 5000)).value,
+        client.simple_query(&select_query(2, 5000)).value,
         format!("{:016x}", 2)
     );
 }
@@ -713,8 +722,8 @@
     let mut client = site.router.connect_client();
     for id in 1..=20 {
         let text = match tenant {
-            "" => read(id, 5000),
-            tenant => read(id, 5000).replace("c=board", &format!("c=board,t={tenant}")),
+            "" => select_query(id, 5000),
+            tenant => select_query(id, 5000).replace("c=board", &format!("c=board,t={tenant}")),
         };
         let answer = client.simple_query(&text);
         assert_eq!(answer.value, format!("{id:016x}"), "{answer:?}");
@@ -739,7 +748,7 @@
     let site = Site::of_echoes(&["replica"], ScriptedResponse::Serve, settings);
     site.endpoints[0].kill();
     let mut client = site.router.connect_client();
-    client.send(&query_message(&read(1, 5000)));
+    client.send(&query_message(&select_query(1, 5000)));
     std::thread::sleep(Duration::from_millis(800));
     site.endpoints[0].restart();
     let answer = client.read_response().unwrap();
--- a/crates/router/tests/upstream.rs
+++ b/crates/router/tests/upstream.rs
@@ -38,7 +38,7 @@
 fn idle_peak_kb(count: usize) -> u64 {
     let list = fleet(count);
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start(&discovery, &list, 1024);
+    let router = start_router(&discovery, &list, 1024);
     // The first call is made once the list of the configuration has been taken over, the next once a newer one has.
     let has_called = |text: &str| {
         let called = |c: &mut Vec<String>| c.iter().any(|path| path.contains(text)).then_some(());
@@ -75,7 +75,7 @@
     settings["ceilings"]["idleClose"] = json!(500_000_000u64);
     let list = vec![list_entry("s-1", instance.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start_with(&discovery, &list, 1024, settings, None);
+    let router = start_router_with(&discovery, &list, 1024, settings, None);
     (discovery, router)
 }
 
@@ -88,7 +88,7 @@
     assert!(router.wait_for_counter("pools_started=0"));
     for id in 1..=3 {
         assert_eq!(
-            client.simple_query(&read(id, 5000)).value,
+            client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
         assert!(router.wait_for_counter(&format!("pools_started={id}")));
@@ -104,7 +104,10 @@
     let (_discovery, router) = quick_to_close(&instance);
     let mut client = router.connect_client();
     let begun = Instant::now();
-    assert_eq!(client.simple_query(&read(1, 4000)).sqlstate, "53300");
+    assert_eq!(
+        client.simple_query(&select_query(1, 4000)).sqlstate,
+        "53300"
+    );
     assert!(begun.elapsed() > Duration::from_secs(3));
     let counters = router.counters();
     assert!(counters.contains(" pools_started=1 "), "{counters}");
@@ -122,7 +125,7 @@
     let (discovery, router) = quick_to_close(&instance);
     let mut client = router.connect_client();
     assert_eq!(
-        client.simple_query(&read(1, 5000)).value,
+        client.simple_query(&select_query(1, 5000)).value,
         format!("{:016x}", 1)
     );
     assert!(router.wait_for_counter("pools_retired=1"));
@@ -141,11 +144,11 @@
     let mut id = 1;
     while !is_over() {
         id += 1;
-        client.simple_query(&read(id, 500));
+        client.simple_query(&select_query(id, 500));
         assert!(begun.elapsed() < WAIT_TIMEOUT);
     }
     let asked = instance.activity.with(|s| s.queries.len());
-    let answer = client.simple_query(&read(id + 1, 500));
+    let answer = client.simple_query(&select_query(id + 1, 500));
     assert_eq!(answer.sqlstate.is_empty(), moves, "{answer:?}");
     assert_eq!(instance.activity.with(|s| s.queries.len()), asked);
 }
@@ -212,11 +215,11 @@
     settings["ceilings"]["probes"] = json!(false);
     let list = vec![list_entry("s-1", address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start_with(&discovery, &list, 1024, settings, None);
+    let router = start_router_with(&discovery, &list, 1024, settings, None);
     let mut client = router.connect_client();
-    client.send(&reelrill_test_support::client::query_message(&read(
-        1, 8000,
-    )));
+    client.send(&reelrill_test_support::client::query_message(
+        &select_query(1, 8000),
+    ));
     let mut endpoint = Scripted::accept(&listener);
     discovery.publish(vec![list_entry("s-1", address, "draining")]);
     // The next call tells that the list has been read.
@@ -251,7 +254,7 @@
     let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let list = vec![list_entry("s-1", instance.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start(&discovery, &list, 1024);
+    let router = start_router(&discovery, &list, 1024);
     let mut client = router.connect_client();
     assert!(
         discovery
@@ -261,7 +264,10 @@
     );
     limit_descriptors(router.pid(), 1);
     for id in 1..=3 {
-        assert_eq!(client.simple_query(&read(id, 1000)).sqlstate, "53300");
+        assert_eq!(
+            client.simple_query(&select_query(id, 1000)).sqlstate,
+            "53300"
+        );
     }
     let counters = router.counters();
     assert!(
@@ -272,7 +278,7 @@
     limit_descriptors(router.pid(), 1024);
     let begun = Instant::now();
     assert_eq!(
-        client.simple_query(&read(4, 5000)).value,
+        client.simple_query(&select_query(4, 5000)).value,
         format!("{:016x}", 4)
     );
     assert!(
@@ -305,12 +311,12 @@
     let instance = FakeEndpoint::start("master", ScriptedResponse::ServeLarge);
     let list = vec![list_entry("s-1", instance.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start(&discovery, &list, 1024);
+    let router = start_router(&discovery, &list, 1024);
     let mut client = router.connect_client();
     let flood = SignalFlood::start(router.pid());
     for id in 1..=100 {
         assert_eq!(
-            client.simple_query(&read(id, 5000)).value,
+            client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}").repeat(4096)
         );
     }
@@ -346,7 +352,7 @@
     settings["ceilings"]["mayCancel"] = json!(false);
     let list = vec![list_entry("s-1", listener.local_addr().unwrap(), "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start_with(
+    let router = start_router_with(
         &discovery,
         &list,
         1024,
@@ -394,11 +400,14 @@
     let instance = FakeEndpoint::start("master", ScriptedResponse::NoResponse);
     let list = vec![list_entry("s-1", instance.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start(&discovery, &list, 1024);
+    let router = start_router(&discovery, &list, 1024);
     let mut client = router.connect_client();
     for (id, wait_ms) in (1..).zip([1, 5, 8, 9, 12, 20, 40]) {
         let begun = Instant::now();
-        assert_eq!(client.simple_query(&read(id, wait_ms)).sqlstate, "53300");
+        assert_eq!(
+            client.simple_query(&select_query(id, wait_ms)).sqlstate,
+            "53300"
+        );
         assert!(
             begun.elapsed() < Duration::from_millis(wait_ms + 500),
             "{:?}",
@@ -411,7 +420,7 @@
     assert!(told.is_none_or(|wait| wait <= 40), "{told:?}");
     instance.response.with(|a| *a = ScriptedResponse::Serve);
     assert_eq!(
-        client.simple_query(&read(100, 5000)).value,
+        client.simple_query(&select_query(100, 5000)).value,
         format!("{:016x}", 100)
     );
 }
