--- a/crates/router/src/client/outstanding.rs
+++ b/crates/router/src/client/outstanding.rs
@@ -50,7 +50,7 @@
             result_format,
         });
         ResponseTarget {
-            part: number,
+            number,
             sender: self.sender.clone(),
         }
     }
--- a/crates/router/src/dispatcher/request_table/tests.rs
+++ b/crates/router/src/dispatcher/request_table/tests.rs
@@ -18,7 +18,7 @@
         Rc::new(EndpointQuery::Simple(SimpleQuery::new(b"0".to_vec(), 0..1))),
         CancellationFlag::default(),
         0,
-        ResponseTarget { part: 7, sender },
+        ResponseTarget { number: 7, sender },
     );
     let mut table = RequestTable::default();
     table.insert(ID, request);
@@ -45,7 +45,7 @@
 fn completing_returns_the_response_target_once_and_frees_the_client_request_id() {
     let mut table = table();
     assert!(table.is_client_request_id_in_use(CLIENT_REQUEST_ID));
-    assert_eq!(table.complete(ID).map(|target| target.part), Some(7));
+    assert_eq!(table.complete(ID).map(|target| target.number), Some(7));
     assert!(!table.is_client_request_id_in_use(CLIENT_REQUEST_ID));
     assert!(table.complete(ID).is_none());
 }
--- a/crates/router/src/dispatcher/requests.rs
+++ b/crates/router/src/dispatcher/requests.rs
@@ -158,5 +158,5 @@
 /// Sends a final response to the client's task. If the channel is closed, the client has just disconnected, and its
 /// task reports that by itself.
 fn respond(target: ResponseTarget, response: FinalResponse) {
-    let _ = target.sender.try_send((target.part, response));
+    let _ = target.sender.try_send((target.number, response));
 }
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -80,7 +80,7 @@
 #[derive(Debug, Clone)]
 pub struct ResponseTarget {
     /// Identifies the request among those of its client.
-    pub part: u64,
+    pub number: u64,
     /// The client's response channel.
     pub sender: async_channel::Sender<(u64, FinalResponse)>,
 }
