--- a/crates/router/src/dispatcher/actions.rs
+++ b/crates/router/src/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! The execution of the balancer's actions.
+//! Executes the balancer's actions.
 
 use super::Dispatcher;
 use super::deadlines::DeadlineEntry;
@@ -46,20 +46,20 @@
                 self.deadlines.add(at, DeadlineEntry::BalancerTimer(token));
             }
             Action::CheckHealth { endpoint } => self.start_health_check(endpoint),
-            // If the mailbox is full, a request that waits there serves the same purpose.
+            // If the channel is full, a request for the list that is still queued also covers this one.
             Action::Subscribe => drop(self.list_requests.try_send(EndpointListRequest::Subscribe)),
             Action::FetchList => drop(self.list_requests.try_send(EndpointListRequest::Fetch)),
         }
     }
 
-    /// Starts a health check. One that cannot be started counts as failed.
+    /// Starts a health check. If it cannot be started, it counts as failed.
     fn start_health_check(&mut self, endpoint: EndpointId) {
-        let started = self.pools.get(&endpoint).is_some_and(|pool| {
+        let is_started = self.pools.get(&endpoint).is_some_and(|pool| {
             let command = PoolCommand::HealthCheck;
             pool.send(&self.shared, &self.executor, &endpoint, command)
                 .is_ok()
         });
-        if !started {
+        if !is_started {
             self.events.push_back(Event::HealthCheckEnded {
                 endpoint,
                 outcome: AttemptOutcome::ConnectFailed,
--- a/crates/router/src/dispatcher/attempts.rs
+++ b/crates/router/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! The start of an attempt and its one result.
+//! Starts attempts, and processes the one result of each.
 
 use super::Dispatcher;
 use super::deadlines::DeadlineEntry;
@@ -106,8 +106,9 @@
         self.requests.remove_if_finished(id);
     }
 
-    /// Returns the outcome that the balancer receives. If the router ended an attempt that was not written completely,
-    /// the endpoint cannot have executed it: it was waiting for a connection, or its connection is dropped now.
+    /// Returns the outcome that the balancer receives. If the router ends an attempt that was not written completely,
+    /// the endpoint cannot have executed it, since the attempt either waits for a connection, or its connection is
+    /// dropped now.
     fn final_outcome(
         &self,
         attempt: &InFlightAttempt,
--- a/crates/router/src/dispatcher/deadlines.rs
+++ b/crates/router/src/dispatcher/deadlines.rs
@@ -12,7 +12,7 @@
 pub enum DeadlineEntry {
     /// The balancer requested a timer event with this token.
     BalancerTimer(u64),
-    /// The time limit of an attempt expires. Identified by request and attempt number.
+    /// The time limit of an attempt, identified by request and attempt number, expires.
     AttemptTimeout(RequestId, u32),
     /// The final response to a request must be sent.
     RequestDeadline(RequestId),
--- a/crates/router/src/dispatcher/endpoint_list.rs
+++ b/crates/router/src/dispatcher/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list: adds, updates and removes endpoint pools.
+//! Applies changes of the endpoint list: adds, updates and removes endpoint pools.
 
 use super::Dispatcher;
 use crate::messages::ListedEndpoint;
@@ -23,8 +23,8 @@
         self.events.push_back(Event::List { kind, entries });
     }
 
-    /// Returns whether an endpoint that is removed from the list loses its pool. The settings may allow attempts at
-    /// removed endpoints.
+    /// Returns whether the pool of an endpoint is removed when the endpoint is removed from the list. It is not if the
+    /// settings allow attempts at endpoints that are not listed.
     fn should_apply_removals(&self) -> bool {
         !self
             .shared
--- a/crates/router/src/dispatcher/mod.rs
+++ b/crates/router/src/dispatcher/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! It converts [`Message`]s into events for the balancer, and the balancer's actions into attempts, responses, health
 //! checks and requests to discovery. It owns the table of pending requests, their deadlines, and the handles of all
-//! endpoint pools. It never waits for another task: a command that finds a full mailbox counts as not sent.
+//! endpoint pools. It never waits for another task: if a pool's mailbox is full, the command counts as not sent.
 //!
 //! - [`mailbox`]: the order in which messages are read
 //! - [`request_table`]: the state of each pending request
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Runs until all senders of messages were dropped.
+    /// Runs until all senders of messages have been dropped.
     pub async fn run(mut self, mailbox: Mailbox) {
         self.on_endpoint_list(ListKind::Cached, self.shared.config.known_list.1.clone());
         self.process_events();
@@ -154,7 +154,8 @@
         });
     }
 
-    /// Advances the deadlines of pending requests, so that each gets a response before the process may be killed.
+    /// Limits the deadlines of pending requests to the end of the response window, so that each gets a response before
+    /// the process may be killed.
     fn on_shutdown(&mut self) {
         let Some(latest) = self.shared.response_deadline() else {
             return;
--- a/crates/router/src/dispatcher/request_table.rs
+++ b/crates/router/src/dispatcher/request_table.rs
@@ -14,7 +14,7 @@
 /// An attempt without a result. Dropping it notifies the endpoint's pool that the attempt is abandoned.
 #[derive(Debug)]
 pub struct InFlightAttempt {
-    /// Numbers the attempts of a request, from 0.
+    /// The number of the attempt within its request, from 0.
     pub number: u32,
     /// The endpoint that the balancer chose.
     pub endpoint: EndpointId,
@@ -26,7 +26,7 @@
     pub _abandon_on_drop: Sender<()>,
 }
 
-/// Whether the final response to a request is due, and which attempts are in progress.
+/// The state of a request: whether its final response is due, and its attempts in progress.
 #[derive(Debug)]
 enum RequestState {
     /// The response is due, and no attempt is in progress.
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns whether no response is due any more.
+    /// Returns whether no response is due any more: it was sent, or the client disconnected or cancelled the request.
     pub fn is_completed(&self) -> bool {
         matches!(self.state, RequestState::Completed { .. })
     }
--- a/crates/router/src/dispatcher/request_table/tests.rs
+++ b/crates/router/src/dispatcher/request_table/tests.rs
@@ -50,7 +50,7 @@
     assert!(table.complete(ID).is_none());
 }
 
-/// Guards against results that find no request, because it was removed while its attempts were in progress.
+/// Guards against results that are ignored, because their request was removed while its attempts were in progress.
 #[test]
 fn a_completed_request_stays_until_its_last_attempt_has_a_result() {
     let mut table = table();
@@ -66,7 +66,7 @@
     assert!(table.get(ID).is_none());
 }
 
-/// Guards against a request without a response: it must stay while the balancer decides on a retry.
+/// Guards against a request that gets no response, because it was removed while the balancer decided on a retry.
 #[test]
 fn a_request_stays_until_completed_when_its_attempts_have_ended() {
     let mut table = table();
--- a/crates/router/src/dispatcher/requests.rs
+++ b/crates/router/src/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! The admission, cancellation, deadline and final response of a request.
+//! Admits and cancels requests, enforces their deadlines and sends their final responses.
 
 use super::Dispatcher;
 use super::deadlines::DeadlineEntry;
@@ -21,8 +21,8 @@
             return count(&self.shared.counters.client_left_before_admission);
         }
         if self.shared.should_reject_new_requests() {
-            // The request came on a connection that is about to be closed. The process may be killed before an endpoint
-            // responds to it.
+            // The request was received on a connection that is about to be closed, and the process may be killed before
+            // an endpoint responds to it.
             count(&self.shared.counters.rejected);
             return respond(target, FinalResponse::Rejected { retry_after: None });
         }
@@ -30,7 +30,7 @@
             .requests
             .is_client_request_id_in_use(request.client_request_id)
         {
-            // Endpoints would treat a second request with the same id as a copy of the first.
+            // Endpoints would treat a second request with the same id as a repetition of the first.
             count(&self.shared.counters.invalid_statements);
             return respond(target, FinalResponse::Failed("this id is already in use"));
         }
@@ -70,8 +70,8 @@
         }));
     }
 
-    /// Returns the time by which the final response must be sent: before the client's timeout, and before the process
-    /// may be killed.
+    /// Returns the time by which the final response must be sent, so that it arrives before the client's timeout and
+    /// before the process may be killed.
     fn response_deadline(&self, request: &ClientRequest) -> Timestamp {
         let timeout = request.timeout.saturating_sub(RESPONSE_TRAVEL_TIME);
         let deadline = request.received_at.saturating_add(timeout);
@@ -92,8 +92,8 @@
         self.abandon_unwritten_attempts(request);
     }
 
-    /// Abandons the attempts that were not written completely. The settings for cancelling do not apply to them,
-    /// because the endpoint cannot have executed them.
+    /// Abandons the attempts that were not written completely, even if the settings do not allow attempts to be
+    /// cancelled: the endpoint has not received the complete request, so it cannot have executed it.
     fn abandon_unwritten_attempts(&mut self, request: RequestId) {
         let attempts = self.requests.get(request).map_or(&[][..], |r| r.attempts());
         let unwritten: Vec<u32> = attempts
@@ -110,8 +110,8 @@
     /// Ends all attempts in progress as timed out. If the balancer then does not decide on a final response, the
     /// dispatcher sends one.
     pub(super) fn on_request_deadline(&mut self, request: RequestId) {
-        // This also applies after the final response: if the settings do not allow attempts to be cancelled, one
-        // without a response would otherwise stay forever.
+        // Attempts are also ended here after the final response: if the settings do not allow attempts to be cancelled,
+        // an attempt without a response would otherwise never end.
         let attempts = self.requests.get(request).map_or(&[][..], |r| r.attempts());
         let numbers: Vec<u32> = attempts.iter().map(|attempt| attempt.number).collect();
         for number in numbers {
@@ -155,8 +155,8 @@
     }
 }
 
-/// Sends a final response to the client's task. If the channel is closed, the client has just disconnected, and its
-/// task reports that by itself.
+/// Sends a final response to the client's task. If its channel is closed, the client has just disconnected, which the
+/// client's task reports in a message of its own.
 fn respond(target: ResponseTarget, response: FinalResponse) {
     let _ = target.sender.try_send((target.number, response));
 }
