--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -14,8 +14,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Marks a request as cancelled. Once raised it stays raised, and every holder of a clone sees it at once, without a
-/// message through a mailbox.
+/// Marks a request as cancelled. Once raised it stays raised. All clones share the flag, so raising it takes effect at
+/// once, without a message through a mailbox.
 #[derive(Debug, Clone, Default)]
 pub struct CancellationFlag(Rc<Cell<bool>>);
 
@@ -36,7 +36,7 @@
 pub struct ClientRequest {
     /// The id that the router assigned. It is unique, while several clients may use the same request id.
     pub id: RequestId,
-    /// The id that the client assigned; it is passed on to endpoints.
+    /// The id that the client assigned, which is passed on to endpoints.
     pub client_request_id: u64,
     /// The index of the request class in the settings.
     pub class: u32,
@@ -46,9 +46,9 @@
     pub session: Option<Arc<str>>,
     /// The replication position that a read in a session must observe.
     pub required_position: Option<Timestamp>,
-    /// Whether the client sends the request again.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// The time that the client waits from `received_at` on, in nanoseconds.
+    /// The time for which the client waits for the response, in nanoseconds from `received_at`.
     pub timeout: Nanos,
     /// The time at which the client's task read the request.
     pub received_at: Timestamp,
@@ -59,12 +59,12 @@
     pub cancelled: CancellationFlag,
 }
 
-/// The final response to a request. Each request has exactly one.
+/// The final response to a request. Each request gets exactly one, unless its client disconnects first.
 #[derive(Debug)]
 pub enum FinalResponse {
     /// An endpoint executed the statement.
     Served(QueryResult),
-    /// The request had no effect, and the client may retry it.
+    /// The request was rejected without a result, and the client may retry it.
     Rejected {
         /// The delay before a retry, in nanoseconds.
         retry_after: Option<Nanos>,
@@ -79,7 +79,7 @@
 /// its outstanding requests.
 #[derive(Debug, Clone)]
 pub struct ResponseTarget {
-    /// Identifies the request among those of its client.
+    /// The request's number among those of its client.
     pub number: u64,
     /// The client's response channel.
     pub sender: async_channel::Sender<(u64, FinalResponse)>,
@@ -174,7 +174,7 @@
     },
     /// The endpoint list was read, changed or could not be read.
     EndpointList {
-        /// Whether `listed` is complete, holds changes only, or the poll failed.
+        /// Whether `listed` is the complete list, a stored copy of it, or only changes, or whether the poll failed.
         kind: ListKind,
         /// The entries.
         listed: Vec<ListedEndpoint>,
@@ -201,8 +201,8 @@
 pub struct AttemptProgress(Rc<Cell<AttemptPhase>>);
 
 impl AttemptProgress {
-    /// Records that a connection starts to write the request. An attempt that was written stays written, even if the
-    /// request is written a second time.
+    /// Records that a connection starts to write the request. If the request is written a second time, the attempt
+    /// still counts as written.
     pub fn start_writing(&self) {
         if self.0.get() == AttemptPhase::WaitingForConnection {
             self.0.set(AttemptPhase::Writing);
@@ -225,7 +225,7 @@
 pub struct Attempt {
     /// The request's id.
     pub request: RequestId,
-    /// Numbers the attempts of a request, from 0.
+    /// The number of the attempt within its request, from 0.
     pub number: u32,
     /// The statement to execute.
     pub statement: Rc<EndpointQuery>,
