--- a/crates/router/src/upstream/endpoint_status.rs
+++ b/crates/router/src/upstream/endpoint_status.rs
@@ -7,7 +7,7 @@
 use std::cell::Cell;
 use std::net::SocketAddr;
 
-/// Holds the endpoint's address, and the time since when it has been draining.
+/// Holds the endpoint's address, and the time at which its drain started.
 #[derive(Debug)]
 pub struct EndpointStatus {
     address: Cell<SocketAddr>,
@@ -28,8 +28,8 @@
         self.address.get()
     }
 
-    /// Updates the state from the endpoint list, and returns whether the address has changed. The start of a drain that
-    /// is already known stays.
+    /// Updates the state from the endpoint list, and returns whether the address has changed. If the endpoint is
+    /// already draining, the recorded start of the drain is kept.
     pub fn update(&self, address: SocketAddr, is_draining: bool, now: Timestamp) -> bool {
         let draining_since = self.draining_since.get().unwrap_or(now);
         self.draining_since
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -1,8 +1,8 @@
 //! Connections to endpoints: one pool for each endpoint in use.
 //!
 //! An endpoint list may have thousands of entries, of which a router uses few at a time. A [`PoolHandle`] holds the
-//! state of its endpoint; the first command starts the pool's task and channels. A pool without connections, waiting
-//! jobs and jobs in progress is retired after a timeout.
+//! state of its endpoint; the first command starts the pool's task and creates its mailboxes. A pool that has no
+//! connections, no waiting jobs and no jobs in progress is retired after a timeout.
 //!
 //! - `pool_handle`: the dispatcher's handle of a pool
 //! - `endpoint_status`: the state of an endpoint in the endpoint list
@@ -12,7 +12,7 @@
 //! - `connection`: one connection and the requests written to it
 //! - `response`: the messages that form a response
 //! - `load_report`: the parsing of an endpoint's load report
-//! - `fault`: the origin of a failure, and the outcome that it leads to
+//! - `fault`: the origin of a failure, and the resulting outcome of an attempt
 
 mod connect;
 mod connection;
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -29,7 +29,7 @@
 const MAX_IDLE_FRACTION: f64 = 0.9;
 /// The idle limit in nanoseconds if the settings contain none.
 const DEFAULT_IDLE_LIMIT: f64 = 10e9;
-/// The number of checks for expired connections per maximum idle time. A connection is closed at most one check
+/// The number of checks for expired connections during the maximum idle time. A connection is closed at most one check
 /// interval too late.
 const IDLE_CHECKS_PER_PERIOD: u64 = 16;
 const _: () = assert!(
@@ -46,7 +46,7 @@
 pub enum PoolEvent {
     /// A connection was established, or could not be.
     ConnectEnded(Result<Box<UpstreamConnection>, AttemptOutcome>),
-    /// A connection can be used for another request.
+    /// A job returned its connection, which can be used for another request.
     Returned(Box<UpstreamConnection>),
 }
 
@@ -86,7 +86,7 @@
     EvictionRequested,
     /// A descriptor may be available for a waiting job.
     DescriptorReleased,
-    /// The job that has waited longest got no descriptor in time.
+    /// The job that has waited longest has got no descriptor within the connect timeout.
     DescriptorTimeout,
     /// No event or command arrived for [`UNUSED_TIMEOUT`].
     UnusedTimeout,
@@ -98,8 +98,8 @@
     executor: Rc<LocalExecutor<'static>>,
     endpoint: EndpointId,
     status: Rc<EndpointStatus>,
-    /// The place where the handle stores the sender of this pool's commands. It cannot be upgraded once the handle was
-    /// dropped.
+    /// The place where the handle stores the sender of this pool's commands. It can no longer be upgraded once the
+    /// handle has been dropped.
     command_sender: Weak<CommandSender>,
     /// The idle connections. The most recently used one is last.
     idle: Vec<UpstreamConnection>,
@@ -266,8 +266,8 @@
         if !is_empty || !commands.is_empty() {
             return ControlFlow::Continue(());
         }
-        // The next command starts a new pool. No command can arrive between the check of the channel and this step,
-        // because all tasks share one thread.
+        // The next command starts a new pool. No command can arrive between the check of the channel and the removal of
+        // its sender, because all tasks share one thread.
         if let Some(command_sender) = self.command_sender.upgrade() {
             command_sender.take();
         }
@@ -315,7 +315,8 @@
     /// Assigns idle connections to waiting jobs, and opens connections for the others.
     async fn assign_connections(&mut self) {
         self.waiting.retain(|waiting| waiting.job.is_still_needed());
-        // The drain grace applies to the first byte written: a job that waited for a connection may be too late.
+        // Once the drain grace has expired, no request may be written. It may have expired while the jobs waited for a
+        // connection.
         if self.status.has_drain_grace_expired(&self.shared) {
             self.fail_waiting(AttemptOutcome::NotSent).await;
         }
@@ -326,7 +327,7 @@
     fn assign_idle(&mut self) {
         let now = self.shared.clock.now();
         while !self.waiting.is_empty() {
-            // The most recently used one, so that the others can expire.
+            // Takes the most recently used connection, so that the others can expire.
             let Some(connection) = self.idle.pop() else {
                 return;
             };
--- a/crates/router/src/upstream/pool_handle.rs
+++ b/crates/router/src/upstream/pool_handle.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The capacity of a pool's command channel, which allocates all of its slots at once.
+/// The capacity of a pool's mailbox, which allocates all of its slots at once.
 const COMMAND_CAPACITY: usize = 256;
 
 /// A command to a pool.
@@ -25,7 +25,7 @@
     AddressChanged,
 }
 
-/// The command channel of the running pool; `None` while no pool is running.
+/// The sender to the mailbox of the running pool; `None` while no pool is running.
 pub type CommandSender = RefCell<Option<Sender<PoolCommand>>>;
 
 /// Controls the pool of a listed endpoint, and starts it when needed. When the handle is dropped, the pool ends:
@@ -35,9 +35,9 @@
     commands: Rc<CommandSender>,
 }
 
-/// The error of a command that the pool did not accept, because its command channel is full.
+/// The error of a command that the pool did not accept, because its mailbox is full.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the pool's command channel is full")]
+#[error("the pool's mailbox is full")]
 pub struct PoolBusy;
 
 impl PoolHandle {
@@ -49,12 +49,13 @@
         }
     }
 
-    /// Updates the endpoint's state from the endpoint list. The start of a drain that is already known stays.
+    /// Updates the endpoint's state from the endpoint list. If the endpoint is already draining, the recorded start of
+    /// the drain is kept.
     pub fn update(&self, address: SocketAddr, is_draining: bool, now: Timestamp) {
         let has_moved = self.status.update(address, is_draining, now);
         if has_moved && let Some(commands) = &*self.commands.borrow() {
-            // If the channel is full, the command is dropped: the pool is about to run anyway, and checks the address
-            // of each connection that is returned.
+            // If the mailbox is full, the command is dropped. The pool is about to run anyway, and checks the address
+            // of each connection that is returned to it.
             let _ = commands.try_send(PoolCommand::AddressChanged);
         }
     }
@@ -62,7 +63,7 @@
     /// Sends a command to the pool, and starts a pool if none is running.
     ///
     /// # Errors
-    /// Fails if the pool's command channel is full.
+    /// Fails if the pool's mailbox is full.
     pub fn send(
         &self,
         shared: &Rc<Shared>,
