--- a/crates/router/src/upstream/connect.rs
+++ b/crates/router/src/upstream/connect.rs
@@ -1,7 +1,7 @@
 //! Establishes a connection to an endpoint: connects, sends the startup message, and waits for ReadyForQuery.
 //!
-//! If this fails, no request has been executed. After a temporary shortage of the router's host (descriptors, ports,
-//! memory) the connect is retried, and the failure never counts against the endpoint.
+//! If this fails, no request has been executed. The connect is retried after a temporary shortage on the router's host
+//! (of descriptors, ports or memory). Such a failure never counts against the endpoint.
 
 use super::connection::{UpstreamConnection, write_some};
 use super::fault::{FaultOrigin, Stage, classify, connect_outcome, sqlstate_outcome};
@@ -19,9 +19,10 @@
 
 /// The connect timeout in nanoseconds if the settings contain none.
 const DEFAULT_CONNECT_TIMEOUT: Nanos = 1_000_000_000;
-/// The number of retries after a shortage of the router's host. After them the request goes to another endpoint.
+/// The number of retries after a shortage on the router's host. If the last one fails, another endpoint gets the
+/// request.
 const MAX_HOST_RETRIES: u32 = 3;
-/// The pause before each of these retries.
+/// The pause before each retry after a shortage on the router's host.
 const HOST_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
 /// Returns the connect timeout in nanoseconds. It includes the wait for a file descriptor.
@@ -76,7 +77,7 @@
     Ok(connection)
 }
 
-/// Connects the socket, and retries after a shortage of the router's host, which is not a failure of the endpoint.
+/// Connects the socket, and retries after a shortage on the router's host, which is not a failure of the endpoint.
 async fn connect(address: SocketAddr) -> io::Result<Async<TcpStream>> {
     let mut retries = 0;
     let stream = loop {
@@ -131,7 +132,7 @@
     }
 }
 
-/// Returns the outcome if the endpoint rejected the startup message with this SQLSTATE.
+/// Handles an error response to the startup message with this SQLSTATE, and returns the outcome.
 fn on_startup_rejected(
     connection: &mut UpstreamConnection,
     error_code: Option<&str>,
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -37,9 +37,9 @@
     pub(super) stream: Async<TcpStream>,
     pub(super) buffer: Buffer,
     endpoint: EndpointId,
-    /// The address that it is connected to.
+    /// The endpoint's address at the time of the connect.
     pub address: SocketAddr,
-    /// The time at which it was last returned to the pool.
+    /// The time at which the connection was last returned to the pool.
     pub idle_since: Timestamp,
     /// The reason that is logged when the connection is dropped.
     pub(super) close_reason: CloseReason,
@@ -203,7 +203,7 @@
         }
         bound.put_bind(&mut messages, response_time);
         frontend::put_execute(&mut messages, "", 0);
-        // Once these bytes have arrived the endpoint may execute the statement, even without the Sync.
+        // Once these bytes have arrived, the endpoint may execute the statement, even if the Sync never arrives.
         let executable_length = messages.len();
         frontend::put_sync(&mut messages);
         let response = Response::for_prepared(confirmations);
@@ -225,7 +225,8 @@
         progress: &AttemptProgress,
         response: Response,
     ) -> Result<Response, ExchangeError> {
-        // Checked again immediately before the write: unexpected bytes would be taken for the response to this request.
+        // Checked again immediately before the write, because unread bytes would be taken for the response to this
+        // request.
         if !self.is_open() {
             self.close_reason = CloseReason::MalformedResponse;
             return Err(ExchangeError::StaleConnection);
@@ -278,7 +279,7 @@
         Ok(response)
     }
 
-    /// Reads messages up to ReadyForQuery. After an error the connection must be closed.
+    /// Reads messages up to ReadyForQuery. After an error the connection must be closed, with the returned reason.
     async fn read_until_ready(
         &mut self,
         response: &mut Response,
--- a/crates/router/src/upstream/exchange.rs
+++ b/crates/router/src/upstream/exchange.rs
@@ -23,13 +23,15 @@
 const LOAD_REPORT_QUERY: &[u8] = b"SHOW gauges";
 
 impl Attempt {
-    /// Returns whether neither the dispatcher has abandoned the attempt nor the client cancelled the request.
+    /// Returns whether the attempt's result is still of use. It is not if the dispatcher has abandoned the attempt, or
+    /// the client has disconnected or cancelled the request.
     pub(super) fn is_still_needed(&self) -> bool {
         !self.abandoned.is_closed() && !self.request_cancelled.is_raised()
     }
 
-    /// Returns the endpoint's time to respond, in nanoseconds, if the request is written now, or `None` if it must not
-    /// be written any more. Must be called immediately before each write, because the attempt may have waited.
+    /// Returns the time that is left for the response if the request is written now, in nanoseconds, or `None` if the
+    /// request must not be written any more. Must be called immediately before each write, because the attempt may have
+    /// waited for a connection.
     fn time_left(&self, shared: &Shared, status: &EndpointStatus) -> Option<Nanos> {
         let now = shared.clock.now();
         let is_late =
@@ -39,7 +41,7 @@
         can_be_written.then(|| self.deadline - now)
     }
 
-    /// Creates the message with this attempt's result for the dispatcher.
+    /// Returns the message that reports this attempt's result to the dispatcher.
     pub(super) fn ended_message(&self, result: AttemptResult) -> Message {
         Message::AttemptEnded {
             request: self.request,
@@ -50,7 +52,7 @@
 }
 
 /// Makes an attempt, and reports its result to the dispatcher. If the attempt is abandoned, the connection is dropped,
-/// because nothing awaits a late response.
+/// because no request waits for a late response.
 pub async fn run_attempt(
     shared: Rc<Shared>,
     status: Rc<EndpointStatus>,
@@ -149,7 +151,7 @@
     let _ = pool.send(PoolEvent::Returned(Box::new(connection))).await;
 }
 
-/// Sends a message to the dispatcher, which outlives all pools.
+/// Sends a message to the dispatcher. The dispatcher outlives all pools, so a failed send is ignored.
 pub async fn notify_dispatcher(shared: &Shared, message: Message) {
     let _ = shared.dispatcher.send(message).await;
 }
--- a/crates/router/src/upstream/response.rs
+++ b/crates/router/src/upstream/response.rs
@@ -42,7 +42,7 @@
 }
 
 impl Response {
-    /// Creates the response to a prepared statement whose steps are confirmed by messages with these tags.
+    /// Creates an empty response to a prepared statement whose steps are confirmed by messages with these tags.
     pub fn for_prepared(confirmations: &'static [u8]) -> Response {
         Response {
             confirmations,
@@ -94,12 +94,12 @@
         self.error_code.as_deref() == Some(sqlstate::CANNOT_CONNECT_NOW)
     }
 
-    /// Returns the value as text, such as a load report. `None` if there is no value or it is not valid UTF-8.
+    /// Returns the value as text, such as a load report, or `None` if there is no value or it is not valid UTF-8.
     pub fn text(&self) -> Option<&str> {
         std::str::from_utf8(self.value.as_deref()?).ok()
     }
 
-    /// Adds one message. Messages out of place are rejected, because a client could otherwise receive a result that no
+    /// Adds one message. A message out of place is rejected, because a client could otherwise receive a result that no
     /// endpoint computed for it.
     pub fn add_message(&mut self, tag: u8, body: &[u8]) -> ResponseProgress {
         let accepted = match tag {
