--- a/crates/router/src/upstream/fault.rs
+++ b/crates/router/src/upstream/fault.rs
@@ -28,7 +28,7 @@
     Host,
     /// The endpoint, or the network between it and the router.
     Endpoint,
-    /// None: a signal interrupted the call, which must be repeated.
+    /// Neither of them: a signal interrupted the call, which must be repeated.
     Interrupted,
 }
 
@@ -75,7 +75,7 @@
 /// The reason for which a request got no complete response on its connection.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// The connection was unusable before anything was written.
+    /// The connection was closed or held unread bytes before any of the request was written.
     #[error("the connection was closed or held unexpected bytes before the request was written")]
     StaleConnection,
     /// The connection failed too early for the endpoint to execute the request.
@@ -84,7 +84,7 @@
     /// The connection failed while the response was awaited. The endpoint may have executed the request.
     #[error("the connection broke or was closed before the response was complete")]
     ConnectionBroken,
-    /// The endpoint may have executed the request, but its response cannot be used, nor can the connection.
+    /// The endpoint may have executed the request, but neither its response nor the connection can be used.
     #[error("the bytes received are not a valid response")]
     MalformedResponse,
 }
@@ -123,8 +123,9 @@
     }
 }
 
-/// Returns the outcome of an attempt that the endpoint answered with an error: by the SQLSTATE's entry in the
-/// protocol's table, or by its class, where the statement is at fault (22 for data, 42 for syntax).
+/// Returns the outcome of an attempt to which the endpoint responded with an error. It depends on the SQLSTATE, as the
+/// protocol's table of errors defines, or else on its class: in classes 22 (data) and 42 (syntax) the statement is at
+/// fault.
 pub fn sqlstate_outcome(code: &str) -> AttemptOutcome {
     match code {
         sqlstate::READ_ONLY_SQL_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD => {
--- a/crates/router/src/upstream/fault/tests.rs
+++ b/crates/router/src/upstream/fault/tests.rs
@@ -6,8 +6,8 @@
 use rustix::io::Errno;
 use std::io;
 
-/// Guards against a failure of the router's host that counts towards the ejection of an endpoint, and against an
-/// execution check that depends on the error rather than on the stage.
+/// Guards against a failure of the router's host that counts towards the ejection of an endpoint, and against
+/// `is_possibly_executed` depending on the error instead of the stage.
 #[rstest]
 #[case(Errno::CONNABORTED, FaultOrigin::Endpoint)]
 #[case(Errno::NFILE, FaultOrigin::Host)]
@@ -56,8 +56,8 @@
     }
 }
 
-/// Guards against a broken connection that is reported as a malformed response or as a shortage of the router's host,
-/// and against a shortage of the host that counts against the endpoint.
+/// Guards against a broken connection that is reported as a malformed response or as a shortage on the router's host,
+/// and against a shortage on the host that counts against the endpoint.
 #[rstest]
 #[case(
     Errno::TIMEDOUT,
