--- a/crates/router/src/dispatcher/request_table/tests.rs
+++ b/crates/router/src/dispatcher/request_table/tests.rs
@@ -18,7 +18,7 @@
         Rc::new(EndpointQuery::Simple(SimpleQuery::new(b"0".to_vec(), 0..1))),
         CancellationFlag::default(),
         0,
-        ResponseTarget { part: 7, sender },
+        ResponseTarget { number: 7, sender },
     );
     let mut table = RequestTable::default();
     table.insert(ID, request);
@@ -45,12 +45,12 @@
 fn completing_returns_the_response_target_once_and_frees_the_client_request_id() {
     let mut table = table();
     assert!(table.is_client_request_id_in_use(CLIENT_REQUEST_ID));
-    assert_eq!(table.complete(ID).map(|target| target.part), Some(7));
+    assert_eq!(table.complete(ID).map(|target| target.number), Some(7));
     assert!(!table.is_client_request_id_in_use(CLIENT_REQUEST_ID));
     assert!(table.complete(ID).is_none());
 }
 
-/// Guards against results that find no request, because it was removed while its attempts were in progress.
+/// Guards against results that are ignored, because their request was removed while its attempts were in progress.
 #[test]
 fn a_completed_request_stays_until_its_last_attempt_has_a_result() {
     let mut table = table();
@@ -66,7 +66,7 @@
     assert!(table.get(ID).is_none());
 }
 
-/// Guards against a request without a response: it must stay while the balancer decides on a retry.
+/// Guards against a request that gets no response, because it was removed while the balancer decided on a retry.
 #[test]
 fn a_request_stays_until_completed_when_its_attempts_have_ended() {
     let mut table = table();
