--- a/crates/test-support/src/shared_state.rs
+++ b/crates/test-support/src/shared_state.rs
@@ -1,12 +1,13 @@
-//! Values that threads change and others wait on: tests wait for conditions, never for time to pass.
+//! State shared between test threads, with notification of changes. Tests wait for conditions on it instead of
+//! sleeping for fixed times.
 
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Ends a wait that has failed; no passing test waits as long.
+/// The limit of a wait in a test: a wait that reaches it has failed, and no wait of a passing test comes close to it.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A value that threads change and tests wait on.
+/// Holds a value that threads change and tests wait on. Clones share the value.
 #[derive(Debug, Default)]
 pub struct SharedState<T>(Arc<(Mutex<T>, Condvar)>);
 
@@ -17,35 +18,37 @@
 }
 
 impl<T> SharedState<T> {
-    /// A value to begin with.
+    /// Creates a shared state with an initial value.
     pub fn new(value: T) -> Self {
         SharedState(Arc::new((Mutex::new(value), Condvar::new())))
     }
 
-    /// Changes or reads the value, and wakes all that wait.
-    pub fn with<R>(&self, f: impl FnOnce(&mut T) -> R) -> R {
-        let result = f(&mut self.0.0.lock().unwrap_or_else(PoisonError::into_inner));
+    /// Calls `access` with the locked value, which it may read or change, and wakes all waiting threads. Returns the
+    /// result of `access`.
+    pub fn with<R>(&self, access: impl FnOnce(&mut T) -> R) -> R {
+        let result = access(&mut self.0.0.lock().unwrap_or_else(PoisonError::into_inner));
         self.0.1.notify_all();
         result
     }
 
-    /// Waits until `f` finds what it looks for; none: it did not within that time.
+    /// Waits until `find` returns a value and returns it; `None` if that takes longer than `timeout`. `find` is called
+    /// at once, and again after each access by another thread.
     pub fn wait_for<R>(
         &self,
-        within: Duration,
-        mut f: impl FnMut(&mut T) -> Option<R>,
+        timeout: Duration,
+        mut find: impl FnMut(&mut T) -> Option<R>,
     ) -> Option<R> {
-        let until = Instant::now() + within;
+        let deadline = Instant::now() + timeout;
         let mut value = self.0.0.lock().unwrap_or_else(PoisonError::into_inner);
         loop {
-            if let Some(found) = f(&mut value) {
+            if let Some(found) = find(&mut value) {
                 return Some(found);
             }
-            let left = until.checked_duration_since(Instant::now())?;
+            let remaining = deadline.checked_duration_since(Instant::now())?;
             value = self
                 .0
                 .1
-                .wait_timeout(value, left)
+                .wait_timeout(value, remaining)
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
