--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,19 +1,21 @@
-//! Stand-ins on loopback for what the router meets, with faults by script and a ledger of all that ran. Tests, the
-//! example and the lab use them. They are servers of threads that block: plain, and independent of the router's
-//! own ways of doing things but for the codec.
+//! Fake servers on loopback addresses for the services around the router: endpoints of a replica set, discovery
+//! services and DNS servers, with scripted faults and a log of all executed writes. They run on blocking threads and
+//! share only the protocol codec with the router, so that a fault of its runtime does not affect them. The tests of the
+//! router and of service discovery, the example and the experiments use them.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | [`replica_set`] | a group of instances: who leads, what was written, which keys are remembered, and the ledger |
-//! | [`endpoint`] | one instance on a socket: simple and extended queries, acts, and faults at named stages |
-//! | [`dns`] | service records over UDP and TCP, with faults by script |
-//! | [`discovery`] | the list of instances over HTTP |
-//! | [`change_feed`] | the same told as changes, with a count of the bytes |
-//! | [`process`] | the router as a process, with its configuration, log and signals |
-//! | [`client`] | a client that writes and reads whole messages |
-//! | [`shared_state`] | values that threads change and others wait on |
+//! | [`replica_set`] | state shared by a replica set's endpoints: the primary, rows, idempotency keys, execution log |
+//! | [`endpoint`] | a fake endpoint for simple and extended queries, with scripted responses and faults |
+//! | [`dns`] | a fake DNS server for service records over UDP and TCP, with fault modes |
+//! | [`discovery`] | a fake discovery service that serves whole endpoint lists over HTTP, with fault modes |
+//! | [`change_feed`] | a fake discovery service that serves only the changed entries and counts its bytes |
+//! | [`process`] | the router under test as a child process, with its configuration, log and signals |
+//! | [`client`] | a PostgreSQL client that writes and reads whole messages |
+//! | [`shared_state`] | values that threads change and tests wait on |
 //!
-//! A stand-in panics where its own set-up fails (no port, no folder): a test has nothing to go on with then.
+//! A fake server panics if its set-up fails (no free port, no temporary directory), because the test can't continue
+//! without it.
 #![forbid(unsafe_code)]
 
 pub mod change_feed;
