--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -1,11 +1,18 @@
-//! A client that writes and reads whole messages.
+//! A PostgreSQL client that writes and reads whole messages and checks nothing on its own, so that tests can send any
+//! byte sequence.
 
 use crate::shared_state::WAIT_TIMEOUT;
 use reelrill_pg_protocol::{Format, backend, frame, frontend};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-/// Whole messages from a stream that blocks.
+/// The largest message that a [`MessageReader`] accepts, in bytes.
+const MAX_MESSAGE_BYTES: usize = 1 << 26;
+
+/// The size of one read from the socket, in bytes.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+
+/// Reads whole messages from a blocking stream.
 #[derive(Debug)]
 pub struct MessageReader {
     stream: TcpStream,
@@ -14,7 +21,7 @@
 }
 
 impl MessageReader {
-    /// Reads from this stream.
+    /// Creates a reader of this stream.
     pub fn new(stream: TcpStream) -> MessageReader {
         MessageReader {
             stream,
@@ -23,80 +30,82 @@
         }
     }
 
-    /// Reads until `find` finds something at the head of what has come, and how long it is; none: the stream has
-    /// ended, or holds no message.
+    /// Reads from the stream until `parse` returns a value and its length in bytes for the start of the unread input,
+    /// and returns the value. `None` if the stream ends, a read fails or times out, or `parse` fails.
     pub fn read_with<T>(
         &mut self,
-        find: impl Fn(&[u8]) -> Result<Option<(T, usize)>, frame::FrameError>,
+        parse: impl Fn(&[u8]) -> Result<Option<(T, usize)>, frame::FrameError>,
     ) -> Option<T> {
         loop {
-            if let Some((found, len)) = find(&self.bytes[self.start..]).ok()? {
+            if let Some((value, len)) = parse(&self.bytes[self.start..]).ok()? {
                 self.start += len;
-                return Some(found);
+                return Some(value);
             }
             self.bytes.drain(..self.start);
             self.start = 0;
-            let mut piece = [0; 16 * 1024];
-            match self.stream.read(&mut piece) {
-                Ok(n) if n > 0 => self.bytes.extend_from_slice(&piece[..n]),
-                // A read with a time limit ends at any signal to the process that tests.
+            let mut chunk = [0; READ_CHUNK_BYTES];
+            match self.stream.read(&mut chunk) {
+                Ok(count) if count > 0 => self.bytes.extend_from_slice(&chunk[..count]),
+                // A read with a timeout is interrupted by any signal to the test process.
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 _ => return None,
             }
         }
     }
 
-    /// The next message.
+    /// Reads the next message and returns its tag and body; `None` as in
+    /// [`read_with`](MessageReader::read_with).
     pub fn read_message(&mut self) -> Option<(u8, Vec<u8>)> {
         self.read_with(|bytes| {
-            let found = frame::parse(bytes, 1 << 26)?;
-            Ok(found.map(|(tag, body, len)| ((tag, body.to_vec()), len)))
+            let message = frame::parse(bytes, MAX_MESSAGE_BYTES)?;
+            Ok(message.map(|(tag, body, len)| ((tag, body.to_vec()), len)))
         })
     }
 }
 
-/// All messages up to ReadyForQuery or the end of the connection.
+/// Summarizes all messages up to and including ReadyForQuery, or up to the end of the connection.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// Their tags, in order.
+    /// The tags of the messages, in order.
     pub tags: String,
-    /// The last value.
+    /// The value of the last data row.
     pub value: String,
-    /// All values.
+    /// The values of all data rows.
     pub values: Vec<String>,
-    /// The last error's code.
+    /// The SQLSTATE of the last error; empty without an error.
     pub sqlstate: String,
-    /// The last error's field D.
+    /// The detail (field `D`) of the last error.
     pub detail: Option<String>,
-    /// The last error's text.
+    /// The message (field `M`) of the last error; empty without an error.
     pub message: String,
 }
 
-/// A connection to the router.
+/// A client connection to the router.
 #[derive(Debug)]
 pub struct Client {
-    /// Its socket, for what no method does.
+    /// The socket, for operations without a method.
     pub stream: TcpStream,
     reader: MessageReader,
-    /// What a CancelRequest must name.
+    /// The process number and secret from BackendKeyData, as a cancel request has to repeat them.
     pub cancel_key: (u32, u32),
 }
 
-/// The bytes that open a connection.
+/// Returns the startup message.
 pub fn startup_message() -> Vec<u8> {
     let mut out = Vec::new();
     frontend::put_startup(&mut out);
     out
 }
 
-/// A simple query.
+/// Returns a Query message, which runs a simple query.
 pub fn query_message(text: &str) -> Vec<u8> {
     let mut out = Vec::new();
     frontend::put_query(&mut out, text.as_bytes());
     out
 }
 
-/// Bind and Execute of a statement by the unnamed portal, with values as text; the result comes as text.
+/// Returns the Bind and Execute messages that run a prepared statement in the unnamed portal, with parameters and
+/// result in text format.
 pub fn bind_and_execute(statement: &str, values: &[Option<&str>]) -> Vec<u8> {
     let mut out = Vec::new();
     let values = values.iter().map(|v| (Format::Text, v.map(str::as_bytes)));
@@ -105,14 +114,14 @@
     out
 }
 
-/// A Parse.
+/// Returns a Parse message.
 pub fn parse_message(name: &str, text: &str, types: &[u32]) -> Vec<u8> {
     let mut out = Vec::new();
     frontend::put_parse(&mut out, name, text, types);
     out
 }
 
-/// A Sync.
+/// Returns a Sync message.
 pub fn sync_message() -> Vec<u8> {
     let mut out = Vec::new();
     frontend::put_sync(&mut out);
@@ -120,17 +129,17 @@
 }
 
 impl Client {
-    /// Connects, and says nothing yet.
+    /// Connects to the router without sending anything.
     ///
     /// # Panics
-    /// If nobody listens.
+    /// If the connection is refused.
     pub fn connect(address: SocketAddr) -> Client {
-        let stream = TcpStream::connect(address).expect("a connection");
+        let stream = TcpStream::connect(address).expect("connect to the router");
         stream
             .set_read_timeout(Some(WAIT_TIMEOUT))
-            .expect("a limit");
-        stream.set_nodelay(true).expect("no delay");
-        let reader = MessageReader::new(stream.try_clone().expect("a second handle"));
+            .expect("set a read timeout");
+        stream.set_nodelay(true).expect("set TCP_NODELAY");
+        let reader = MessageReader::new(stream.try_clone().expect("clone the socket handle"));
         Client {
             stream,
             reader,
@@ -138,54 +147,57 @@
         }
     }
 
-    /// Says hello and reads the welcome.
+    /// Sends the startup message and reads the router's response to it.
     ///
     /// # Panics
-    /// If there is none.
+    /// If the response is anything but a completed startup.
     pub fn complete_startup(&mut self) {
         self.send(&startup_message());
         assert_eq!(
-            self.read_response().map(|a| a.tags).as_deref(),
+            self.read_response()
+                .map(|response| response.tags)
+                .as_deref(),
             Some("RSSSKZ"),
-            "no welcome"
+            "the router did not complete the startup"
         );
     }
 
-    /// Writes bytes; whether they arrive shows in the answer.
+    /// Writes bytes and ignores write errors; a failed write shows as a missing response.
     pub fn send(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
 
-    /// Writes nothing more.
+    /// Shuts down the sending side of the connection.
     pub fn shutdown_write(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// The next message.
+    /// Reads the next message and returns its tag and body; `None` if there is none within [`WAIT_TIMEOUT`].
     pub fn read_message(&mut self) -> Option<(u8, Vec<u8>)> {
         self.reader.read_message()
     }
 
-    /// Reads up to ReadyForQuery; none: the connection has ended before a message.
+    /// Reads messages up to ReadyForQuery, the end of the connection or [`WAIT_TIMEOUT`] without one; `None` if no
+    /// message arrives.
     pub fn read_response(&mut self) -> Option<Response> {
-        let mut answer = Response::default();
+        let mut response = Response::default();
         loop {
             let Some((tag, body)) = self.read_message() else {
-                return (!answer.tags.is_empty()).then_some(answer);
+                return (!response.tags.is_empty()).then_some(response);
             };
-            answer.tags.push(char::from(tag));
+            response.tags.push(char::from(tag));
             match tag {
-                b'Z' => return Some(answer),
+                b'Z' => return Some(response),
                 b'D' => {
                     let value = backend::parse_single_value(&body).unwrap_or_default();
-                    answer.value = String::from_utf8_lossy(value).into_owned();
-                    answer.values.push(answer.value.clone());
+                    response.value = String::from_utf8_lossy(value).into_owned();
+                    response.values.push(response.value.clone());
                 }
                 b'E' => {
-                    let field = |f| backend::error_field(&body, f).map(str::to_owned);
-                    (answer.sqlstate, answer.detail) =
+                    let field = |code| backend::error_field(&body, code).map(str::to_owned);
+                    (response.sqlstate, response.detail) =
                         (field(b'C').unwrap_or_default(), field(b'D'));
-                    answer.message = field(b'M').unwrap_or_default();
+                    response.message = field(b'M').unwrap_or_default();
                 }
                 b'K' => self.cancel_key = backend::parse_key_data(&body).unwrap_or_default(),
                 _ => {}
@@ -193,21 +205,23 @@
         }
     }
 
-    /// Asks a simple query.
+    /// Runs a simple query and returns its response.
     ///
     /// # Panics
-    /// If the connection ends without an answer.
+    /// If the connection ends without a response.
     pub fn simple_query(&mut self, text: &str) -> Response {
         self.send(&query_message(text));
-        self.read_response().expect("no answer")
+        self.read_response()
+            .expect("a response before the end of the connection")
     }
 
-    /// Writes extended commands and a Sync, and reads what comes back.
+    /// Sends messages of the extended query protocol followed by a Sync, and returns the response.
     ///
     /// # Panics
-    /// If the connection ends without an answer.
+    /// If the connection ends without a response.
     pub fn extended_query(&mut self, commands: &[Vec<u8>]) -> Response {
         self.send(&[commands.concat(), sync_message()].concat());
-        self.read_response().expect("no answer")
+        self.read_response()
+            .expect("a response before the end of the connection")
     }
 }
