--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The list of instances over HTTP, as the platform's discovery serves it.
+//! A fake discovery service that serves a whole endpoint list over HTTP, as the platform's discovery service does, with
+//! fault modes.
 
 use crate::shared_state::{SharedState, WAIT_TIMEOUT};
 use serde_json::{Value, json};
@@ -6,122 +7,142 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// One line of the list.
+/// Returns an entry of the endpoint list, in zone `a` and replica set 2.
 pub fn list_entry(uid: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": address.to_string(), "az": "a", "model": "m", "pod_group": 2,
            "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// How discovery answers.
+/// Selects how the fake discovery service responds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryFaultMode {
-    /// As the protocol says.
+    /// Responds as the protocol requires, with a Content-Length.
     Normal,
-    /// Calls that may wait are answered at once, news or none.
+    /// Responds to a long poll at once, even without a newer list.
     ImmediateResponse,
-    /// In two chunks.
+    /// Sends the body in two chunks.
     Chunked,
-    /// Without a length, closing the connection after it.
+    /// Sends no Content-Length and closes the connection after the body.
     CloseDelimited,
-    /// Takes the call and says nothing.
+    /// Sends no response until the mode changes, and closes the connection after [`WAIT_TIMEOUT`].
     NoResponse,
-    /// Indented, with a length.
+    /// Sends indented JSON with a Content-Length.
     IndentedJson,
-    /// In single bytes.
+    /// Writes the response byte by byte.
     SingleByteWrites,
-    /// Without a length, and reset half-way.
+    /// Sends no Content-Length and resets the connection after half of the body.
     ResetMidBody,
 }
 
-/// Discovery on a port of its own.
+/// A fake discovery service on its own port.
 pub struct FakeDiscovery {
-    /// Where it listens.
+    /// The address on which the service listens.
     pub address: SocketAddr,
-    /// The version and the whole list; none: calls fail.
+    /// The version and the entries of the list; without entries (`None`) the service responds with status 503.
     pub list: SharedState<(u64, Option<Vec<Value>>)>,
-    /// The paths asked for.
+    /// The paths of all requests received, in order.
     pub requested_paths: SharedState<Vec<String>>,
-    /// How it answers.
+    /// The fault mode of all further responses.
     pub fault_mode: SharedState<DiscoveryFaultMode>,
-    /// Connections made before the newest count are open and say nothing more.
-    mute: SharedState<u64>,
+    /// The number of calls of `stall_open_connections`; connections accepted before the last one get no response.
+    stall_count: SharedState<u64>,
 }
 
 impl FakeDiscovery {
-    /// Starts on a free port, with this list; none: calls fail.
+    /// Starts the service on a free loopback port, with `list` as version 1; without a list (`None`) it responds with
+    /// status 503.
+    ///
+    /// # Panics
+    /// If no port can be bound.
     pub fn start(list: Option<Vec<Value>>) -> FakeDiscovery {
         FakeDiscovery::start_at(SocketAddr::from(([127, 0, 0, 1], 0)), list)
     }
 
-    /// The same at an address.
-    pub fn start_at(at: SocketAddr, list: Option<Vec<Value>>) -> FakeDiscovery {
-        let listener = TcpListener::bind(at).expect("a port for discovery");
-        let address = listener.local_addr().expect("an address");
-        let (list, calls) = (SharedState::new((1, list)), SharedState::new(Vec::new()));
-        let (manner, mute) = (
+    /// Starts the service like [`start`](FakeDiscovery::start), but on a given address.
+    ///
+    /// # Panics
+    /// If the address can't be bound.
+    pub fn start_at(address: SocketAddr, list: Option<Vec<Value>>) -> FakeDiscovery {
+        let listener = TcpListener::bind(address).expect("bind a port for the discovery service");
+        let address = listener
+            .local_addr()
+            .expect("local address of the discovery service");
+        let (list, requested_paths) = (SharedState::new((1, list)), SharedState::new(Vec::new()));
+        let (fault_mode, stall_count) = (
             SharedState::new(DiscoveryFaultMode::Normal),
             SharedState::new(0),
         );
-        let (l, c, h, m) = (list.clone(), calls.clone(), manner.clone(), mute.clone());
+        let (list_handle, paths_handle, mode_handle, stall_handle) = (
+            list.clone(),
+            requested_paths.clone(),
+            fault_mode.clone(),
+            stall_count.clone(),
+        );
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (l, c, h, m) = (l.clone(), c.clone(), h.clone(), m.clone());
-                std::thread::spawn(move || Self::serve(stream, &l, &c, &h, &m));
+                let (list, paths, mode, stalls) = (
+                    list_handle.clone(),
+                    paths_handle.clone(),
+                    mode_handle.clone(),
+                    stall_handle.clone(),
+                );
+                std::thread::spawn(move || Self::serve(stream, &list, &paths, &mode, &stalls));
             }
         });
         FakeDiscovery {
             address,
             list,
-            requested_paths: calls,
-            fault_mode: manner,
-            mute,
+            requested_paths,
+            fault_mode,
+            stall_count,
         }
     }
 
+    /// Serves the requests of one connection until it is closed.
     fn serve(
         stream: TcpStream,
         list: &SharedState<(u64, Option<Vec<Value>>)>,
-        calls: &SharedState<Vec<String>>,
-        manner: &SharedState<DiscoveryFaultMode>,
-        mute: &SharedState<u64>,
+        requested_paths: &SharedState<Vec<String>>,
+        fault_mode: &SharedState<DiscoveryFaultMode>,
+        stall_count: &SharedState<u64>,
     ) -> Option<()> {
-        let made = mute.with(|m| *m);
+        let initial_stall_count = stall_count.with(|count| *count);
         let mut lines = BufReader::new(stream.try_clone().ok()?).lines();
         loop {
             let path = lines.next()?.ok()?.split(' ').nth(1)?.to_owned();
             while !lines.next()?.ok()?.is_empty() {}
-            calls.with(|c| c.push(path.clone()));
+            requested_paths.with(|paths| paths.push(path.clone()));
             let field = |name: &str| {
                 path.split(name)
                     .nth(1)
-                    .and_then(|t| t.split('&').next()?.parse().ok())
+                    .and_then(|rest| rest.split('&').next()?.parse().ok())
             };
             let since: u64 = field("since=").unwrap_or(0);
-            let wait = Duration::from_millis(field("timeout_ms=").unwrap_or(0));
-            let manner = manner.wait_for(WAIT_TIMEOUT, |m| {
-                (*m != DiscoveryFaultMode::NoResponse).then_some(*m)
+            let timeout = Duration::from_millis(field("timeout_ms=").unwrap_or(0));
+            let fault_mode = fault_mode.wait_for(WAIT_TIMEOUT, |mode| {
+                (*mode != DiscoveryFaultMode::NoResponse).then_some(*mode)
             })?;
-            let hasty = manner == DiscoveryFaultMode::ImmediateResponse;
-            list.wait_for(wait, |(rev, l)| {
-                (hasty || *rev > since || l.is_none()).then_some(())
+            let is_immediate = fault_mode == DiscoveryFaultMode::ImmediateResponse;
+            list.wait_for(timeout, |(version, entries)| {
+                (is_immediate || *version > since || entries.is_none()).then_some(())
             });
-            if mute.with(|m| *m) != made {
-                // Open and quiet, as behind a cut link.
+            if stall_count.with(|count| *count) != initial_stall_count {
+                // The connection stays open without a response, as after a network partition.
                 let _ = lines.next();
                 return None;
             }
-            let body = list.with(|(rev, l)| {
-                l.as_ref().map(|l| {
-                    let none = Vec::new();
-                    json!({"rev": rev, "all": true, "targets": if *rev > since { l } else { &none }})
+            let body = list.with(|(version, entries)| {
+                entries.as_ref().map(|entries| {
+                    let no_entries = Vec::new();
+                    json!({"rev": version, "all": true, "targets": if *version > since { entries } else { &no_entries }})
                 })
             });
-            let answer = match body {
-                // Nothing new: changes, of which there are none.
-                Some(b) if b["targets"] == json!([]) => {
+            let response = match body {
+                // Without a newer list the response is an incremental one with no entries.
+                Some(body) if body["targets"] == json!([]) => {
                     json!({"rev": since, "all": false, "targets": []})
                 }
-                Some(b) => b,
+                Some(body) => body,
                 None => {
                     (&stream)
                         .write_all(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
@@ -129,25 +150,27 @@
                     continue;
                 }
             };
-            let indented = || serde_json::to_string_pretty(&answer).unwrap_or_default();
-            let text = if manner == DiscoveryFaultMode::IndentedJson {
+            let indented = || serde_json::to_string_pretty(&response).unwrap_or_default();
+            let text = if fault_mode == DiscoveryFaultMode::IndentedJson {
                 indented()
             } else {
-                answer.to_string()
+                response.to_string()
             };
-            let (a, b) = text.split_at(text.len() / 2);
-            let rest = match manner {
+            let (first_half, second_half) = text.split_at(text.len() / 2);
+            let headers_and_body = match fault_mode {
                 DiscoveryFaultMode::Chunked => format!(
-                    "Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{a}\r\n{:x}\r\n{b}\r\n0\r\n\r\n",
-                    a.len(),
-                    b.len()
+                    "Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{first_half}\r\n{:x}\r\n{second_half}\r\n0\r\n\r\n",
+                    first_half.len(),
+                    second_half.len()
                 ),
                 DiscoveryFaultMode::CloseDelimited => format!("Connection: close\r\n\r\n{text}"),
-                DiscoveryFaultMode::ResetMidBody => format!("Connection: close\r\n\r\n{a}"),
+                DiscoveryFaultMode::ResetMidBody => {
+                    format!("Connection: close\r\n\r\n{first_half}")
+                }
                 _ => format!("Content-Length: {}\r\n\r\n{text}", text.len()),
             };
-            let whole = format!("HTTP/1.1 200 OK\r\n{rest}");
-            let piece = if manner == DiscoveryFaultMode::SingleByteWrites {
+            let whole = format!("HTTP/1.1 200 OK\r\n{headers_and_body}");
+            let write_size = if fault_mode == DiscoveryFaultMode::SingleByteWrites {
                 1
             } else {
                 whole.len()
@@ -155,14 +178,14 @@
             stream.set_nodelay(true).ok()?;
             whole
                 .as_bytes()
-                .chunks(piece)
-                .try_for_each(|p| (&stream).write_all(p))
+                .chunks(write_size)
+                .try_for_each(|bytes| (&stream).write_all(bytes))
                 .ok()?;
-            if manner == DiscoveryFaultMode::ResetMidBody {
+            if fault_mode == DiscoveryFaultMode::ResetMidBody {
                 let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             }
             if matches!(
-                manner,
+                fault_mode,
                 DiscoveryFaultMode::CloseDelimited | DiscoveryFaultMode::ResetMidBody
             ) {
                 return None;
@@ -170,13 +193,13 @@
         }
     }
 
-    /// All connections made so far fall silent, and stay open.
+    /// Stops responding on all connections accepted so far and keeps them open.
     pub fn stall_open_connections(&self) {
-        self.mute.with(|m| *m += 1);
+        self.stall_count.with(|count| *count += 1);
     }
 
-    /// Tells a new list, under the next version.
-    pub fn publish(&self, targets: Vec<Value>) {
-        self.list.with(|l| *l = (l.0 + 1, Some(targets)));
+    /// Replaces the list and increments its version.
+    pub fn publish(&self, entries: Vec<Value>) {
+        self.list.with(|list| *list = (list.0 + 1, Some(entries)));
     }
 }
