--- a/crates/test-support/src/endpoint.rs
+++ b/crates/test-support/src/endpoint.rs
@@ -1,4 +1,5 @@
-//! One instance on a socket.
+//! A fake endpoint: a database process on its own socket that responds to simple and extended queries as scripted, and
+//! that faults can hit at a given stage of a request.
 
 use crate::client::MessageReader;
 use crate::replica_set::{FakeReplicaSet, now_ms};
@@ -13,179 +14,197 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What an instance does with each request.
+/// The number of times that [`ScriptedResponse::ServeLarge`] repeats the value.
+const LARGE_VALUE_REPEATS: usize = 4096;
+
+/// Selects how a fake endpoint responds to each request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ScriptedResponse {
-    /// Serves it.
+    /// Returns the value.
     Serve,
-    /// Serves, then closes the connection.
+    /// Returns the value and closes the connection after ReadyForQuery (simple queries only).
     ServeAndClose,
-    /// Serves a value of 64 KiB.
+    /// Returns the value repeated 4096 times, which makes 64 KiB of a request id (simple queries only).
     ServeLarge,
-    /// Gives an error of this code.
+    /// Returns an error with this SQLSTATE.
     Error(&'static str),
-    /// Says nothing until the test changes the act.
+    /// Sends no response until the test sets another one.
     NoResponse,
-    /// Closes after half a row.
+    /// Sends half of a data row and closes the connection.
     CloseMidRow,
-    /// Says half a row, and then nothing.
+    /// Sends half of a data row and nothing more.
     StallMidRow,
-    /// Says just this, and keeps the connection open.
+    /// Sends only these bytes and keeps the connection open.
     Raw(&'static [u8]),
-    /// Serves, with this directly behind.
+    /// Returns the value and sends these bytes right after ReadyForQuery (simple queries only).
     ServeWithTrailing(&'static [u8]),
 }
 
-/// How far a request has come when a fault hits it. A simple query has the last three: it is an Execute.
+/// Names the stage of a request at which a fault occurs. A simple query, which is an Execute, has only the last three.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStage {
-    /// Its Parse has been read.
+    /// After its Parse was received.
     Parse,
-    /// Its Bind has been read.
+    /// After its Bind was received.
     Bind,
-    /// Half of its Execute has been read: nothing has run.
+    /// Before its Execute runs, as if only half of that message had been received.
     PartialExecute,
-    /// Its Execute has run, and the Sync has not been read.
+    /// After its Execute has run and before the Sync is received.
     Executed,
-    /// All of it has been read and has run, and nothing has been answered.
+    /// After all of it was received and has run, and before any response is sent.
     BeforeResponse,
 }
 
-/// What hits a request.
+/// Selects the fault that occurs at a stage of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process dies: all its connections are reset, and new ones until it is revived.
+    /// The endpoint crashes: all its connections are reset, and so are new ones until it is restarted.
     Kill,
-    /// This connection is reset.
+    /// The connection is reset.
     Reset,
-    /// This connection stays open and says nothing more.
+    /// The connection stays open without any further response.
     NoResponse,
-    /// Noise, and nothing more.
+    /// Bytes that are not a valid message are sent, followed by no further response.
     InvalidBytes,
 }
 
-/// What an instance has been asked.
+/// Counts the connections of a fake endpoint and records its requests.
 #[derive(Default, Debug)]
 pub struct EndpointActivity {
-    /// Requests in words; a prepared one with its values in place of its parameters.
+    /// The executed statements in order; prepared ones with the parameter values inserted.
     pub queries: Vec<String>,
-    /// Connections so far.
+    /// The number of connections accepted.
     pub accepted_connections: usize,
-    /// Connections that have ended.
+    /// The number of those that have been closed.
     pub closed_connections: usize,
 }
 
-/// What an instance tells of itself with its answers.
+/// Selects the status parameters that a fake endpoint sends with each response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatusContent {
-    /// Its position, or a write's commit.
+    /// Whether the applied position is sent.
     pub has_position: bool,
-    /// Its load report.
+    /// Whether the load report is sent.
     pub has_load_report: bool,
 }
 
-enum World {
-    /// Answers each request with the name that it goes by, in a role of its own.
-    Echo(&'static str),
-    FakeReplicaSet(FakeReplicaSet),
+/// Selects the source of the results.
+enum Backend {
+    /// Returns the id of each request, and reports this role.
+    EchoRequestId(&'static str),
+    /// Executes requests on the shared data of a replica set.
+    ReplicaSet(FakeReplicaSet),
 }
 
+/// State that a fake endpoint shares with the threads of its connections.
 struct Inner {
     name: String,
-    world: World,
-    /// The time that a request takes.
-    work: Duration,
-    /// Extended queries are not known.
-    simple_only: bool,
+    backend: Backend,
+    /// The processing time of each request.
+    processing_time: Duration,
+    /// Whether commands of the extended query protocol are errors.
+    is_simple_query_only: bool,
     activity: SharedState<EndpointActivity>,
     response: SharedState<ScriptedResponse>,
     faults: SharedState<VecDeque<(RequestStage, Fault)>>,
-    /// Open connections; none while it is dead.
-    open: SharedState<Option<Vec<TcpStream>>>,
-    /// What it tells with its answers.
+    /// Handles of the open connections; `None` while the endpoint is crashed.
+    open_connections: SharedState<Option<Vec<TcpStream>>>,
+    /// The status parameters sent with each response.
     status_content: SharedState<StatusContent>,
-    /// Statements prepared before this changed are forgotten.
-    memory: SharedState<usize>,
-    /// New connections are taken, and not welcomed while this is so.
+    /// Counts the calls of `forget_prepared_statements`; a connection drops its statements when the count changes.
+    statement_generation: SharedState<usize>,
+    /// Whether the response to startup messages is withheld.
     is_startup_blocked: SharedState<bool>,
 }
 
-/// An instance on a port of its own.
+/// A fake endpoint on its own port.
 #[derive(Clone)]
 pub struct FakeEndpoint {
-    /// Where it listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// What it has been asked.
+    /// The requests and connections so far.
     pub activity: SharedState<EndpointActivity>,
-    /// What it does with each request.
+    /// The response to each further request.
     pub response: SharedState<ScriptedResponse>,
-    /// What hits the next requests, each once, as soon as one comes to that stage.
+    /// The faults to come. The first occurs once, at the next request that reaches its stage, and is then removed.
     pub faults: SharedState<VecDeque<(RequestStage, Fault)>>,
     inner: Arc<Inner>,
 }
 
-/// The name of the request that a statement names.
+/// Returns the 16 hexadecimal digits of the request id in a statement's annotations; empty without one.
 pub fn request_id(query: &str) -> String {
     query
         .split("id=")
         .nth(1)
-        .map_or(String::new(), |t| t.chars().take(16).collect())
+        .map_or(String::new(), |rest| rest.chars().take(16).collect())
 }
 
 impl FakeEndpoint {
-    /// Starts one that answers each request with its name.
+    /// Starts an endpoint of the given role that returns the id of each request as its value.
+    ///
+    /// # Panics
+    /// If no port can be bound.
     pub fn start(role: &'static str, response: ScriptedResponse) -> FakeEndpoint {
         FakeEndpoint::listen(
             ([127, 0, 0, 1], 0).into(),
             role,
-            World::Echo(role),
+            Backend::EchoRequestId(role),
             response,
             Duration::ZERO,
             false,
         )
     }
 
-    /// The same, but extended queries are errors to it.
+    /// Starts an endpoint like [`start`](FakeEndpoint::start) that rejects extended queries.
+    ///
+    /// # Panics
+    /// If no port can be bound.
     pub fn start_simple_query_only(role: &'static str) -> FakeEndpoint {
-        let at = ([127, 0, 0, 1], 0).into();
+        let address = ([127, 0, 0, 1], 0).into();
         FakeEndpoint::listen(
-            at,
+            address,
             role,
-            World::Echo(role),
+            Backend::EchoRequestId(role),
             ScriptedResponse::Serve,
             Duration::ZERO,
             true,
         )
     }
 
-    /// Starts a member of a group; each request takes it `work`.
+    /// Starts an endpoint of a replica set on the given address. Each request takes `processing_time`; extended queries
+    /// are rejected if `is_simple_query_only`.
+    ///
+    /// # Panics
+    /// If the address can't be bound.
     pub fn start_in_replica_set(
-        group: &FakeReplicaSet,
+        replica_set: &FakeReplicaSet,
         name: &str,
-        at: SocketAddr,
-        work: Duration,
-        simple_only: bool,
+        address: SocketAddr,
+        processing_time: Duration,
+        is_simple_query_only: bool,
     ) -> FakeEndpoint {
         FakeEndpoint::listen(
-            at,
+            address,
             name,
-            World::FakeReplicaSet(group.clone()),
+            Backend::ReplicaSet(replica_set.clone()),
             ScriptedResponse::Serve,
-            work,
-            simple_only,
+            processing_time,
+            is_simple_query_only,
         )
     }
 
     fn listen(
-        at: SocketAddr,
+        address: SocketAddr,
         name: &str,
-        world: World,
+        backend: Backend,
         response: ScriptedResponse,
-        work: Duration,
-        simple_only: bool,
+        processing_time: Duration,
+        is_simple_query_only: bool,
     ) -> FakeEndpoint {
-        let listener = TcpListener::bind(at).expect("a port for an instance");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind(address).expect("bind a port for the endpoint");
+        let address = listener
+            .local_addr()
+            .expect("local address of the endpoint");
         let (activity, response, faults) = (
             SharedState::default(),
             SharedState::new(response),
@@ -193,49 +212,54 @@
         );
         let inner = Arc::new(Inner {
             name: name.to_owned(),
-            world,
-            work,
-            simple_only,
+            backend,
+            processing_time,
+            is_simple_query_only,
             activity: SharedState::clone(&activity),
             response: response.clone(),
             faults: SharedState::clone(&faults),
-            open: SharedState::new(Some(Vec::new())),
+            open_connections: SharedState::new(Some(Vec::new())),
             status_content: SharedState::new(StatusContent {
                 has_position: true,
                 has_load_report: true,
             }),
-            memory: SharedState::new(0),
+            statement_generation: SharedState::new(0),
             is_startup_blocked: SharedState::new(false),
         });
-        let i = inner.clone();
+        let shared = inner.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let Ok(other) = stream.try_clone() else {
+                let Ok(handle) = stream.try_clone() else {
                     continue;
                 };
-                let alive = i
-                    .open
-                    .with(|open| open.as_mut().map(|open| open.push(other)).is_some());
-                if !alive {
-                    reset(&stream);
+                let is_running = shared
+                    .open_connections
+                    .with(|open| open.as_mut().map(|open| open.push(handle)).is_some());
+                if !is_running {
+                    reset_on_close(&stream);
                     continue;
                 }
-                i.activity.with(|s| s.accepted_connections += 1);
-                let i = i.clone();
+                shared
+                    .activity
+                    .with(|activity| activity.accepted_connections += 1);
+                let shared = shared.clone();
                 std::thread::spawn(move || {
                     let _ = stream.set_nodelay(true);
                     let address = stream.peer_addr();
-                    Connection::new(&i, stream).and_then(Connection::serve);
-                    let is_this = |s: &TcpStream| {
-                        s.peer_addr()
+                    Connection::new(&shared, stream).and_then(Connection::serve);
+                    let is_this = |handle: &TcpStream| {
+                        handle
+                            .peer_addr()
                             .ok()
-                            .is_none_or(|a| Some(a) == address.as_ref().ok().copied())
+                            .is_none_or(|peer| Some(peer) == address.as_ref().ok().copied())
                     };
-                    i.open.with(|open| {
+                    shared.open_connections.with(|open| {
                         open.iter_mut()
-                            .for_each(|open| open.retain(|s| !is_this(s)))
+                            .for_each(|open| open.retain(|handle| !is_this(handle)))
                     });
-                    i.activity.with(|s| s.closed_connections += 1);
+                    shared
+                        .activity
+                        .with(|activity| activity.closed_connections += 1);
                 });
             }
         });
@@ -248,99 +272,116 @@
         }
     }
 
-    /// Its name.
+    /// Returns the name of the endpoint in its replica set.
     pub fn name(&self) -> &str {
         &self.inner.name
     }
 
-    /// Its process dies.
+    /// Simulates a crash: resets all connections, and new ones until [`restart`](FakeEndpoint::restart).
     pub fn kill(&self) {
         self.inner.kill();
     }
 
-    /// It accepts connections again; it has nothing prepared.
+    /// Accepts connections again, without prepared statements.
     pub fn restart(&self) {
-        self.inner.open.with(|open| *open = Some(Vec::new()));
+        self.inner
+            .open_connections
+            .with(|open| *open = Some(Vec::new()));
     }
 
-    /// Waits until it is dead.
+    /// Waits until a [`Fault::Kill`] or [`kill`](FakeEndpoint::kill) has taken effect; returns whether it has.
     pub fn wait_until_killed(&self) -> bool {
         self.inner
-            .open
+            .open_connections
             .wait_for(WAIT_TIMEOUT, |open| open.is_none().then_some(()))
             .is_some()
     }
 
-    /// What it tells of itself with its answers from now on.
+    /// Selects the status parameters of all further responses.
     pub fn set_status_content(&self, content: StatusContent) {
-        self.inner.status_content.with(|c| *c = content);
+        self.inner.status_content.with(|current| *current = content);
     }
 
-    /// Whether it leaves new connections without a welcome, until it is told otherwise.
+    /// Withholds the response to startup messages while `is_blocked`, for up to [`WAIT_TIMEOUT`].
     pub fn set_startup_blocked(&self, is_blocked: bool) {
-        self.inner.is_startup_blocked.with(|b| *b = is_blocked);
+        self.inner
+            .is_startup_blocked
+            .with(|current| *current = is_blocked);
     }
 
-    /// Forgets all prepared statements, on connections that stay open.
+    /// Drops the prepared statements of all connections and keeps the connections open.
     pub fn forget_prepared_statements(&self) {
-        self.inner.memory.with(|m| *m += 1);
+        self.inner
+            .statement_generation
+            .with(|generation| *generation += 1);
     }
 
-    /// Its line in the list of instances.
-    pub fn list_entry(&self, group: u32, state: &str) -> serde_json::Value {
-        let mut target = crate::discovery::list_entry(&self.inner.name, self.address, state);
-        target["pod_group"] = group.into();
-        target
+    /// Returns the entry of this endpoint for a discovery list, with the given replica set and state.
+    pub fn list_entry(&self, replica_set: u32, state: &str) -> serde_json::Value {
+        let mut entry = crate::discovery::list_entry(&self.inner.name, self.address, state);
+        entry["pod_group"] = replica_set.into();
+        entry
     }
 }
 
-fn reset(stream: &TcpStream) {
+/// Makes the close of the stream a reset instead of an orderly end.
+fn reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
 impl Inner {
     fn kill(&self) {
-        for stream in self.open.with(Option::take).unwrap_or_default() {
-            reset(&stream);
+        for stream in self.open_connections.with(Option::take).unwrap_or_default() {
+            reset_on_close(&stream);
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 
-    fn fault(&self, at: RequestStage) -> Option<Fault> {
-        self.faults.with(|f| {
-            let hit = f.front().is_some_and(|(stage, _)| *stage == at);
-            if hit {
-                f.pop_front().map(|(_, fault)| fault)
+    /// Removes and returns the first scripted fault if it is due at this stage.
+    fn take_fault(&self, current_stage: RequestStage) -> Option<Fault> {
+        self.faults.with(|faults| {
+            let is_due = faults
+                .front()
+                .is_some_and(|(stage, _)| *stage == current_stage);
+            if is_due {
+                faults.pop_front().map(|(_, fault)| fault)
             } else {
                 None
             }
         })
     }
 
-    fn group(&self) -> Option<&FakeReplicaSet> {
-        if let World::FakeReplicaSet(group) = &self.world {
-            Some(group)
+    fn replica_set(&self) -> Option<&FakeReplicaSet> {
+        if let Backend::ReplicaSet(replica_set) = &self.backend {
+            Some(replica_set)
         } else {
             None
         }
     }
 }
 
+/// A bound statement.
 struct Portal {
-    text: String,
+    /// The statement with the parameter values inserted.
+    statement: String,
     format: Format,
     has_run: bool,
 }
 
+/// The protocol state of one client connection.
 struct Connection<'a> {
     inner: &'a Inner,
     reader: MessageReader,
     stream: TcpStream,
+    /// Bytes of the response that are not yet written.
     out: Vec<u8>,
+    /// The text and parameter types of the prepared statements, by name.
     statements: HashMap<String, (String, Vec<u32>)>,
     portals: HashMap<String, Portal>,
+    /// Whether commands are ignored up to the next Sync, because an earlier one failed.
     is_skipping: bool,
-    memory: usize,
+    /// The value of `Inner::statement_generation` for which `statements` is valid.
+    statement_generation: usize,
 }
 
 impl<'a> Connection<'a> {
@@ -353,10 +394,11 @@
             statements: HashMap::new(),
             portals: HashMap::new(),
             is_skipping: false,
-            memory: inner.memory.with(|m| *m),
+            statement_generation: inner.statement_generation.with(|generation| *generation),
         })
     }
 
+    /// Serves the connection until it ends; always returns `None` then.
     fn serve(mut self) -> Option<()> {
         self.reader.read_with(frontend::parse_startup)?;
         self.inner
@@ -372,22 +414,22 @@
             };
             match command {
                 Command::Terminate => return None,
-                Command::Query(text) => self.on_query(text)?,
+                Command::Query(text) => self.handle_query(text)?,
                 Command::Sync => {
                     if !self.is_skipping {
-                        self.at(RequestStage::BeforeResponse)?;
+                        self.apply_fault(RequestStage::BeforeResponse)?;
                     }
                     self.is_skipping = false;
                     self.portals.clear();
-                    self.status();
+                    self.put_status();
                     self.flush()?;
                 }
                 Command::Flush => self.flush()?,
                 _ if self.is_skipping => {}
-                _ if self.inner.simple_only => {
-                    self.error("08P01", "extended queries are not known here")
+                _ if self.inner.is_simple_query_only => {
+                    self.put_error("08P01", "extended queries are not supported")
                 }
-                command => self.on_extended(command)?,
+                command => self.handle_extended(command)?,
             }
         }
     }
@@ -396,25 +438,28 @@
         self.stream.write_all(&std::mem::take(&mut self.out)).ok()
     }
 
+    /// Changes the message counts of this endpoint in the execution log.
     fn count(&self, count: impl FnOnce(&mut crate::replica_set::MessageCounts)) {
-        if let Some(group) = self.inner.group() {
-            group.count(&self.inner.name, count);
+        if let Some(replica_set) = self.inner.replica_set() {
+            replica_set.count(&self.inner.name, count);
         }
     }
 
-    fn error(&mut self, code: &str, text: &str) {
-        backend::put_error_response(&mut self.out, false, code, text, None);
+    /// Appends an error to the output; further commands are ignored up to the next Sync.
+    fn put_error(&mut self, sqlstate: &str, message: &str) {
+        backend::put_error_response(&mut self.out, false, sqlstate, message, None);
         self.is_skipping = true;
     }
 
-    /// A fault may hit here. None: the connection is over.
-    fn at(&mut self, stage: RequestStage) -> Option<()> {
-        match self.inner.fault(stage) {
+    /// Applies the first scripted fault if it is due at this stage; returns `None` if the connection has ended.
+    fn apply_fault(&mut self, stage: RequestStage) -> Option<()> {
+        match self.inner.take_fault(stage) {
             None => return Some(()),
             Some(Fault::Kill) => self.inner.kill(),
-            Some(Fault::Reset) => reset(&self.stream),
+            Some(Fault::Reset) => reset_on_close(&self.stream),
             Some(Fault::NoResponse) => while self.reader.read_message().is_some() {},
             Some(Fault::InvalidBytes) => {
+                // Read as a message, these bytes declare a length of 1.9 GB.
                 let _ = self.stream.write_all(b"noise without end");
                 while self.reader.read_message().is_some() {}
             }
@@ -422,20 +467,21 @@
         None
     }
 
-    fn status(&mut self) {
-        let (role, position) = match &self.inner.world {
-            World::Echo(role) => (*role, now_ms()),
-            World::FakeReplicaSet(g) => {
-                let role = if g.is_primary(&self.inner.name) {
+    /// Appends the status parameters and ReadyForQuery to the output.
+    fn put_status(&mut self) {
+        let (role, position) = match &self.inner.backend {
+            Backend::EchoRequestId(role) => (*role, now_ms()),
+            Backend::ReplicaSet(replica_set) => {
+                let role = if replica_set.is_primary(&self.inner.name) {
                     "master"
                 } else {
                     "replica"
                 };
-                (role, g.position(&self.inner.name))
+                (role, replica_set.position(&self.inner.name))
             }
         };
         backend::put_parameter_status(&mut self.out, "part", role);
-        let content = self.inner.status_content.with(|c| *c);
+        let content = self.inner.status_content.with(|content| *content);
         if content.has_position {
             backend::put_parameter_status(&mut self.out, "caught_up_to", &position.to_string());
         }
@@ -450,35 +496,37 @@
         backend::put_ready_for_query(&mut self.out);
     }
 
-    /// Runs a request in words: a value, or an error's code and text.
-    fn run(&self, text: &str) -> Result<String, (&'static str, &'static str)> {
+    /// Executes a statement with the parameter values inserted. Returns the value, or an error's SQLSTATE and message.
+    fn execute(&self, statement: &str) -> Result<String, (&'static str, &'static str)> {
         self.inner
             .activity
-            .with(|s| s.queries.push(text.to_owned()));
-        std::thread::sleep(self.inner.work);
-        match &self.inner.world {
-            World::Echo(_) => Ok(request_id(text)),
-            World::FakeReplicaSet(group) => group
-                .execute(&self.inner.name, text)
+            .with(|activity| activity.queries.push(statement.to_owned()));
+        std::thread::sleep(self.inner.processing_time);
+        match &self.inner.backend {
+            Backend::EchoRequestId(_) => Ok(request_id(statement)),
+            Backend::ReplicaSet(replica_set) => replica_set
+                .execute(&self.inner.name, statement)
                 .map(|(value, _)| value),
         }
     }
 
+    /// Waits until a response is scripted and returns it; `None` if there is none within [`WAIT_TIMEOUT`].
     fn scripted_response(&self) -> Option<ScriptedResponse> {
-        self.inner.response.wait_for(WAIT_TIMEOUT, |a| {
-            (*a != ScriptedResponse::NoResponse).then_some(*a)
+        self.inner.response.wait_for(WAIT_TIMEOUT, |response| {
+            (*response != ScriptedResponse::NoResponse).then_some(*response)
         })
     }
 
-    /// Puts a value and the end of its command.
-    fn put_served(&mut self, value: &str, format: Format, tag: &str) {
+    /// Appends a data row and CommandComplete to the output. In binary format a value that starts with `\x` is sent as
+    /// the bytes of its hexadecimal digits.
+    fn put_result(&mut self, value: &str, format: Format, tag: &str) {
         match value
             .strip_prefix("\\x")
             .filter(|_| format == Format::Binary)
         {
             Some(digits) => {
-                let byte = |i: usize| {
-                    u8::from_str_radix(digits.get(i..i + 2).unwrap_or("0"), 16).unwrap_or(0)
+                let byte = |index: usize| {
+                    u8::from_str_radix(digits.get(index..index + 2).unwrap_or("0"), 16).unwrap_or(0)
                 };
                 let bytes: Vec<u8> = (0..digits.len()).step_by(2).map(byte).collect();
                 backend::put_data_row(&mut self.out, &bytes);
@@ -488,9 +536,9 @@
         backend::put_command_complete(&mut self.out, tag);
     }
 
-    /// What comes in place of an answer, if anything does. None: the connection is over.
-    fn spoil(&mut self, act: ScriptedResponse) -> Option<bool> {
-        match act {
+    /// Sends the malformed response if one is scripted, and returns whether it did; `None` if the connection has ended.
+    fn send_malformed(&mut self, scripted: ScriptedResponse) -> Option<bool> {
+        match scripted {
             ScriptedResponse::Raw(bytes) => {
                 self.stream.write_all(bytes).ok()?;
                 Some(true)
@@ -498,33 +546,35 @@
             ScriptedResponse::CloseMidRow | ScriptedResponse::StallMidRow => {
                 let mut row = Vec::new();
                 backend::put_data_row(&mut row, b"half of it");
+                // The whole message has 21 bytes.
                 self.out.extend_from_slice(&row[..10]);
                 self.flush()?;
-                (act == ScriptedResponse::StallMidRow).then_some(true)
+                (scripted == ScriptedResponse::StallMidRow).then_some(true)
             }
             _ => Some(false),
         }
     }
 
-    fn on_query(&mut self, text: &str) -> Option<()> {
-        self.count(|c| c.queries += 1);
-        self.at(RequestStage::PartialExecute)?;
-        let ran = self.run(text);
-        self.at(RequestStage::Executed)?;
-        self.at(RequestStage::BeforeResponse)?;
-        let act = self.scripted_response()?;
-        if let ScriptedResponse::Error(code) = act {
-            backend::put_error_response(&mut self.out, false, code, "no", None);
-        } else if matches!(act, ScriptedResponse::Raw(_)) {
-            self.spoil(act)?;
+    /// Handles a simple query; returns `None` if the connection has ended.
+    fn handle_query(&mut self, statement: &str) -> Option<()> {
+        self.count(|counts| counts.queries += 1);
+        self.apply_fault(RequestStage::PartialExecute)?;
+        let result = self.execute(statement);
+        self.apply_fault(RequestStage::Executed)?;
+        self.apply_fault(RequestStage::BeforeResponse)?;
+        let scripted = self.scripted_response()?;
+        if let ScriptedResponse::Error(sqlstate) = scripted {
+            backend::put_error_response(&mut self.out, false, sqlstate, "scripted error", None);
+        } else if matches!(scripted, ScriptedResponse::Raw(_)) {
+            self.send_malformed(scripted)?;
             return Some(());
         } else {
-            match ran {
+            match result {
                 Ok(mut value) => {
-                    if act == ScriptedResponse::ServeLarge {
-                        value = value.repeat(4096);
+                    if scripted == ScriptedResponse::ServeLarge {
+                        value = value.repeat(LARGE_VALUE_REPEATS);
                     }
-                    let oid = if self.inner.group().is_some() {
+                    let oid = if self.inner.replica_set().is_some() {
                         oid::TEXT
                     } else {
                         oid::UNSPECIFIED
@@ -533,40 +583,44 @@
                         &mut self.out,
                         &Column::new("data", oid, Format::Text),
                     );
-                    if self.spoil(act)? {
+                    if self.send_malformed(scripted)? {
                         return Some(());
                     }
-                    let tag = if text.starts_with("INSERT") {
+                    let tag = if statement.starts_with("INSERT") {
                         "INSERT 0 1"
                     } else {
                         "SELECT 1"
                     };
-                    self.put_served(&value, Format::Text, tag);
+                    self.put_result(&value, Format::Text, tag);
                 }
-                Err((code, text)) => {
-                    backend::put_error_response(&mut self.out, false, code, text, None)
+                Err((sqlstate, message)) => {
+                    backend::put_error_response(&mut self.out, false, sqlstate, message, None)
                 }
             }
         }
-        self.status();
-        if let ScriptedResponse::ServeWithTrailing(extra) = act {
-            self.out.extend_from_slice(extra);
+        self.put_status();
+        if let ScriptedResponse::ServeWithTrailing(trailing) = scripted {
+            self.out.extend_from_slice(trailing);
         }
         self.flush()?;
-        (act != ScriptedResponse::ServeAndClose).then_some(())
+        (scripted != ScriptedResponse::ServeAndClose).then_some(())
     }
 
-    fn on_extended(&mut self, command: Command) -> Option<()> {
-        let memory = self.inner.memory.with(|m| *m);
-        if std::mem::replace(&mut self.memory, memory) != memory {
+    /// Handles a command of the extended query protocol; returns `None` if the connection has ended.
+    fn handle_extended(&mut self, command: Command) -> Option<()> {
+        let generation = self
+            .inner
+            .statement_generation
+            .with(|generation| *generation);
+        if std::mem::replace(&mut self.statement_generation, generation) != generation {
             self.statements.clear();
         }
         match command {
             Command::Parse { name, text, types } => {
-                self.count(|c| c.parses += 1);
-                self.at(RequestStage::Parse)?;
+                self.count(|counts| counts.parses += 1);
+                self.apply_fault(RequestStage::Parse)?;
                 if !name.is_empty() && self.statements.contains_key(name) {
-                    self.error("42P05", "the statement exists");
+                    self.put_error("42P05", "prepared statement already exists");
                     return Some(());
                 }
                 self.statements
@@ -574,18 +628,18 @@
                 put_message(&mut self.out, b'1', &[]);
             }
             Command::Bind(bind) => {
-                self.count(|c| c.binds += 1);
-                self.at(RequestStage::Bind)?;
+                self.count(|counts| counts.binds += 1);
+                self.apply_fault(RequestStage::Bind)?;
                 let Some((text, types)) = self.statements.get(bind.statement) else {
-                    self.error("26000", "no such statement");
+                    self.put_error("26000", "prepared statement does not exist");
                     return Some(());
                 };
-                let Some(text) = in_words(text, types, &bind) else {
-                    self.error("08P01", "parameters that do not fit");
+                let Some(statement) = insert_parameters(text, types, &bind) else {
+                    self.put_error("08P01", "parameters do not match the statement");
                     return Some(());
                 };
                 let portal = Portal {
-                    text,
+                    statement,
                     format: bind.result_format(0),
                     has_run: false,
                 };
@@ -593,82 +647,92 @@
                 put_message(&mut self.out, b'2', &[]);
             }
             Command::Execute { portal, .. } => {
-                self.count(|c| c.executes += 1);
-                self.at(RequestStage::PartialExecute)?;
-                let Some(p) = self.portals.get_mut(portal).filter(|p| !p.has_run) else {
-                    self.error("34000", "no such portal");
+                self.count(|counts| counts.executes += 1);
+                self.apply_fault(RequestStage::PartialExecute)?;
+                let Some(portal) = self
+                    .portals
+                    .get_mut(portal)
+                    .filter(|portal| !portal.has_run)
+                else {
+                    self.put_error("34000", "portal does not exist");
                     return Some(());
                 };
-                p.has_run = true;
-                let (text, format) = (p.text.clone(), p.format);
-                let ran = self.run(&text);
-                self.at(RequestStage::Executed)?;
-                match (self.scripted_response()?, ran) {
-                    (ScriptedResponse::Error(code), _) => self.error(code, "no"),
-                    (_, Err((code, text))) => self.error(code, text),
-                    (act, Ok(value)) => {
-                        if self.spoil(act)? {
+                portal.has_run = true;
+                let (statement, format) = (portal.statement.clone(), portal.format);
+                let result = self.execute(&statement);
+                self.apply_fault(RequestStage::Executed)?;
+                match (self.scripted_response()?, result) {
+                    (ScriptedResponse::Error(sqlstate), _) => {
+                        self.put_error(sqlstate, "scripted error")
+                    }
+                    (_, Err((sqlstate, message))) => self.put_error(sqlstate, message),
+                    (scripted, Ok(value)) => {
+                        if self.send_malformed(scripted)? {
                             return Some(());
                         }
-                        let tag = if text.starts_with("INSERT") {
+                        let tag = if statement.starts_with("INSERT") {
                             "INSERT 0 1"
                         } else {
                             "SELECT 1"
                         };
-                        self.put_served(&value, format, tag);
+                        self.put_result(&value, format, tag);
                     }
                 }
             }
             Command::Close(object, name) => {
-                self.count(|c| c.closes += 1);
+                self.count(|counts| counts.closes += 1);
                 match object {
                     ObjectKind::Statement => drop(self.statements.remove(name)),
                     ObjectKind::Portal => drop(self.portals.remove(name)),
                 }
                 put_message(&mut self.out, b'3', &[]);
             }
-            _ => self.error("0A000", "not spoken here"),
+            _ => self.put_error("0A000", "command is not supported"),
         }
         Some(())
     }
 }
 
-/// A prepared statement with its values in place of its parameters, as its simple query would be. None: the values
-/// do not fit.
-fn in_words(text: &str, types: &[u32], bind: &Bind) -> Option<String> {
+/// Returns a prepared statement with the values of its parameters inserted, as the text of the equivalent simple query;
+/// `None` if the values do not match the parameters.
+fn insert_parameters(text: &str, types: &[u32], bind: &Bind) -> Option<String> {
     if bind.values.len() != types.len() {
         return None;
     }
-    let mut out = String::new();
+    let mut statement = String::new();
     let mut rest = text;
-    while let Some((before, behind)) = rest.split_once('$') {
-        out.push_str(before);
-        let end = behind
+    while let Some((before, after)) = rest.split_once('$') {
+        statement.push_str(before);
+        let end = after
             .find(|c: char| !c.is_ascii_digit())
-            .unwrap_or(behind.len());
-        let index = behind[..end].parse::<usize>().ok()?.checked_sub(1)?;
-        rest = &behind[end..];
-        // What is in the comment stands there bare, all else in quotes.
-        let is_literal = !out.contains("/*");
+            .unwrap_or(after.len());
+        let index = after[..end].parse::<usize>().ok()?.checked_sub(1)?;
+        rest = &after[end..];
+        // Annotation values in the trailing comment are bare; all other values are quoted literals.
+        let is_literal = !statement.contains("/*");
         let value = bind.values.get(index)?.unwrap_or(b"0");
-        let binary = bind.parameter_format(index) == Format::Binary;
-        let word = match types[index] {
-            oid::BYTEA if binary => {
-                "\\x".to_owned() + &value.iter().map(|b| format!("{b:02x}")).collect::<String>()
+        let is_binary = bind.parameter_format(index) == Format::Binary;
+        let value_text = match types[index] {
+            oid::BYTEA if is_binary => {
+                "\\x".to_owned()
+                    + &value
+                        .iter()
+                        .map(|byte| format!("{byte:02x}"))
+                        .collect::<String>()
             }
-            oid::INT2 if binary => i16::from_be_bytes(value.try_into().ok()?).to_string(),
-            oid::INT4 if binary => i32::from_be_bytes(value.try_into().ok()?).to_string(),
-            oid::INT8 if binary && out.ends_with("id=") => {
+            oid::INT2 if is_binary => i16::from_be_bytes(value.try_into().ok()?).to_string(),
+            oid::INT4 if is_binary => i32::from_be_bytes(value.try_into().ok()?).to_string(),
+            oid::INT8 if is_binary && statement.ends_with("id=") => {
                 format!("{:016x}", u64::from_be_bytes(value.try_into().ok()?))
             }
-            oid::INT8 if binary => i64::from_be_bytes(value.try_into().ok()?).to_string(),
+            oid::INT8 if is_binary => i64::from_be_bytes(value.try_into().ok()?).to_string(),
             _ => std::str::from_utf8(value).ok()?.to_owned(),
         };
         if is_literal {
-            out.push_str(&format!("'{}'", word.replace('\'', "''")));
+            statement.push_str(&format!("'{}'", value_text.replace('\'', "''")));
         } else {
-            out.push_str(&word);
+            statement.push_str(&value_text);
         }
     }
-    Some(out + rest)
+    Some(statement + rest)
 }
