--- a/crates/test-support/src/replica_set.rs
+++ b/crates/test-support/src/replica_set.rs
@@ -1,101 +1,108 @@
-//! A group of instances: who leads it, what was written, which keys it remembers, and an execution log of all that ran.
+//! State shared by the endpoints of a fake replica set: the primary, the rows, the idempotency keys of the deduplication
+//! window, and a log of all executed writes.
 
 use crate::shared_state::SharedState;
 use std::collections::HashMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What a member was asked, by kind of message.
+/// Counts the messages that an endpoint received, by type.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct MessageCounts {
-    /// Statements prepared.
+    /// The number of Parse messages.
     pub parses: usize,
-    /// Portals made.
+    /// The number of Bind messages.
     pub binds: usize,
-    /// Portals run.
+    /// The number of Execute messages.
     pub executes: usize,
-    /// Statements closed.
+    /// The number of Close messages.
     pub closes: usize,
-    /// Simple queries.
+    /// The number of Query messages.
     pub queries: usize,
 }
 
-/// All that ran.
+/// Records all executed writes and counts the messages received.
 #[derive(Debug, Default)]
 pub struct ExecutionLog {
-    /// By member.
+    /// The message counts by endpoint name.
     pub endpoints: HashMap<String, MessageCounts>,
-    /// Each time that a booking took effect, by key: the member that took it.
+    /// The executions of each write by idempotency key, as the names of the executing endpoints.
     pub executed_writes: HashMap<String, Vec<String>>,
-    /// Repeats that the group dropped.
+    /// The number of writes that were not executed because their key was in the deduplication window.
     pub suppressed_duplicates: usize,
 }
 
 impl ExecutionLog {
-    /// The keys that took effect more than once.
+    /// Returns the idempotency keys of writes that were executed more than once.
     pub fn keys_executed_more_than_once(&self) -> Vec<&str> {
         self.executed_writes
             .iter()
-            .filter(|(_, by)| by.len() > 1)
-            .map(|(k, _)| &**k)
+            .filter(|(_, endpoints)| endpoints.len() > 1)
+            .map(|(key, _)| &**key)
             .collect()
     }
 
-    /// All members' counts together.
+    /// Returns the sum of the message counts of all endpoints.
     pub fn total(&self) -> MessageCounts {
         let mut total = MessageCounts::default();
-        for c in self.endpoints.values() {
-            total.parses += c.parses;
-            total.binds += c.binds;
-            total.executes += c.executes;
-            total.closes += c.closes;
-            total.queries += c.queries;
+        for counts in self.endpoints.values() {
+            total.parses += counts.parses;
+            total.binds += counts.binds;
+            total.executes += counts.executes;
+            total.closes += counts.closes;
+            total.queries += counts.queries;
         }
         total
     }
 }
 
-/// What a member does with a read for which it is too far behind.
+/// Selects how an endpoint handles a read for which its data is too stale.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StaleReadPolicy {
-    /// It answers from what it has.
+    /// It returns stale data.
     Serve,
     /// It rejects the read at once.
     #[default]
     Reject,
-    /// It waits for so long to catch up, and rejects the read then.
+    /// It waits for up to this duration to catch up, and rejects the read if that is too short.
     Wait(Duration),
 }
 
-/// How recent the data has to be that answers a class's reads, beyond the position that the read itself names.
+/// Requires a freshness of the data for the reads of a request class, beyond the position that a read itself names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
-    /// It holds the last write to the row.
+    /// The data includes the last write to the row.
     LastWrite,
-    /// It is no older than this.
+    /// The data is at most this old.
     MaxAge(Duration),
 }
 
+/// Data and settings of a fake replica set. Positions are times in Unix milliseconds.
 #[derive(Debug)]
-struct World {
-    stale_reads: StaleReadPolicy,
-    /// By class.
+struct ReplicaSetState {
+    stale_read_policy: StaleReadPolicy,
+    /// The required freshness by request class.
     freshness: HashMap<String, Freshness>,
+    /// The name of the primary.
     primary: String,
+    /// The replication lag of all replicas.
     lag: Duration,
-    window: Duration,
+    /// The duration for which the results of writes are kept for deduplication.
+    deduplication_window: Duration,
+    /// The rows by key, as the value and the position of the last write.
     rows: HashMap<String, (String, u64)>,
-    keys: HashMap<String, (Instant, String, u64)>,
+    /// The results of recent writes by idempotency key, as the time of execution, the value and the position.
+    recent_writes: HashMap<String, (Instant, String, u64)>,
     execution_log: ExecutionLog,
 }
 
-/// A group, shared by its instances.
+/// A fake replica set. Clones share its state.
 #[derive(Debug, Clone)]
-pub struct FakeReplicaSet(SharedState<World>);
+pub struct FakeReplicaSet(SharedState<ReplicaSetState>);
 
-/// What a member answers: a value and its position, or an error's code and text.
+/// The result of a statement: a value and its position in Unix milliseconds, or an error's SQLSTATE and message.
 pub type ExecutionResult = Result<(String, u64), (&'static str, &'static str)>;
 
-/// Now, in Unix milliseconds.
+/// Returns the current time in Unix milliseconds.
 pub fn now_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -104,183 +111,208 @@
 }
 
 impl FakeReplicaSet {
-    /// A group led by the member of this name, whose replicas are `lag` behind, and which drops a repeat of a key
-    /// within `window`.
-    pub fn new(primary: &str, lag: Duration, window: Duration) -> FakeReplicaSet {
-        let (rows, keys, execution_log) = (HashMap::new(), HashMap::new(), ExecutionLog::default());
-        FakeReplicaSet(SharedState::new(World {
-            stale_reads: StaleReadPolicy::default(),
+    /// Creates a replica set with the primary of this name, in which replicas lag by `lag` and a write is not executed
+    /// again if its idempotency key repeats within `deduplication_window`.
+    pub fn new(primary: &str, lag: Duration, deduplication_window: Duration) -> FakeReplicaSet {
+        let (rows, recent_writes, execution_log) =
+            (HashMap::new(), HashMap::new(), ExecutionLog::default());
+        FakeReplicaSet(SharedState::new(ReplicaSetState {
+            stale_read_policy: StaleReadPolicy::default(),
             freshness: HashMap::new(),
             primary: primary.to_owned(),
             lag,
-            window,
+            deduplication_window,
             rows,
-            keys,
+            recent_writes,
             execution_log,
         }))
     }
 
-    /// Another member leads from now on.
-    pub fn promote(&self, member: &str) {
-        self.0.with(|w| member.clone_into(&mut w.primary));
+    /// Makes the endpoint of this name the primary.
+    pub fn promote(&self, endpoint: &str) {
+        self.0.with(|state| endpoint.clone_into(&mut state.primary));
     }
 
-    /// What members do with reads for which they are too far behind.
+    /// Sets the stale read policy of all endpoints; initially they reject.
     pub fn set_stale_read_policy(&self, policy: StaleReadPolicy) {
-        self.0.with(|w| w.stale_reads = policy);
+        self.0.with(|state| state.stale_read_policy = policy);
     }
 
-    /// Reads of this class need data so recent.
+    /// Sets the required freshness of all reads of a request class.
     pub fn require_freshness(&self, class: &str, freshness: Freshness) {
         self.0
-            .with(|w| w.freshness.insert(class.to_owned(), freshness));
+            .with(|state| state.freshness.insert(class.to_owned(), freshness));
     }
 
-    /// How far a member has to have applied the log to answer a read of `row`, in Unix milliseconds.
-    fn required_position(&self, row: &str, class: &str, named: u64) -> u64 {
-        self.0.with(|w| match w.freshness.get(class) {
-            Some(Freshness::LastWrite) => w.rows.get(row).map_or(named, |r| r.1.max(named)),
+    /// Returns the position that an endpoint must have applied to serve a read of `row`, in Unix milliseconds.
+    /// `requested` is the position that the read names.
+    fn required_position(&self, row: &str, class: &str, requested: u64) -> u64 {
+        self.0.with(|state| match state.freshness.get(class) {
+            Some(Freshness::LastWrite) => state
+                .rows
+                .get(row)
+                .map_or(requested, |row| row.1.max(requested)),
             Some(Freshness::MaxAge(age)) => {
-                named.max(now_ms().saturating_sub(age.as_millis() as u64))
+                requested.max(now_ms().saturating_sub(age.as_millis() as u64))
             }
-            None => named,
+            None => requested,
         })
     }
 
-    /// Whether a member may answer a read that needs this position; waits for it where members do so.
-    fn may_answer(&self, member: &str, required: u64) -> bool {
-        let behind = required.saturating_sub(self.position(member));
-        match self.0.with(|w| w.stale_reads) {
+    /// Returns whether an endpoint may serve a read that requires this position, after the wait that the stale read
+    /// policy prescribes.
+    fn can_serve_read(&self, endpoint: &str, required: u64) -> bool {
+        let behind_ms = required.saturating_sub(self.position(endpoint));
+        match self.0.with(|state| state.stale_read_policy) {
             StaleReadPolicy::Serve => true,
-            StaleReadPolicy::Reject => behind == 0,
+            StaleReadPolicy::Reject => behind_ms == 0,
             StaleReadPolicy::Wait(limit) => {
-                let behind = Duration::from_millis(behind);
+                let behind = Duration::from_millis(behind_ms);
                 std::thread::sleep(behind.min(limit));
                 behind <= limit
             }
         }
     }
 
-    /// Whether this member leads.
-    pub fn is_primary(&self, member: &str) -> bool {
-        self.0.with(|w| w.primary == member)
+    /// Returns whether the endpoint of this name is the primary.
+    pub fn is_primary(&self, endpoint: &str) -> bool {
+        self.0.with(|state| state.primary == endpoint)
     }
 
-    /// Reads the execution log.
+    /// Calls `read` with the locked execution log and returns its result.
     pub fn with_execution_log<R>(&self, read: impl FnOnce(&mut ExecutionLog) -> R) -> R {
-        self.0.with(|w| read(&mut w.execution_log))
+        self.0.with(|state| read(&mut state.execution_log))
     }
 
-    /// Waits until the execution log holds what `f` looks for.
+    /// Waits until `find` returns a value for the execution log and returns it; `None` if that takes longer than
+    /// `timeout`.
     pub fn wait_for<R>(
         &self,
-        within: Duration,
-        mut f: impl FnMut(&mut ExecutionLog) -> Option<R>,
+        timeout: Duration,
+        mut find: impl FnMut(&mut ExecutionLog) -> Option<R>,
     ) -> Option<R> {
-        self.0.wait_for(within, |w| f(&mut w.execution_log))
+        self.0
+            .wait_for(timeout, |state| find(&mut state.execution_log))
     }
 
-    pub(crate) fn count(&self, member: &str, count: impl FnOnce(&mut MessageCounts)) {
-        self.0
-            .with(|w| match w.execution_log.endpoints.get_mut(member) {
+    /// Calls `count` with the message counts of an endpoint, which it changes.
+    pub(crate) fn count(&self, endpoint: &str, count: impl FnOnce(&mut MessageCounts)) {
+        self.0.with(
+            |state| match state.execution_log.endpoints.get_mut(endpoint) {
                 Some(counts) => count(counts),
                 None => count(
-                    w.execution_log
+                    state
+                        .execution_log
                         .endpoints
-                        .entry(member.to_owned())
+                        .entry(endpoint.to_owned())
                         .or_default(),
                 ),
-            });
+            },
+        );
     }
 
-    /// How far a member has applied the log, in Unix milliseconds.
-    pub fn position(&self, member: &str) -> u64 {
+    /// Returns the applied position of an endpoint, in Unix milliseconds.
+    pub fn position(&self, endpoint: &str) -> u64 {
         let now = now_ms();
-        self.0.with(|w| {
-            if w.primary == member {
+        self.0.with(|state| {
+            if state.primary == endpoint {
                 now
             } else {
-                now - w.lag.as_millis() as u64
+                now - state.lag.as_millis() as u64
             }
         })
     }
 
-    /// Runs a statement in words at a member.
-    pub fn execute(&self, member: &str, text: &str) -> ExecutionResult {
-        let mut quoted = literals(text);
-        let Some(row) = quoted.next() else {
-            return Err(("08P01", "no quoted key"));
+    /// Executes a statement, with the parameter values inserted, at the endpoint of this name.
+    pub fn execute(&self, endpoint: &str, statement: &str) -> ExecutionResult {
+        let mut values = literals(statement);
+        let Some(row) = values.next() else {
+            return Err(("08P01", "row key is missing"));
         };
-        let comment = |name: &str| {
-            let inside = text.rsplit_once("/*")?.1.trim_end().trim_end_matches("*/");
-            inside
+        let annotation = |name: &str| {
+            let annotations = statement
+                .rsplit_once("/*")?
+                .1
+                .trim_end()
+                .trim_end_matches("*/");
+            annotations
                 .split(',')
                 .find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('='))
         };
-        if comment("id").is_none_or(|id| id.len() != 16)
-            || comment("d").is_none_or(|d| d.parse() == Ok(0))
+        if annotation("id").is_none_or(|id| id.len() != 16)
+            || annotation("d").is_none_or(|d| d.parse() == Ok(0))
         {
-            return Err(("08P01", "a statement that no client sends"));
+            return Err(("08P01", "id or deadline annotation is missing or invalid"));
         }
-        let is_read = !text.starts_with("INSERT");
+        let is_read = !statement.starts_with("INSERT");
         if is_read {
-            let named = comment("after").and_then(|a| a.parse().ok()).unwrap_or(0);
-            let class = comment("c").unwrap_or_default();
-            if !self.may_answer(member, self.required_position(&row, class, named)) {
-                return Err(("72000", "too far behind"));
+            let requested = annotation("after")
+                .and_then(|position| position.parse().ok())
+                .unwrap_or(0);
+            let class = annotation("c").unwrap_or_default();
+            if !self.can_serve_read(endpoint, self.required_position(&row, class, requested)) {
+                return Err(("72000", "replica has not applied the required position"));
             }
         }
-        let position = self.position(member);
-        self.0.with(|w| {
+        let position = self.position(endpoint);
+        self.0.with(|state| {
             if is_read {
-                let seen = w.rows.get(&row).filter(|(_, at)| *at <= position);
+                let visible = state
+                    .rows
+                    .get(&row)
+                    .filter(|(_, written)| *written <= position);
                 return Ok((
-                    seen.map_or_else(|| "(nothing)".to_owned(), |(v, _)| v.clone()),
+                    visible.map_or_else(|| "(nothing)".to_owned(), |(value, _)| value.clone()),
                     position,
                 ));
             }
-            let Some(value) = quoted.next() else {
-                return Err(("08P01", "no value"));
+            let Some(value) = values.next() else {
+                return Err(("08P01", "value is missing"));
             };
-            if w.primary != member {
-                return Err(("25006", "this is not the primary"));
+            if state.primary != endpoint {
+                return Err(("25006", "endpoint is not the primary"));
             }
-            let key = comment("k").unwrap_or_default().to_owned();
-            let (now, window) = (Instant::now(), w.window);
-            w.keys.retain(|_, (at, ..)| now - *at < window);
-            if let Some((_, value, at)) = w.keys.get(&key) {
-                w.execution_log.suppressed_duplicates += 1;
-                return Ok((value.clone(), *at));
+            let key = annotation("k").unwrap_or_default().to_owned();
+            let (now, window) = (Instant::now(), state.deduplication_window);
+            state
+                .recent_writes
+                .retain(|_, (executed, ..)| now - *executed < window);
+            if let Some((_, value, position)) = state.recent_writes.get(&key) {
+                state.execution_log.suppressed_duplicates += 1;
+                return Ok((value.clone(), *position));
             }
-            w.execution_log
+            state
+                .execution_log
                 .executed_writes
                 .entry(key.clone())
                 .or_default()
-                .push(member.to_owned());
-            w.rows.insert(row, (value.clone(), position));
-            w.keys.insert(key, (now, value.clone(), position));
+                .push(endpoint.to_owned());
+            state.rows.insert(row, (value.clone(), position));
+            state
+                .recent_writes
+                .insert(key, (now, value.clone(), position));
             Ok((value, position))
         })
     }
 }
 
-/// The quoted literals of a statement.
+/// Returns the values of the quoted literals of a statement, in order.
 fn literals(text: &str) -> impl Iterator<Item = String> {
     let mut rest = text;
     std::iter::from_fn(move || {
-        let mut inside = rest.split_once('\'')?.1;
-        let mut found = String::new();
+        let mut quoted = rest.split_once('\'')?.1;
+        let mut value = String::new();
         loop {
-            let (part, behind) = inside.split_once('\'')?;
-            found.push_str(part);
-            match behind.strip_prefix('\'') {
+            let (part, after) = quoted.split_once('\'')?;
+            value.push_str(part);
+            match after.strip_prefix('\'') {
                 Some(more) => {
-                    found.push('\'');
-                    inside = more;
+                    value.push('\'');
+                    quoted = more;
                 }
                 None => {
-                    rest = behind;
-                    return Some(found);
+                    rest = after;
+                    return Some(value);
                 }
             }
         }
