--- a/crates/test-support/src/process.rs
+++ b/crates/test-support/src/process.rs
@@ -1,4 +1,4 @@
-//! The router as a process.
+//! The router under test as a child process, with its configuration files, log and signals.
 
 use crate::client::Client;
 use crate::discovery::FakeDiscovery;
@@ -9,7 +9,8 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::Instant;
 
-/// The settings that tests start from: classes `board` (any member), `own` (sessions) and `book` (a keyed write).
+/// Returns the settings that tests start from, with three request classes: `board` (eventually consistent reads), `own`
+/// (read-your-writes) and `book` (writes with an idempotency key). Durations are in nanoseconds.
 pub fn base_settings() -> Value {
     let class = |name: &str, repeat: &str, deadline_ms: u64| {
         json!({"name": name, "repeat": repeat, "group": "cell", "credit": 1.0, "lateWorth": 0.5,
@@ -30,30 +31,32 @@
     })
 }
 
-/// The router as a process; ended when dropped.
+/// Owns the process of the router under test, which is killed on drop.
 pub struct RouterProcess {
     child: Child,
-    /// Where clients connect.
+    /// The address on which the router accepts clients.
     pub address: SocketAddr,
-    /// The lines of its log.
+    /// The lines of the log so far.
     pub log: SharedState<Vec<String>>,
+    /// The configuration that the router started with.
     config: Value,
+    /// The directory of the configuration files.
     dir: tempfile::TempDir,
 }
 
 impl RouterProcess {
-    /// Starts the program at `exe` with these sockets and settings, `edge` as its own settings in YAML, and waits
-    /// until it listens.
+    /// Starts the program at `exe` and waits until it listens. `known` is the endpoint list of its configuration,
+    /// `sockets` the limit `limits.sockets`, and `extensions` its extensions in YAML, if any.
     ///
     /// # Panics
-    /// If it can't be started or does not listen in time.
+    /// If the program can't be started or does not listen within [`WAIT_TIMEOUT`].
     pub fn start(
         exe: &str,
         discovery: &FakeDiscovery,
         known: &[Value],
         sockets: u64,
         settings: Value,
-        edge: Option<&str>,
+        extensions: Option<&str>,
     ) -> RouterProcess {
         RouterProcess::start_with_discovery_at(
             exe,
@@ -61,33 +64,33 @@
             known,
             sockets,
             settings,
-            edge,
+            extensions,
         )
     }
 
-    /// The same with discovery at an address, whoever serves there.
+    /// Starts the program like [`start`](RouterProcess::start), with the address of any discovery service.
     ///
     /// # Panics
-    /// If it can't be started or does not listen in time.
+    /// If the program can't be started or does not listen within [`WAIT_TIMEOUT`].
     pub fn start_with_discovery_at(
         exe: &str,
         discovery: SocketAddr,
         known: &[Value],
         sockets: u64,
         settings: Value,
-        edge: Option<&str>,
+        extensions: Option<&str>,
     ) -> RouterProcess {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("create a temporary directory");
         let path = dir.path().join("config.json");
         let config = json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
             "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
             "known": {"rev": 1, "all": true, "targets": known}, "settings": settings});
-        std::fs::write(&path, config.to_string()).expect("a configuration");
+        std::fs::write(&path, config.to_string()).expect("write the configuration");
         let mut command = Command::new(exe);
-        if let Some(edge) = edge {
+        if let Some(extensions) = extensions {
             let path = dir.path().join("edge.yaml");
-            std::fs::write(&path, edge).expect("settings");
+            std::fs::write(&path, extensions).expect("write the extensions");
             command.arg("--edge").arg(path);
         }
         let mut child = command
@@ -97,16 +100,19 @@
             .env("RELAY_DISCOVERY", discovery.to_string())
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the router's program");
+            .expect("start the router program");
         let log = SharedState::new(Vec::<String>::new());
-        let (l, stderr) = (log.clone(), child.stderr.take().expect("its log"));
+        let (lines, stderr) = (
+            log.clone(),
+            child.stderr.take().expect("standard error of the router"),
+        );
         std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                l.with(|l| l.push(line));
+                lines.with(|lines| lines.push(line));
             }
         });
-        let listening = |l: &mut Vec<String>| {
-            let line = l.iter().find(|l| l.contains("listening"))?;
+        let listen_address = |lines: &mut Vec<String>| {
+            let line = lines.iter().find(|line| line.contains("listening"))?;
             line.split("address: ")
                 .nth(1)?
                 .split(',')
@@ -115,8 +121,8 @@
                 .ok()
         };
         let address = log
-            .wait_for(WAIT_TIMEOUT, listening)
-            .expect("the router did not start");
+            .wait_for(WAIT_TIMEOUT, listen_address)
+            .expect("a log line with the address on which the router listens");
         RouterProcess {
             child,
             address,
@@ -126,34 +132,38 @@
         }
     }
 
-    /// Replaces the router's own settings and has it read them again.
-    pub fn reload_extensions(&self, edge: &str) {
+    /// Replaces the extensions file and makes the router reload its configuration. The router must have been started with
+    /// extensions.
+    pub fn reload_extensions(&self, extensions: &str) {
         let (new, path) = (
             self.dir.path().join("new.yaml"),
             self.dir.path().join("edge.yaml"),
         );
-        std::fs::write(&new, edge).expect("settings");
-        std::fs::rename(new, path).expect("settings");
+        std::fs::write(&new, extensions).expect("write the extensions");
+        std::fs::rename(new, path).expect("replace the extensions");
         self.signal("HUP");
     }
 
-    /// The number of its process.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal, such as `HUP`.
+    /// Sends a signal to the process, by its name without `SIG`, such as `HUP`.
+    ///
+    /// # Panics
+    /// If the signal can't be sent.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
         assert!(
             Command::new("sh")
                 .args(["-c", &kill])
                 .status()
-                .is_ok_and(|s| s.success())
+                .is_ok_and(|status| status.success())
         );
     }
 
-    /// Replaces a field of the configuration file and has the router read it again.
+    /// Replaces a top-level field of the configuration that the router started with and makes the router reload it.
     pub fn reload_config(&self, field: &str, value: Value) {
         let mut config = self.config.clone();
         config[field] = value;
@@ -161,38 +171,47 @@
             self.dir.path().join("new.json"),
             self.dir.path().join("config.json"),
         );
-        std::fs::write(&new, config.to_string()).expect("a configuration");
-        std::fs::rename(new, path).expect("a configuration");
+        std::fs::write(&new, config.to_string()).expect("write the configuration");
+        std::fs::rename(new, path).expect("replace the configuration");
         self.signal("HUP");
     }
 
-    /// Waits for its end.
+    /// Waits until the process has exited and returns its exit status.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
-        self.child.wait().expect("its end")
+        self.child.wait().expect("wait for the router process")
     }
 
-    /// Waits until a line of its log holds `text`; says whether one does.
+    /// Waits until a line of the log contains `text`; returns whether one does within [`WAIT_TIMEOUT`].
     pub fn wait_for_log(&self, text: &str) -> bool {
         self.log
-            .wait_for(WAIT_TIMEOUT, |l| {
-                l.iter().any(|l| l.contains(text)).then_some(())
+            .wait_for(WAIT_TIMEOUT, |lines| {
+                lines.iter().any(|line| line.contains(text)).then_some(())
             })
             .is_some()
     }
 
-    /// The counters as they are now, printed on request.
+    /// Makes the router log its counters and returns that line.
+    ///
+    /// # Panics
+    /// If the line is not logged within [`WAIT_TIMEOUT`].
     pub fn counters(&self) -> String {
-        let before = self.log.with(|l| l.len());
+        let logged = self.log.with(|lines| lines.len());
         self.signal("USR1");
-        let line =
-            |l: &mut Vec<String>| l[before..].iter().find(|l| l.contains("counters")).cloned();
-        self.log.wait_for(WAIT_TIMEOUT, line).expect("no counters")
+        let counters_line = |lines: &mut Vec<String>| {
+            lines[logged..]
+                .iter()
+                .find(|line| line.contains("counters"))
+                .cloned()
+        };
+        self.log
+            .wait_for(WAIT_TIMEOUT, counters_line)
+            .expect("a log line with the counters")
     }
 
-    /// Waits until the counters hold `text`.
+    /// Waits until the counters contain `text`, such as `served=5`; returns whether they do within [`WAIT_TIMEOUT`].
     pub fn wait_for_counter(&self, text: &str) -> bool {
-        let until = Instant::now() + WAIT_TIMEOUT;
-        while Instant::now() < until {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while Instant::now() < deadline {
             if format!("{} ", self.counters()).contains(&format!(" {text} ")) {
                 return true;
             }
@@ -200,13 +219,19 @@
         false
     }
 
-    /// Whether its last line holds this count.
+    /// Returns whether the last line of the log contains this counter.
     pub fn has_final_counter(&self, text: &str) -> bool {
-        self.log
-            .with(|l| l.last().is_some_and(|l| l.contains(&format!(" {text} "))))
+        self.log.with(|lines| {
+            lines
+                .last()
+                .is_some_and(|line| line.contains(&format!(" {text} ")))
+        })
     }
 
-    /// A client that has been welcomed.
+    /// Connects a client and completes its startup.
+    ///
+    /// # Panics
+    /// If the router refuses the connection or does not complete the startup.
     pub fn connect_client(&self) -> Client {
         let mut client = Client::connect(self.address);
         client.complete_startup();
