--- a/example/toy_cluster.rs
+++ b/example/toy_cluster.rs
@@ -1,6 +1,6 @@
-//! A toy cluster to try the router with: discovery on 127.0.0.1:8500, and one group of three instances on
-//! 127.0.0.1:7001 (the primary) to 7003. Replicas lag a quarter of a second behind. It takes simple and extended
-//! queries, and prints what each instance is asked.
+//! A fake cluster for trying out the router: a discovery service on 127.0.0.1:8500 and a replica set of three endpoints
+//! on 127.0.0.1:7001 (the primary) to 7003. Replicas lag by 250 ms. The endpoints serve simple and extended queries, and
+//! each statement is printed with the port of the endpoint that executed it.
 
 use reelrill_test_support::{FakeDiscovery, FakeEndpoint, FakeReplicaSet, WAIT_TIMEOUT};
 use std::net::SocketAddr;
@@ -8,31 +8,37 @@
 
 fn main() {
     let local = |port| SocketAddr::from(([127, 0, 0, 1], port));
-    let group = FakeReplicaSet::new("s-7001", Duration::from_millis(250), Duration::from_secs(2));
-    let join = |port| {
+    let replica_set =
+        FakeReplicaSet::new("s-7001", Duration::from_millis(250), Duration::from_secs(2));
+    let start_endpoint = |port| {
         FakeEndpoint::start_in_replica_set(
-            &group,
+            &replica_set,
             &format!("s-{port}"),
             local(port),
             Duration::from_millis(20),
             false,
         )
     };
-    let instances = [7001, 7002, 7003].map(join);
-    let list = instances.iter().map(|i| i.list_entry(1, "ready")).collect();
+    let endpoints = [7001, 7002, 7003].map(start_endpoint);
+    let list = endpoints
+        .iter()
+        .map(|endpoint| endpoint.list_entry(1, "ready"))
+        .collect();
     let _discovery = FakeDiscovery::start_at(local(8500), Some(list));
-    println!("discovery on 127.0.0.1:8500, instances on 7001 (the primary), 7002 and 7003");
-    let watch = |instance: FakeEndpoint| {
+    println!(
+        "discovery service on 127.0.0.1:8500, endpoints on 127.0.0.1:7001 (the primary), 7002 and 7003"
+    );
+    let print_queries = |endpoint: FakeEndpoint| {
         move || loop {
-            let asked = instance.activity.wait_for(WAIT_TIMEOUT, |s| {
-                (!s.queries.is_empty()).then(|| std::mem::take(&mut s.queries))
+            let queries = endpoint.activity.wait_for(WAIT_TIMEOUT, |activity| {
+                (!activity.queries.is_empty()).then(|| std::mem::take(&mut activity.queries))
             });
-            for query in asked.unwrap_or_default() {
-                println!("{}: {query}", instance.address.port());
+            for query in queries.unwrap_or_default() {
+                println!("{}: {query}", endpoint.address.port());
             }
         }
     };
-    for thread in instances.map(|i| std::thread::spawn(watch(i))) {
+    for thread in endpoints.map(|endpoint| std::thread::spawn(print_queries(endpoint))) {
         let _ = thread.join();
     }
 }
