--- a/crates/test-support/src/endpoint.rs
+++ b/crates/test-support/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! A fake endpoint: a database process on its own socket that responds to simple and extended queries as scripted, and
-//! that faults can hit at a given stage of a request.
+//! A fake endpoint: a database process on its own socket, with scripted responses to simple and extended queries and
+//! with faults at selected stages of a request.
 
 use crate::client::MessageReader;
 use crate::replica_set::{FakeReplicaSet, now_ms};
@@ -126,7 +126,7 @@
     pub activity: SharedState<EndpointActivity>,
     /// The response to each further request.
     pub response: SharedState<ScriptedResponse>,
-    /// The faults to come. The first occurs once, at the next request that reaches its stage, and is then removed.
+    /// The scripted faults in order. The first one occurs when a request reaches its stage, and is then removed.
     pub faults: SharedState<VecDeque<(RequestStage, Fault)>>,
     inner: Arc<Inner>,
 }
@@ -193,6 +193,7 @@
         )
     }
 
+    /// Binds the address and serves its connections on a thread of their own each.
     fn listen(
         address: SocketAddr,
         name: &str,
@@ -330,6 +331,7 @@
 }
 
 impl Inner {
+    /// Resets all connections and rejects new ones.
     fn kill(&self) {
         for stream in self.open_connections.with(Option::take).unwrap_or_default() {
             reset_on_close(&stream);
@@ -434,6 +436,7 @@
         }
     }
 
+    /// Writes the output to the connection; returns `None` if the write fails.
     fn flush(&mut self) -> Option<()> {
         self.stream.write_all(&std::mem::take(&mut self.out)).ok()
     }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,6 +1,6 @@
 //! Fake servers on loopback addresses for the services around the router: endpoints of a replica set, discovery
 //! services and DNS servers, with scripted faults and a log of all executed writes. They run on blocking threads and
-//! share only the protocol codec with the router, so that a fault of its runtime does not affect them. The tests of the
+//! share only the protocol codec with the router, so that they don't repeat faults of its runtime. The tests of the
 //! router and of service discovery, the example and the experiments use them.
 //!
 //! | module | contents |
