--- a/crates/router/src/client/extended_queries.rs
+++ b/crates/router/src/client/extended_queries.rs
@@ -1,6 +1,6 @@
-//! Executes a client's extended queries as its [`ExtendedSession`] determines. The session decides the order of
-//! requests and responses, and which commands are skipped. This module parses and encodes messages, exchanges requests
-//! and responses with the dispatcher, and detects that the client disconnects.
+//! Executes a client's extended queries. The client's [`ExtendedSession`] decides the order of requests and responses,
+//! and which commands are skipped. This module parses and encodes messages, exchanges requests and responses with the
+//! dispatcher, and detects that the client disconnects.
 
 use super::connection::ClientConnection;
 use super::outstanding::OutstandingRequests;
@@ -20,9 +20,9 @@
 use reelrill_routing::RequestId;
 use std::borrow::Cow;
 
-/// The capacity of a client's response channel for each read that may run at once, in responses.
+/// The capacity of a client's response channel, in responses for each read that may run at once.
 const RESPONSES_PER_READ: usize = 4;
-/// The additional capacity of the channel, used by writes, in responses.
+/// The additional capacity of the channel for the responses to writes.
 const EXTRA_RESPONSES: usize = 16;
 
 /// The prepared statements and the pipeline of one client.
@@ -54,15 +54,12 @@
         self.session.on_simple_query();
     }
 
-    /// Runs a simple query that only affects the session's prepared statements, and returns its command tag. Returns
-    /// `None` for any other query.
+    /// Runs a simple query that is a utility statement, which only affects the session's prepared statements, and
+    /// returns its command tag. Returns `None` for any other query.
     ///
     /// # Errors
     /// If the statement is not supported or names an unknown prepared statement.
-    pub fn run_session_statement(
-        &mut self,
-        text: &str,
-    ) -> Option<Result<&'static str, SessionError>> {
+    pub fn run_utility_query(&mut self, text: &str) -> Option<Result<&'static str, SessionError>> {
         self.session.run_utility_query(text)
     }
 
@@ -83,8 +80,8 @@
         FinalResponse::Served(result)
     }
 
-    /// Processes the response to the request with this number. Returns the requests whose responses are not needed any
-    /// more.
+    /// Processes the response to the request with this number. Returns the ids of requests whose responses are not
+    /// needed any more.
     fn finish(&mut self, number: u64, response: FinalResponse) -> Vec<RequestId> {
         let Some(request) = self.outstanding.remove(number) else {
             return Vec::new();
@@ -95,14 +92,14 @@
         self.outstanding.abandon(&abandoned)
     }
 
-    /// Cancels the first request without a response, as the client requested. Returns the requests whose responses are
-    /// not needed any more.
+    /// Cancels the first request without a response, as the client requested. Returns the ids of requests whose
+    /// responses are not needed any more.
     fn cancel_first(&mut self) -> Vec<RequestId> {
         let Some((number, _)) = self.session.first_pending() else {
             return Vec::new();
         };
         let Some(request) = self.outstanding.cancel(number) else {
-            // The request has not been started, nor has any later one.
+            // The request has not been started, and neither has any later one.
             self.session.finish(number, FinalResponse::Cancelled, false);
             return Vec::new();
         };
@@ -181,7 +178,7 @@
         self.state.on_request();
         self.cancellation.reset();
         let ended = self.serve_pipeline().await;
-        // Requests are still outstanding only if the connection has ended.
+        // Requests are still outstanding only if the connection must be closed.
         if let Some(extended) = &mut self.extended_queries {
             let abandoned = extended.outstanding.abandon_all();
             self.notify_cancelled(abandoned).await;
@@ -194,7 +191,8 @@
         let mut is_flush_due = false;
         loop {
             self.queue_commands();
-            // The end of input may follow the commands: no request is started for a client that has disconnected.
+            // The end of input may follow the commands, and no request must be started for a client that has
+            // disconnected.
             self.read_available()?;
             if self.has_disconnected() && !self.is_pipeline_idle() {
                 return Err(CloseReason::DisconnectedWhileWaiting);
@@ -202,7 +200,7 @@
             self.queue_commands();
             self.finish_responses().await;
             self.start_pipelined_requests().await;
-            // Related messages are sent in one write, such as a BindComplete with the response that follows it.
+            // Consecutive messages are sent in one write, such as a BindComplete with the response that follows it.
             is_flush_due |= self.put_outputs(&mut out);
             let is_idle = self.is_pipeline_idle();
             if !out.is_empty() && (is_flush_due || is_idle || out.len() >= WRITE_BATCH_SIZE) {
--- a/crates/router/src/client/outstanding.rs
+++ b/crates/router/src/client/outstanding.rs
@@ -10,7 +10,9 @@
 
 /// A request that has been sent to the dispatcher and has no final response yet.
 pub struct OutstandingRequest {
+    /// The request's number among those of its client.
     number: u64,
+    /// The id that the router assigned.
     id: RequestId,
     cancelled: CancellationFlag,
     /// The value's format that the client requested.
@@ -26,7 +28,7 @@
 
 impl OutstandingRequests {
     /// Creates an empty set. `capacity` is the number of responses that the channel can hold. It must cover all
-    /// requests that may be outstanding, and those that are abandoned at the moment at which their responses are sent.
+    /// requests that may be outstanding at once, and those that are abandoned just when their responses are sent.
     pub fn new(capacity: usize) -> OutstandingRequests {
         let (sender, responses) = async_channel::bounded(capacity);
         OutstandingRequests {
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Adds a request under its number among those of the client. Returns the destination of its response.
+    /// Adds a request with its number among those of the client. Returns the destination of its response.
     pub fn insert(
         &mut self,
         number: u64,
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Removes a request that has its response, if it is still outstanding.
+    /// Removes and returns the request whose response was received, if it is still outstanding.
     pub fn remove(&mut self, number: u64) -> Option<OutstandingRequest> {
         let index = self.requests.iter().position(|r| r.number == number)?;
         Some(self.requests.swap_remove(index))
@@ -69,7 +71,8 @@
         Some(request.id)
     }
 
-    /// Removes requests whose responses are not needed any more and raises their flags. Returns their ids.
+    /// Removes the requests with these numbers, whose responses are not needed any more, and raises their flags.
+    /// Returns their ids.
     pub fn abandon(&mut self, numbers: &[u64]) -> Vec<RequestId> {
         self.abandon_if(|number| numbers.contains(&number))
     }
--- a/crates/router/src/client/simple_queries.rs
+++ b/crates/router/src/client/simple_queries.rs
@@ -1,6 +1,6 @@
-//! Executes a client's simple queries as its [`SimpleQueryQueue`] determines. The queue decides the order of requests
-//! and responses. This module parses and encodes messages, exchanges requests and responses with the dispatcher, and
-//! detects that the client disconnects.
+//! Executes a client's simple queries. The client's [`SimpleQueryQueue`] decides the order of requests and responses.
+//! This module parses and encodes messages, exchanges requests and responses with the dispatcher, and detects that the
+//! client disconnects.
 
 use super::connection::ClientConnection;
 use super::outstanding::OutstandingRequests;
@@ -48,7 +48,7 @@
     }
 
     fn finish(&mut self, number: u64, response: FinalResponse) {
-        // A cancelled request is not outstanding any more, and the queue ignores its response.
+        // A request that was cancelled is not outstanding any more, and the queue ignores its response.
         let _ = self.outstanding.remove(number);
         self.queue.finish(number, response);
     }
@@ -71,7 +71,8 @@
         let mut out = Vec::new();
         loop {
             self.queue_simple_queries();
-            // The end of input may follow the queries: no request is started for a client that has disconnected.
+            // The end of input may follow the queries, and no request must be started for a client that has
+            // disconnected.
             self.read_available()?;
             if !self.simple_queries.queue.is_empty() && self.has_disconnected() {
                 return Err(CloseReason::DisconnectedWhileWaiting);
@@ -174,17 +175,17 @@
         Ok((request, Rc::new(query)))
     }
 
-    /// Returns the response to a query that is not a request, with `error` as the reason: either it is a statement for
-    /// the session, or it is invalid.
+    /// Returns the response to a query that is not a request, for the reason in `error`: either it is a utility
+    /// statement, or it is invalid.
     fn local_response(&mut self, text: &str, error: &SessionError) -> LocalResponse {
         let extended = self.extended_queries.as_mut();
-        match extended.and_then(|extended| extended.run_session_statement(text)) {
+        match extended.and_then(|extended| extended.run_utility_query(text)) {
             Some(Ok(tag)) => LocalResponse::Complete(tag),
             Some(Err(error)) => LocalResponse::Error {
                 code: error.sqlstate(),
                 message: error.to_string(),
             },
-            // Any other simple query is reported with this SQLSTATE.
+            // Any other simple query is invalid, whatever the error, and is rejected with this SQLSTATE.
             None => LocalResponse::Error {
                 code: sqlstate::SYNTAX_ERROR,
                 message: error.to_string(),
@@ -204,8 +205,8 @@
         }
     }
 
-    /// Cancels the first request without a response, as the client requested. It fails at once; if it has been started,
-    /// the dispatcher is notified that no response to it is needed any more.
+    /// Cancels the first request without a response, as the client requested. The request fails at once; if it has been
+    /// started, the dispatcher is notified that no response to it is needed any more.
     async fn cancel_simple_query(&mut self) {
         let Some(number) = self.simple_queries.queue.first_pending() else {
             return;
--- a/crates/router/src/client/wakeup.rs
+++ b/crates/router/src/client/wakeup.rs
@@ -12,13 +12,13 @@
 pub enum Wakeup {
     /// The request with this number has its response.
     Response(u64, FinalResponse),
-    /// The client cancels its first outstanding request.
+    /// The client has sent a cancel request, which applies to its first outstanding request.
     CancelRequested,
     /// More input has been read, or the router has become ready to serve.
     Progress,
 }
 
-/// Waits for a response, a cancellation or more input.
+/// Waits for a response, a cancel request or more input.
 ///
 /// # Errors
 /// If the client has disconnected, or reading from it fails.
@@ -47,8 +47,8 @@
 }
 
 impl ClientConnection {
-    /// Sends a request to the dispatcher. Returns whether the dispatcher accepted it; it does not while the router
-    /// exits.
+    /// Sends a request to the dispatcher. Returns whether the dispatcher accepted it, which it does not once it has
+    /// ended.
     pub(super) async fn dispatch(
         &self,
         request: ClientRequest,
