--- a/crates/router/src/client/accept_loop.rs
+++ b/crates/router/src/client/accept_loop.rs
@@ -1,7 +1,7 @@
 //! Accepts client connections, and starts a task for each.
 //!
-//! Must never accept a connection without a permit for its descriptor. Until a permit is available, connections wait in
-//! the kernel's backlog.
+//! Must never accept a connection without a permit for its descriptor. Until a permit is available, new connections
+//! wait in the kernel's backlog.
 
 use super::connection::serve;
 use crate::observability::counters::count;
@@ -39,8 +39,9 @@
     }
 }
 
-/// Waits for a descriptor permit. If there is none, evicts an expendable connection or the one idle longest; if there
-/// is no such connection either, waits until one ends by itself.
+/// Waits for a descriptor permit. While there is none, requests the eviction of an expendable connection, otherwise of
+/// the one idle longest, otherwise of one with session state. If no connection can be evicted, a permit is released
+/// only when a connection ends by itself.
 async fn acquire_permit(shared: &Rc<Shared>) -> DescriptorPermit {
     loop {
         if let Some(permit) = shared.client_descriptors.try_acquire() {
@@ -65,13 +66,13 @@
 ) {
     count(&shared.counters.clients);
     shared.last_arrival.set(shared.clock.now());
-    // The connection counts as unused from here on, not from the first run of its task. In a burst, that run comes many
-    // connections later, and meanwhile connections in use would be evicted in favour of silent ones.
+    // The connection counts as unused from here on, not from the first run of its task. In a burst, many more
+    // connections are accepted before that run, and connections in use would be evicted in favour of unused ones.
     let unused = shared.client_descriptors.count_unused();
     let task = serve(shared.clone(), stream, permit, unused);
     executor.spawn(task).detach();
     if shared.client_descriptors.is_running_low() {
-        // Evicts ahead of need, so that the next connection does not wait in the backlog for an eviction.
+        // Frees a descriptor in advance, so that the next connection does not wait in the backlog for an eviction.
         shared.client_descriptors.request_eviction();
     }
 }
--- a/crates/router/src/client/closing.rs
+++ b/crates/router/src/client/closing.rs
@@ -1,7 +1,7 @@
 //! Closes a client's connection: sends a fatal error if one is due, then performs a lingering close.
 //!
-//! Must never close the socket with bytes unread while an error is in transit: the client would receive a reset, and
-//! might not receive the error.
+//! Must never close the socket with bytes unread while an error is in transit: that resets the connection, and the
+//! client might not receive the error.
 
 use super::connection::ClientConnection;
 use super::wait_limits::EXPENDABLE_EVICTION_DELAY;
@@ -43,7 +43,7 @@
         CloseReason::Malformed
     }
 
-    /// Sends an error for a message that the memory limit leaves no room for, and closes the connection. The message
+    /// Sends an error for a message that does not fit within the memory limit, and closes the connection. The message
     /// was not processed, so the client may retry it. Returns the reason.
     pub(super) async fn close_on_memory_limit(&mut self) -> CloseReason {
         self.send_fatal_error(
--- a/crates/router/src/client/connection.rs
+++ b/crates/router/src/client/connection.rs
@@ -31,7 +31,7 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Serves one connection to its end and logs why it ended.
+/// Serves one connection to its end and logs the close reason.
 pub async fn serve(
     shared: Rc<Shared>,
     stream: Async<TcpStream>,
@@ -58,7 +58,7 @@
     info!(client.shared.log, "connection ended"; "with" => "client", "reason" => reason.code());
 }
 
-/// One client's connection.
+/// Owns one client's connection, its buffer and its queries.
 pub struct ClientConnection {
     pub(super) shared: Rc<Shared>,
     pub(super) stream: Async<TcpStream>,
@@ -83,7 +83,9 @@
 
 /// The event that ends a connection's wait for input.
 enum WaitOutcome {
+    /// Closing the connection is due, for this reason.
     CloseDue(CloseReason),
+    /// A read has ended with this result.
     Read(std::io::Result<usize>),
 }
 
@@ -200,13 +202,13 @@
     pub(super) fn read_available(&mut self) -> Result<(), CloseReason> {
         while !self.has_input_ended {
             if self.buffer.bytes().len() >= READ_AHEAD_LIMIT || self.has_reached_read_limit() {
-                // Nothing more is read, so the end of input may follow bytes that stay unread.
+                // The end of input may follow bytes that stay unread, so it is detected without reading.
                 self.has_input_ended = socket::has_disconnected(self.stream.get_ref());
                 return Ok(());
             }
             match self.buffer.try_fill(self.stream.get_ref()) {
                 Ok(len) => self.has_input_ended = len == 0,
-                // At the memory limit, input waits in the socket, as with a full buffer.
+                // At the memory limit, further input stays in the socket, as with a full buffer.
                 Err(e) if MemoryLimitReached::caused(&e) => return Ok(()),
                 Err(e) => match e.kind() {
                     ErrorKind::Interrupted => {}
@@ -248,8 +250,8 @@
         self.has_input_ended
     }
 
-    /// Returns the limits of the wait for the next message or the rest of it. Neither a message that stalls or arrives
-    /// very slowly nor a silent connection may hold a descriptor indefinitely.
+    /// Returns the limits of the wait for the next message or the rest of it. A message that stalls or arrives very
+    /// slowly must not hold a descriptor indefinitely, nor must a connection without any messages.
     fn wait_limits(&mut self, is_between_messages: bool) -> WaitLimits {
         let now = self.shared.clock.now();
         let shutdown = match (is_between_messages, self.state.is_unused()) {
@@ -293,13 +295,13 @@
         }
     }
 
-    /// Waits for more input of the next message. The router may close the connection meanwhile, but only after it has
-    /// checked the input received so far: a request that was read gets a response.
+    /// Waits for more input. The router may close the connection meanwhile, but only after it has checked the input
+    /// received so far, because a request that was read must get a response.
     async fn wait_for_input(&mut self) -> Result<(), CloseReason> {
         if self.has_input_ended {
             return self.end_of_input(&Ok(0)).map_or(Ok(()), Err);
         }
-        // The rest of a partial message would arrive too late for a guaranteed response.
+        // No response is guaranteed to input that arrives now, such as the rest of a partial message.
         if self.has_reached_read_limit() {
             return Err(CloseReason::Shutdown);
         }
@@ -320,8 +322,8 @@
         }
     }
 
-    /// Returns the close reason, unless input that must be served first has arrived. The check and the
-    /// decision are one step without an await: input that has arrived up to now is served first.
+    /// Returns the close reason as an error, unless input has arrived that must be served first. There is no await
+    /// between the check of the input and the decision, so no input that has arrived by now is lost.
     fn close_unless_input_arrived(
         &mut self,
         reason: CloseReason,
@@ -340,7 +342,7 @@
         Err(reason)
     }
 
-    /// Creates the dispatcher's request from one that was read at `received_at`.
+    /// Converts a request that was read at `received_at` to the form that the dispatcher receives.
     pub(super) fn client_request(
         &self,
         request: &ValidatedRequest,
--- a/crates/router/src/client/connection_state.rs
+++ b/crates/router/src/client/connection_state.rs
@@ -1,4 +1,4 @@
-//! Records a client connection's state between its commands.
+//! Records the state of a client connection between messages.
 
 use crate::runtime::shared::CountGuard;
 use reelrill_routing::Timestamp;
@@ -7,7 +7,7 @@
 pub enum ConnectionState {
     /// The startup message has not been responded to.
     AwaitingStartup {
-        /// Counts the connection as unused.
+        /// Counts the connection as unused until the guard is dropped.
         unused: CountGuard,
     },
     /// The startup is complete, and no request has been received yet.
@@ -17,9 +17,9 @@
     },
     /// Requests have been received. The next message has not begun, or is complete.
     Idle,
-    /// Requests have been received, and so has a part of the next message.
+    /// Requests have been received, as well as a part of the next message.
     PartialMessage {
-        /// The time at which the first part was seen.
+        /// The time at which the first part of the message was detected.
         since: Timestamp,
     },
 }
@@ -49,7 +49,8 @@
         };
     }
 
-    /// Records that a part of a message has been received by `now`. Returns the time at which its first part was seen.
+    /// Records that a part of a message has been received by `now`. Returns the time at which its first part was
+    /// detected.
     pub fn on_partial_message(&mut self, now: Timestamp) -> Timestamp {
         if let ConnectionState::PartialMessage { since } = self {
             return *since;
@@ -60,7 +61,7 @@
         now
     }
 
-    /// Records that a message is complete. Whether it is a request is determined afterwards.
+    /// Records that a message is complete. If it is a request, [`on_request`](Self::on_request) is called afterwards.
     pub fn on_complete_message(&mut self) {
         if !self.is_unused() {
             *self = ConnectionState::Idle;
--- a/crates/router/src/client/mod.rs
+++ b/crates/router/src/client/mod.rs
@@ -1,10 +1,10 @@
 //! Serves clients: the accept loop, and one task for each connection.
 //!
 //! - `connection` processes the messages of one client in order; `message_kind` classifies each message.
-//! - `connection_state` records whether a connection has had requests, and `wait_limits` bounds its wait for a message.
-//! - `simple_queries` and `extended_queries` execute the client's queries; `outstanding` holds the requests of either
-//!   that the dispatcher is processing, and `wakeup` holds the events that the client's task waits for meanwhile.
-//! - `reading` bounds how much is read, `responses` encodes final responses, `closing` closes connections, and `socket`
+//! - `connection_state` records whether a connection has had requests, and `wait_limits` limits its wait for a message.
+//! - `simple_queries` and `extended_queries` execute the client's queries. `outstanding` holds their requests that the
+//!   dispatcher is processing, and `wakeup` the events that the client's task waits for meanwhile.
+//! - `reading` limits how much is read, `responses` encodes final responses, `closing` closes connections, and `socket`
 //!   writes to a client's socket.
 
 mod accept_loop;
--- a/crates/router/src/client/wait_limits.rs
+++ b/crates/router/src/client/wait_limits.rs
@@ -1,6 +1,7 @@
 //! Bounds a client connection's wait for the next message or for the rest of one: timeouts, eviction and shutdown.
 //!
-//! Only determines when closing is due. Must never close a connection itself: input received by then is served first.
+//! Only determines when closing is due. Must never close a connection itself, because input received by then is served
+//! first.
 
 use crate::observability::close_reason::CloseReason;
 use crate::runtime::shared::{EvictionPriority, Shared};
@@ -19,8 +20,8 @@
 const IDLE_EVICTION_DELAY: Duration = Duration::from_millis(20);
 /// The maximum time for a new connection to send its first request during a graceful shutdown, in nanoseconds.
 const SHUTDOWN_FIRST_REQUEST_TIMEOUT: Nanos = 400_000_000;
-/// The time between the close of a connection without a complete message and the router's last read, in nanoseconds:
-/// input that arrives in between is still read.
+/// The time by which a connection without a complete message is closed before the router stops reading, in nanoseconds.
+/// Input that arrives in between is still read.
 const FINAL_READ_MARGIN: Nanos = 50_000_000;
 
 /// Determines how long a connection stays open during a graceful shutdown.
@@ -28,13 +29,14 @@
 pub enum ShutdownWait {
     /// The connection is closed at once: it is idle.
     CloseAtOnce,
-    /// The connection stays open for its first request: the client would lose that request, and could not send it on
-    /// any further connection either.
+    /// The connection stays open for its first request. Otherwise the client would lose that request, and could not
+    /// send it on another connection either.
     FirstRequest {
         /// The time at which the connection was accepted.
         accepted_at: Timestamp,
     },
-    /// The connection stays open until the router stops reading: a message whose last byte arrives requires a response.
+    /// The connection stays open until shortly before the router stops reading, because a message whose last byte has
+    /// arrived requires a response.
     RestOfMessage,
 }
 
@@ -63,7 +65,7 @@
     pub started_at: Timestamp,
     /// The reason to close the connection if no complete message arrives in time; `None` if there is no timeout.
     pub timeout_reason: Option<CloseReason>,
-    /// The remaining wait during a graceful shutdown.
+    /// The time for which the connection stays open during a graceful shutdown.
     pub shutdown: ShutdownWait,
 }
 
