--- a/crates/router/src/client/reading.rs
+++ b/crates/router/src/client/reading.rs
@@ -8,8 +8,8 @@
 use std::cell::Cell;
 use std::net::TcpStream;
 
-/// The number of bytes that are still read from a connection, beyond those already in its socket, once the shutdown
-/// does not guarantee a response to new input any more.
+/// The number of bytes that are still read from a connection once a graceful shutdown guarantees no response to new
+/// input any more, in addition to the bytes that are in its socket by then.
 const SHUTDOWN_READ_ALLOWANCE: u64 = 64 * 1024;
 /// The maximum number of bytes that are read ahead while a response is outstanding. Reading ahead is needed because the
 /// end of a client's input can only be read after everything before it.
@@ -56,18 +56,18 @@
 }
 
 /// Reads ahead while a response is outstanding. If nothing more may be read, waits until the client disconnects and
-/// returns 0 as at the end of input, which unread bytes would otherwise hide.
+/// then returns 0, as at the end of input: the end itself cannot be read before the unread bytes.
 pub async fn read_ahead(
     shared: &Shared,
     buffer: &mut Buffer,
     stream: &Async<TcpStream>,
     shutdown_read_limit: &ShutdownReadLimit,
 ) -> std::io::Result<usize> {
-    let may_read = buffer.bytes().len() < READ_AHEAD_LIMIT
+    let can_read = buffer.bytes().len() < READ_AHEAD_LIMIT
         && !shutdown_read_limit.is_reached(shared, buffer, stream.get_ref());
-    if may_read {
+    if can_read {
         match buffer.fill(stream).await {
-            // At the memory limit, waits as with a full buffer.
+            // At the memory limit, nothing more may be read, as with a full buffer.
             Err(e) if MemoryLimitReached::caused(&e) => {}
             read => return read,
         }
--- a/crates/router/src/client/reading/tests.rs
+++ b/crates/router/src/client/reading/tests.rs
@@ -1,4 +1,4 @@
-//! Detection of input that requires a response before a connection is closed.
+//! Tests of the detection of input that requires a response before a connection is closed.
 
 use super::*;
 use rstest::rstest;
@@ -41,7 +41,7 @@
     ));
 }
 
-/// Guards against a connection that is closed without the error for bytes that can't be parsed.
+/// Guards against a connection that is closed without an error response to bytes that can't be parsed.
 #[test]
 fn bytes_that_can_not_be_parsed_require_a_response() {
     assert!(starts_with_complete_message(
--- a/crates/router/src/client/socket.rs
+++ b/crates/router/src/client/socket.rs
@@ -8,7 +8,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// The maximum time for a write; the connection of a client that does not read its response within it is closed.
+/// The maximum time for a write. If a client does not read its response within this time, its connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The interval at which the socket is polled for the client's disconnect while nothing is read.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(25);
@@ -31,7 +31,7 @@
     }
 }
 
-/// Writes all of `bytes`. Ends early if the client disconnects, since it may have outstanding requests to cancel.
+/// Writes all of `bytes`. Ends early if the client disconnects, so that its outstanding requests can be cancelled.
 ///
 /// # Errors
 /// If the write fails or times out, or the client disconnects.
--- a/crates/router/src/client/socket/tests.rs
+++ b/crates/router/src/client/socket/tests.rs
@@ -1,4 +1,4 @@
-//! Writes that are short, interrupted or blocked.
+//! Tests of writes that are short, interrupted or blocked.
 
 use super::*;
 use futures_lite::AsyncWrite;
@@ -49,8 +49,8 @@
         results,
         written: Vec::new(),
     };
-    futures_lite::future::block_on(write_all(&mut writer, b"answer")).unwrap();
-    assert_eq!(writer.written, b"answer");
+    futures_lite::future::block_on(write_all(&mut writer, b"response")).unwrap();
+    assert_eq!(writer.written, b"response");
 }
 
 /// Guards against an endless loop on a socket that accepts no bytes, and against further writes to a broken one.
@@ -61,12 +61,12 @@
             results: VecDeque::from([result]),
             written: Vec::new(),
         };
-        assert!(futures_lite::future::block_on(write_all(&mut writer, b"answer")).is_err());
+        assert!(futures_lite::future::block_on(write_all(&mut writer, b"response")).is_err());
     }
 }
 
-/// Guards against a client's outstanding requests that keep running because the client disconnected without reading its
-/// response, and the blocked write does not detect that.
+/// Guards against outstanding requests that are not cancelled when their client disconnects without reading a response:
+/// the write to it is blocked, and must detect the disconnect.
 #[test]
 fn a_disconnect_ends_a_blocked_write() {
     // More bytes than the system buffers for a connection that is not read.
