--- a/crates/router/src/runtime/accept.rs
+++ b/crates/router/src/runtime/accept.rs
@@ -1,10 +1,10 @@
-//! Decides how an accept loop continues after a failed `accept`. It never stops.
+//! Decides how long an accept loop pauses after a failed `accept`. No error ends the loop.
 
 use rustix::io::Errno;
 use std::io;
 use std::time::Duration;
 
-/// The pause while the host is short of a resource that a connection needs. The connection stays in the backlog, so
+/// The pause if the host is short of a resource that a connection needs. The connection stays in the backlog, so
 /// without a pause the accept loop would be a busy loop.
 const RESOURCE_SHORTAGE_PAUSE: Duration = Duration::from_millis(10);
 
--- a/crates/router/src/runtime/accept/tests.rs
+++ b/crates/router/src/runtime/accept/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the documented errors of `accept`.
+//! Tests of the pause after each documented error of `accept`.
 
 use super::*;
 use rstest::rstest;
--- a/crates/router/src/runtime/shutdown.rs
+++ b/crates/router/src/runtime/shutdown.rs
@@ -1,32 +1,33 @@
-//! The schedule of a graceful shutdown: what the router still does at which time after SIGTERM.
+//! Defines the schedule of a graceful shutdown: the time windows after SIGTERM in which the router still forwards
+//! requests, responds and reads.
 //!
-//! The process may be killed 0.7 s after the longest deadline, counted from SIGTERM (a longer deadline counts as 3 s).
-//! Clients continue to send on every connection that stays open until then. All windows are therefore derived from the
-//! longest deadline:
+//! The process may be killed once the longest deadline, of which at most 3 s count, and another 0.7 s have passed since
+//! SIGTERM. Until then clients continue to send on every connection that stays open. All windows are therefore derived
+//! from the longest deadline:
 //!
 //! | until the end of | the router |
 //! | --- | --- |
 //! | `forward_window` | forwards requests as usual |
-//! | `guarantee_window` | guarantees a response to each request; later it reads little more from each connection |
-//! | `response_window` | sends the responses to forwarded requests; it rejects a later request as soon as it is read |
-//! | `read_window` | still reads all input; afterwards it only closes connections |
+//! | `guarantee_window` | guarantees a response to each request; afterwards it reads little from each connection |
+//! | `response_window` | sends the responses to forwarded requests, and rejects all others as soon as they are read |
+//! | `read_window` | reads input; afterwards it only closes connections |
 
 use reelrill_routing::Nanos;
 
 const MILLISECOND: Nanos = 1_000_000;
-/// The upper bound of the longest deadline, where the schedule depends on it.
+/// The maximum time of the longest deadline that counts for the schedule.
 const MAX_COUNTED_DEADLINE: Nanos = 3000 * MILLISECOND;
 /// The time from the longest deadline to the end of the response window. It leaves 0.2 s before the process may be
 /// killed, because a response needs time to arrive and the process may be delayed by 0.15 s.
 const RESPONSE_AFTER_DEADLINE: Nanos = 500 * MILLISECOND;
-/// The least time from the end of the forward window to the end of the response window.
+/// The minimum time from the end of the forward window to the end of the response window.
 const FORWARD_BEFORE_RESPONSE: Nanos = 200 * MILLISECOND;
-/// The longest forward window.
+/// The maximum length of the forward window.
 const MAX_FORWARD_WINDOW: Nanos = 600 * MILLISECOND;
 /// The time from the end of the read window to the end of the response window.
 const READ_BEFORE_RESPONSE: Nanos = 100 * MILLISECOND;
-/// The shortest read window, and the guarantee window: a request that arrives within 0.7 s after the signal must get a
-/// response.
+/// The minimum length of the read window, and the length of the guarantee window: a request that arrives within 0.7 s
+/// after the signal must get a response.
 const MIN_READ_WINDOW: Nanos = 700 * MILLISECOND;
 /// The shortest duration of a graceful shutdown. New connections arrive for 0.4 s after the signal, so the process runs
 /// longer than that, even without a client.
@@ -37,7 +38,7 @@
 pub struct ShutdownSchedule {
     /// A request that is read later is rejected.
     pub forward_window: Nanos,
-    /// A request that arrives later need not get a response: the router may close the connection.
+    /// A request that arrives later may get no response, because the router may close the connection.
     pub guarantee_window: Nanos,
     /// All responses are sent by the end of this window.
     pub response_window: Nanos,
--- a/crates/router/src/runtime/shutdown/tests.rs
+++ b/crates/router/src/runtime/shutdown/tests.rs
@@ -1,4 +1,4 @@
-//! Tests that the schedule fits the time between SIGTERM and the kill.
+//! Tests that the schedule fits into the time between SIGTERM and the kill.
 
 use super::*;
 use rstest::rstest;
@@ -10,8 +10,8 @@
 /// The longest delay of the process between reading its clock and writing a response.
 const PROCESS_DELAY: Nanos = 150 * MILLISECOND;
 
-/// Guards against a window that ends before the platform allows or after the kill. Each window depends on the longest
-/// deadline, so deadlines from 0 to 30 s are tested.
+/// Guards against a window that ends earlier than the platform allows, or after the kill. Each window depends on the
+/// longest deadline, so deadlines from 0 to 30 s are tested.
 #[rstest]
 fn schedule_fits_between_signal_and_kill_for_any_deadline(
     #[values(0, 1, 50, 100, 300, 1000, 2999, 3000, 30_000)] deadline_ms: Nanos,
