--- a/crates/router/src/runtime/clock.rs
+++ b/crates/router/src/runtime/clock.rs
@@ -6,11 +6,12 @@
 use reelrill_routing::Timestamp;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Returns the Unix time at the start plus the monotonic time elapsed since then, in nanoseconds. A step of the system
-/// clock therefore moves no timer.
+/// A clock whose time is the Unix time at the start plus the monotonic time elapsed since then, in nanoseconds. A step
+/// of the system clock therefore moves no timer.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
+    /// The Unix time at the start, in nanoseconds.
     unix_at_start: u64,
 }
 
@@ -32,7 +33,8 @@
         self.unix_at_start + self.start.elapsed().as_nanos() as u64
     }
 
-    /// Converts a time to an [`Instant`], for timers. A time before the start becomes the start.
+    /// Converts a Unix time in nanoseconds to an [`Instant`], for timers. A time before the start is converted to the
+    /// start.
     pub fn instant(&self, at: Timestamp) -> Instant {
         self.start + std::time::Duration::from_nanos(at.saturating_sub(self.unix_at_start))
     }
--- a/crates/router/src/runtime/platform_clock.rs
+++ b/crates/router/src/runtime/platform_clock.rs
@@ -1,4 +1,5 @@
-//! An estimate of the platform's time, derived from what endpoints and the discovery service report.
+//! Estimates the platform's time from the positions that endpoints report and the start times that the discovery
+//! service reports.
 //!
 //! Positions and start times are Unix times of the platform's one clock. The router reads its own system clock only
 //! once, and that clock may have been stepped by seconds or an hour just before the process started. Durations are
@@ -42,8 +43,8 @@
         platform_time.saturating_sub(self.offset)
     }
 
-    /// Returns the position if it is not ahead of the estimate, without changing the estimate. For a position that came
-    /// with a malformed response, which is no evidence of the platform's time.
+    /// Returns the position if it is not ahead of the estimate, without changing the estimate. For the position in a
+    /// malformed response, which is no evidence of the platform's time, only this method is used.
     pub fn plausible_position(
         &self,
         router_time: Timestamp,
@@ -53,8 +54,8 @@
             .then_some(applied_position)
     }
 
-    /// Takes the position that an endpoint reported into account. Returns the position, or `None` if it is ahead of the
-    /// estimate. If `is_only_endpoint`, no other endpoint can confirm the position, and it is accepted.
+    /// Updates the estimate with the position that an endpoint reported. Returns the position, or `None` if it is ahead
+    /// of the estimate. If `is_only_endpoint`, no other endpoint can confirm the position, and it is accepted.
     pub fn on_position(
         &mut self,
         router_time: Timestamp,
@@ -78,7 +79,7 @@
         self.plausible_position(router_time, applied_position)
     }
 
-    /// Takes the start time of an endpoint, as the discovery service reported it, into account.
+    /// Updates the estimate with the start time of an endpoint that the discovery service reported.
     pub fn on_start_time(&mut self, router_time: Timestamp, started: Timestamp) {
         if started > self.to_platform_time(router_time).saturating_add(TOLERANCE) {
             self.offset = started.saturating_sub(router_time);
--- a/crates/router/src/runtime/platform_clock/tests.rs
+++ b/crates/router/src/runtime/platform_clock/tests.rs
@@ -28,8 +28,8 @@
     );
 }
 
-/// Guards against reads with bounded staleness that find no lag of any endpoint, because the router's clock is an hour
-/// behind. Two endpoints ahead of the estimate correct it.
+/// Guards against reads with bounded staleness for which no endpoint's lag is known, because the router's clock is an
+/// hour behind and every position is ahead of the estimate. Two endpoints ahead of the estimate correct it.
 #[test]
 fn raises_the_estimate_when_two_endpoints_are_ahead() {
     let mut clock = PlatformClock::default();
@@ -92,8 +92,8 @@
     assert_eq!(clock.to_platform_time(NOW), NOW + HOUR);
 }
 
-/// Guards slow start against a router clock that is behind. The latest start time that the discovery service reports is
-/// in the past, so the estimate must be at least that.
+/// Guards against a wrong slow start because the router's clock is behind. The latest start time that the discovery
+/// service reports is in the past, so the estimate must be at least that time.
 #[test]
 fn raises_the_estimate_when_a_start_time_is_ahead() {
     let mut clock = PlatformClock::default();
@@ -103,7 +103,7 @@
     assert_eq!(clock.to_platform_time(NOW), NOW + HOUR);
 }
 
-/// Guards against an estimate that malformed responses raise. Several endpoints may send such responses.
+/// Guards against an estimate that is raised by malformed responses, which several endpoints may send.
 #[test]
 fn plausibility_check_does_not_raise_the_estimate() {
     let clock = PlatformClock::default();
