--- a/crates/router/src/runtime/buffer.rs
+++ b/crates/router/src/runtime/buffer.rs
@@ -1,5 +1,5 @@
-//! The read buffer of a connection. It grows as needed, is compacted in place, and releases its memory after a large
-//! message.
+//! Implements the read buffer of a connection, which grows as needed, is compacted in place, and releases its memory
+//! after a large message.
 
 use async_io::Async;
 use futures_lite::AsyncReadExt as _;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Discards the content and releases the memory.
+    /// Discards the content, and returns the memory to the budget.
     pub fn release(&mut self) {
         self.budget
             .used
--- a/crates/router/src/runtime/cancellation.rs
+++ b/crates/router/src/runtime/cancellation.rs
@@ -1,7 +1,6 @@
-//! The registry of clients that can cancel their requests, keyed by the process id and secret of BackendKeyData.
+//! Registers the clients that can cancel their requests, by the process id and secret of BackendKeyData.
 //!
-//! A client's key must never be disclosed to another client: whoever knows the process id and the secret can cancel its
-//! requests.
+//! A client's key must never be disclosed to another client, which could then cancel the client's requests.
 
 use event_listener::Event;
 use std::cell::{Cell, RefCell};
@@ -13,7 +12,7 @@
 pub struct CancellationKey {
     /// The process id, unique among open clients. A client with process id 0 cannot cancel requests.
     pub process: u32,
-    /// The secret key, known to this client only.
+    /// The secret key, which no other client receives.
     pub secret: u32,
 }
 
--- a/crates/router/src/runtime/descriptor_budget.rs
+++ b/crates/router/src/runtime/descriptor_budget.rs
@@ -8,7 +8,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Unused connections count as many if they hold more than one in this number of the permits in use.
+/// Unused connections count as many if there are more of them than the permits in use divided by this number.
 const MANY_UNUSED_DIVISOR: usize = 4;
 
 /// Limits the number of file descriptors that one side uses. Each [`DescriptorPermit`] represents one descriptor.
@@ -21,14 +21,14 @@
     expendable: Event,
     idle: Event,
     stateful: Event,
-    /// The number of connections that have not had a request yet.
+    /// The number of connections that have not had a request yet, whether or not they can be evicted.
     unused: Cell<usize>,
     /// The number of connections between requests without session state, including those idle for too short a time to
     /// be evicted.
     idle_connections: Cell<usize>,
 }
 
-/// Permits its owner to use one descriptor. It is released when dropped.
+/// Permits its owner to use one descriptor. The permit is released when it is dropped.
 pub struct DescriptorPermit(Rc<DescriptorBudget>);
 
 /// Counts a connection in one of the budget's counters until dropped.
@@ -58,7 +58,7 @@
     }
 }
 
-/// The order in which connections are evicted.
+/// The priority with which a connection is evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EvictionPriority {
     /// A connection that has not had a request, has stalled, or is being closed. It is evicted first.
@@ -119,9 +119,10 @@
         CountGuard::new(self, |budget| &budget.idle_connections)
     }
 
-    /// Requests the eviction of the connection that has waited longest, of the expendable ones first. If many
-    /// connections are unused, no idle one is evicted: clients use those, and some of the unused ones will soon be
-    /// expendable. Returns whether a connection was notified or will soon be available for eviction.
+    /// Requests the eviction of the expendable connection that has waited longest or, if there is none, of the idle one
+    /// that has waited longest. If many connections are unused, no idle one is evicted: clients use the idle ones, and
+    /// some of the unused ones will soon be expendable. Returns whether a connection was notified or will soon be
+    /// available for eviction.
     pub fn request_eviction(&self) -> bool {
         self.expendable.notify(1.additional()) > 0
             || self.unused.get() * MANY_UNUSED_DIVISOR > self.used.get()
@@ -155,7 +156,7 @@
 impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         self.0.used.set(self.0.used.get().saturating_sub(1));
-        // The waiting tasks wait for different conditions, so each must check its own.
+        // The waiting tasks may need more than a permit, so all are notified and each checks its own condition.
         self.0.released.notify(usize::MAX);
     }
 }
--- a/crates/router/src/runtime/flag.rs
+++ b/crates/router/src/runtime/flag.rs
@@ -1,4 +1,4 @@
-//! A one-time condition that tasks can wait for.
+//! Defines a flag that is raised once, and that tasks can wait for.
 
 use event_listener::Event;
 use std::cell::Cell;
--- a/crates/router/src/runtime/interrupted.rs
+++ b/crates/router/src/runtime/interrupted.rs
@@ -1,4 +1,4 @@
-//! Retries of I/O operations that a signal interrupted (`EINTR`). An interrupted operation has had no effect.
+//! Retries I/O operations that a signal interrupted (`EINTR`). An interrupted operation has had no effect.
 
 use futures_lite::{AsyncWrite, AsyncWriteExt as _};
 use std::io::{self, ErrorKind};
--- a/crates/router/src/runtime/mod.rs
+++ b/crates/router/src/runtime/mod.rs
@@ -1,5 +1,5 @@
-//! Infrastructure that all tasks of the router's one thread share: buffers, clocks, the descriptor budget, the
-//! cancellation registry and the schedule of a graceful shutdown.
+//! Provides the infrastructure that all tasks of the router's one thread share: buffers, clocks, the descriptor budget,
+//! the cancellation registry and the schedule of a graceful shutdown.
 
 pub mod accept;
 pub mod buffer;
--- a/crates/router/src/runtime/shared.rs
+++ b/crates/router/src/runtime/shared.rs
@@ -38,7 +38,7 @@
     pub client_descriptors: Rc<DescriptorBudget>,
     /// The file descriptors for connections to endpoints.
     pub upstream_descriptors: Rc<DescriptorBudget>,
-    /// Raised once the router knows endpoints that it can forward requests to.
+    /// Raised once the endpoint list contains an endpoint that requests can be forwarded to.
     pub ready: Flag,
     /// Raised by SIGTERM or SIGINT.
     pub shutdown_started: Flag,
@@ -50,8 +50,8 @@
     pub last_arrival: Cell<Timestamp>,
     /// Sends messages to the dispatcher.
     pub dispatcher: MailboxSender,
-    /// Sends the endpoint list and the responses of endpoints to the registry. `None` if the endpoint list is the only
-    /// source: it then goes to the dispatcher.
+    /// Sends events to the endpoint registry. `None` if the endpoint list is the only source: it is then sent to the
+    /// dispatcher.
     pub registry: Option<async_channel::Sender<RegistryEvent>>,
     /// The memory budget for the large buffers of all connections.
     pub buffer_memory: Rc<MemoryBudget>,
@@ -67,13 +67,13 @@
 /// The descriptors reserved for the listener, the reactor, the log, discovery and the libraries.
 const RESERVED_DESCRIPTORS: usize = 24;
 /// The percentage of the remaining descriptors that client connections may use. Clients with a request in progress hold
-/// up to a third of all descriptors, and their upstream connections about as many; the clients' share also has room for
+/// up to a third of all descriptors, and their upstream connections about as many. The clients' share also has room for
 /// connections without a request.
 const CLIENT_DESCRIPTORS_PERCENT: usize = 55;
 /// The percentage of the memory limit that large buffers may use. The content of a buffer may be copied twice (into the
 /// statement and into the attempt), and the rest of the process needs about 5 MB.
 const LARGE_BUFFERS_PERCENT: usize = 20;
-/// The largest number of bytes that are read at once to be discarded.
+/// The maximum number of bytes that are read at once and discarded.
 const DISCARD_BUFFER_SIZE: usize = 64 * 1024;
 
 /// Creates the resources that the prepared statements and pipelines of all clients share.
@@ -127,8 +127,8 @@
         })
     }
 
-    /// Notifies the registry that an endpoint responded. A notification that finds a full mailbox is dropped: the next
-    /// response leads to another.
+    /// Notifies the registry that an endpoint responded. If the registry's mailbox is full, the notification is
+    /// dropped, because a later response leads to another one.
     pub fn report_endpoint_responded(&self, endpoint: &EndpointId, is_draining: bool) {
         if let Some(registry) = &self.registry {
             let _ = registry.try_send(RegistryEvent::EndpointResponded {
