--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -80,7 +80,7 @@
 pub fn check(file: &Path) -> Result<&'static str, CheckError> {
     if file.extension().is_some_and(|e| e == "json") {
         let config = Config::check(&file.display().to_string())?;
-        let settings = &config.site.settings;
+        let settings = &config.routing.settings;
         settings.validate().map_err(|source| CheckError::Settings {
             path: file.display().to_string(),
             source,
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -105,7 +105,7 @@
     /// The last known endpoint list, with which the router starts: its version, if there is a list, and its entries.
     pub known_list: (Option<u64>, Vec<ListedEndpoint>),
     /// The platform's settings, converted to the balancer's types.
-    pub site: RoutingConfig,
+    pub routing: RoutingConfig,
     /// The project's own settings.
     pub extensions: Extensions,
     /// The file that `extensions` was read from.
@@ -212,12 +212,12 @@
             variable,
         };
         let settings = value.get("settings").cloned().unwrap_or_default();
-        let site =
+        let routing =
             reelrill_routing_config::read(&settings).map_err(|source| ConfigError::Settings {
                 path: path.to_owned(),
                 source,
             })?;
-        let known_list = file.known_list(&site.zones)?;
+        let known_list = file.known_list(&routing.zones)?;
         let descriptors = file.limit("sockets", MIN_DESCRIPTORS, DEFAULT_DESCRIPTORS)?;
         let memory_mb = file.limit("memory_mb", MIN_MEMORY_MB, DEFAULT_MEMORY_MB)?;
         let memory_mb = memory_mb.clamp(*EFFECTIVE_MEMORY_MB.start(), *EFFECTIVE_MEMORY_MB.end());
@@ -232,7 +232,7 @@
             memory_limit: usize::try_from(memory_mb).unwrap_or(DEFAULT_MEMORY_MB as usize)
                 << BYTES_PER_MB_SHIFT,
             known_list,
-            site,
+            routing,
             extensions,
             extensions_path: None,
             settings,
--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -111,7 +111,7 @@
             connection.close(CloseReason::Eof);
         }
         let value = serde_json::from_slice(&body)?;
-        Ok(read_list(&value, &self.shared.config.site.zones)?)
+        Ok(read_list(&value, &self.shared.config.routing.zones)?)
     }
 
     async fn connect(&self, timeout: Nanos) -> Result<Connection, PollError> {
--- a/crates/router/src/discovery/list_watch.rs
+++ b/crates/router/src/discovery/list_watch.rs
@@ -53,7 +53,7 @@
     requests: Receiver<EndpointListRequest>,
     addresses: Receiver<SocketAddr>,
 ) {
-    let service = if shared.config.site.settings.is_subscription_required {
+    let service = if shared.config.routing.settings.is_subscription_required {
         ListService::Shared
     } else {
         ListService::LocalAgent
--- a/crates/router/src/discovery/registry/services.rs
+++ b/crates/router/src/discovery/registry/services.rs
@@ -90,7 +90,7 @@
             ),
             query_timeout: settings.timeout_ms * NANOS_PER_MILLISECOND,
             max_queries_per_second: settings.budget.into(),
-            zones: self.shared.config.site.zones.clone(),
+            zones: self.shared.config.routing.zones.clone(),
         };
         let source = self.next_source;
         self.next_source += 1;
--- a/crates/router/src/dispatcher/attempts.rs
+++ b/crates/router/src/dispatcher/attempts.rs
@@ -24,7 +24,7 @@
         time_limit: Option<Nanos>,
         write_deadline: Option<Timestamp>,
     ) {
-        let max_attempts = self.shared.config.site.settings.limits.max_attempts;
+        let max_attempts = self.shared.config.routing.settings.limits.max_attempts;
         let Some(request) = self.requests.get_mut(id) else {
             error!(self.shared.log, "balancer started an attempt for an unknown request"; "request" => id);
             return;
@@ -142,7 +142,7 @@
         reported: ReplicationStatus,
     ) -> ReplicationStatus {
         let mut status = self.plausible_status(&attempt.endpoint, outcome, reported);
-        let classes = &self.shared.config.site.settings.classes;
+        let classes = &self.shared.config.routing.settings.classes;
         let class = classes.get(class as usize);
         let is_write = class.is_some_and(|c| c.operation == Operation::Write);
         if is_write && outcome == AttemptOutcome::Served {
--- a/crates/router/src/dispatcher/endpoint_list.rs
+++ b/crates/router/src/dispatcher/endpoint_list.rs
@@ -29,7 +29,7 @@
         !self
             .shared
             .config
-            .site
+            .routing
             .settings
             .rules
             .allows_unlisted_endpoints
--- a/crates/router/src/dispatcher/mod.rs
+++ b/crates/router/src/dispatcher/mod.rs
@@ -67,7 +67,7 @@
         executor: Rc<LocalExecutor<'static>>,
         list_requests: Sender<EndpointListRequest>,
     ) -> Result<Dispatcher, SettingsError> {
-        let settings = shared.config.site.settings.clone();
+        let settings = shared.config.routing.settings.clone();
         Ok(Dispatcher {
             balancer: Balancer::new(shared.config.seed, settings)?,
             platform_clock: PlatformClock::default(),
--- a/crates/router/src/runtime/shared.rs
+++ b/crates/router/src/runtime/shared.rs
@@ -84,8 +84,8 @@
         limits: extended.limits,
         budgets: SharedBudgets::new(&extended.limits),
         classes: ClassCatalog::new(
-            config.site.class_names.clone(),
-            config.site.settings.classes.clone(),
+            config.routing.class_names.clone(),
+            config.routing.settings.classes.clone(),
         ),
         should_translate: extended.mode == ExtendedQueryMode::Translate,
     }
@@ -102,7 +102,7 @@
         let available = config.descriptor_limit - RESERVED_DESCRIPTORS;
         let for_clients = available * CLIENT_DESCRIPTORS_PERCENT / 100;
         let clock = Clock::new();
-        let deadlines = config.site.settings.classes.iter().map(|c| c.deadline);
+        let deadlines = config.routing.settings.classes.iter().map(|c| c.deadline);
         let shutdown_schedule = ShutdownSchedule::new(deadlines.max().unwrap_or(0));
         let session_resources = new_session_resources(&config);
         Rc::new(Shared {
--- a/crates/router/src/upstream/connect.rs
+++ b/crates/router/src/upstream/connect.rs
@@ -27,7 +27,7 @@
 
 /// Returns the connect timeout in nanoseconds. It includes the wait for a file descriptor.
 pub fn connect_timeout(shared: &Shared) -> Nanos {
-    match shared.config.site.settings.limits.connect_timeout {
+    match shared.config.routing.settings.limits.connect_timeout {
         0 => DEFAULT_CONNECT_TIMEOUT,
         limit => limit,
     }
--- a/crates/router/src/upstream/endpoint_status.rs
+++ b/crates/router/src/upstream/endpoint_status.rs
@@ -39,7 +39,7 @@
 
     /// Returns whether the endpoint has been draining for so long that no request may be written to it any more.
     pub fn has_drain_grace_expired(&self, shared: &Shared) -> bool {
-        let cutoff = shared.config.site.settings.rules.drain_cutoff();
+        let cutoff = shared.config.routing.settings.rules.drain_cutoff();
         self.draining_since
             .get()
             .is_some_and(|since| shared.clock.now() >= since.saturating_add(cutoff))
--- a/crates/router/src/upstream/exchange.rs
+++ b/crates/router/src/upstream/exchange.rs
@@ -101,7 +101,7 @@
     endpoint: EndpointId,
 ) {
     count(&shared.counters.health_checks);
-    let connect_timeout = shared.config.site.settings.limits.connect_timeout;
+    let connect_timeout = shared.config.routing.settings.limits.connect_timeout;
     let limit = Duration::from_nanos(connect_timeout.max(MIN_HEALTH_CHECK_TIMEOUT));
     let timed_out = async {
         Timer::after(limit).await;
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -123,7 +123,7 @@
         command_sender: Weak<CommandSender>,
     ) -> EndpointPool {
         let (event_sender, events) = async_channel::bounded(EVENT_CAPACITY);
-        let idle_limit = match shared.config.site.endpoint_idle_timeout {
+        let idle_limit = match shared.config.routing.endpoint_idle_timeout {
             0 => DEFAULT_IDLE_LIMIT,
             limit => limit as f64,
         };
