--- a/crates/router/src/runtime/shutdown.rs
+++ b/crates/router/src/runtime/shutdown.rs
@@ -15,7 +15,7 @@
 use reelrill_routing::Nanos;
 
 const MILLISECOND: Nanos = 1_000_000;
-/// The maximum time of the longest deadline that counts for the schedule.
+/// The value to which the longest deadline is limited in the schedule.
 const MAX_COUNTED_DEADLINE: Nanos = 3000 * MILLISECOND;
 /// The time from the longest deadline to the end of the response window. It leaves 0.2 s before the process may be
 /// killed, because a response needs time to arrive and the process may be delayed by 0.15 s.
