--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -1,6 +1,6 @@
 //! Polls the discovery service over HTTP, one poll at a time on a kept-alive connection.
 //!
-//! The client owns the service's address and the connection. `list_watch` decides when to poll and how to react to the
+//! The client owns the service's address and the connection. `list_watch` decides when to poll and how to handle the
 //! outcome; this module never repeats a poll by itself.
 
 use crate::discovery::http::{Connection, HttpError};
@@ -34,7 +34,7 @@
     /// The HTTP request failed.
     #[error("discovery service: {0}")]
     Http(#[from] HttpError),
-    /// There was no connection, or no complete response, within the poll's timeouts.
+    /// No connection was established, or no complete response received, within the poll's timeouts.
     #[error("no response from the discovery service in time")]
     TimedOut,
 }
@@ -42,7 +42,7 @@
 /// The list that a poll yielded, or its error.
 pub type PollResult = Result<List, PollError>;
 
-/// Converts the result of a poll to the outcome that the list watch handles.
+/// Returns the outcome of a poll in the form that the list watch handles.
 pub fn outcome(result: &PollResult) -> PollOutcome {
     match result {
         Ok(list) => PollOutcome::Updated {
@@ -59,7 +59,8 @@
 pub struct DiscoveryClient {
     shared: Rc<Shared>,
     address: Cell<SocketAddr>,
-    /// The kept-alive connection. A running poll holds it instead, so that dropping the poll closes it.
+    /// The kept-alive connection. While a poll is running, the poll owns the connection, so that it is closed when the
+    /// poll is dropped.
     connection: Cell<Option<Connection>>,
     poll_started_at: Cell<Timestamp>,
 }
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Sets the service's address. Returns whether it has changed; another address means another service.
+    /// Sets the service's address, and returns whether it has changed. A service at another address is another service.
     pub fn set_address(&self, address: SocketAddr) -> bool {
         if self.address.replace(address) == address {
             return false;
--- a/crates/router/src/discovery/http.rs
+++ b/crates/router/src/discovery/http.rs
@@ -34,7 +34,7 @@
     /// The service closed the connection early.
     #[error("connection closed before the response was complete")]
     Closed,
-    /// The response has another status than 200.
+    /// The response has a status other than 200.
     #[error("HTTP status: expected {STATUS_OK}, got {0}")]
     Status(u16),
 }
@@ -45,19 +45,19 @@
     buffer: Buffer,
     host: SocketAddr,
     is_reusable: bool,
-    /// The reason to log if the connection is dropped now.
-    reason: CloseReason,
+    /// The reason that is logged when the connection is dropped.
+    close_reason: CloseReason,
     log: Logger,
 }
 
-/// Logs exactly one line for each connection, wherever it is dropped.
+/// Logs exactly one line for each connection, no matter where it is dropped.
 impl Drop for Connection {
     fn drop(&mut self) {
-        info!(self.log, "connection ended"; "with" => "discovery", "reason" => self.reason.code());
+        info!(self.log, "connection ended"; "with" => "discovery", "reason" => self.close_reason.code());
     }
 }
 
-/// The length of a body, as stated by the head.
+/// The length of a body according to its head.
 enum BodyLength {
     Fixed(usize),
     Chunked,
@@ -77,14 +77,15 @@
     ) -> Result<Connection, HttpError> {
         let stream = retry_interrupted(async || Async::<TcpStream>::connect(host).await).await?;
         stream.get_ref().set_nodelay(true)?;
-        // Applies if the connection is dropped during a request: the caller has started another or stopped waiting.
-        let reason = CloseReason::Replaced;
+        // The reason if the connection is dropped during a request: the caller has replaced the request by another one,
+        // or does not wait for its response any more.
+        let close_reason = CloseReason::Replaced;
         Ok(Connection {
             stream,
             buffer: Buffer::new(memory),
             host,
             is_reusable: true,
-            reason,
+            close_reason,
             log,
         })
     }
@@ -96,7 +97,7 @@
 
     /// Closes the connection and logs `reason`.
     pub fn close(mut self, reason: CloseReason) {
-        self.reason = reason;
+        self.close_reason = reason;
     }
 
     /// Sends a GET request for `path` and waits for the first bytes of the response.
@@ -105,24 +106,24 @@
     /// If the connection fails or is closed before a response begins.
     pub async fn request(&mut self, path: &str) -> Result<(), HttpError> {
         let result = self.send(path).await;
-        self.set_reason(result.as_ref().err());
+        self.set_close_reason(result.as_ref().err());
         result
     }
 
     /// Reads the rest of the response and returns its body.
     ///
     /// # Errors
-    /// If the connection fails or is closed early, or if the response is not valid, too large, or has another status
-    /// than 200.
+    /// If the connection fails or is closed early, or the response is invalid, is too large, or has a status other than
+    /// 200.
     pub async fn response(&mut self) -> Result<Vec<u8>, HttpError> {
         let result = self.read_response().await;
-        self.set_reason(result.as_ref().err());
+        self.set_close_reason(result.as_ref().err());
         result
     }
 
-    /// Sets the reason to log if the connection is dropped after this result.
-    fn set_reason(&mut self, error: Option<&HttpError>) {
-        self.reason = match error {
+    /// Sets the reason that is logged if the connection is dropped after this result.
+    fn set_close_reason(&mut self, error: Option<&HttpError>) {
+        self.close_reason = match error {
             Some(HttpError::Closed) => CloseReason::Eof,
             Some(HttpError::Io(_)) => CloseReason::Reset,
             Some(HttpError::Parse(_) | HttpError::Length) => CloseReason::Malformed,
@@ -152,7 +153,7 @@
             }
             self.fill_more().await?;
         };
-        self.is_reusable = head.keeps_connection;
+        self.is_reusable = head.is_keep_alive;
         let body = match head.length {
             BodyLength::Fixed(len) => self.read_exact(len).await?,
             BodyLength::Chunked => self.read_chunks().await?,
@@ -231,17 +232,17 @@
 struct Head {
     status: u16,
     length: BodyLength,
-    keeps_connection: bool,
+    is_keep_alive: bool,
 }
 
-/// Parses a head. Returns its length in bytes with it, or `None` if it is not complete.
+/// Parses the head of a response. Returns its length in bytes and the head, or `None` if it is not complete.
 fn read_head(bytes: &[u8]) -> Result<Option<(usize, Head)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let httparse::Status::Complete(len) = response.parse(bytes)? else {
         return Ok(None);
     };
-    let mut keeps_connection = response.version == Some(1);
+    let mut is_keep_alive = response.version == Some(1);
     let mut length = BodyLength::UntilClose;
     for header in response.headers.iter() {
         let value = std::str::from_utf8(header.value).unwrap_or("").trim();
@@ -252,7 +253,7 @@
         {
             length = BodyLength::Chunked;
         } else if header.name.eq_ignore_ascii_case("connection") {
-            keeps_connection = !value.eq_ignore_ascii_case("close");
+            is_keep_alive = !value.eq_ignore_ascii_case("close");
         }
     }
     Ok(Some((
@@ -260,7 +261,7 @@
         Head {
             status: response.code.unwrap_or(0),
             length,
-            keeps_connection,
+            is_keep_alive,
         },
     )))
 }
