--- a/crates/router/src/discovery/registry/dns_query.rs
+++ b/crates/router/src/discovery/registry/dns_query.rs
@@ -21,7 +21,7 @@
     } else {
         query_over_udp(source, &query, &events).await
     };
-    // An event without bytes reports the failure; the browser then queries the next server.
+    // An event without bytes reports a failure. The browser then queries the next server.
     let bytes = result.unwrap_or(None);
     let event = RegistryEvent::DnsResponse {
         source,
--- a/crates/router/src/discovery/registry/mod.rs
+++ b/crates/router/src/discovery/registry/mod.rs
@@ -1,7 +1,7 @@
-//! Runs the task around the endpoint registry, used if there are several sources of endpoints. It passes the sources'
+//! Runs the task that owns the endpoint registry, which merges several sources of endpoints. It passes the sources'
 //! claims to the registry, runs the DNS browsers, and reports each change of the merged list to the dispatcher.
 //!
-//! The task owns the registry and the browsers. It never changes a source's claims; `reelrill_service_discovery`
+//! The task also owns the browsers. It never changes a source's claims; `reelrill_service_discovery`
 //! decides how they are merged.
 
 mod dns_query;
@@ -58,7 +58,7 @@
     EventsClosed,
 }
 
-/// The task that merges the sources of endpoints.
+/// Owns the endpoint registry and the browsers, and merges the sources of endpoints.
 pub struct EndpointRegistryTask {
     shared: Rc<Shared>,
     executor: Rc<LocalExecutor<'static>>,
@@ -67,7 +67,7 @@
     status_queries: Receiver<StatusQuery>,
     endpoints: EndpointRegistry,
     services: BTreeMap<SourceId, Service>,
-    /// The number of the next new service.
+    /// The number that the next new service gets.
     next_source: SourceId,
     /// The time at which the endpoint list is requested again.
     list_retry_at: Option<Timestamp>,
@@ -139,7 +139,8 @@
                 kind: SourceKind::EndpointList,
             };
             self.endpoints.handle(now, input, &mut changes);
-            // The balancer takes changes from DNS records for those of a watched list, and would not request the list.
+            // The balancer cannot distinguish changes from DNS records from those of a watched list, and would not
+            // request the list.
             self.list_retry_at = Some(now);
             let (version, entries) = self.shared.config.known_list.clone();
             self.apply_entries(now, entries, version.unwrap_or(0), &mut changes);
@@ -188,7 +189,7 @@
         }
         if self.list_retry_at.is_some_and(|at| at <= now) {
             self.list_retry_at = None;
-            // If the mailbox is full, a request that is still queued covers this one, too.
+            // If the channel is full, a request for the list that is still queued also covers this one.
             let _ = self.list_requests.try_send(EndpointListRequest::Subscribe);
         }
     }
@@ -243,18 +244,18 @@
                 self.on_settings(now, &discovery, changes);
             }
         }
-        let contradictions = self.endpoints.counters().state_conflicts - before;
-        if contradictions > 0 {
+        let conflicts = self.endpoints.counters().state_conflicts - before;
+        if conflicts > 0 {
             let endpoint = self
                 .endpoints
                 .last_conflicting_endpoint()
                 .map_or("", |id| id);
-            warn!(self.shared.log, "sources contradict each other"; "times" => contradictions, "last" => endpoint);
+            warn!(self.shared.log, "sources contradict each other"; "times" => conflicts, "last" => endpoint);
         }
     }
 
-    /// Handles the end of a poll of the endpoint list. Reports it to the dispatcher even without a change, since the
-    /// dispatcher's request is complete.
+    /// Handles the end of a poll of the endpoint list. Reports it to the dispatcher even without a change, because the
+    /// poll completes the dispatcher's request for the list.
     async fn on_endpoint_list(
         &mut self,
         now: Timestamp,
@@ -267,8 +268,8 @@
             let source = ENDPOINT_LIST;
             let input = RegistryInput::SourceFailed { source };
             self.endpoints.handle(now, input, changes);
-            // While any changes arrive, also those from DNS records, the balancer takes the list for watched and would
-            // not request it.
+            // As long as any changes arrive, even if only from DNS records, the balancer treats the list as watched,
+            // and would not request it.
             self.list_retry_at = Some(now + self.next_backoff());
             self.send_to_dispatcher(ListKind::Failed, Vec::new()).await;
             return;
@@ -285,8 +286,8 @@
         self.send_to_dispatcher(ListKind::Changes, Vec::new()).await;
     }
 
-    /// Counts a failure and returns the backoff after it, in nanoseconds: between half and all of a time that doubles
-    /// with each failure, chosen at random.
+    /// Counts a failure and returns the backoff after it, in nanoseconds: a random time between half and all of a limit
+    /// that doubles with each failure.
     fn next_backoff(&mut self) -> Nanos {
         let doublings = self.list_failures.min(MAX_BACKOFF_DOUBLINGS);
         self.list_failures += 1;
--- a/crates/router/src/discovery/registry/services.rs
+++ b/crates/router/src/discovery/registry/services.rs
@@ -1,5 +1,5 @@
-//! Manages the services that are browsed over DNS: creates and removes them according to the settings, and carries out
-//! the outputs of their browsers.
+//! Manages the services that are browsed over DNS: creates and removes them according to the settings, and executes the
+//! outputs of their browsers.
 
 use super::{EndpointRegistryTask, RegistryError, dns_query};
 use crate::extensions::{DiscoverySettings, DnsSdSettings};
@@ -25,7 +25,8 @@
 }
 
 impl Service {
-    /// Returns whether this service has this name, and these settings apart from the list of services.
+    /// Returns whether this service has this name and these settings. The list of services in the settings is not
+    /// compared.
     fn is_configured_as(&self, name: &str, settings: &DnsSdSettings) -> bool {
         let comparable = DnsSdSettings {
             services: self.settings.services.clone(),
@@ -43,7 +44,8 @@
 }
 
 impl EndpointRegistryTask {
-    /// Makes the services match the settings; a service whose settings are unchanged is kept. Returns the removed ones.
+    /// Adds and removes services according to the settings. A service whose settings are unchanged is kept. Returns the
+    /// removed services.
     ///
     /// # Errors
     /// If a name in the settings is not a DNS name; nothing has changed then.
@@ -53,8 +55,8 @@
     ) -> Result<Vec<SourceId>, RegistryError> {
         let mut configured = Vec::new();
         if let Some(settings) = &discovery.dns_sd {
-            // All names are parsed before any change, so that an invalid one does not leave half of the services in
-            // place.
+            // All names are parsed before anything is changed, so that an invalid name does not leave half of the
+            // services configured.
             for text in settings.services.iter().chain([&settings.domain]) {
                 parse_name(text)?;
             }
@@ -70,7 +72,8 @@
         Ok(removed)
     }
 
-    /// Returns the service with this name and these settings: the existing one, or a new one that is not started yet.
+    /// Returns the source id of the service with this name and these settings: the existing one, or a new one that has
+    /// not been started.
     fn ensure_service(
         &mut self,
         name: &str,
@@ -127,7 +130,8 @@
         let mut added = self.service_ids();
         added.retain(|source| !before.contains(source));
         info!(self.shared.log, "discovery sources reloaded"; "new" => added.len(), "gone" => removed.len());
-        // Adds services before it removes others, so that an endpoint named by both is never without a source.
+        // New services are started before others are removed, so that an endpoint that both name is never without a
+        // source.
         for source in added {
             self.start_service(now, source, changes);
         }
@@ -164,7 +168,7 @@
         });
     }
 
-    /// Calls a service's browser with an input and carries out the outputs.
+    /// Calls a service's browser with an input and executes its outputs.
     pub(super) fn drive_browser(
         &mut self,
         now: Timestamp,
