--- a/crates/router/src/discovery/admin_socket/mod.rs
+++ b/crates/router/src/discovery/admin_socket/mod.rs
@@ -1,7 +1,8 @@
 //! Serves the admin socket, a Unix socket from which operators read the endpoints of a running router, and implements
 //! the command that reads it.
 //!
-//! The module owns the socket's path. It never changes an endpoint, and only the router's own user may connect.
+//! The module owns the socket's path. It never changes an endpoint, and only the router's own operating-system user may
+//! connect.
 
 mod status_table;
 
@@ -22,18 +23,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A query for the endpoints' status: the sender for the formatted table.
+/// A query for the status of all endpoints: the channel on which the formatted table is returned.
 pub type StatusQuery = Sender<String>;
 
-/// The maximum time for a client to receive the table.
+/// The maximum time to write the table to a client.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The maximum number of queries that may wait for the registry.
 const MAX_QUEUED_QUERIES: usize = 4;
 /// The socket's file mode: only the router's own user may connect.
 const SOCKET_MODE: u32 = 0o600;
 
-/// Listens on the configured socket and returns the receiver of its queries. Without a configured socket it receives
-/// none.
+/// Listens on the configured socket and returns the receiver of its queries. If no socket is configured, the receiver
+/// gets no queries.
 ///
 /// # Errors
 /// If the socket can't be created.
@@ -80,7 +81,7 @@
     }
 }
 
-/// Queries the registry and writes the table to a client, within [`WRITE_TIMEOUT`].
+/// Requests the table from the registry and writes it to a client, within [`WRITE_TIMEOUT`].
 async fn write_table(mut stream: Async<UnixStream>, queries: &Sender<StatusQuery>) {
     let (query, response) = async_channel::bounded(1);
     let write = async {
--- a/crates/router/src/discovery/list.rs
+++ b/crates/router/src/discovery/list.rs
@@ -1,7 +1,7 @@
 //! Converts an endpoint list from its wire form, found in the configuration and in the discovery service's responses.
 //!
 //! The wire types contain every field that is used; others are ignored. An optional field of the wrong type counts as
-//! absent. Whether an endpoint is usable is decided elsewhere.
+//! absent. This module does not decide whether an endpoint is usable.
 
 use crate::messages::ListedEndpoint;
 use reelrill_routing::{EndpointEntry, EndpointState};
@@ -21,7 +21,7 @@
     /// A field is missing or has the wrong type.
     #[error("{path}: {source}")]
     Field {
-        /// The path of the field, as in `targets[3].state`, or of the object that lacks it.
+        /// The path of the field, such as `targets[3].state`, or of the object in which it is missing.
         path: String,
         /// The error of the field's value.
         source: serde_json::Error,
@@ -29,7 +29,7 @@
     /// An endpoint that may get requests has no usable address.
     #[error("targets[{index}].endpoint: {}", describe_address(.value.as_deref()))]
     Address {
-        /// The endpoint's index in the list.
+        /// The endpoint's index in the list, from 0.
         index: usize,
         /// The value of its address field, if that is a string.
         value: Option<String>,
--- a/crates/router/src/discovery/list/tests.rs
+++ b/crates/router/src/discovery/list/tests.rs
@@ -1,4 +1,4 @@
-//! Conversion of a list from its wire form, and the fields that errors name.
+//! Tests of the conversion of a list from its wire form, and of the fields that its errors name.
 
 use super::*;
 use serde_json::json;
@@ -43,7 +43,7 @@
         changed[key] = json!({"of": "another type"});
     }
     let entry = read_target(changed).unwrap().entry;
-    // The number after the last configured zone: an unknown zone shares no idempotency keys with those.
+    // Zone 2 is the number after the last configured zone: an unknown zone shares no idempotency keys with a known one.
     assert_eq!((entry.zone, entry.started), (2, 0));
     assert_eq!((entry.is_primary, entry.weight), (false, 1.0));
 }
@@ -58,7 +58,7 @@
     assert_eq!(listed.address.port(), 0);
 }
 
-/// Guards against an error that does not name the field which makes a list invalid.
+/// Guards against an error that does not name the field that makes a list invalid.
 #[test]
 fn an_error_names_the_field_at_fault() {
     let cases = [
--- a/crates/router/src/discovery/list_watch.rs
+++ b/crates/router/src/discovery/list_watch.rs
@@ -24,7 +24,7 @@
 enum Wakeup {
     PollEnded(PollResult),
     ListRequested(EndpointListRequest),
-    /// The configuration has been reloaded; it holds this address of the discovery service.
+    /// The configuration has been reloaded, and contains this address of the discovery service.
     AddressReloaded(SocketAddr),
     /// The dispatcher has ended.
     DispatcherEnded,
@@ -87,15 +87,16 @@
         }
     }
 
-    /// Performs the scheduled poll, if there is one, unless an event that takes precedence over it occurs first.
+    /// Performs the scheduled poll, if there is one, unless an event occurs first that replaces it.
     async fn next_wakeup(&self, scheduled: Option<ScheduledPoll>) -> Wakeup {
         let address = self.next_address();
         let Some(scheduled) = scheduled else {
             return or(address, self.next_request()).await;
         };
         let poll = self.poll(scheduled);
-        // A new address ends a poll of the old one, which may hang or be about to close. A request for the complete
-        // list ends a long poll of an open watch; a poll that opens a watch does not wait for changes and soon ends.
+        // A new address ends a poll of the old one, because that poll may hang, or its service may be about to close. A
+        // request for the complete list ends only the long poll of an open watch: a poll that opens a watch does not
+        // wait for changes, and ends soon.
         if self.watch.is_open() {
             or(address, or(self.next_request(), poll)).await
         } else {
@@ -120,7 +121,7 @@
     async fn next_request(&self) -> Wakeup {
         loop {
             match self.requests.recv().await {
-                // The open watch already fulfils this request; ending its poll would cost another one.
+                // The open watch already fulfils this request, and ending its poll would require another one.
                 Ok(EndpointListRequest::Subscribe) if self.watch.is_open() => {}
                 Ok(request) => return Wakeup::ListRequested(request),
                 Err(_) => return Wakeup::DispatcherEnded,
@@ -137,7 +138,7 @@
         if self.client.set_address(address) {
             self.watch.on_service_replaced();
         }
-        // Polls at once even if the address is the old one: a poll of it may have been dropped just now.
+        // Polls at once even if the address has not changed, because a poll may have been dropped just now.
         self.schedule_request(now, ListRequest::Changes);
     }
 
--- a/crates/router/src/discovery/messages.rs
+++ b/crates/router/src/discovery/messages.rs
@@ -8,7 +8,7 @@
 /// A request to the list watch.
 #[derive(Debug, Clone, Copy)]
 pub enum EndpointListRequest {
-    /// Requests all further changes.
+    /// Requests all changes from now on.
     Subscribe,
     /// Requests the complete list, once.
     Fetch,
@@ -18,7 +18,7 @@
 pub enum RegistryEvent {
     /// A poll of the endpoint list has ended.
     EndpointList {
-        /// Whether the list is complete, holds only changes, or the poll failed.
+        /// Whether `listed` is the complete list or only changes, or whether the poll failed.
         kind: ListKind,
         /// The list's entries; none if the poll failed.
         listed: Vec<ListedEndpoint>,
@@ -34,11 +34,11 @@
     },
     /// A response to a DNS query has arrived, or the query failed.
     DnsResponse {
-        /// The browsed service's number among the sources.
+        /// The number of the browsed service among the sources.
         source: SourceId,
         /// The query's number.
         query: u64,
-        /// The response's message; `None` if the query could not be sent, or its connection broke.
+        /// The bytes of the response; `None` if the query could not be sent, or its connection broke.
         bytes: Option<Vec<u8>>,
     },
     /// The project's own settings have been reloaded.
