--- a/crates/router/src/observability/close_reason.rs
+++ b/crates/router/src/observability/close_reason.rs
@@ -1,12 +1,12 @@
 //! Defines the reasons for which connections end. When a connection to a client, an endpoint or the discovery service
-//! ends, one log line with the reason code is written.
+//! ends, one line with the reason code is logged.
 
 /// The reason for which a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The peer closed it between messages.
+    /// The peer closed the connection between messages.
     Eof,
-    /// The peer closed it inside a message.
+    /// The peer closed the connection inside a message.
     Truncated,
     /// The connection failed with an I/O error.
     Reset,
@@ -28,7 +28,7 @@
     NoMemory,
     /// The client did not read its response.
     NotReading,
-    /// The connection was idle, and the router closed it to free its file descriptor.
+    /// The router closed the connection, on which no request was in progress, to free its file descriptor.
     Evicted,
     /// The graceful shutdown closed the connection, on which no complete request was outstanding.
     Shutdown,
@@ -40,18 +40,19 @@
     AttemptAbandoned,
     /// A response could not be parsed, or bytes arrived that belong to no request.
     MalformedResponse,
-    /// The connection was idle for nearly as long as the endpoint allows.
+    /// The connection was idle for nearly the time after which the endpoint closes it.
     Idle,
     /// The address of the endpoint or of the discovery service changed, or the endpoint was removed from the list.
     AddressChanged,
     /// The discovery service did not respond in time.
     TimedOut,
-    /// A new poll of the discovery service replaced the one on this connection.
+    /// A new poll of the discovery service replaced the poll on this connection.
     Replaced,
 }
 
 impl CloseReason {
-    /// Returns whether the router closes the connection on its own initiative, while a request may be in transit to it.
+    /// Returns whether the router closes the connection on its own initiative, so that a request may be in transit to
+    /// it.
     pub fn is_initiated_by_router(self) -> bool {
         use CloseReason::{Evicted, Shutdown, Stalled, StartupTimeout};
         matches!(self, Evicted | Shutdown | Stalled | StartupTimeout)
--- a/crates/router/src/observability/counters.rs
+++ b/crates/router/src/observability/counters.rs
@@ -32,14 +32,14 @@
     clients,
     /// Failed accepts of connections, mostly for lack of a file descriptor.
     accept_errors,
-    /// Idle connections, to clients or endpoints, closed to free their file descriptors.
+    /// Connections without a request in progress, to clients or endpoints, closed to free their file descriptors.
     connections_evicted,
-    /// Idle client connections that were about to be closed when a request arrived, and stayed open to serve it.
+    /// Client connections that were about to be closed when a request arrived, and stayed open to serve it.
     late_request_served,
     /// Requests received.
     requests,
-    /// Statements and messages that the router itself responded to with an error, because they are invalid or
-    /// unsupported, and requests under an id that is already in use.
+    /// Statements and messages to which the router itself responded with an error, because they are invalid or
+    /// unsupported, and requests with an id that is already in use.
     invalid_statements,
     /// Requests whose client received an endpoint's response.
     served,
@@ -97,11 +97,12 @@
     attempts_not_sent,
     /// Attempts with the outcome `InvalidRequest`.
     attempts_invalid_request,
-    /// Attempts that the router ended before they were written to a connection, so that they were never executed.
+    /// Attempts that the router ended before they were completely written to a connection, so that they were never
+    /// executed.
     attempts_unwritten,
     /// Attempts among `attempts_unwritten` whose client had disconnected or cancelled.
     attempts_unwritten_client_left,
-    /// Requests whose client had disconnected before the dispatcher admitted them.
+    /// Requests whose client had disconnected or cancelled before the dispatcher admitted them.
     client_left_before_admission,
     /// Parse messages for prepared statements sent to endpoints.
     statements_prepared,
@@ -119,7 +120,7 @@
     dns_queries,
     /// Connections to endpoints started.
     connects,
-    /// Connections to endpoints that failed because the endpoint had no capacity for another.
+    /// Connections to endpoints that failed because the endpoint had no capacity for another connection.
     connects_rejected,
     /// Connections to endpoints that were refused, or broke before the session was ready.
     connects_failed,
@@ -133,7 +134,7 @@
     pools_retired,
     /// Polls of the discovery service.
     list_polls,
-    /// Polls whose response had another HTTP status than 200.
+    /// Polls whose response had an HTTP status other than 200.
     list_rejected,
     /// Polls without a complete response in time.
     list_timed_out,
