--- a/crates/router/src/client/extended_queries.rs
+++ b/crates/router/src/client/extended_queries.rs
@@ -58,7 +58,7 @@
     /// returns its command tag. Returns `None` for any other query.
     ///
     /// # Errors
-    /// If the statement is not supported or names an unknown prepared statement.
+    /// Fails if the statement is not supported or names an unknown prepared statement.
     pub fn run_utility_query(&mut self, text: &str) -> Option<Result<&'static str, SessionError>> {
         self.session.run_utility_query(text)
     }
--- a/crates/router/src/client/socket.rs
+++ b/crates/router/src/client/socket.rs
@@ -34,7 +34,7 @@
 /// Writes all of `bytes`. Ends early if the client disconnects, so that its outstanding requests can be cancelled.
 ///
 /// # Errors
-/// If the write fails or times out, or the client disconnects.
+/// Fails if the write fails or times out, or the client disconnects.
 pub async fn write_to_client(stream: &Async<TcpStream>, bytes: &[u8]) -> Result<(), CloseReason> {
     let write = async {
         write_all(stream, bytes)
--- a/crates/router/src/client/wakeup.rs
+++ b/crates/router/src/client/wakeup.rs
@@ -21,7 +21,7 @@
 /// Waits for a response, a cancel request or more input.
 ///
 /// # Errors
-/// If the client has disconnected, or reading from it fails.
+/// Fails if the client has disconnected, or reading from it fails.
 pub async fn next_wakeup(
     response: impl Future<Output = (u64, FinalResponse)>,
     cancellation: &CancellationSignal,
--- a/crates/router/src/discovery/admin_socket/mod.rs
+++ b/crates/router/src/discovery/admin_socket/mod.rs
@@ -37,7 +37,7 @@
 /// gets no queries.
 ///
 /// # Errors
-/// If the socket can't be created.
+/// Fails if the socket can't be created.
 pub fn listen(
     shared: &Rc<Shared>,
     executor: &Rc<LocalExecutor<'static>>,
@@ -100,7 +100,7 @@
 /// Connects to a running router's socket and prints the table to standard output.
 ///
 /// # Errors
-/// If the socket can't be connected to or read, or standard output can't be written.
+/// Fails if the socket can't be connected to or read, or standard output can't be written.
 pub fn print_status(socket: &Path) -> std::io::Result<()> {
     let mut table = String::new();
     UnixStream::connect(socket)?.read_to_string(&mut table)?;
--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -91,7 +91,7 @@
     /// Polls the service once, on the kept-alive connection if there is one.
     ///
     /// # Errors
-    /// If the connection or the request fails, a timeout expires, or the response is not a valid list.
+    /// Fails if the connection or the request fails, a timeout expires, or the response is not a valid list.
     pub async fn poll(&self, request: &PollRequest) -> PollResult {
         count(&self.shared.counters.list_polls);
         self.poll_started_at.set(self.shared.clock.now());
--- a/crates/router/src/discovery/http.rs
+++ b/crates/router/src/discovery/http.rs
@@ -69,7 +69,7 @@
     /// Connects to `host`.
     ///
     /// # Errors
-    /// If the connection can't be established.
+    /// Fails if the connection can't be established.
     pub async fn open(
         host: SocketAddr,
         memory: &Rc<MemoryBudget>,
@@ -103,7 +103,7 @@
     /// Sends a GET request for `path` and waits for the first bytes of the response.
     ///
     /// # Errors
-    /// If the connection fails or is closed before a response begins.
+    /// Fails if the connection fails or is closed before a response begins.
     pub async fn request(&mut self, path: &str) -> Result<(), HttpError> {
         let result = self.send(path).await;
         self.set_close_reason(result.as_ref().err());
@@ -113,8 +113,8 @@
     /// Reads the rest of the response and returns its body.
     ///
     /// # Errors
-    /// If the connection fails or is closed early, or the response is invalid, is too large, or has a status other than
-    /// 200.
+    /// Fails if the connection fails or is closed early, or the response is invalid, is too large, or has a status
+    /// other than 200.
     pub async fn response(&mut self) -> Result<Vec<u8>, HttpError> {
         let result = self.read_response().await;
         self.set_close_reason(result.as_ref().err());
--- a/crates/router/src/discovery/list.rs
+++ b/crates/router/src/discovery/list.rs
@@ -108,7 +108,7 @@
 /// Converts a list from its wire form. `zones` holds the zones' names, in the order of their numbers.
 ///
 /// # Errors
-/// If a required field is missing or has an invalid value; the error names the field.
+/// Fails if a required field is missing or has an invalid value; the error names the field.
 pub fn read_list(value: &Value, zones: &[String]) -> Result<List, ListError> {
     let list: WireList =
         serde_path_to_error::deserialize(value).map_err(|error| ListError::Field {
--- a/crates/router/src/discovery/registry/mod.rs
+++ b/crates/router/src/discovery/registry/mod.rs
@@ -80,7 +80,7 @@
     /// dispatcher directly.
     ///
     /// # Errors
-    /// If the settings contain an invalid DNS name, or the admin socket can't be created.
+    /// Fails if the settings contain an invalid DNS name, or the admin socket can't be created.
     pub fn new(
         shared: &Rc<Shared>,
         executor: &Rc<LocalExecutor<'static>>,
--- a/crates/router/src/discovery/registry/services.rs
+++ b/crates/router/src/discovery/registry/services.rs
@@ -48,7 +48,7 @@
     /// removed services.
     ///
     /// # Errors
-    /// If a name in the settings is not a DNS name; nothing has changed then.
+    /// Fails if a name in the settings is not a DNS name; nothing has changed then.
     pub(super) fn configure_services(
         &mut self,
         discovery: &DiscoverySettings,
