--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -45,7 +45,7 @@
     /// Reads the project's own settings, or returns their defaults if no file is named.
     ///
     /// # Errors
-    /// If the file can't be read, or is not valid.
+    /// Fails if the file can't be read, or is not valid.
     pub fn load_extensions(&self) -> Result<Extensions, ExtensionsError> {
         self.extensions_path
             .as_deref()
@@ -56,10 +56,10 @@
 /// The error of a file that can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
-    /// It is not a valid platform configuration.
+    /// The file is not a valid platform configuration.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// It is not a valid file of the project's own settings.
+    /// The file is not a valid file of the project's own settings.
     #[error(transparent)]
     Extensions(#[from] ExtensionsError),
     /// A value of the platform's settings is out of its range.
@@ -72,11 +72,11 @@
     },
 }
 
-/// Reads a file as `serve` would: one that ends in `.json` as the platform's configuration, any other as the project's
-/// own settings. Returns which of the two it is, as text for the operator.
+/// Reads a file as `serve` would: a file whose name ends in `.json` as the platform's configuration, any other as the
+/// project's own settings. Returns the kind of the file, as text for the operator.
 ///
 /// # Errors
-/// If `serve` could not use the file.
+/// Fails if `serve` could not use the file.
 pub fn check(file: &Path) -> Result<&'static str, CheckError> {
     if file.extension().is_some_and(|e| e == "json") {
         let config = Config::check(&file.display().to_string())?;
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,5 +1,5 @@
-//! Reads the platform's configuration: the JSON file named by `RELAY_CONFIG`, some of whose values can be overridden by
-//! other environment variables.
+//! Reads the platform's configuration: the JSON file named by `RELAY_CONFIG`. Other environment variables can override
+//! some of its values.
 //!
 //! The file is read at startup, and again on SIGHUP. On SIGHUP the file's `discovery` takes precedence over
 //! `RELAY_DISCOVERY`, which only holds the discovery service's address as of the start of the process.
@@ -13,7 +13,7 @@
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// The lowest limit on open file descriptors; with fewer, neither clients nor endpoints get enough of them.
+/// The lowest limit on open file descriptors. With fewer descriptors there are too few for clients and for endpoints.
 const MIN_DESCRIPTORS: u64 = 64;
 const DEFAULT_DESCRIPTORS: u32 = 1024;
 /// The lowest memory limit that the file may set, in MiB.
@@ -56,7 +56,7 @@
         /// The field at fault.
         source: SettingsReadError,
     },
-    /// A required address is missing or can't be parsed.
+    /// A required address is missing or not an IP address with a port.
     #[error("{path}: {key}: expected an IP address with a port")]
     Address {
         /// The file.
@@ -104,7 +104,7 @@
     pub memory_limit: usize,
     /// The last known endpoint list, with which the router starts: its version, if there is a list, and its entries.
     pub known_list: (Option<u64>, Vec<ListedEndpoint>),
-    /// The platform's settings, converted to the balancer's types.
+    /// The platform's settings and the names in them, converted to the balancer's types.
     pub routing: RoutingConfig,
     /// The project's own settings.
     pub extensions: Extensions,
@@ -118,7 +118,7 @@
     /// Reads the configuration at startup. `extensions` was read from `extensions_path`, if there is such a file.
     ///
     /// # Errors
-    /// If `RELAY_CONFIG` is not set, or its file can't be read or is not valid.
+    /// Fails if `RELAY_CONFIG` is not set, or its file can't be read or is not valid.
     pub fn load(
         extensions: Extensions,
         extensions_path: Option<PathBuf>,
@@ -133,10 +133,10 @@
         })
     }
 
-    /// Reads a file without the environment's overrides.
+    /// Reads a file without applying overrides from environment variables.
     ///
     /// # Errors
-    /// If the file can't be read or is not valid.
+    /// Fails if the file can't be read or is not valid.
     pub fn check(path: &str) -> Result<Config, ConfigError> {
         Config::from_json(
             path,
@@ -146,11 +146,11 @@
         )
     }
 
-    /// Reads the configuration and the project's own settings again. The discovery service's address stays as it is if
-    /// the file has none.
+    /// Reads the configuration and the project's own settings again. If the file contains no address of the discovery
+    /// service, the address is not changed.
     ///
     /// # Errors
-    /// If one of the files can't be read or is not valid.
+    /// Fails if one of the files can't be read or is not valid.
     pub fn reload(&self) -> Result<Config, ConfigError> {
         let path = Config::path_from_environment()?;
         let value = Config::read_json(&path)?;
@@ -170,7 +170,7 @@
 
     /// Returns the keys whose values differ in `new` and only take effect after a restart.
     pub fn keys_needing_restart(&self, new: &Config) -> Vec<&'static str> {
-        let differs = [
+        let settings = [
             ("name", self.name != new.name),
             ("listen", self.listen_address != new.listen_address),
             (
@@ -180,7 +180,7 @@
             ("limits.memory_mb", self.memory_limit != new.memory_limit),
             ("settings", self.settings != new.settings),
         ];
-        differs
+        settings
             .into_iter()
             .filter(|(_, is_changed)| *is_changed)
             .map(|(key, _)| key)
@@ -271,8 +271,8 @@
             .unwrap_or_default()
     }
 
-    /// Returns a limit, or its default if it is absent. An invalid one is an error: the default might be above the
-    /// intended limit.
+    /// Returns a limit, or its default if it is absent. An invalid limit is an error, because the default might be
+    /// above the intended limit.
     fn limit(&self, key: &'static str, minimum: u64, default: u32) -> Result<u64, ConfigError> {
         let Some(limit) = self.value.get("limits").and_then(|l| l.get(key)) else {
             return Ok(default.into());
--- a/crates/router/src/extensions.rs
+++ b/crates/router/src/extensions.rs
@@ -1,7 +1,7 @@
 //! Reads the extensions: the project's own settings, in YAML, which the platform's configuration does not cover.
 //!
 //! Every setting is off or has a default; `deploy/edge.example.yaml` shows them all. A file is checked when it is read,
-//! so that every value that comes from a file is within its range.
+//! so that every value read from a file is within its range.
 
 use reelrill_pg_protocol::oid;
 use reelrill_pg_session::limits::Limits;
@@ -12,7 +12,7 @@
 
 /// The highest value of a limit that counts items.
 const MAX_COUNT: usize = 1 << 16;
-/// The lowest limit on the bytes of values, so that the largest value fits.
+/// The lowest limit on the bytes of values. The largest value must fit within it.
 const MIN_VALUE_BYTES: usize = 64 * 1024;
 /// The maximum number of services that can be browsed.
 const MAX_SERVICES: usize = 64;
@@ -73,8 +73,8 @@
 pub struct DiscoverySettings {
     /// Whether the platform's discovery service is a source.
     pub roster: bool,
-    /// For how long after its last response an endpoint stays in the list although its sources no longer name it, in
-    /// seconds.
+    /// The time in seconds for which an endpoint that its sources no longer name stays in the list after its last
+    /// response.
     pub vouch_s: u64,
     /// The settings for browsing DNS service records; if absent, such records are not used.
     pub dns_sd: Option<DnsSdSettings>,
@@ -228,7 +228,7 @@
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// If the file can't be read, is not valid YAML, has an unknown field, or a value is out of its range.
+    /// Fails if the file can't be read, is not valid YAML, has an unknown field, or a value is out of its range.
     pub fn load(path: &Path) -> Result<Extensions, ExtensionsError> {
         let text = std::fs::read_to_string(path).map_err(|source| ExtensionsError::Read {
             path: path.to_owned(),
--- a/crates/router/src/extensions/tests.rs
+++ b/crates/router/src/extensions/tests.rs
@@ -1,4 +1,4 @@
-//! Parsing and checking of settings files.
+//! Tests of the parsing and checking of settings files.
 
 use super::*;
 use rstest::rstest;
@@ -33,7 +33,7 @@
     assert_eq!(load("{}"), Ok(Extensions::default()));
 }
 
-/// Guards against an error that leaves whoever edits the file without the line or the field at fault.
+/// Guards against an error message that does not name the line and the field at fault.
 #[rstest]
 #[case("extended:\n  mode: on\n  modes: off\n", &["extended.modes", "line 3"])]
 #[case("extended:\n  mode: maybe\n", &["extended.mode", "maybe", "line 2"])]
