--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -1,6 +1,6 @@
-//! The end of a graceful shutdown: decides when the process may exit.
+//! Decides when the process may exit at the end of a graceful shutdown.
 //!
-//! The process must never exit while a client is connected, because the client's requests need their responses.
+//! The process must never exit while a client is connected, because the client's requests must get their responses.
 
 use crate::runtime::shared::Shared;
 use async_io::Timer;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,6 +1,6 @@
 //! The reelrill router: runs the commands of the command line, and starts the router's tasks on one thread.
 //!
-//! It holds no state of its own: the state that tasks share is in [`runtime::shared::Shared`].
+//! This module must hold no state of its own: the state that tasks share is in [`runtime::shared::Shared`].
 #![forbid(unsafe_code)]
 
 mod cli;
@@ -83,7 +83,7 @@
 /// Runs the router until it has shut down.
 ///
 /// # Errors
-/// Fails if the settings or the configuration cannot be read. Nothing has been served then.
+/// Fails if the project's own settings or the configuration cannot be read. The router has then served no client.
 fn serve(cli: &cli::Cli) -> Result<ExitCode, cli::CheckError> {
     let config = config::Config::load(cli.load_extensions()?, cli.extensions_path.clone())?;
     let (log, _flush) = observability::logging::start(&config.name);
@@ -104,7 +104,7 @@
         Type::STREAM,
         Some(Protocol::TCP),
     )?;
-    // A restarted router must be able to bind while connections of its predecessor are in TIME_WAIT.
+    // A restarted router must be able to bind while connections of the previous process are in TIME_WAIT.
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
     socket.listen(LISTEN_BACKLOG)?;
@@ -125,7 +125,7 @@
         .is_some()
         .then_some(registry_sender);
     let shared = Shared::new(config, log.clone(), dispatcher_sender, registry_sender);
-    // Holds only the newest address: a later configuration replaces an earlier one.
+    // This channel holds only the newest address: a later configuration replaces an earlier one.
     let (discovery_address_sender, discovery_addresses) = async_channel::bounded(1);
     let signals = signals::listen().map_err(StartError::Signals)?;
     let dispatcher = dispatcher::Dispatcher::new(
--- a/crates/router/src/reload.rs
+++ b/crates/router/src/reload.rs
@@ -1,4 +1,4 @@
-//! Configuration reload on SIGHUP: reads the files again and applies the settings that can change at run time.
+//! Reloads the configuration on SIGHUP: reads the files again and applies the settings that can change at run time.
 //!
 //! An invalid configuration must never replace a valid one. Changed settings that require a restart are logged.
 
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -1,7 +1,7 @@
-//! Signal handling: SIGTERM and SIGINT start the graceful shutdown, SIGHUP reloads the configuration, SIGUSR1 logs the
+//! Handles signals: SIGTERM and SIGINT start the graceful shutdown, SIGHUP reloads the configuration, SIGUSR1 logs the
 //! counters.
 //!
-//! It must never end the process: [`crate::drain`] decides when the process may exit.
+//! This module must never end the process: [`crate::drain`] decides when the process may exit.
 
 use crate::messages::Message;
 use crate::reload;
@@ -41,7 +41,8 @@
             }
             Err(e) => error!(shared.log, "failed to receive a signal"; "error" => %e),
         }
-        // With a flood of signals the next one is always ready. Without yielding, no other task would run.
+        // If signals arrive faster than they are handled, the next one is always ready. Without the yield, no other
+        // task would run then.
         futures_lite::future::yield_now().await;
     }
     futures_lite::future::pending().await
