--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -1,4 +1,5 @@
-//! The real program, with clients, endpoints and discovery of the test's own.
+//! Runs the router binary with clients, fake endpoints and a fake discovery service: requests, protocol errors,
+//! endpoint lists, reloads, descriptor limits and shutdown.
 
 mod common;
 
@@ -10,33 +11,35 @@
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-/// A router that knows one endpoint.
-fn one(act: ScriptedResponse) -> (FakeEndpoint, FakeDiscovery, RouterProcess) {
-    let instance = FakeEndpoint::start("master", act);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+/// Starts a primary with `scripted_response` and a router whose endpoint list contains only this one.
+fn start_with_one_endpoint(
+    scripted_response: ScriptedResponse,
+) -> (FakeEndpoint, FakeDiscovery, RouterProcess) {
+    let endpoint = FakeEndpoint::start("master", scripted_response);
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router(&discovery, &list, 1024);
-    (instance, discovery, router)
+    (endpoint, discovery, router)
 }
 
-/// Guards the whole path: startup and query in one write, the statement untouched but for a `d` that is no
-/// longer than the client's, and the value of this request.
+/// Guards the whole request path when a client sends its startup message and a query in one write: the endpoint must
+/// receive the statement unchanged except for a `d` no longer than the client's, and the client its own value.
 #[test]
-fn a_pipelined_query_is_served() {
-    let (instance, _discovery, router) = one(ScriptedResponse::Serve);
+fn query_sent_together_with_startup_is_served() {
+    let (endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
     let mut client = Client::connect(router.address);
     client
         .stream
         .write_all(&[startup_message(), query_message(&select_query(0xa1, 5000))].concat())
         .unwrap();
     assert_eq!(client.read_response().unwrap().tags, "RSSSKZ");
-    let answer = client.read_response().unwrap();
+    let response = client.read_response().unwrap();
     assert_eq!(
-        (&*answer.tags, &*answer.value),
+        (&*response.tags, &*response.value),
         ("TDCZ", "00000000000000a1")
     );
-    let sent = instance.activity.with(|s| s.queries[0].clone());
-    let wait: u64 = sent
+    let sent = endpoint.activity.with(|s| s.queries[0].clone());
+    let sent_wait_ms: u64 = sent
         .split(",d=")
         .nth(1)
         .unwrap()
@@ -45,43 +48,44 @@
         .unwrap()
         .parse()
         .unwrap();
-    assert!(wait <= 5000 && wait > 1000, "{sent}");
-    assert_eq!(sent, select_query(0xa1, wait));
+    assert!(sent_wait_ms <= 5000 && sent_wait_ms > 1000, "{sent}");
+    assert_eq!(sent, select_query(0xa1, sent_wait_ms));
 }
 
-/// Guards the order of answers on a connection whose client does not wait for them.
+/// Guards against responses in the wrong order on a connection whose client sends further queries without waiting.
 #[test]
-fn pipelined_queries_are_answered_in_order() {
-    let (_instance, _discovery, router) = one(ScriptedResponse::Serve);
+fn pipelined_queries_get_their_responses_in_order() {
+    let (_endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
     let mut client = router.connect_client();
-    let all: Vec<u8> = (1..=20)
+    let queries: Vec<u8> = (1..=20)
         .flat_map(|id| query_message(&select_query(id, 5000)))
         .collect();
-    client.stream.write_all(&all).unwrap();
+    client.stream.write_all(&queries).unwrap();
     for id in 1..=20 {
         assert_eq!(client.read_response().unwrap().value, format!("{id:016x}"));
     }
 }
 
-/// Guards the largest values both ways: whole, unchanged, and not held for longer than they are needed.
+/// Guards against truncated or altered values of the largest size, in the statement and in the response.
 #[test]
-fn values_of_64_kib_pass_whole() {
-    let (instance, _discovery, router) = one(ScriptedResponse::ServeLarge);
+fn values_of_64_kib_pass_unchanged_both_ways() {
+    let (endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::ServeLarge);
     let mut client = router.connect_client();
-    let comment = |wait: &str| {
-        format!("/* id=00000000000000b1,c=book,d={wait},k=5c0f6e1a2b3d4c59,cluster=2 */")
+    let comment = |wait_ms: &str| {
+        format!("/* id=00000000000000b1,c=book,d={wait_ms},k=5c0f6e1a2b3d4c59,cluster=2 */")
     };
     let insert = format!(
         "INSERT INTO facts (code, data) VALUES ('k', '\\x{}') RETURNING data ",
         "9f".repeat(65_536)
     );
-    let answer = client.simple_query(&(insert.clone() + &comment("5000")));
-    assert_eq!(answer.value, "00000000000000b1".repeat(4096));
-    let sent = instance.activity.with(|s| s.queries[0].clone());
+    let response = client.simple_query(&(insert.clone() + &comment("5000")));
+    assert_eq!(response.value, "00000000000000b1".repeat(4096));
+    let sent = endpoint.activity.with(|s| s.queries[0].clone());
     assert!(sent.starts_with(&insert) && sent.ends_with(",k=5c0f6e1a2b3d4c59,cluster=2 */"));
 }
 
-/// Guards the protocol's table of outcomes: a wrong kind misleads the decisions.
+/// Guards the protocol's mapping of endpoint responses to attempt outcomes: a wrong outcome misleads retries and
+/// outlier detection.
 #[rstest]
 #[case(ScriptedResponse::Error("XX000"), "attempts_error")]
 #[case(ScriptedResponse::Error("53300"), "attempts_overloaded")]
@@ -109,20 +113,29 @@
     "attempts_malformed_response"
 )]
 #[case(ScriptedResponse::NoResponse, "attempts_timed_out")]
-fn what_comes_back_becomes_its_outcome(#[case] act: ScriptedResponse, #[case] kind: &str) {
-    let (_instance, _discovery, router) = one(act);
-    let began = Instant::now();
-    // A silent endpoint is given 2 s; from the others an outcome comes long before the end.
-    let answer = router.connect_client().simple_query(&select_query(1, 2000));
+fn endpoint_response_is_counted_under_its_outcome(
+    #[case] scripted_response: ScriptedResponse,
+    #[case] expected_counter: &str,
+) {
+    let (_endpoint, _discovery, router) = start_with_one_endpoint(scripted_response);
+    let started = Instant::now();
+    // Only a silent endpoint uses up the 2 s; every other response has its outcome long before.
+    let response = router.connect_client().simple_query(&select_query(1, 2000));
+    assert!(
+        ["53300", "58000"].contains(&&*response.sqlstate),
+        "{response:?}"
+    );
+    // A malformed response is detected long before the client's deadline.
+    assert!(
+        expected_counter != "attempts_malformed_response"
+            || started.elapsed() < Duration::from_millis(1500)
+    );
+    let counters = router.counters();
     assert!(
-        ["53300", "58000"].contains(&&*answer.sqlstate),
-        "{answer:?}"
-    );
-    // An answer that can't be read is known for one long before the client gives up.
-    assert!(kind != "attempts_malformed_response" || began.elapsed() < Duration::from_millis(1500));
-    let line = router.counters();
-    assert!(!line.contains(&format!(" {kind}=0 ")), "{line}");
-    for other in [
+        !counters.contains(&format!(" {expected_counter}=0 ")),
+        "{counters}"
+    );
+    for counter in [
         "attempts_error",
         "attempts_overloaded",
         "attempts_misrouted",
@@ -132,22 +145,23 @@
         "attempts_malformed_response",
         "attempts_invalid_request",
     ] {
-        // Further tries may have been made, but none may have ended in another way.
+        // There may have been further attempts, but none with another outcome.
         assert!(
-            other == kind || line.contains(&format!(" {other}=0 ")),
-            "{other}: {line}"
+            counter == expected_counter || counters.contains(&format!(" {counter}=0 ")),
+            "{counter}: {counters}"
         );
     }
 }
 
-/// Guards the next request against what an endpoint says behind an answer: a second copy would be served as its
-/// value, a report that can't be read would be believed.
+/// Guards the next request against bytes that an endpoint sends after a complete response: a second result would be
+/// returned as the next request's value, and an unreadable report would be used.
 #[rstest]
 #[case(b"T\0\0\0\x1d\0\x01data\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0D\0\0\0\x0b\0\x01\0\0\0\x01aC\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I")]
 #[case(b"noise")]
 #[case(b"S\0\0\0\x0agauges")]
-fn what_comes_behind_an_answer_reaches_nobody(#[case] extra: &'static [u8]) {
-    let (instance, _discovery, router) = one(ScriptedResponse::ServeWithTrailing(extra));
+fn bytes_after_a_response_are_discarded_with_their_connection(#[case] trailing: &'static [u8]) {
+    let (endpoint, _discovery, router) =
+        start_with_one_endpoint(ScriptedResponse::ServeWithTrailing(trailing));
     let mut client = router.connect_client();
     for id in 1..=5 {
         assert_eq!(
@@ -156,62 +170,63 @@
         );
     }
     assert_eq!(
-        instance
+        endpoint
             .activity
             .with(|s| (s.accepted_connections, s.queries.len())),
         (5, 5)
     );
 }
 
-/// Guards against holding what was given up on, and against answers after the client has stopped waiting.
+/// Guards against an attempt that is held after its deadline, and against a response that the client no longer waits
+/// for: the endpoint never responds.
 #[test]
-fn a_silent_instance_is_given_up_before_the_client_gives_up() {
-    let (_instance, _discovery, router) = one(ScriptedResponse::NoResponse);
+fn client_is_rejected_before_its_deadline_when_the_endpoint_stays_silent() {
+    let (_endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::NoResponse);
     let mut client = router.connect_client();
-    let began = Instant::now();
-    let answer = client.simple_query(&select_query(1, 2000));
+    let started = Instant::now();
+    let response = client.simple_query(&select_query(1, 2000));
     assert!(
-        began.elapsed() >= Duration::from_millis(1500),
+        started.elapsed() >= Duration::from_millis(1500),
         "{:?}",
-        began.elapsed()
+        started.elapsed()
     );
-    assert_eq!((&*answer.tags, &*answer.sqlstate), ("EZ", "53300"));
-    let advice: u64 = answer.detail.unwrap().parse().unwrap();
-    assert!((1..=1000).contains(&advice), "{advice}");
-    // The timer fired 8 ms early: the counters name no overdue answer.
+    assert_eq!((&*response.tags, &*response.sqlstate), ("EZ", "53300"));
+    let retry_after_ms: u64 = response.detail.unwrap().parse().unwrap();
+    assert!((1..=1000).contains(&retry_after_ms), "{retry_after_ms}");
+    // The timer fires 8 ms early, so no response counts as overdue.
     assert!(router.wait_for_counter("deadline_exceeded=0"));
 }
 
-/// Guards against a late answer on a given-up attempt reaching the next request on the same path.
+/// Guards against a late response to an abandoned attempt that reaches the next request on the same connection.
 #[test]
-fn a_late_answer_reaches_nobody_else() {
-    let (instance, _discovery, router) = one(ScriptedResponse::NoResponse);
+fn late_response_to_an_abandoned_attempt_does_not_reach_the_next_request() {
+    let (endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::NoResponse);
     let mut client = router.connect_client();
     assert_eq!(
         client.simple_query(&select_query(1, 2000)).sqlstate,
         "53300"
     );
-    instance.response.with(|a| *a = ScriptedResponse::Serve);
+    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
     assert_eq!(
         client.simple_query(&select_query(2, 5000)).value,
         "0000000000000002"
     );
-    assert_eq!(instance.activity.with(|s| s.accepted_connections), 2);
+    assert_eq!(endpoint.activity.with(|s| s.accepted_connections), 2);
     assert!(router.wait_for_log("reason: attempt_abandoned"));
 }
 
-/// Guards against a request being written to a pooled connection that the endpoint has already closed.
+/// Guards against a request that is written to a pooled connection which the endpoint has already closed.
 #[test]
-fn a_pooled_connection_that_was_closed_is_not_used() {
-    let (instance, _discovery, router) = one(ScriptedResponse::ServeAndClose);
+fn pooled_connection_closed_by_the_endpoint_is_not_reused() {
+    let (endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::ServeAndClose);
     let mut client = router.connect_client();
     for id in 1..=5 {
         assert_eq!(
             client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
-        let ended = |s: &mut EndpointActivity| (s.closed_connections == id as usize).then_some(());
-        assert!(instance.activity.wait_for(WAIT_TIMEOUT, ended).is_some());
+        let closed = |s: &mut EndpointActivity| (s.closed_connections == id as usize).then_some(());
+        assert!(endpoint.activity.wait_for(WAIT_TIMEOUT, closed).is_some());
     }
     assert!(
         router.wait_for_counter("attempts_connection_reset=0")
@@ -219,10 +234,10 @@
     );
 }
 
-/// Guards against a handshake for each request.
+/// Guards against a new connection, and with it a startup exchange, for every request.
 #[test]
-fn a_connection_is_kept_for_the_next_request() {
-    let (instance, _discovery, router) = one(ScriptedResponse::Serve);
+fn upstream_connection_is_reused_by_the_next_request() {
+    let (endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
     let mut client = router.connect_client();
     for id in 1..=20 {
         assert_eq!(
@@ -230,35 +245,35 @@
             format!("{id:016x}")
         );
     }
-    assert_eq!(instance.activity.with(|s| s.accepted_connections), 1);
+    assert_eq!(endpoint.activity.with(|s| s.accepted_connections), 1);
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Leave {
+enum Disconnect {
     Terminate,
     Eof,
 }
 
-/// Guards against work that goes on for a client that has gone.
+/// Guards against attempts that continue after their client has disconnected, by Terminate or by closing its side.
 #[rstest]
-#[case(Leave::Terminate)]
-#[case(Leave::Eof)]
-fn a_client_that_leaves_while_waiting_is_noticed(#[case] how: Leave) {
-    let (instance, _discovery, router) = one(ScriptedResponse::NoResponse);
+#[case(Disconnect::Terminate)]
+#[case(Disconnect::Eof)]
+fn attempt_is_cancelled_when_its_client_disconnects(#[case] disconnect: Disconnect) {
+    let (endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::NoResponse);
     let mut client = router.connect_client();
     client
         .stream
         .write_all(&query_message(&select_query(1, 20_000)))
         .unwrap();
     assert!(
-        instance
+        endpoint
             .activity
             .wait_for(WAIT_TIMEOUT, |s| (s.queries.len() == 1).then_some(()))
             .is_some()
     );
-    match how {
-        Leave::Terminate => client.stream.write_all(&[b'X', 0, 0, 0, 4]).unwrap(),
-        Leave::Eof => client.stream.shutdown(std::net::Shutdown::Write).unwrap(),
+    match disconnect {
+        Disconnect::Terminate => client.stream.write_all(&[b'X', 0, 0, 0, 4]).unwrap(),
+        Disconnect::Eof => client.stream.shutdown(std::net::Shutdown::Write).unwrap(),
     }
     assert!(
         router.wait_for_counter("client_left=1") && router.wait_for_counter("attempts_cancelled=1")
@@ -267,17 +282,18 @@
     assert!(client.read_response().is_none());
 }
 
-/// Guards a request against others under its id: they get an error, and their leaving is not its client's.
+/// Guards a request against others under the same id: those must fail, and the disconnect of their client must not
+/// cancel the first request.
 #[test]
-fn a_borrowed_id_does_not_touch_the_request_that_owns_it() {
-    let (instance, _discovery, router) = one(ScriptedResponse::NoResponse);
-    let mut owner = router.connect_client();
-    owner
+fn duplicate_request_id_fails_and_the_first_request_is_still_served() {
+    let (endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::NoResponse);
+    let mut first_client = router.connect_client();
+    first_client
         .stream
         .write_all(&query_message(&select_query(1, 20_000)))
         .unwrap();
     assert!(
-        instance
+        endpoint
             .activity
             .wait_for(WAIT_TIMEOUT, |s| (s.queries.len() == 1).then_some(()))
             .is_some()
@@ -289,8 +305,8 @@
             .sqlstate,
         "58000"
     );
-    let mut leaving = router.connect_client();
-    leaving
+    let mut terminating_client = router.connect_client();
+    terminating_client
         .stream
         .write_all(
             &[
@@ -300,10 +316,13 @@
             .concat(),
         )
         .unwrap();
-    while leaving.read_response().is_some() {}
-    instance.response.with(|a| *a = ScriptedResponse::Serve);
-    assert_eq!(owner.read_response().unwrap().value, "0000000000000001");
-    assert_eq!(instance.activity.with(|s| s.queries.len()), 1);
+    while terminating_client.read_response().is_some() {}
+    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
+    assert_eq!(
+        first_client.read_response().unwrap().value,
+        "0000000000000001"
+    );
+    assert_eq!(endpoint.activity.with(|s| s.queries.len()), 1);
     assert_eq!(
         router
             .connect_client()
@@ -313,12 +332,12 @@
     );
 }
 
-/// Guards against an attempt that stays out for ever: where attempts may not be cancelled, one that a client
-/// has left is timed out at the client's deadline.
+/// Guards against an attempt that never ends: where the settings forbid cancelling, an attempt whose client has
+/// disconnected must time out at the client's deadline.
 #[test]
-fn an_attempt_that_may_not_be_cancelled_ends_at_the_deadline() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::NoResponse);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+fn attempt_that_cannot_be_cancelled_times_out_after_its_client_disconnects() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::NoResponse);
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let mut settings = base_settings();
     settings["ceilings"]["mayCancel"] = false.into();
@@ -329,7 +348,7 @@
         .write_all(&query_message(&select_query(1, 2000)))
         .unwrap();
     assert!(
-        instance
+        endpoint
             .activity
             .wait_for(WAIT_TIMEOUT, |s| (s.queries.len() == 1).then_some(()))
             .is_some()
@@ -340,17 +359,17 @@
             && router.wait_for_counter("attempts_timed_out=1")
             && router.wait_for_counter("attempts_cancelled=0")
     );
-    instance.response.with(|a| *a = ScriptedResponse::Serve);
+    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
     assert!(
-        instance
+        endpoint
             .activity
             .wait_for(WAIT_TIMEOUT, |s| (s.closed_connections == 1).then_some(()))
             .is_some()
     );
 }
 
-/// Guards against panics and silence on input that makes no sense, and against losing the connection for
-/// what harms nobody.
+/// Guards against a panic, a missing response or a closed connection when a statement's annotations are missing or
+/// invalid.
 #[rstest]
 #[case("SELECT 1", "42601")]
 #[case(&select_query(1, 5000).replace("c=board", "c=nonsense"), "42601")]
@@ -361,28 +380,33 @@
     "INSERT INTO facts (code, data) VALUES ('k', '\\x00') RETURNING data /* id=00000000000000a1,c=book,d=5000,cluster=2 */",
     "42601"
 )]
-fn a_statement_that_is_no_request_gets_an_error(#[case] text: &str, #[case] code: &str) {
-    let (instance, _discovery, router) = one(ScriptedResponse::Serve);
+fn invalid_statement_gets_a_syntax_error_and_the_connection_stays_open(
+    #[case] text: &str,
+    #[case] code: &str,
+) {
+    let (endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
     let mut client = router.connect_client();
-    let answer = client.simple_query(text);
-    assert_eq!((&*answer.tags, &*answer.sqlstate), ("EZ", code));
-    assert_eq!(instance.activity.with(|s| s.queries.len()), 0);
+    let response = client.simple_query(text);
+    assert_eq!((&*response.tags, &*response.sqlstate), ("EZ", code));
+    assert_eq!(endpoint.activity.with(|s| s.queries.len()), 0);
     assert_eq!(
         client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
 }
 
+/// Guards against a connection that stays open, or closes without an error and a logged reason, after a malformed or
+/// oversized message.
 #[rstest]
 #[case(&[b'Q', 0x7f, 0, 0, 0], "oversized")]
 #[case(&[b'Q', 0, 0, 0, 1], "malformed")]
 #[case(&[b'?', 0, 0, 0, 4], "malformed")]
 #[case(&[b'Q', 0, 0, 0, 6, 0xff, 0], "malformed")]
-fn a_broken_message_ends_the_connection_with_its_reason(
+fn malformed_message_closes_the_connection_with_an_error(
     #[case] bytes: &[u8],
     #[case] reason: &str,
 ) {
-    let (_instance, _discovery, router) = one(ScriptedResponse::Serve);
+    let (_endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
     let mut client = router.connect_client();
     client.stream.write_all(bytes).unwrap();
     assert_eq!(client.read_response().unwrap().sqlstate, "08P01");
@@ -397,10 +421,10 @@
     );
 }
 
-/// Guards the table of clients against ones that begin a message and never end it.
+/// Guards the connection table against clients that send part of a message and never the rest.
 #[test]
-fn a_message_that_stalls_ends_its_connection() {
-    let (_instance, _discovery, router) = one(ScriptedResponse::Serve);
+fn connection_is_closed_when_a_message_stalls_midway() {
+    let (_endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
     let mut client = router.connect_client();
     assert_eq!(
         client.simple_query(&select_query(1, 5000)).value,
@@ -414,10 +438,11 @@
     assert!(router.wait_for_log("reason: stalled"));
 }
 
-/// Guards the sequence of extended messages: one error, then in step again after its Sync.
+/// Guards the order of extended query messages while they are not supported: one error for the whole pipeline, and the
+/// next query after its Sync is served.
 #[test]
-fn extended_queries_are_declined_in_step() {
-    let (_instance, _discovery, router) = one(ScriptedResponse::Serve);
+fn unsupported_extended_query_gets_one_error_until_its_sync() {
+    let (_endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
     let mut client = router.connect_client();
     let sequence = [
         parse_message("", "SELECT 1", &[]),
@@ -425,23 +450,24 @@
         sync_message(),
     ];
     client.stream.write_all(&sequence.concat()).unwrap();
-    let answer = client.read_response().unwrap();
-    assert_eq!((&*answer.tags, &*answer.sqlstate), ("EZ", "0A000"));
+    let response = client.read_response().unwrap();
+    assert_eq!((&*response.tags, &*response.sqlstate), ("EZ", "0A000"));
     assert_eq!(
         client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
 }
 
-/// Guards readiness: the front sends clients once the empty query is answered.
+/// Guards the readiness check: the load balancer in front of the router sends clients as soon as the empty query has a
+/// response, so there must be none before an endpoint is known.
 #[test]
-fn the_empty_query_waits_until_the_router_can_serve() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
+fn empty_query_is_held_until_the_router_knows_an_endpoint() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let discovery = FakeDiscovery::start(None);
     let router = start_router(&discovery, &[], 1024);
     let mut client = router.connect_client();
     client.stream.write_all(&query_message("")).unwrap();
-    // Several calls have failed, so the router has long looked at the query.
+    // Several polls have failed, so the router must have received the query.
     assert!(
         discovery
             .requested_paths
@@ -456,22 +482,23 @@
             .is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
     );
     client.stream.set_nonblocking(false).unwrap();
-    discovery.publish(vec![list_entry("s-1", instance.address, "ready")]);
+    discovery.publish(vec![list_entry("s-1", endpoint.address, "ready")]);
     assert_eq!(client.read_response().unwrap().tags, "IZ");
 }
 
-/// Guards the ways in which HTTP ends a body: a list is whole in each of them.
+/// Guards against an endpoint list that is truncated or not read: HTTP can end a body in several ways, and JSON can be
+/// indented or arrive byte by byte.
 #[rstest]
 #[case(DiscoveryFaultMode::Normal)]
 #[case(DiscoveryFaultMode::Chunked)]
 #[case(DiscoveryFaultMode::CloseDelimited)]
 #[case(DiscoveryFaultMode::IndentedJson)]
 #[case(DiscoveryFaultMode::SingleByteWrites)]
-fn a_list_is_read_however_its_body_ends(#[case] manner: DiscoveryFaultMode) {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
+fn endpoint_list_is_read_in_every_form_of_http_body(#[case] fault_mode: DiscoveryFaultMode) {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let discovery = FakeDiscovery::start(None);
-    discovery.fault_mode.with(|m| *m = manner);
-    discovery.publish(vec![list_entry("s-1", instance.address, "ready")]);
+    discovery.fault_mode.with(|m| *m = fault_mode);
+    discovery.publish(vec![list_entry("s-1", endpoint.address, "ready")]);
     let router = start_router(&discovery, &[], 1024);
     let mut client = router.connect_client();
     assert_eq!(client.simple_query("").tags, "IZ");
@@ -481,18 +508,18 @@
     );
 }
 
-/// Guards the list against an answer without a length that is reset half-way: a reset is no end, what was known stays, and
-/// the list is asked for again.
+/// Guards against half a list taken for a whole one: without a length only the end of the connection ends the body, and
+/// a reset must not count as that end. The known list stays, and the router polls again.
 #[test]
-fn a_list_that_is_reset_half_way_is_no_list() {
-    let (instance, discovery, router) = one(ScriptedResponse::Serve);
-    let calls = discovery.requested_paths.with(|c| c.len());
+fn endpoint_list_cut_off_by_a_reset_is_discarded_and_polled_again() {
+    let (endpoint, discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
+    let polls_before = discovery.requested_paths.with(|c| c.len());
     discovery
         .fault_mode
         .with(|m| *m = DiscoveryFaultMode::ResetMidBody);
     discovery.publish(vec![
-        list_entry("s-1", instance.address, "ready"),
-        list_entry("s-2", instance.address, "ready"),
+        list_entry("s-1", endpoint.address, "ready"),
+        list_entry("s-2", endpoint.address, "ready"),
     ]);
     assert!(router.wait_for_log("discovery poll failed"));
     assert_eq!(
@@ -505,8 +532,8 @@
     discovery
         .fault_mode
         .with(|m| *m = DiscoveryFaultMode::Normal);
-    let again = |c: &mut Vec<String>| {
-        c[calls..]
+    let polled_again = |c: &mut Vec<String>| {
+        c[polls_before..]
             .iter()
             .any(|p| p.contains("since=2&"))
             .then_some(())
@@ -514,14 +541,14 @@
     assert!(
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, again)
+            .wait_for(WAIT_TIMEOUT, polled_again)
             .is_some()
     );
 }
 
-/// Guards the drain rule and the watch: told through it, the router sends nothing more to one that drains.
+/// Guards against requests to a draining endpoint after the list watch has reported that it drains.
 #[test]
-fn a_draining_instance_gets_nothing_new() {
+fn draining_endpoint_receives_no_new_requests() {
     let (old, new) = (
         FakeEndpoint::start("replica", ScriptedResponse::Serve),
         FakeEndpoint::start("replica", ScriptedResponse::Serve),
@@ -536,8 +563,8 @@
     let router = start_router(&discovery, &list("ready"), 1024);
     let mut client = router.connect_client();
     discovery.publish(list("draining"));
-    // The next call of the watch carries the version that names it as draining.
-    let told = |c: &mut Vec<String>| {
+    // The next poll of the watch carries the version in which the endpoint is draining.
+    let drain_received = |c: &mut Vec<String>| {
         c.iter()
             .any(|p| p.contains("since=2&timeout_ms=3000"))
             .then_some(())
@@ -545,23 +572,23 @@
     assert!(
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, told)
+            .wait_for(WAIT_TIMEOUT, drain_received)
             .is_some()
     );
-    let before = old.activity.with(|s| s.queries.len());
+    let queries_before = old.activity.with(|s| s.queries.len());
     for id in 1..=20 {
         assert_eq!(
             client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
     }
-    assert_eq!(old.activity.with(|s| s.queries.len()), before);
+    assert_eq!(old.activity.with(|s| s.queries.len()), queries_before);
 }
 
-/// Guards the endpoint's identity: the same uid at another address is dialled there.
+/// Guards against requests to the old address after the list shows the same uid at another one.
 #[test]
-fn an_instance_that_moves_is_dialled_at_its_new_address() {
-    let (instance, discovery, router) = one(ScriptedResponse::Serve);
+fn endpoint_that_moved_is_connected_at_its_new_address() {
+    let (endpoint, discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
     let mut client = router.connect_client();
     assert_eq!(
         client.simple_query(&select_query(1, 5000)).value,
@@ -574,17 +601,22 @@
         client.simple_query(&select_query(2, 5000)).value,
         "0000000000000002"
     );
-    let asked = |i: &FakeEndpoint| i.activity.with(|s| s.queries.len());
-    assert_eq!((asked(&instance), asked(&moved)), (1, 1));
+    let query_count = |e: &FakeEndpoint| e.activity.with(|s| s.queries.len());
+    assert_eq!((query_count(&endpoint), query_count(&moved)), (1, 1));
 }
 
-/// Guards the counters that tell the operator why nothing is served: nobody at the endpoint's address, discovery down.
+/// Guards the counters that show an operator why no request is served: nothing listens at the endpoint's address, and
+/// discovery returns errors.
 #[test]
-fn what_does_not_come_up_is_counted_by_its_end() {
-    // No stand-in is ever given a port so low.
-    let nobody = "127.0.0.1:1".parse().unwrap();
+fn failed_connects_and_polls_are_counted_by_their_cause() {
+    // No fake server is ever bound to a port this low.
+    let unused_address = "127.0.0.1:1".parse().unwrap();
     let discovery = FakeDiscovery::start(None);
-    let router = start_router(&discovery, &[list_entry("s-1", nobody, "ready")], 1024);
+    let router = start_router(
+        &discovery,
+        &[list_entry("s-1", unused_address, "ready")],
+        1024,
+    );
     assert_eq!(
         router
             .connect_client()
@@ -593,22 +625,22 @@
         "53300"
     );
     assert!(router.wait_for_log("discovery poll failed"));
-    let line = router.counters();
+    let counters = router.counters();
     let count = |name: &str| -> u64 {
-        let field = line
+        let field = counters
             .split(' ')
             .find_map(|f| f.strip_prefix(name)?.strip_prefix('=')?.parse().ok());
-        field.unwrap_or_else(|| panic!("{name}: {line}"))
+        field.unwrap_or_else(|| panic!("no counter {name}: {counters}"))
     };
     assert!(
         count("connects_failed") > 0 && count("connects_failed") == count("connects"),
-        "{line}"
+        "{counters}"
     );
     assert!(
         count("list_rejected") > 0 && count("list_timed_out") == 0,
-        "{line}"
+        "{counters}"
     );
-    let given = [
+    let rejection_counters = [
         "rejected_deadline_too_close",
         "rejected_no_eligible_endpoint",
         "rejected_load_shed",
@@ -616,15 +648,19 @@
         "rejected_attempt_timed_out",
         "rejected_retry_budget_exhausted",
     ];
-    assert_eq!(given.iter().map(|g| count(g)).sum::<u64>(), 1, "{line}");
+    assert_eq!(
+        rejection_counters.iter().map(|c| count(c)).sum::<u64>(),
+        1,
+        "{counters}"
+    );
 }
 
-/// Guards the endpoints' tables and the price of handshakes: with little traffic a connection that is closed long
-/// before its time has to be made again for the next request. That none goes too late is checked as `RETIRE` is built.
+/// Guards against repeated connects under light traffic, caused by idle connections that are closed long before the
+/// endpoint's idle timeout. That none is closed too late, `MAX_IDLE_FRACTION` asserts at compile time.
 #[test]
-fn an_idle_connection_is_kept_for_most_of_the_time_that_the_instance_allows() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+fn idle_upstream_connection_is_kept_for_most_of_the_endpoint_idle_timeout() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let mut settings = base_settings();
     settings["ceilings"]["idleClose"] = 2_000_000_000u64.into();
@@ -636,22 +672,22 @@
             .value,
         "0000000000000001"
     );
-    let since = Instant::now();
+    let idle_since = Instant::now();
     assert!(router.wait_for_log("reason: idle"));
     assert!(
-        since.elapsed() >= Duration::from_millis(1600),
+        idle_since.elapsed() >= Duration::from_millis(1600),
         "{:?}",
-        since.elapsed()
+        idle_since.elapsed()
     );
 }
 
-/// Guards against a list that is believed for ever: a watch that breaks is asked for again.
+/// Guards against an outdated list that is used for ever: a list watch that fails must be opened again.
 #[test]
-fn a_failed_watch_is_renewed() {
-    let (instance, discovery, router) = one(ScriptedResponse::Serve);
+fn failed_list_watch_is_opened_again() {
+    let (endpoint, discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
     discovery.list.with(|l| l.1 = None);
     assert!(router.wait_for_log("discovery poll failed"));
-    // Meanwhile the list it has stands.
+    // The known list stays in use meanwhile.
     assert_eq!(
         router
             .connect_client()
@@ -659,10 +695,10 @@
             .value,
         "0000000000000001"
     );
-    let calls = discovery.requested_paths.with(|c| c.len());
-    discovery.publish(vec![list_entry("s-1", instance.address, "ready")]);
-    let again = |c: &mut Vec<String>| {
-        c[calls..]
+    let polls_before = discovery.requested_paths.with(|c| c.len());
+    discovery.publish(vec![list_entry("s-1", endpoint.address, "ready")]);
+    let polled_again = |c: &mut Vec<String>| {
+        c[polls_before..]
             .iter()
             .any(|p| p.contains("timeout_ms=8000"))
             .then_some(())
@@ -670,32 +706,36 @@
     assert!(
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, again)
+            .wait_for(WAIT_TIMEOUT, polled_again)
             .is_some()
     );
 }
 
-/// Guards a busy discovery: a call that waits its turn is not given up and repeated, which would be served twice.
+/// Guards a busy discovery service against double load: a poll that is queued there must not be given up and repeated,
+/// because both polls would be served.
 #[test]
-fn a_call_that_waits_its_turn_is_not_repeated() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
+fn queued_list_poll_is_not_repeated() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let discovery = FakeDiscovery::start(None);
     discovery
         .fault_mode
         .with(|m| *m = DiscoveryFaultMode::NoResponse);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let router = start_router(&discovery, &list, 1024);
-    // A service ends a call that has waited for its turn for 2 s.
-    let calls = |n: usize| {
+    // The discovery service ends a poll that has been queued for 2 s.
+    let poll_received = |count: usize| {
         discovery
             .requested_paths
             .wait_for(Duration::from_millis(2000), |c| {
-                (c.len() >= n).then_some(())
+                (c.len() >= count).then_some(())
             })
     };
-    assert!(calls(1).is_some());
-    assert!(calls(2).is_none(), "repeated while it waits");
-    // Meanwhile the router serves from the list it has.
+    assert!(poll_received(1).is_some());
+    assert!(
+        poll_received(2).is_none(),
+        "the poll was repeated while it was queued"
+    );
+    // The router serves requests from the known list meanwhile.
     assert_eq!(
         router
             .connect_client()
@@ -707,7 +747,7 @@
     discovery
         .fault_mode
         .with(|m| *m = DiscoveryFaultMode::Normal);
-    // Its answer begins the watch: no other call comes between.
+    // The response starts the watch; there is no other poll in between.
     assert!(
         discovery
             .requested_paths
@@ -726,11 +766,11 @@
     );
 }
 
-/// Guards the clock of silence: a watch that falls silent is opened anew, on a new connection, and what it missed is
-/// there before it counts as told; the decider hears of no failure.
+/// Guards against a list change that is lost when an open watch falls silent: the watch is opened again on a new
+/// connection, the missed list is received, and only a timeout is counted.
 #[test]
-fn a_silent_watch_is_opened_anew_before_its_news_count_as_told() {
-    let (instance, discovery, router) = one(ScriptedResponse::Serve);
+fn silent_list_watch_is_opened_again_and_receives_the_missed_list() {
+    let (endpoint, discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
     let watched = |c: &mut Vec<String>| {
         c.iter()
             .any(|p| p.contains("timeout_ms=3000"))
@@ -742,13 +782,13 @@
             .wait_for(WAIT_TIMEOUT, watched)
             .is_some()
     );
-    // Calls that have begun get no answer; the next ones do.
+    // Polls that are open get no response; later ones do.
     discovery.stall_open_connections();
-    let silent = Instant::now();
-    discovery.publish(vec![list_entry("s-1", instance.address, "draining")]);
-    let calls = discovery.requested_paths.with(|c| c.len());
-    let told = |c: &mut Vec<String>| {
-        c[calls..]
+    let silent_since = Instant::now();
+    discovery.publish(vec![list_entry("s-1", endpoint.address, "draining")]);
+    let polls_before = discovery.requested_paths.with(|c| c.len());
+    let polled_again = |c: &mut Vec<String>| {
+        c[polls_before..]
             .iter()
             .any(|p| p.contains("since=2&"))
             .then_some(())
@@ -756,13 +796,13 @@
     assert!(
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, told)
+            .wait_for(WAIT_TIMEOUT, polled_again)
             .is_some()
     );
     assert!(
-        silent.elapsed() < Duration::from_millis(5500),
+        silent_since.elapsed() < Duration::from_millis(5500),
         "{:?}",
-        silent.elapsed()
+        silent_since.elapsed()
     );
     assert!(
         router
@@ -771,22 +811,22 @@
     );
 }
 
-/// Guards against a busy loop: a watch that is answered at once, again and again, is slowed down, though not
-/// beyond the 200 ms after which discovery takes it for a new one.
+/// Guards against a busy loop when discovery returns from every watch at once. The pause between polls stays below the
+/// 200 ms after which discovery treats the watch as a new one.
 #[test]
-fn a_hasty_watch_is_not_followed_at_full_speed() {
-    let (_instance, discovery, _router) = one(ScriptedResponse::Serve);
+fn list_watch_that_returns_at_once_is_slowed_down() {
+    let (_endpoint, discovery, _router) = start_with_one_endpoint(ScriptedResponse::Serve);
     discovery
         .fault_mode
         .with(|m| *m = DiscoveryFaultMode::ImmediateResponse);
     discovery.list.with(|_| ());
-    let nth = |n: usize| {
+    let nth_poll_time = |count: usize| {
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (c.len() >= n).then(Instant::now))
+            .wait_for(WAIT_TIMEOUT, |c| (c.len() >= count).then(Instant::now))
             .unwrap()
     };
-    let (first, last) = (nth(4), nth(14));
+    let (first, last) = (nth_poll_time(4), nth_poll_time(14));
     assert!(
         last - first >= Duration::from_millis(900),
         "{:?}",
@@ -794,11 +834,11 @@
     );
 }
 
-/// Guards SIGHUP: the router turns to the discovery that the file names now, whatever the environment said at
-/// the start, and believes its whole list, though its versions are lower.
+/// Guards SIGHUP: the router must switch to the discovery address in the file, whatever the environment contained at
+/// the start, and accept the whole list from there although its versions are lower.
 #[test]
-fn a_new_configuration_moves_discovery() {
-    let (old, discovery, mut router) = one(ScriptedResponse::Serve);
+fn reload_switches_to_the_new_discovery_and_accepts_its_list() {
+    let (old, discovery, mut router) = start_with_one_endpoint(ScriptedResponse::Serve);
     discovery.publish(vec![list_entry("s-1", old.address, "ready")]);
     let watched = |c: &mut Vec<String>| {
         c.iter()
@@ -831,16 +871,17 @@
         "0000000000000001"
     );
     assert_eq!(moved.activity.with(|s| s.queries.len()), 1);
-    // It comes again, also while the router is ending.
+    // A reload during the graceful shutdown must not prevent the exit.
     router.signal("TERM");
     router.reload_config("discovery", discovery.address.to_string().into());
     assert!(router.wait_for_exit().success());
 }
 
-/// Guards against a discovery that was moved away from while it hangs: the new one is asked at once.
+/// Guards against a delay when the configuration replaces a discovery address whose poll hangs: the new one must be
+/// polled at once.
 #[test]
-fn a_call_that_hangs_does_not_hold_up_a_new_discovery() {
-    let (instance, _discovery, router) = one(ScriptedResponse::Serve);
+fn reload_polls_the_new_discovery_while_a_poll_of_the_old_one_hangs() {
+    let (endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
     let silent = FakeDiscovery::start(None);
     silent
         .fault_mode
@@ -852,45 +893,49 @@
             .wait_for(WAIT_TIMEOUT, |c| (c.len() == 1).then_some(()))
             .is_some()
     );
-    let next = FakeDiscovery::start(Some(vec![list_entry("s-1", instance.address, "ready")]));
+    let next = FakeDiscovery::start(Some(vec![list_entry("s-1", endpoint.address, "ready")]));
     router.reload_config("discovery", next.address.to_string().into());
     assert!(
         next.requested_paths
             .wait_for(WAIT_TIMEOUT, |c| (!c.is_empty()).then_some(()))
             .is_some()
     );
-    let line = router.counters();
+    let counters = router.counters();
     assert!(
-        line.contains("list_rejected=0 list_timed_out=0 list_connection_failed=0"),
-        "{line}"
+        counters.contains("list_rejected=0 list_timed_out=0 list_connection_failed=0"),
+        "{counters}"
     );
 }
 
-/// Guards a router that knows no version: its call for the whole list waits for nothing, so that silence is noticed
-/// without the ten seconds that a watch may wait.
+/// Guards a router that knows no list version: a poll for the whole list does not wait for changes, so silence must be
+/// detected before the ten seconds that a watch may take.
 #[test]
-fn a_silent_call_for_the_whole_list_is_made_again_soon() {
-    let (_instance, _discovery, router) = one(ScriptedResponse::Serve);
-    let hung = FakeDiscovery::start(None);
-    hung.fault_mode
+fn poll_for_the_whole_list_is_repeated_within_nine_seconds_of_silence() {
+    let (_endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
+    let silent = FakeDiscovery::start(None);
+    silent
+        .fault_mode
         .with(|m| *m = DiscoveryFaultMode::NoResponse);
-    router.reload_config("discovery", hung.address.to_string().into());
+    router.reload_config("discovery", silent.address.to_string().into());
     assert!(
-        hung.requested_paths
+        silent
+            .requested_paths
             .wait_for(WAIT_TIMEOUT, |c| (!c.is_empty()).then_some(()))
             .is_some()
     );
-    let again = hung
+    let repeated = silent
         .requested_paths
         .wait_for(Duration::from_secs(9), |c| (c.len() >= 2).then_some(()));
-    assert!(again.is_some(), "the silence was not noticed");
+    assert!(repeated.is_some(), "the poll was not repeated");
     assert!(
-        hung.requested_paths
+        silent
+            .requested_paths
             .with(|c| c.iter().all(|path| path == "/api/targets"))
     );
 }
 
-/// Guards the old configuration against a file that makes no sense, and says what takes a restart.
+/// Guards the running configuration against an invalid file, and the operator against a change that is ignored without
+/// a log line because it needs a restart.
 #[rstest]
 #[case(
     "discovery",
@@ -899,14 +944,14 @@
 )]
 #[case("settings", "none", "familyInfo is missing")]
 #[case("name", "n7", "takes effect after a restart")]
-fn a_reload_says_what_it_did_not_take(
+fn reload_logs_why_a_change_was_not_applied(
     #[case] field: &str,
     #[case] value: &str,
-    #[case] wanted: &str,
+    #[case] expected_log: &str,
 ) {
-    let (_instance, _discovery, router) = one(ScriptedResponse::Serve);
+    let (_endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
     router.reload_config(field, value.into());
-    assert!(router.wait_for_log(wanted));
+    assert!(router.wait_for_log(expected_log));
     assert_eq!(
         router
             .connect_client()
@@ -916,20 +961,26 @@
     );
 }
 
-/// Guards against a start on a configuration that makes no sense, without a word of what is wrong.
+/// Guards against a start with an invalid configuration, and against an exit without the reason.
 #[rstest]
 #[case("{", "EOF")]
 #[case("{}", "familyInfo is missing")]
-fn a_wrong_configuration_is_named(#[case] text: &str, #[case] wanted: &str) {
+fn start_fails_with_the_reason_when_the_configuration_is_invalid(
+    #[case] text: &str,
+    #[case] expected_error: &str,
+) {
     let file = tempfile::NamedTempFile::new().unwrap();
     std::fs::write(file.path(), text).unwrap();
     let mut program = std::process::Command::new(env!("CARGO_BIN_EXE_reelrill"));
     let output = program.env("RELAY_CONFIG", file.path()).output().unwrap();
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(!output.status.success() && said.contains(wanted), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(
+        !output.status.success() && stderr.contains(expected_error),
+        "{stderr}"
+    );
 }
 
-/// Guards the start against settings that make no sense: `check` names file and field, and exits with 2.
+/// Guards the start against invalid settings: `check` must name the file and the field, and exit with status 2.
 #[rstest]
 #[case(&["limits", "sockets"], 0.into(), "limits.sockets")]
 #[case(&["limits", "sockets"], (-5).into(), "limits.sockets")]
@@ -942,10 +993,10 @@
 #[case(&["settings", "rules", "warmAfter"], 0.into(), "warm_after")]
 #[case(&["settings", "rules", "coldFrom"], 7.into(), "cold_from")]
 #[case(&["known", "targets"], "none".into(), "known: targets")]
-fn settings_that_make_no_sense_are_named(
-    #[case] place: &[&str],
+fn check_names_the_file_and_the_field_of_an_invalid_setting(
+    #[case] path: &[&str],
     #[case] value: serde_json::Value,
-    #[case] field: &str,
+    #[case] expected_field: &str,
 ) {
     let mut config = serde_json::json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "settings": base_settings(),
@@ -955,31 +1006,29 @@
         std::fs::write(file.path(), config.to_string()).unwrap();
         let mut program = std::process::Command::new(env!("CARGO_BIN_EXE_reelrill"));
         let output = program.arg("check").arg(file.path()).output().unwrap();
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         (
             output.status.code(),
-            said.contains(&*file.path().to_string_lossy()),
-            said,
+            stderr.contains(&*file.path().to_string_lossy()),
+            stderr,
         )
     };
     assert_eq!(check(&config).0, Some(0));
-    let at = config
-        .pointer_mut(&format!("/{}", place.join("/")))
-        .unwrap();
-    *at = value;
-    let (code, has_file, said) = check(&config);
+    let setting = config.pointer_mut(&format!("/{}", path.join("/"))).unwrap();
+    *setting = value;
+    let (exit_code, has_file, stderr) = check(&config);
     assert_eq!(
-        (code, has_file, said.contains(field)),
+        (exit_code, has_file, stderr.contains(expected_field)),
         (Some(2), true, true),
-        "{said}"
+        "{stderr}"
     );
 }
 
-/// Guards the budget of descriptors: idle connections make room, and nobody is turned away.
+/// Guards against clients that are turned away when others hold all descriptors: idle connections must be evicted.
 #[test]
-fn more_clients_than_descriptors_are_served_in_turn() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+fn idle_clients_are_evicted_when_clients_exceed_the_descriptor_budget() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router(&discovery, &list, 64);
     let mut kept = Vec::new();
@@ -994,16 +1043,16 @@
     assert!(router.wait_for_log("reason: evicted") && router.wait_for_counter("accept_errors=0"));
 }
 
-/// Guards usual clients against a crowd of others that ask once and stay: room is made from half of the clients'
-/// descriptors on, not when the last one is gone.
+/// Guards regular clients against many others that send one query and stay connected: eviction must begin when half of
+/// the clients' descriptors are in use, not when none is left.
 #[test]
-fn idle_clients_make_room_before_the_last_descriptor() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+fn idle_clients_are_evicted_before_the_descriptors_run_out() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    // At this limit clients have 22 descriptors.
+    // With this limit clients have 22 descriptors.
     let router = start_router(&discovery, &list, 64);
-    let ask = |id: u64| {
+    let connect_and_query = |id: u64| {
         let mut client = router.connect_client();
         assert_eq!(
             client.simple_query(&select_query(id, 5000)).value,
@@ -1011,24 +1060,27 @@
         );
         client
     };
-    let kept: Vec<Client> = (1..=14).map(ask).collect();
-    let began = Instant::now();
+    let kept: Vec<Client> = (1..=14).map(connect_and_query).collect();
+    let started = Instant::now();
     let evicted = |l: &mut Vec<String>| l.iter().any(|l| l.contains("reason: evicted"));
     let mut id = 100;
     while !router.log.with(evicted) {
-        assert!(began.elapsed() < WAIT_TIMEOUT, "nobody makes room");
-        drop(ask(id));
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "no idle client was evicted"
+        );
+        drop(connect_and_query(id));
         id += 1;
     }
     drop(kept);
 }
 
-/// Guards usual clients against hundreds that connect and say nothing: those give way first, a connection in use
-/// stays open, new ones are served, and what says nothing for long is closed even if nobody needs its place.
+/// Guards regular clients against hundreds of connections that never send a byte: those are evicted first, a connection
+/// in use stays open, new clients are served, and silent connections are closed even when no descriptor is needed.
 #[test]
-fn connections_that_say_nothing_hold_nobody_up() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+fn silent_connections_are_evicted_first_and_closed_after_the_startup_timeout() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router(&discovery, &list, 64);
     let mut kept = router.connect_client();
@@ -1037,7 +1089,7 @@
         "0000000000000001"
     );
     let mut silent: Vec<Client> = (0..100).map(|_| Client::connect(router.address)).collect();
-    let began = Instant::now();
+    let started = Instant::now();
     assert_eq!(
         router
             .connect_client()
@@ -1046,9 +1098,9 @@
         "0000000000000002"
     );
     assert!(
-        began.elapsed() < Duration::from_millis(1500),
+        started.elapsed() < Duration::from_millis(1500),
         "{:?}",
-        began.elapsed()
+        started.elapsed()
     );
     assert_eq!(
         kept.simple_query(&select_query(3, 5000)).value,
@@ -1061,19 +1113,20 @@
             .all(|client| client.read_response().is_none())
     );
     assert!(
-        began.elapsed() < Duration::from_secs(6),
+        started.elapsed() < Duration::from_secs(6),
         "{:?}",
-        began.elapsed()
+        started.elapsed()
     );
     assert!(
         router.wait_for_log("reason: startup_timeout") && router.wait_for_log("reason: evicted")
     );
 }
 
-/// Guards the error against a reset that overtakes it: what a client goes on sending is thrown away.
+/// Guards an error response against the reset that follows when a socket is closed with unread bytes: what the client
+/// keeps sending must be read and discarded.
 #[test]
-fn the_error_arrives_although_the_client_sends_on() {
-    let (_instance, _discovery, router) = one(ScriptedResponse::Serve);
+fn error_response_arrives_while_the_client_keeps_sending() {
+    let (_endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
     let mut client = router.connect_client();
     client.stream.write_all(&[b'Q', 3, 0x93, 0x87, 0]).unwrap();
     for _ in 0..128 {
@@ -1083,21 +1136,25 @@
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
 }
 
-/// Guards the descriptors for endpoints: with more endpoints than descriptors the connections idle longest
-/// make room, no request fails for it, and an endpoint in use keeps its connection.
+/// Guards the descriptors for endpoints when there are more endpoints than descriptors: the connections that were idle
+/// longest are evicted, no request fails, and an endpoint in use keeps its connection.
 #[test]
-fn more_instances_than_descriptors_are_reached_in_turn() {
-    let instances: Vec<FakeEndpoint> = (0..24)
+fn idle_upstream_connections_are_evicted_when_endpoints_exceed_the_descriptors() {
+    let endpoints: Vec<FakeEndpoint> = (0..24)
         .map(|_| FakeEndpoint::start("master", ScriptedResponse::Serve))
         .collect();
-    let listed = |(i, instance): (usize, &FakeEndpoint)| {
-        let mut target = list_entry(&format!("s-{i}"), instance.address, "ready");
-        target["pod_group"] = i.into();
-        target
+    let list_entry_in_own_set = |(i, endpoint): (usize, &FakeEndpoint)| {
+        let mut entry = list_entry(&format!("s-{i}"), endpoint.address, "ready");
+        entry["pod_group"] = i.into();
+        entry
     };
-    let list: Vec<_> = instances.iter().enumerate().map(listed).collect();
+    let list: Vec<_> = endpoints
+        .iter()
+        .enumerate()
+        .map(list_entry_in_own_set)
+        .collect();
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    // At the least number that the router takes, sixteen are for endpoints.
+    // With the lowest limit that the router accepts, sixteen descriptors are for endpoints.
     let router = start_router(&discovery, &list, 64);
     let mut client = router.connect_client();
     for id in 0..72 {
@@ -1108,22 +1165,22 @@
         router.wait_for_counter("attempts_connect_failed=0")
             && router.wait_for_log("reason: evicted")
     );
-    for instance in &instances {
-        assert_eq!(instance.activity.with(|s| s.accepted_connections), 1);
+    for endpoint in &endpoints {
+        assert_eq!(endpoint.activity.with(|s| s.accepted_connections), 1);
     }
 }
 
-/// Guards a planned restart: what is being answered is answered, new clients are served, idle connections
-/// are closed, and then the router ends by itself.
+/// Guards a planned restart: open requests must get their responses, new clients be served, idle connections be closed,
+/// and then the router must exit by itself.
 #[test]
-fn sigterm_answers_all_and_ends() {
-    let (instance, _discovery, mut router) = one(ScriptedResponse::Serve);
+fn sigterm_completes_open_requests_and_then_exits() {
+    let (endpoint, _discovery, mut router) = start_with_one_endpoint(ScriptedResponse::Serve);
     let (mut idle, mut waiting) = (router.connect_client(), router.connect_client());
     assert_eq!(
         idle.simple_query(&select_query(3, 5000)).value,
         "0000000000000003"
     );
-    instance
+    endpoint
         .response
         .with(|a| *a = ScriptedResponse::NoResponse);
     waiting
@@ -1131,14 +1188,14 @@
         .write_all(&query_message(&select_query(1, 20_000)))
         .unwrap();
     assert!(
-        instance
+        endpoint
             .activity
             .wait_for(WAIT_TIMEOUT, |s| (s.queries.len() == 2).then_some(()))
             .is_some()
     );
     router.signal("TERM");
     assert!(idle.read_response().is_none());
-    instance.response.with(|a| *a = ScriptedResponse::Serve);
+    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
     let mut late = Client::connect(router.address);
     late.stream
         .write_all(&[startup_message(), query_message(&select_query(2, 5000))].concat())
@@ -1150,11 +1207,11 @@
     assert!(router.wait_for_log("counters") && router.has_final_counter("served=3"));
 }
 
-/// Guards a connection that is new when the router is about to end: its client has not sent its first
-/// request yet, and would meet the same on any further connection.
+/// Guards a client that connects during a graceful shutdown: its first request must be served, because the client would
+/// meet the same shutdown on any further connection.
 #[test]
-fn a_new_connection_gets_its_first_answer_after_sigterm() {
-    let (_instance, _discovery, router) = one(ScriptedResponse::Serve);
+fn connection_opened_after_sigterm_gets_its_first_response() {
+    let (_endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
     let mut idle = router.connect_client();
     assert_eq!(
         idle.simple_query(&select_query(1, 5000)).value,
@@ -1170,15 +1227,16 @@
     assert!(new.read_response().is_none());
 }
 
-/// Guards against a handshake that never ends: a machine that accepts and stays silent is no connection.
+/// Guards against a startup exchange that never ends: a host that accepts the connection and stays silent must count as
+/// a failed connect.
 #[test]
-fn a_handshake_without_an_answer_is_a_failed_connect() {
+fn connect_fails_when_the_endpoint_never_responds_to_startup() {
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let list = vec![list_entry("s-1", silent.local_addr().unwrap(), "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router(&discovery, &list, 1024);
-    let answer = router.connect_client().simple_query(&select_query(1, 2000));
-    assert_eq!(answer.sqlstate, "53300");
+    let response = router.connect_client().simple_query(&select_query(1, 2000));
+    assert_eq!(response.sqlstate, "53300");
     assert!(router.wait_for_log("reason: dial_failed"));
     assert!(router.wait_for_counter("attempts_timed_out=0"));
 }
