--- a/crates/router/tests/edges.rs
+++ b/crates/router/tests/edges.rs
@@ -1,5 +1,5 @@
-//! The instants in which something ends while something is still owed, or no longer is: clients that go, connections
-//! that close, the end of the process. Each crossing is forced by a stand-in that holds until the test lets it go.
+//! Tests of races between an end and work in progress: clients that disconnect, connections that close, the shutdown of
+//! the process. Each race is forced by a fake endpoint that blocks until the test releases it.
 
 mod common;
 
@@ -12,82 +12,87 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-const ID: u64 = 0xe1;
+/// The id of the request that a test observes.
+const OBSERVED_ID: u64 = 0xe1;
 
 #[derive(Clone, Copy, Debug)]
-enum Leave {
+enum Disconnect {
     Eof,
     Reset,
     Terminate,
 }
 
-impl Leave {
-    fn go(self, client: Client) -> Option<Client> {
+impl Disconnect {
+    /// Disconnects the client. Returns it where its socket stays open, so that the caller keeps it.
+    fn apply(self, client: Client) -> Option<Client> {
         match self {
-            Leave::Eof => client.stream.shutdown(Shutdown::Write).unwrap(),
-            Leave::Reset => {
+            Disconnect::Eof => client.stream.shutdown(Shutdown::Write).unwrap(),
+            Disconnect::Reset => {
                 socket2::SockRef::from(&client.stream)
                     .set_linger(Some(Duration::ZERO))
                     .unwrap();
                 return None;
             }
-            Leave::Terminate => (&client.stream).write_all(&[b'X', 0, 0, 0, 4]).unwrap(),
+            Disconnect::Terminate => (&client.stream).write_all(&[b'X', 0, 0, 0, 4]).unwrap(),
         }
         Some(client)
     }
 }
 
-fn book(id: u64, session: &str, wait_ms: u64) -> String {
+/// Returns a write of class `book` in `session`. Its idempotency key is `id`, and the client waits `wait_ms`
+/// milliseconds.
+fn insert_query(id: u64, session: &str, wait_ms: u64) -> String {
     format!(
         "INSERT INTO facts (code, data) VALUES ('{session}', '\\x00') RETURNING data \
          /* id={id:016x},c=book,d={wait_ms},k={id:016x},cluster=2 */"
     )
 }
 
-/// Settings in which nothing may be cancelled and a connection may take long to come up.
-fn uncancelled() -> Value {
+/// Returns settings that forbid cancelling and allow a connect 15 s.
+fn settings_without_cancelling() -> Value {
     let mut settings = base_settings();
     settings["ceilings"]["mayCancel"] = false.into();
     settings["ceilings"]["connectTimeout"] = 15_000_000_000u64.into();
-    unhurried(settings)
+    with_long_latency_objective(settings)
 }
 
-/// Nothing is refused for what has waited for some seconds.
-fn unhurried(mut settings: Value) -> Value {
+/// Sets all latency objectives to 4 s, so that no load is shed for requests that have waited some seconds.
+fn with_long_latency_objective(mut settings: Value) -> Value {
     for class in settings["classes"].as_array_mut().into_iter().flatten() {
         class["onTime"] = 4_000_000_000u64.into();
     }
     settings
 }
 
-fn one(
+/// Starts an endpoint and a router whose endpoint list contains only this one.
+fn start_with_one_endpoint(
     role: &'static str,
-    act: ScriptedResponse,
+    scripted_response: ScriptedResponse,
     settings: Value,
 ) -> (FakeEndpoint, FakeDiscovery, RouterProcess) {
-    let instance = FakeEndpoint::start(role, act);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+    let endpoint = FakeEndpoint::start(role, scripted_response);
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router_with(&discovery, &list, 1024, settings, None);
-    (instance, discovery, router)
+    (endpoint, discovery, router)
 }
 
-fn asked(instance: &FakeEndpoint) -> usize {
-    instance.activity.with(|s| s.queries.len())
+fn query_count(endpoint: &FakeEndpoint) -> usize {
+    endpoint.activity.with(|s| s.queries.len())
 }
 
-fn until_asked(instance: &FakeEndpoint, n: usize) {
+fn wait_for_queries(endpoint: &FakeEndpoint, count: usize) {
     assert!(
-        instance
+        endpoint
             .activity
-            .wait_for(WAIT_TIMEOUT, |s| (s.queries.len() >= n).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |s| (s.queries.len() >= count).then_some(()))
             .is_some()
     );
 }
 
-fn until_dialled(instance: &FakeEndpoint) {
+fn wait_for_connection(endpoint: &FakeEndpoint) {
     assert!(
-        instance
+        endpoint
             .activity
             .wait_for(WAIT_TIMEOUT, |s| (s.accepted_connections >= 1)
                 .then_some(()))
@@ -95,28 +100,32 @@
     );
 }
 
-/// Guards endpoints against work for nobody: an attempt that waits for its connection to come up is withdrawn when its
-/// client goes, though the settings let nothing be cancelled; the connection serves the next request.
+/// Guards endpoints against work without a client: an attempt that waits for its connection must be withdrawn when its
+/// client disconnects, although the settings forbid cancelling. The connection then serves the next request.
 #[rstest]
-fn what_waits_for_a_dial_is_withdrawn(
-    #[values(Leave::Eof, Leave::Reset, Leave::Terminate)] how: Leave,
+fn attempt_waiting_for_its_connection_is_withdrawn_when_the_client_disconnects(
+    #[values(Disconnect::Eof, Disconnect::Reset, Disconnect::Terminate)] disconnect: Disconnect,
     #[values(false, true)] is_write: bool,
 ) {
-    let (instance, _discovery, router) = one("master", ScriptedResponse::Serve, uncancelled());
-    instance.set_startup_blocked(true);
+    let (endpoint, _discovery, router) = start_with_one_endpoint(
+        "master",
+        ScriptedResponse::Serve,
+        settings_without_cancelling(),
+    );
+    endpoint.set_startup_blocked(true);
     let mut client = router.connect_client();
     client.send(&query_message(&if is_write {
-        book(ID, "s", 20_000)
+        insert_query(OBSERVED_ID, "s", 20_000)
     } else {
-        select_query(ID, 20_000)
+        select_query(OBSERVED_ID, 20_000)
     }));
-    until_dialled(&instance);
-    let _left = how.go(client);
+    wait_for_connection(&endpoint);
+    let _open_client = disconnect.apply(client);
     assert!(
         router.wait_for_counter("client_left=1")
             && router.wait_for_counter("attempts_unwritten_client_left=1")
     );
-    instance.set_startup_blocked(false);
+    endpoint.set_startup_blocked(false);
     assert_eq!(
         router
             .connect_client()
@@ -124,21 +133,23 @@
             .value,
         "0000000000000002"
     );
-    assert_eq!(asked(&instance), 1);
+    assert_eq!(query_count(&endpoint), 1);
 }
 
-/// The same for a hundred that go together.
+/// Guards endpoints against the requests of a hundred clients that disconnect together while their attempts wait for a
+/// connection.
 #[test]
-fn a_burst_of_clients_that_go_leaves_nothing_behind() {
-    let mut settings = uncancelled();
+fn attempts_of_a_hundred_clients_are_withdrawn_when_all_disconnect() {
+    let mut settings = settings_without_cancelling();
     for class in settings["classes"].as_array_mut().into_iter().flatten() {
-        // No load is shed: without a first answer that begins once all open requests together have waited for about
-        // half the objective, which on a busy machine is before the last of a hundred has come.
+        // Prevents load shedding. Before the first response it starts when all open requests together have waited for
+        // about half the latency objective, on a busy machine before the last of a hundred requests has arrived.
         class["hardLimit"] = 3_000_000_000_000u64.into();
         class["onTime"] = 3_000_000_000_000u64.into();
     }
-    let (instance, _discovery, router) = one("master", ScriptedResponse::Serve, settings);
-    instance.set_startup_blocked(true);
+    let (endpoint, _discovery, router) =
+        start_with_one_endpoint("master", ScriptedResponse::Serve, settings);
+    endpoint.set_startup_blocked(true);
     let mut clients: Vec<Client> = (0..100).map(|_| router.connect_client()).collect();
     for (client, id) in clients.iter_mut().zip(100..) {
         client.send(&query_message(&select_query(id, 3_000_000)));
@@ -146,7 +157,7 @@
     assert!(router.wait_for_counter("requests=100"));
     drop(clients);
     assert!(router.wait_for_counter("client_left=100") && router.wait_for_counter("rejected=0"));
-    instance.set_startup_blocked(false);
+    endpoint.set_startup_blocked(false);
     assert_eq!(
         router
             .connect_client()
@@ -154,120 +165,136 @@
             .value,
         "0000000000000002"
     );
-    assert_eq!(asked(&instance), 1);
+    assert_eq!(query_count(&endpoint), 1);
 }
 
-/// Guards a write that waits for a primary: with its client goes the wait, and the next primary never hears of it.
+/// Guards against a write that is executed after its client has disconnected: it waited for a primary and must not be
+/// sent to the next one.
 #[test]
-fn what_waits_for_a_primary_is_forgotten_with_its_client() {
-    let (instance, _discovery, router) =
-        one("replica", ScriptedResponse::Error("25006"), uncancelled());
+fn write_waiting_for_a_primary_is_dropped_when_its_client_disconnects() {
+    let (endpoint, _discovery, router) = start_with_one_endpoint(
+        "replica",
+        ScriptedResponse::Error("25006"),
+        settings_without_cancelling(),
+    );
     let mut client = router.connect_client();
-    client.send(&query_message(&book(ID, "s", 20_000)));
-    until_asked(&instance, 1);
+    client.send(&query_message(&insert_query(OBSERVED_ID, "s", 20_000)));
+    wait_for_queries(&endpoint, 1);
     drop(client);
     assert!(router.wait_for_counter("client_left=1"));
-    let before = asked(&instance);
-    instance.response.with(|a| *a = ScriptedResponse::Serve);
+    let queries_before = query_count(&endpoint);
+    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
     assert_eq!(
         router
             .connect_client()
-            .simple_query(&book(2, "s", 20_000))
+            .simple_query(&insert_query(2, "s", 20_000))
             .value,
         "0000000000000002"
     );
-    let late = instance.activity.with(|s| {
-        s.queries[before..]
+    let was_sent_later = endpoint.activity.with(|s| {
+        s.queries[queries_before..]
             .iter()
-            .any(|q| q.contains(&format!("id={ID:016x}")))
+            .any(|q| q.contains(&format!("id={OBSERVED_ID:016x}")))
     });
-    assert!(!late);
+    assert!(!was_sent_later);
 }
 
-/// Guards what is pipelined behind a request that is out: none of it begins once its client has gone, and the one that
-/// was written has its one outcome.
+/// Guards against pipelined requests that start after their client has disconnected. The one request that was already
+/// written must have exactly one outcome.
 #[rstest]
-fn what_is_pipelined_behind_goes_with_its_client(
-    #[values(Leave::Eof, Leave::Reset, Leave::Terminate)] how: Leave,
+fn pipelined_requests_do_not_start_after_their_client_disconnects(
+    #[values(Disconnect::Eof, Disconnect::Reset, Disconnect::Terminate)] disconnect: Disconnect,
 ) {
-    let (instance, _discovery, router) = one("master", ScriptedResponse::NoResponse, uncancelled());
+    let (endpoint, _discovery, router) = start_with_one_endpoint(
+        "master",
+        ScriptedResponse::NoResponse,
+        settings_without_cancelling(),
+    );
     let mut client = router.connect_client();
-    // Writes of one session wait for one another.
-    let all: Vec<u8> = (0..5)
-        .flat_map(|i| query_message(&book(ID + i, "s", 20_000)))
+    // The writes of one session are executed one after the other.
+    let pipeline: Vec<u8> = (0..5)
+        .flat_map(|i| query_message(&insert_query(OBSERVED_ID + i, "s", 20_000)))
         .collect();
-    client.send(&all);
-    until_asked(&instance, 1);
-    let _left = how.go(client);
+    client.send(&pipeline);
+    wait_for_queries(&endpoint, 1);
+    let _open_client = disconnect.apply(client);
     assert!(router.wait_for_counter("client_left=1"));
-    instance.response.with(|a| *a = ScriptedResponse::Serve);
+    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
     assert!(router.wait_for_counter("attempts_served=1"));
     assert_eq!(
-        (asked(&instance), router.wait_for_counter("attempts=1")),
+        (
+            query_count(&endpoint),
+            router.wait_for_counter("attempts=1")
+        ),
         (1, true)
     );
 }
 
-/// Guards against unread bytes that hide an end: beyond what is read ahead, the router asks whether the client has
-/// hung up.
+/// Guards against a disconnect that goes unnoticed behind unread bytes: the router stops reading at its read-ahead
+/// limit and must poll the socket for a hang-up.
 #[test]
-fn an_end_behind_unread_bytes_is_seen() {
-    let (instance, _discovery, router) = one("master", ScriptedResponse::NoResponse, uncancelled());
+fn disconnect_behind_unread_bytes_is_detected() {
+    let (endpoint, _discovery, router) = start_with_one_endpoint(
+        "master",
+        ScriptedResponse::NoResponse,
+        settings_without_cancelling(),
+    );
     let mut client = router.connect_client();
-    client.send(&query_message(&book(ID, "s", 20_000)));
-    until_asked(&instance, 1);
-    // More than is read ahead, less than the system holds back: the end stands right behind it.
-    let one = query_message(&book(ID + 1, "s", 20_000));
-    let many = one.repeat(100_000 / one.len());
-    client.send(&many);
+    client.send(&query_message(&insert_query(OBSERVED_ID, "s", 20_000)));
+    wait_for_queries(&endpoint, 1);
+    // More than the read-ahead limit and less than the socket buffers hold: the end of the stream follows directly.
+    let query = query_message(&insert_query(OBSERVED_ID + 1, "s", 20_000));
+    let queries = query.repeat(100_000 / query.len());
+    client.send(&queries);
     drop(client.stream.shutdown(Shutdown::Write));
-    let began = Instant::now();
+    let started = Instant::now();
     assert!(router.wait_for_counter("client_left=1"));
     assert!(
-        began.elapsed() < Duration::from_secs(5),
+        started.elapsed() < Duration::from_secs(5),
         "{:?}",
-        began.elapsed()
+        started.elapsed()
     );
     assert!(router.wait_for_log("reason: left_waiting"));
 }
 
-/// Guards CancelRequest as the clients' other way to go.
+/// Guards against a cancel request that has no effect on an attempt that still waits for its connection.
 #[test]
-fn what_is_called_off_is_withdrawn_from_a_dial() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    instance.set_startup_blocked(true);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+fn attempt_waiting_for_its_connection_is_withdrawn_by_a_cancel_request() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    endpoint.set_startup_blocked(true);
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router_with(
         &discovery,
         &list,
         1024,
-        uncancelled(),
+        settings_without_cancelling(),
         Some("extended: {mode: on}\n"),
     );
     let mut client = router.connect_client();
-    client.send(&query_message(&select_query(ID, 20_000)));
-    until_dialled(&instance);
+    client.send(&query_message(&select_query(OBSERVED_ID, 20_000)));
+    wait_for_connection(&endpoint);
     let mut cancel = Vec::new();
     frontend::put_cancel_request(&mut cancel, client.cancel_key.0, client.cancel_key.1);
     Client::connect(router.address).send(&cancel);
     assert_eq!(client.read_response().unwrap().sqlstate, "57014");
     assert!(router.wait_for_counter("attempts_unwritten_client_left=1"));
-    instance.set_startup_blocked(false);
+    endpoint.set_startup_blocked(false);
     assert_eq!(
         client.simple_query(&select_query(2, 20_000)).value,
         "0000000000000002"
     );
-    assert_eq!(asked(&instance), 1);
+    assert_eq!(query_count(&endpoint), 1);
 }
 
-/// Guards the time of pipelined queries: they are all out before the first is answered, and answered in order.
+/// Guards against pipelined queries that are executed one after the other: all must be sent before the first has its
+/// response, and the responses must keep the order.
 #[test]
-fn pipelined_queries_do_not_wait_for_one_another() {
-    let (instance, _discovery, router) = one(
+fn pipelined_queries_are_sent_without_waiting_for_earlier_responses() {
+    let (endpoint, _discovery, router) = start_with_one_endpoint(
         "master",
         ScriptedResponse::NoResponse,
-        unhurried(base_settings()),
+        with_long_latency_objective(base_settings()),
     );
     let mut client = router.connect_client();
     client.send(
@@ -275,18 +302,19 @@
             .flat_map(|id| query_message(&select_query(id, 20_000)))
             .collect::<Vec<u8>>(),
     );
-    until_asked(&instance, 8);
-    instance.response.with(|a| *a = ScriptedResponse::Serve);
+    wait_for_queries(&endpoint, 8);
+    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
     for id in 1..=8 {
         assert_eq!(client.read_response().unwrap().value, format!("{id:016x}"));
     }
 }
 
-/// Guards a request of which half has come when the router is told to end: the rest is waited for, and it is answered.
+/// Guards against a request that is lost when a graceful shutdown starts after half of it has been read: the router
+/// must read the rest and return a response.
 #[test]
-fn a_half_read_request_is_answered_at_the_end() {
-    let (_instance, _discovery, mut router) =
-        one("master", ScriptedResponse::Serve, base_settings());
+fn partially_read_request_is_completed_during_graceful_shutdown() {
+    let (_endpoint, _discovery, mut router) =
+        start_with_one_endpoint("master", ScriptedResponse::Serve, base_settings());
     let mut client = router.connect_client();
     assert_eq!(
         client.simple_query(&select_query(1, 5000)).value,
@@ -294,7 +322,7 @@
     );
     let whole = query_message(&select_query(2, 5000));
     client.send(&whole[..40]);
-    // Another connection's end says that the first half has been read.
+    // The response on another connection shows that the first half has been read.
     assert_eq!(
         router
             .connect_client()
@@ -309,12 +337,12 @@
     assert!(router.wait_for_exit().success());
 }
 
-/// Guards what crosses the close of a resting connection: the client sees an end and no reset, and what it wrote
-/// meanwhile is not sent on, so that it may ask again elsewhere.
+/// Guards a request that is written while the router closes its idle connection: the client must see the end of the
+/// stream and no reset, and the request must not be forwarded, so that the client may send it elsewhere.
 #[test]
-fn a_request_that_crosses_the_close_meets_an_end_and_is_not_sent_on() {
-    let (instance, _discovery, mut router) =
-        one("master", ScriptedResponse::Serve, base_settings());
+fn request_written_during_the_close_sees_end_of_stream_and_is_not_forwarded() {
+    let (endpoint, _discovery, mut router) =
+        start_with_one_endpoint("master", ScriptedResponse::Serve, base_settings());
     let mut client = router.connect_client();
     assert_eq!(
         client.simple_query(&select_query(1, 5000)).value,
@@ -325,60 +353,61 @@
     client.send(&query_message(&select_query(2, 5000)));
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
     assert!(router.wait_for_exit().success());
-    assert_eq!(asked(&instance), 1);
+    assert_eq!(query_count(&endpoint), 1);
     assert!(router.wait_for_log("reason: shutdown"));
 }
 
-/// Guards all that is open when the router ends: an endpoint that hangs holds no answer beyond the time at which the
-/// process may be killed, however long the client would wait. Further signals change nothing.
+/// Guards open requests at a graceful shutdown: an endpoint that hangs must not delay a response beyond the time at
+/// which the process may be killed, whatever the client's deadline is. Further signals must change nothing.
 #[test]
-fn all_is_answered_before_the_process_may_be_killed() {
-    let (instance, discovery, mut router) = one(
+fn open_requests_get_responses_before_the_process_may_be_killed() {
+    let (endpoint, discovery, mut router) = start_with_one_endpoint(
         "master",
         ScriptedResponse::NoResponse,
-        unhurried(base_settings()),
+        with_long_latency_objective(base_settings()),
     );
     let mut clients: Vec<Client> = (0..5).map(|_| router.connect_client()).collect();
     for (client, id) in clients.iter_mut().zip(10..) {
         client.send(&query_message(&if id % 2 == 0 {
             select_query(id, 20_000)
         } else {
-            book(id, "s", 20_000)
+            insert_query(id, "s", 20_000)
         }));
     }
     assert!(router.wait_for_counter("requests=5"));
-    until_asked(&instance, 1);
+    wait_for_queries(&endpoint, 1);
     router.signal("TERM");
-    let told = Instant::now();
+    let terminated = Instant::now();
     assert!(router.wait_for_log("graceful shutdown started"));
     router.reload_config("discovery", discovery.address.to_string().into());
     router.signal("TERM");
     assert!(router.wait_for_log("graceful shutdown already in progress"));
-    // The settings' longest deadline is 30 s, of which 3 s count, and 0.7 s later it may be killed.
+    // The longest deadline of the settings is 30 s, of which at most 3 s count. The process may be killed 0.7 s later.
     for client in &mut clients {
-        let Some(answer) = client.read_response() else {
+        let Some(response) = client.read_response() else {
             panic!("{:#?}", router.log.with(|l| l.clone()))
         };
         assert!(
-            ["53300", "58000"].contains(&&*answer.sqlstate),
-            "{answer:?}"
+            ["53300", "58000"].contains(&&*response.sqlstate),
+            "{response:?}"
         );
     }
     assert!(
-        told.elapsed() < Duration::from_millis(3700),
+        terminated.elapsed() < Duration::from_millis(3700),
         "{:?}",
-        told.elapsed()
+        terminated.elapsed()
     );
     assert!(router.wait_for_exit().success());
 }
 
-/// Guards the end against a client that never pauses: all that was read is answered in order, and its connection ends.
+/// Guards the graceful shutdown against a client that sends without a pause: all that was read must get its response in
+/// order, and then the connection must end.
 #[test]
-fn a_client_that_never_pauses_does_not_hold_up_the_end() {
-    let (_instance, _discovery, mut router) = one(
+fn shutdown_completes_when_a_client_sends_without_a_pause() {
+    let (_endpoint, _discovery, mut router) = start_with_one_endpoint(
         "master",
         ScriptedResponse::Serve,
-        unhurried(base_settings()),
+        with_long_latency_objective(base_settings()),
     );
     let mut client = router.connect_client();
     assert_eq!(
@@ -386,7 +415,7 @@
         "0000000000000001"
     );
     let mut writer = client.stream.try_clone().unwrap();
-    let sending = std::thread::spawn(move || {
+    let sender = std::thread::spawn(move || {
         for id in 2.. {
             if writer
                 .write_all(&query_message(&select_query(id, 5000)))
@@ -396,44 +425,48 @@
             }
         }
     });
-    let mut next = 2;
-    let mut answer = |client: &mut Client| {
-        let answer = client.read_response()?;
-        // At full speed some may be refused, each in its place: a value out of place names another id.
+    let mut expected_id = 2;
+    let mut read_next = |client: &mut Client| {
+        let response = client.read_response()?;
+        // At full speed some requests may be rejected, each in its position. A value out of order shows another id.
         assert!(
-            answer.sqlstate == "53300" || answer.value == format!("{next:016x}"),
-            "{next:x}: {answer:?}"
+            response.sqlstate == "53300" || response.value == format!("{expected_id:016x}"),
+            "{expected_id:x}: {response:?}"
         );
-        next += 1;
+        expected_id += 1;
         Some(())
     };
     for _ in 0..20 {
-        answer(&mut client).unwrap();
+        read_next(&mut client).unwrap();
     }
     router.signal("TERM");
-    let told = Instant::now();
-    while answer(&mut client).is_some() {}
+    let terminated = Instant::now();
+    while read_next(&mut client).is_some() {}
     assert!(
-        told.elapsed() < Duration::from_millis(3700),
+        terminated.elapsed() < Duration::from_millis(3700),
         "{:?}",
-        told.elapsed()
+        terminated.elapsed()
     );
     assert!(router.wait_for_exit().success());
     drop(client);
-    sending.join().unwrap();
+    sender.join().unwrap();
 }
 
-/// Guards the time that an endpoint is told: at most what is left when the bytes are written, after a wait for the
-/// connection.
+/// Guards against an endpoint that works beyond the client's deadline: the time in the annotation must be at most what
+/// is left when the statement is written, after the wait for the connection.
 #[test]
-fn an_instance_is_told_the_time_that_is_left_after_its_dial() {
-    let (instance, _discovery, router) = one("master", ScriptedResponse::Serve, uncancelled());
-    instance.set_startup_blocked(true);
+fn remaining_time_in_the_annotation_excludes_the_wait_for_the_connection() {
+    let (endpoint, _discovery, router) = start_with_one_endpoint(
+        "master",
+        ScriptedResponse::Serve,
+        settings_without_cancelling(),
+    );
+    endpoint.set_startup_blocked(true);
     let mut client = router.connect_client();
     let sent = Instant::now();
-    client.send(&query_message(&select_query(ID, 20_000)));
-    until_dialled(&instance);
-    // The other request's end says that time has passed.
+    client.send(&query_message(&select_query(OBSERVED_ID, 20_000)));
+    wait_for_connection(&endpoint);
+    // The rejection of another request shows that time has passed.
     assert_eq!(
         router
             .connect_client()
@@ -441,11 +474,14 @@
             .sqlstate,
         "53300"
     );
-    let waited = sent.elapsed().as_millis() as u64;
-    instance.set_startup_blocked(false);
-    assert_eq!(client.read_response().unwrap().value, format!("{ID:016x}"));
-    let told = instance.activity.with(|s| s.queries[0].clone());
-    let told: u64 = told
+    let waited_ms = sent.elapsed().as_millis() as u64;
+    endpoint.set_startup_blocked(false);
+    assert_eq!(
+        client.read_response().unwrap().value,
+        format!("{OBSERVED_ID:016x}")
+    );
+    let query = endpoint.activity.with(|s| s.queries[0].clone());
+    let remaining_ms: u64 = query
         .split(",d=")
         .nth(1)
         .unwrap()
@@ -455,41 +491,42 @@
         .parse()
         .unwrap();
     assert!(
-        waited > 200 && told <= 20_000 - waited,
-        "{told} after {waited}"
+        waited_ms > 200 && remaining_ms <= 20_000 - waited_ms,
+        "{remaining_ms} ms left after {waited_ms} ms"
     );
 }
 
-/// Guards keys against a copy that waits for its connection until the first is forgotten: it is not written, and its
-/// client is told that nobody knows.
+/// Guards against a write that is executed twice: a retry that waits for its connection until the deduplication window
+/// of the first attempt has passed must not be written, and the client gets a failure (possibly executed).
 #[test]
-fn a_further_copy_that_waits_beyond_the_window_is_not_written() {
-    let mut settings = uncancelled();
+fn retry_is_not_written_after_the_deduplication_window() {
+    let mut settings = settings_without_cancelling();
     settings["classes"][2]["window"] = 600_000_000u64.into();
-    let (instance, _discovery, router) = one("master", ScriptedResponse::Serve, settings);
+    let (endpoint, _discovery, router) =
+        start_with_one_endpoint("master", ScriptedResponse::Serve, settings);
     assert_eq!(
         router
             .connect_client()
-            .simple_query(&book(1, "s", 20_000))
+            .simple_query(&insert_query(1, "s", 20_000))
             .value,
         "0000000000000001"
     );
-    // The next one runs, its connection breaks before the answer, and the connection after that does not come up.
-    instance
+    // The next write is executed, its connection is reset before the response, and the next connect blocks.
+    endpoint
         .faults
         .with(|f| f.push_back((RequestStage::Executed, Fault::Reset)));
-    instance.set_startup_blocked(true);
+    endpoint.set_startup_blocked(true);
     let mut client = router.connect_client();
-    client.send(&query_message(&book(ID, "s", 5000)));
-    let began = Instant::now();
+    client.send(&query_message(&insert_query(OBSERVED_ID, "s", 5000)));
+    let started = Instant::now();
     assert!(
-        instance
+        endpoint
             .activity
             .wait_for(WAIT_TIMEOUT, |s| (s.accepted_connections >= 2)
                 .then_some(()))
             .is_some()
     );
-    // Another request's time passes, and with it the window.
+    // Another request reaches its deadline; by then the window has passed.
     assert_eq!(
         router
             .connect_client()
@@ -497,22 +534,22 @@
             .sqlstate,
         "53300"
     );
-    assert!(began.elapsed() > Duration::from_millis(650));
-    instance.set_startup_blocked(false);
+    assert!(started.elapsed() > Duration::from_millis(650));
+    endpoint.set_startup_blocked(false);
     assert_eq!(client.read_response().unwrap().sqlstate, "58000");
-    let copies = instance.activity.with(|s| {
+    let sent_count = endpoint.activity.with(|s| {
         s.queries
             .iter()
-            .filter(|q| q.contains(&format!("{ID:016x}")))
+            .filter(|q| q.contains(&format!("{OBSERVED_ID:016x}")))
             .count()
     });
-    assert_eq!(copies, 1);
+    assert_eq!(sent_count, 1);
 }
 
-/// Guards the call to discovery, and requests, against idle clients that hold every descriptor while discovery is down.
+/// Guards list polls and requests against idle clients that hold every descriptor while discovery is down.
 #[test]
-fn idle_clients_hold_up_neither_discovery_nor_requests() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
+fn idle_clients_on_all_descriptors_block_neither_polls_nor_requests() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let discovery = FakeDiscovery::start(None);
     let router = start_router(&discovery, &[], 64);
     let mut idle: Vec<Client> = Vec::new();
@@ -521,14 +558,14 @@
         client.send(&startup_message());
         idle.push(client);
     }
-    let calls = discovery.requested_paths.with(|c| c.len());
+    let polls_before = discovery.requested_paths.with(|c| c.len());
     assert!(
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (c.len() > calls + 2).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |c| (c.len() > polls_before + 2).then_some(()))
             .is_some()
     );
-    discovery.publish(vec![list_entry("s-1", instance.address, "ready")]);
+    discovery.publish(vec![list_entry("s-1", endpoint.address, "ready")]);
     let mut client = router.connect_client();
     assert_eq!(client.simple_query("").tags, "IZ");
     assert_eq!(
@@ -538,10 +575,13 @@
     assert!(router.wait_for_counter("accept_errors=0"));
 }
 
-/// Guards the start: a router that knows a list is ready, and serves, while discovery says nothing, or is down.
+/// Guards a restart while discovery is silent or down: a router whose configuration contains an endpoint list must be
+/// ready and serve requests.
 #[rstest]
-fn a_restarted_router_is_ready_without_discovery(#[values(false, true)] is_silent: bool) {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
+fn router_with_a_configured_list_is_ready_without_discovery(
+    #[values(false, true)] is_silent: bool,
+) {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let discovery = FakeDiscovery::start(None);
     if is_silent {
         discovery
@@ -550,65 +590,66 @@
     }
     let router = start_router(
         &discovery,
-        &[list_entry("s-1", instance.address, "ready")],
+        &[list_entry("s-1", endpoint.address, "ready")],
         1024,
     );
-    let began = Instant::now();
+    let started = Instant::now();
     let mut client = router.connect_client();
     assert_eq!(client.simple_query("").tags, "IZ");
     assert_eq!(
         client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
-    assert!(began.elapsed() < Duration::from_secs(6));
+    assert!(started.elapsed() < Duration::from_secs(6));
 }
 
-/// Guards the memory limit against long lists: an endpoint that is only known costs next to nothing.
+/// Guards the memory limit against long lists: an endpoint that is listed but unused must cost less than 48 kB.
 #[test]
-fn many_endpoints_cost_little_memory() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
+fn unused_endpoints_cost_little_memory() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let resident_kb = |endpoints: usize| -> u64 {
         let list: Vec<Value> = (0..endpoints)
-            .map(|i| list_entry(&format!("s-{i}"), instance.address, "ready"))
+            .map(|i| list_entry(&format!("s-{i}"), endpoint.address, "ready"))
             .collect();
         let discovery = FakeDiscovery::start(Some(list.clone()));
         let router = start_router(&discovery, &list, 256);
         assert_eq!(router.connect_client().simple_query("").tags, "IZ");
         let status = std::fs::read_to_string(format!("/proc/{}/status", router.pid())).unwrap();
-        let line = status
+        let peak = status
             .lines()
             .find_map(|l| l.strip_prefix("VmHWM:"))
             .unwrap();
-        line.trim().trim_end_matches(" kB").parse().unwrap()
+        peak.trim().trim_end_matches(" kB").parse().unwrap()
     };
     let (few, many) = (resident_kb(1), resident_kb(301));
     assert!(
         many.saturating_sub(few) < 300 * 48,
-        "{few} kB with one member, {many} kB with 301"
+        "{few} kB with one endpoint, {many} kB with 301"
     );
 }
 
-/// Guards every owner's duty to give back what it holds, over all ends together: taken is answered or left, each attempt
-/// has its outcome, and the process ends, for which all clients' slots must be back.
+/// Guards against requests, attempts or client slots that are lost in any combination of disconnects, faults and
+/// shutdown: every request ends once, every attempt has one outcome, and the process exits, for which all client slots
+/// must be free.
 #[rstest]
-fn what_is_taken_balances(
+fn requests_and_attempts_balance_with_their_outcomes_after_random_faults(
     #[values(1, 2, 3, 4)] seed: u64,
     #[values(false, true)] may_cancel: bool,
 ) {
     let mut settings = base_settings();
     settings["ceilings"]["mayCancel"] = may_cancel.into();
-    let instances = [
+    let endpoints = [
         FakeEndpoint::start("master", ScriptedResponse::Serve),
         FakeEndpoint::start("replica", ScriptedResponse::Serve),
     ];
-    let list: Vec<Value> = instances
+    let list: Vec<Value> = endpoints
         .iter()
         .enumerate()
-        .map(|(i, m)| list_entry(&format!("s-{i}"), m.address, "ready"))
+        .map(|(i, e)| list_entry(&format!("s-{i}"), e.address, "ready"))
         .collect();
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let mut router = start_router_with(&discovery, &list, 128, settings, None);
-    let acts = [
+    let scripted_responses = [
         ScriptedResponse::Serve,
         ScriptedResponse::NoResponse,
         ScriptedResponse::CloseMidRow,
@@ -616,73 +657,73 @@
         ScriptedResponse::Error("53300"),
         ScriptedResponse::ServeAndClose,
     ];
-    // A plain linear congruence: the same steps for the same seed.
+    // A linear congruential generator: a seed always produces the same steps.
     let mut state = seed;
-    let mut next_f64 = |n: u64| {
+    let mut random = |bound: u64| {
         state = state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (state >> 33) % n
+        (state >> 33) % bound
     };
     let mut open: Vec<Client> = Vec::new();
     for step in 0..120u64 {
-        match next_f64(7) {
-            0 => instances[next_f64(2) as usize]
+        match random(7) {
+            0 => endpoints[random(2) as usize]
                 .response
-                .with(|a| *a = acts[next_f64(6) as usize]),
-            1 if !open.is_empty() => drop(open.swap_remove(next_f64(open.len() as u64) as usize)),
+                .with(|r| *r = scripted_responses[random(6) as usize]),
+            1 if !open.is_empty() => drop(open.swap_remove(random(open.len() as u64) as usize)),
             2 if !open.is_empty() => open[0].shutdown_write(),
-            3 => instances[next_f64(2) as usize].set_startup_blocked(next_f64(2) == 0),
+            3 => endpoints[random(2) as usize].set_startup_blocked(random(2) == 0),
             _ => {
                 if open.len() < 20 {
                     let mut client = Client::connect(router.address);
                     client.send(&startup_message());
                     open.push(client);
                 }
-                let at = next_f64(open.len() as u64) as usize;
-                for i in 0..=next_f64(3) {
-                    let (id, wait) = (step * 10 + i, 50 + next_f64(900));
-                    let text = if next_f64(3) == 0 {
-                        book(id, "s", wait)
+                let index = random(open.len() as u64) as usize;
+                for i in 0..=random(3) {
+                    let (id, wait_ms) = (step * 10 + i, 50 + random(900));
+                    let text = if random(3) == 0 {
+                        insert_query(id, "s", wait_ms)
                     } else {
-                        select_query(id, wait)
+                        select_query(id, wait_ms)
                     };
-                    open[at].send(&query_message(&text));
+                    open[index].send(&query_message(&text));
                 }
             }
         }
     }
-    for instance in &instances {
-        instance.response.with(|a| *a = ScriptedResponse::Serve);
-        instance.set_startup_blocked(false);
+    for endpoint in &endpoints {
+        endpoint.response.with(|a| *a = ScriptedResponse::Serve);
+        endpoint.set_startup_blocked(false);
     }
     router.signal("TERM");
     assert!(router.wait_for_exit().success());
     drop(open);
-    let line = router
+    let counters = router
         .log
         .with(|l| l.iter().rfind(|l| l.contains("counters")).cloned())
         .unwrap();
     let sum = |names: &str| -> u64 {
         let count = |name: &str| -> u64 {
-            let field = line
+            let field = counters
                 .split([' ', ','])
                 .find_map(|f| f.strip_prefix(name)?.strip_prefix('=')?.parse().ok());
-            field.unwrap_or_else(|| panic!("{name}: {line}"))
+            field.unwrap_or_else(|| panic!("no counter {name}: {counters}"))
         };
         names.split(' ').map(count).sum()
     };
-    assert!(sum("requests") > 20, "{line}");
+    assert!(sum("requests") > 20, "{counters}");
     assert_eq!(
         sum("requests"),
         sum("served rejected failed client_left"),
-        "{line}"
+        "{counters}"
     );
-    let endings = "attempts_served attempts_error attempts_overloaded attempts_timed_out attempts_connect_failed attempts_connection_reset attempts_cancelled attempts_abandoned attempts_misrouted attempts_malformed_response attempts_not_sent attempts_invalid_request";
-    // Those that were written and may not be cancelled may still be out when the process ends.
-    let out = sum("attempts") - sum(endings);
+    let outcome_counters = "attempts_served attempts_error attempts_overloaded attempts_timed_out attempts_connect_failed attempts_connection_reset attempts_cancelled attempts_abandoned attempts_misrouted attempts_malformed_response attempts_not_sent attempts_invalid_request";
+    // Attempts that were written and cannot be cancelled may still be open when the process exits.
+    let open_attempts = sum("attempts") - sum(outcome_counters);
     assert!(
-        out == 0 || !may_cancel && out <= sum("client_left"),
-        "{line}"
+        open_attempts == 0 || !may_cancel && open_attempts <= sum("client_left"),
+        "{counters}"
     );
 }
