--- a/crates/router/tests/upstream.rs
+++ b/crates/router/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! The real program towards its endpoints: pools, faults of connections, drains and deadlines.
+//! Tests of the router's upstream side: endpoint pools, connection faults, drains and deadlines.
 
 mod common;
 
@@ -10,80 +10,83 @@
 use std::process::{Child, Command};
 use std::time::{Duration, Instant};
 
-/// Where nobody listens.
-const UNUSED: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
+/// An address on which nothing listens.
+const UNUSED_ADDRESS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
-/// A list of `count` endpoints in replica sets of four.
-fn fleet(count: usize) -> Vec<Value> {
-    let line = |i: usize| {
-        let mut line = list_entry(&format!("s-{i:08x}"), UNUSED, "ready");
-        line["pod_group"] = json!(i / 4);
-        line
+/// Returns a list of `count` unreachable endpoints in replica sets of four.
+fn endpoint_list(count: usize) -> Vec<Value> {
+    let entry = |i: usize| {
+        let mut entry = list_entry(&format!("s-{i:08x}"), UNUSED_ADDRESS, "ready");
+        entry["pod_group"] = json!(i / 4);
+        entry
     };
-    (0..count).map(line).collect()
+    (0..count).map(entry).collect()
 }
 
-/// The peak resident memory of a process, in kB.
-fn peak_memory_kb(process: u32) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap();
-    let line = status
+/// Returns the peak resident memory of a process in kB.
+fn peak_memory_kb(pid: u32) -> u64 {
+    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
+    let peak = status
         .lines()
         .find_map(|l| l.strip_prefix("VmHWM:"))
         .unwrap();
-    line.trim().trim_end_matches(" kB").parse().unwrap()
+    peak.trim().trim_end_matches(" kB").parse().unwrap()
 }
 
-/// The peak memory of an idle router that was given a list of `count` endpoints at its start, and the same list from
-/// discovery then.
-fn idle_peak_kb(count: usize) -> u64 {
-    let list = fleet(count);
+/// Returns the peak memory in kB of an idle router that receives a list of `count` endpoints in its configuration, and
+/// the same list from discovery afterwards.
+fn idle_peak_memory_kb(count: usize) -> u64 {
+    let list = endpoint_list(count);
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router(&discovery, &list, 1024);
-    // The first call is made once the list of the configuration has been taken over, the next once a newer one has.
-    let has_called = |text: &str| {
-        let called = |c: &mut Vec<String>| c.iter().any(|path| path.contains(text)).then_some(());
+    // The first poll follows once the list of the configuration is in use, the next poll once a newer list is.
+    let has_polled = |text: &str| {
+        let polled = |c: &mut Vec<String>| c.iter().any(|path| path.contains(text)).then_some(());
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, called)
+            .wait_for(WAIT_TIMEOUT, polled)
             .is_some()
     };
-    assert!(has_called("/api/targets"));
-    let at_start = peak_memory_kb(router.pid());
+    assert!(has_polled("/api/targets"));
+    let at_start_kb = peak_memory_kb(router.pid());
     discovery.publish(list);
-    assert!(has_called("since=2"));
-    println!("{count} endpoints: peak memory {at_start} kB with the list of the configuration");
+    assert!(has_polled("since=2"));
+    println!("{count} endpoints: peak memory {at_start_kb} kB with the list of the configuration");
     assert!(router.counters().contains(" attempts=0 "));
     peak_memory_kb(router.pid())
 }
 
-/// Guards the memory of a router in a large fleet: 1.5 times that of a usual one, 8 MB, and 4 MB per thousand
-/// endpoints.
+/// Guards the memory of a router in a large deployment. The limit for 3,200 endpoints is 1.5 times the peak with 200,
+/// plus 8 MB, plus 4 MB per thousand endpoints.
 #[test]
-fn a_list_of_3200_endpoints_stays_within_its_memory() {
-    let (usual, large) = (idle_peak_kb(200), idle_peak_kb(3200));
-    let most = usual * 3 / 2 + 8 * 1024 + 4 * 1024 * 32 / 10;
-    println!("peak memory: {usual} kB at 200, {large} kB at 3,200 endpoints, {most} kB allowed");
+fn list_of_3200_endpoints_stays_within_the_memory_limit() {
+    let (small_kb, large_kb) = (idle_peak_memory_kb(200), idle_peak_memory_kb(3200));
+    let limit_kb = small_kb * 3 / 2 + 8 * 1024 + 4 * 1024 * 32 / 10;
+    println!(
+        "peak memory: {small_kb} kB at 200, {large_kb} kB at 3,200 endpoints, {limit_kb} kB allowed"
+    );
     assert!(
-        large <= most,
-        "{large} kB with 3,200 endpoints, {usual} kB with 200: {most} kB allowed"
+        large_kb <= limit_kb,
+        "{large_kb} kB with 3,200 endpoints, {small_kb} kB with 200: {limit_kb} kB allowed"
     );
 }
 
-/// One endpoint whose idle connections end after half a second.
-fn quick_to_close(instance: &FakeEndpoint) -> (FakeDiscovery, RouterProcess) {
+/// Starts a router for `endpoint` with an endpoint idle timeout of 0.5 s.
+fn start_with_short_idle_timeout(endpoint: &FakeEndpoint) -> (FakeDiscovery, RouterProcess) {
     let mut settings = base_settings();
     settings["ceilings"]["idleClose"] = json!(500_000_000u64);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router_with(&discovery, &list, 1024, settings, None);
     (discovery, router)
 }
 
-/// Guards against a pool that is retired under a request or does not come back.
+/// Guards against a pool that is retired during a request, or isn't started again for the next one.
 #[test]
-fn a_retired_pool_is_started_again_and_serves() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    let (_discovery, router) = quick_to_close(&instance);
+fn retired_pool_is_started_again_by_the_next_request() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let (_discovery, router) = start_with_short_idle_timeout(&endpoint);
     let mut client = router.connect_client();
     assert!(router.wait_for_counter("pools_started=0"));
     for id in 1..=3 {
@@ -97,96 +100,101 @@
     assert!(router.wait_for_counter("served=3"));
 }
 
-/// Guards an attempt in flight: its endpoint is silent for longer than the quiet time of a pool.
+/// Guards an open attempt against the retirement of its pool: the endpoint is silent for longer than the time after
+/// which an unused pool is retired.
 #[test]
-fn a_pool_with_an_attempt_in_flight_is_not_retired() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::NoResponse);
-    let (_discovery, router) = quick_to_close(&instance);
+fn pool_with_an_open_attempt_is_not_retired() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::NoResponse);
+    let (_discovery, router) = start_with_short_idle_timeout(&endpoint);
     let mut client = router.connect_client();
-    let begun = Instant::now();
+    let started = Instant::now();
     assert_eq!(
         client.simple_query(&select_query(1, 4000)).sqlstate,
         "53300"
     );
-    assert!(begun.elapsed() > Duration::from_secs(3));
+    assert!(started.elapsed() > Duration::from_secs(3));
     let counters = router.counters();
     assert!(counters.contains(" pools_started=1 "), "{counters}");
 }
 
-/// Guards what the list says of an endpoint whose pool has been retired: its drain binds, and so does its new address.
+/// Guards against a list change that is lost while the endpoint's pool is retired: a drain and a new address must both
+/// take effect.
 #[rstest]
 #[case("draining", false)]
 #[case("ready", true)]
-fn a_retired_pool_keeps_what_the_list_says(#[case] state: &str, #[case] moves: bool) {
-    let (instance, other) = (
+fn list_changes_apply_to_an_endpoint_whose_pool_is_retired(
+    #[case] state: &str,
+    #[case] has_moved: bool,
+) {
+    let (endpoint, new_endpoint) = (
         FakeEndpoint::start("master", ScriptedResponse::Serve),
         FakeEndpoint::start("master", ScriptedResponse::Serve),
     );
-    let (discovery, router) = quick_to_close(&instance);
+    let (discovery, router) = start_with_short_idle_timeout(&endpoint);
     let mut client = router.connect_client();
     assert_eq!(
         client.simple_query(&select_query(1, 5000)).value,
         format!("{:016x}", 1)
     );
     assert!(router.wait_for_counter("pools_retired=1"));
-    let address = if moves {
-        other.address
+    let address = if has_moved {
+        new_endpoint.address
     } else {
-        instance.address
+        endpoint.address
     };
     discovery.publish(vec![list_entry("s-1", address, state)]);
-    let begun = Instant::now();
-    let is_over = || match moves {
-        true => other.activity.with(|s| !s.queries.is_empty()),
-        // The grace of a drain, with time for the list to come.
-        false => begun.elapsed() > Duration::from_secs(1),
+    let published = Instant::now();
+    let is_applied = || match has_moved {
+        true => new_endpoint.activity.with(|s| !s.queries.is_empty()),
+        // The drain grace, and time for the list to arrive.
+        false => published.elapsed() > Duration::from_secs(1),
     };
     let mut id = 1;
-    while !is_over() {
+    while !is_applied() {
         id += 1;
         client.simple_query(&select_query(id, 500));
-        assert!(begun.elapsed() < WAIT_TIMEOUT);
+        assert!(published.elapsed() < WAIT_TIMEOUT);
     }
-    let asked = instance.activity.with(|s| s.queries.len());
-    let answer = client.simple_query(&select_query(id + 1, 500));
-    assert_eq!(answer.sqlstate.is_empty(), moves, "{answer:?}");
-    assert_eq!(instance.activity.with(|s| s.queries.len()), asked);
+    let queries_before = endpoint.activity.with(|s| s.queries.len());
+    let response = client.simple_query(&select_query(id + 1, 500));
+    assert_eq!(response.sqlstate.is_empty(), has_moved, "{response:?}");
+    assert_eq!(endpoint.activity.with(|s| s.queries.len()), queries_before);
 }
 
-/// An endpoint that the test itself plays, on one connection.
-struct Scripted {
+/// The endpoint's side of one connection, on which the test itself reads and writes the bytes.
+struct ManualEndpoint {
     stream: TcpStream,
 }
 
-impl Scripted {
-    /// The first connection on this listener, its startup message read.
-    fn accept(listener: &TcpListener) -> Scripted {
+impl ManualEndpoint {
+    /// Accepts the next connection and reads its startup message.
+    fn accept(listener: &TcpListener) -> ManualEndpoint {
         let (stream, _) = listener.accept().unwrap();
         stream.set_nodelay(true).unwrap();
-        let mut scripted = Scripted { stream };
-        assert!(!scripted.read_within(WAIT_TIMEOUT).is_empty());
-        scripted
+        let mut endpoint = ManualEndpoint { stream };
+        assert!(!endpoint.read_within(WAIT_TIMEOUT).is_empty());
+        endpoint
     }
 
-    /// AuthenticationOk and ReadyForQuery.
-    fn welcome(&mut self) {
+    /// Writes AuthenticationOk and ReadyForQuery.
+    fn complete_startup(&mut self) {
         self.stream
             .write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I")
             .unwrap();
     }
 
-    /// What comes next; nothing if the connection ends, or if nothing comes in time.
-    fn read_within(&mut self, within: Duration) -> Vec<u8> {
-        let until = Instant::now() + within;
+    /// Returns the next bytes, or none if the connection ends or `timeout` passes first.
+    fn read_within(&mut self, timeout: Duration) -> Vec<u8> {
+        let deadline = Instant::now() + timeout;
         let mut bytes = vec![0; 4096];
         loop {
-            let left = until
+            let remaining = deadline
                 .saturating_duration_since(Instant::now())
                 .max(Duration::from_millis(1));
-            self.stream.set_read_timeout(Some(left)).unwrap();
+            self.stream.set_read_timeout(Some(remaining)).unwrap();
             match self.stream.read(&mut bytes) {
-                Ok(n) => {
-                    bytes.truncate(n);
+                Ok(length) => {
+                    bytes.truncate(length);
                     return bytes;
                 }
                 Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
@@ -196,16 +204,16 @@
     }
 }
 
-/// Guards the grace of a drain where the router may be held up for 0.15 s after it has looked at its clock: a
-/// connection that comes up in the last 0.15 s of the grace gets nothing more, nor does any in a shorter grace.
+/// Guards the drain grace although the router may be delayed by 0.15 s after it has read its clock: a connection
+/// that is established in the last 0.15 s of the grace must carry no request, and none may with a shorter grace.
 #[rstest]
 #[case(250, 140, false)]
 #[case(100, 0, false)]
 #[case(20_000, 0, true)]
-fn a_draining_endpoint_gets_a_first_byte_only_well_within_the_grace(
+fn request_to_a_draining_endpoint_is_only_written_well_within_the_grace(
     #[case] grace_ms: u64,
-    #[case] after_ms: u64,
-    #[case] is_sent: bool,
+    #[case] startup_delay_ms: u64,
+    #[case] is_written: bool,
 ) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -220,39 +228,40 @@
     client.send(&reelrill_test_support::client::query_message(
         &select_query(1, 8000),
     ));
-    let mut endpoint = Scripted::accept(&listener);
+    let mut endpoint = ManualEndpoint::accept(&listener);
     discovery.publish(vec![list_entry("s-1", address, "draining")]);
-    // The next call tells that the list has been read.
-    let called = |c: &mut Vec<String>| c.iter().any(|path| path.contains("since=2")).then_some(());
+    // The next poll shows that the list has been read.
+    let polled_again =
+        |c: &mut Vec<String>| c.iter().any(|path| path.contains("since=2")).then_some(());
     assert!(
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, called)
+            .wait_for(WAIT_TIMEOUT, polled_again)
             .is_some()
     );
-    std::thread::sleep(Duration::from_millis(after_ms));
-    endpoint.welcome();
+    std::thread::sleep(Duration::from_millis(startup_delay_ms));
+    endpoint.complete_startup();
     assert_eq!(
         !endpoint.read_within(Duration::from_secs(1)).is_empty(),
-        is_sent
+        is_written
     );
 }
 
-/// Sets how many descriptors a process may have open from now on.
-fn limit_descriptors(process: u32, most: usize) {
+/// Sets the soft limit of open descriptors of a process.
+fn limit_descriptors(pid: u32, limit: usize) {
     let status = Command::new("prlimit")
-        .arg(format!("--pid={process}"))
-        .arg(format!("--nofile={most}:"))
+        .arg(format!("--pid={pid}"))
+        .arg(format!("--nofile={limit}:"))
         .status();
     assert!(status.unwrap().success());
 }
 
-/// Guards an endpoint against the router's own lack: without a descriptor nothing is dialled, and the endpoint is
-/// neither blamed for it nor left out afterwards.
+/// Guards an endpoint against a shortage of the router's host: without a free descriptor the router can't connect,
+/// which must neither count as a fault of the endpoint nor exclude it afterwards.
 #[test]
-fn a_lack_of_descriptors_is_not_held_against_the_endpoint() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+fn shortage_of_descriptors_does_not_count_against_the_endpoint() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router(&discovery, &list, 1024);
     let mut client = router.connect_client();
@@ -276,25 +285,25 @@
         "{counters}"
     );
     limit_descriptors(router.pid(), 1024);
-    let begun = Instant::now();
+    let started = Instant::now();
     assert_eq!(
         client.simple_query(&select_query(4, 5000)).value,
         format!("{:016x}", 4)
     );
     assert!(
-        begun.elapsed() < Duration::from_secs(1),
+        started.elapsed() < Duration::from_secs(1),
         "{:?}",
-        begun.elapsed()
+        started.elapsed()
     );
 }
 
-/// Sends a process one signal after the other until dropped.
+/// Sends SIGUSR1 to a process repeatedly until dropped.
 struct SignalFlood(Child);
 
 impl SignalFlood {
-    fn start(process: u32) -> SignalFlood {
-        let flood = format!("while kill -USR1 {process}; do :; done");
-        SignalFlood(Command::new("sh").args(["-c", &flood]).spawn().unwrap())
+    fn start(pid: u32) -> SignalFlood {
+        let script = format!("while kill -USR1 {pid}; do :; done");
+        SignalFlood(Command::new("sh").args(["-c", &script]).spawn().unwrap())
     }
 }
 
@@ -305,11 +314,11 @@
     }
 }
 
-/// Guards reads and writes that a signal interrupts: none of them ends a connection or costs a request.
+/// Guards reads and writes that a signal interrupts (EINTR): none may close a connection or fail a request.
 #[test]
-fn requests_are_served_under_a_flood_of_signals() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::ServeLarge);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+fn requests_are_served_under_continuous_signals() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::ServeLarge);
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router(&discovery, &list, 1024);
     let mut client = router.connect_client();
@@ -322,7 +331,7 @@
     }
     drop(flood);
     assert_eq!(
-        instance
+        endpoint
             .activity
             .with(|s| (s.accepted_connections, s.queries.len())),
         (1, 100)
@@ -330,8 +339,8 @@
     assert!(router.wait_for_counter("served=100"));
 }
 
-/// The `d` that a statement in words tells.
-fn wait_told(query: &str) -> u64 {
+/// Returns the annotation `d` of a statement: the remaining time in milliseconds.
+fn remaining_ms(query: &str) -> u64 {
     query
         .split(",d=")
         .nth(1)
@@ -339,12 +348,17 @@
         .unwrap()
 }
 
-/// Guards the time that is told with a statement that has to be prepared once more: the first answer may come late.
+/// Guards against an outdated time in a statement that is prepared again: the endpoint's first response may come late.
+/// The second Bind must carry at most the time that is left then, and must not be sent after the deadline.
 #[rstest]
 #[case(400, true)]
 #[case(3000, false)]
-fn a_statement_prepared_again_tells_what_is_left(#[case] pause_ms: u64, #[case] is_sent: bool) {
-    const READ: &str = "SELECT data FROM facts WHERE code = $1 /* id=$2,c=board,d=$3,cluster=2 */";
+fn statement_prepared_again_carries_the_remaining_time(
+    #[case] delay_ms: u64,
+    #[case] is_resent: bool,
+) {
+    const STATEMENT: &str =
+        "SELECT data FROM facts WHERE code = $1 /* id=$2,c=board,d=$3,cluster=2 */";
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut settings = base_settings();
     settings["ceilings"]["probes"] = json!(false);
@@ -362,63 +376,65 @@
     let mut client = router.connect_client();
     let values = [Some("k"), Some("00000000000000a1"), Some("2000")];
     let commands = [
-        reelrill_test_support::client::parse_message("", READ, &[]),
+        reelrill_test_support::client::parse_message("", STATEMENT, &[]),
         reelrill_test_support::client::bind_and_execute("", &values),
     ]
     .concat();
     client.send(&[commands, reelrill_test_support::client::sync_message()].concat());
-    let mut endpoint = Scripted::accept(&listener);
-    endpoint.welcome();
+    let mut endpoint = ManualEndpoint::accept(&listener);
+    endpoint.complete_startup();
     assert!(!endpoint.read_within(WAIT_TIMEOUT).is_empty());
-    std::thread::sleep(Duration::from_millis(pause_ms));
-    // Unknown statement, and ready for the next.
+    std::thread::sleep(Duration::from_millis(delay_ms));
+    // An error with SQLSTATE 26000 (the prepared statement does not exist), then ReadyForQuery.
     endpoint
         .stream
         .write_all(b"E\0\0\0\x13SERROR\0C26000\0\0Z\0\0\0\x05I")
         .unwrap();
-    let again = endpoint.read_within(Duration::from_secs(1));
-    assert_eq!(!again.is_empty(), is_sent);
-    if is_sent {
-        // In the Bind behind the Parse: the id, and the time in milliseconds behind it.
+    let resent = endpoint.read_within(Duration::from_secs(1));
+    assert_eq!(!resent.is_empty(), is_resent);
+    if is_resent {
+        // The Bind follows the Parse. It carries the id, and after it the remaining time in milliseconds.
         let id = b"00000000000000a1";
-        let at = again.windows(id.len()).rposition(|w| w == id).unwrap() + id.len();
-        let length =
-            usize::try_from(u32::from_be_bytes(again[at..at + 4].try_into().unwrap())).unwrap();
-        let told: u64 = std::str::from_utf8(&again[at + 4..at + 4 + length])
+        let offset = resent.windows(id.len()).rposition(|w| w == id).unwrap() + id.len();
+        let length = usize::try_from(u32::from_be_bytes(
+            resent[offset..offset + 4].try_into().unwrap(),
+        ))
+        .unwrap();
+        let remaining_ms: u64 = std::str::from_utf8(&resent[offset + 4..offset + 4 + length])
             .unwrap()
             .parse()
             .unwrap();
-        println!("told: {told} ms");
-        assert!(told <= 2000 - pause_ms, "{told}");
+        println!("remaining time in the second Bind: {remaining_ms} ms");
+        assert!(remaining_ms <= 2000 - delay_ms, "{remaining_ms}");
     }
 }
 
-/// Guards requests with very little time left, which an endpoint drops without a word: each has its answer, none is
-/// waited for beyond its time, and the endpoint is not left out for it.
+/// Guards requests with very little time left, which an endpoint drops without a response: each must be rejected soon
+/// after its deadline, and the endpoint must not be excluded for it.
 #[test]
-fn requests_with_little_time_left_are_answered_and_blame_nobody() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::NoResponse);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+fn requests_with_short_deadlines_are_rejected_without_ejecting_the_endpoint() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::NoResponse);
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router(&discovery, &list, 1024);
     let mut client = router.connect_client();
     for (id, wait_ms) in (1..).zip([1, 5, 8, 9, 12, 20, 40]) {
-        let begun = Instant::now();
+        let started = Instant::now();
         assert_eq!(
             client.simple_query(&select_query(id, wait_ms)).sqlstate,
             "53300"
         );
         assert!(
-            begun.elapsed() < Duration::from_millis(wait_ms + 500),
+            started.elapsed() < Duration::from_millis(wait_ms + 500),
             "{:?}",
-            begun.elapsed()
+            started.elapsed()
         );
     }
-    let told = instance
+    let max_sent_ms = endpoint
         .activity
-        .with(|s| s.queries.iter().map(|q| wait_told(q)).max());
-    assert!(told.is_none_or(|wait| wait <= 40), "{told:?}");
-    instance.response.with(|a| *a = ScriptedResponse::Serve);
+        .with(|s| s.queries.iter().map(|q| remaining_ms(q)).max());
+    assert!(max_sent_ms.is_none_or(|ms| ms <= 40), "{max_sent_ms:?}");
+    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
     assert_eq!(
         client.simple_query(&select_query(100, 5000)).value,
         format!("{:016x}", 100)
