--- a/crates/router/tests/interrupted.rs
+++ b/crates/router/tests/interrupted.rs
@@ -1,4 +1,5 @@
-//! Input and output under signals: an interrupted call has done nothing, and is made again.
+//! Tests that input and output calls are retried after a signal interrupts them (EINTR): an interrupted call has had no
+//! effect.
 
 #[path = "../src/runtime/interrupted.rs"]
 mod interrupted;
@@ -10,14 +11,14 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Takes three bytes at a time, and is interrupted before each time.
+/// Accepts three bytes per write; every other call fails as interrupted.
 #[derive(Default)]
-struct Interrupted {
-    taken: Vec<u8>,
+struct InterruptedWriter {
+    written: Vec<u8>,
     calls: usize,
 }
 
-impl AsyncWrite for Interrupted {
+impl AsyncWrite for InterruptedWriter {
     fn poll_write(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
@@ -27,9 +28,9 @@
         if self.calls % 2 == 1 {
             return Poll::Ready(Err(ErrorKind::Interrupted.into()));
         }
-        let taken = bytes.len().min(3);
-        self.taken.extend_from_slice(&bytes[..taken]);
-        Poll::Ready(Ok(taken))
+        let length = bytes.len().min(3);
+        self.written.extend_from_slice(&bytes[..length]);
+        Poll::Ready(Ok(length))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -41,15 +42,17 @@
     }
 }
 
+/// Guards against bytes that are lost or repeated when a signal interrupts a write of several parts.
 #[test]
-fn an_interrupted_write_goes_on_where_it_was() {
-    let mut stream = Interrupted::default();
+fn interrupted_write_continues_at_the_same_byte() {
+    let mut stream = InterruptedWriter::default();
     block_on(write_all(&mut stream, b"GET /api/targets")).unwrap();
-    assert_eq!(stream.taken, b"GET /api/targets");
+    assert_eq!(stream.written, b"GET /api/targets");
 }
 
+/// Guards against a connection that is closed because of an interrupted call, and against a retry of any other error.
 #[test]
-fn an_interrupted_operation_is_run_again_and_other_errors_are_not() {
+fn interrupted_operation_is_retried_and_other_errors_are_returned() {
     let mut calls = 0;
     let result = block_on(retry_interrupted(async || {
         calls += 1;
