--- a/crates/router/tests/edges.rs
+++ b/crates/router/tests/edges.rs
@@ -1,5 +1,5 @@
-//! Tests of races between an end and work in progress: clients that disconnect, connections that close, the shutdown of
-//! the process. Each race is forced by a fake endpoint that blocks until the test releases it.
+//! Tests of requests that are in progress when a client disconnects, a connection closes or the process shuts down.
+//! Each race is forced by a fake endpoint that blocks until the test releases it.
 
 mod common;
 
@@ -15,6 +15,7 @@
 /// The id of the request that a test observes.
 const OBSERVED_ID: u64 = 0xe1;
 
+/// A way in which a client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum Disconnect {
     Eof,
@@ -142,8 +143,8 @@
 fn attempts_of_a_hundred_clients_are_withdrawn_when_all_disconnect() {
     let mut settings = settings_without_cancelling();
     for class in settings["classes"].as_array_mut().into_iter().flatten() {
-        // Prevents load shedding. Before the first response it starts when all open requests together have waited for
-        // about half the latency objective, on a busy machine before the last of a hundred requests has arrived.
+        // Prevents load shedding. Without a first response, shedding starts once all open requests together have waited
+        // for about half the latency objective: on a busy machine before the last of a hundred requests has arrived.
         class["hardLimit"] = 3_000_000_000_000u64.into();
         class["onTime"] = 3_000_000_000_000u64.into();
     }
@@ -320,8 +321,8 @@
         client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
-    let whole = query_message(&select_query(2, 5000));
-    client.send(&whole[..40]);
+    let message = query_message(&select_query(2, 5000));
+    client.send(&message[..40]);
     // The response on another connection shows that the first half has been read.
     assert_eq!(
         router
@@ -332,7 +333,7 @@
     );
     router.signal("TERM");
     assert!(router.wait_for_log("graceful shutdown started"));
-    client.send(&whole[40..]);
+    client.send(&message[40..]);
     assert_eq!(client.read_response().unwrap().value, "0000000000000002");
     assert!(router.wait_for_exit().success());
 }
@@ -552,11 +553,11 @@
     let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let discovery = FakeDiscovery::start(None);
     let router = start_router(&discovery, &[], 64);
-    let mut idle: Vec<Client> = Vec::new();
+    let mut idle_clients: Vec<Client> = Vec::new();
     for _ in 0..60 {
         let mut client = Client::connect(router.address);
         client.send(&startup_message());
-        idle.push(client);
+        idle_clients.push(client);
     }
     let polls_before = discovery.requested_paths.with(|c| c.len());
     assert!(
@@ -607,7 +608,7 @@
 #[test]
 fn unused_endpoints_cost_little_memory() {
     let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    let resident_kb = |endpoints: usize| -> u64 {
+    let peak_memory_kb = |endpoints: usize| -> u64 {
         let list: Vec<Value> = (0..endpoints)
             .map(|i| list_entry(&format!("s-{i}"), endpoint.address, "ready"))
             .collect();
@@ -615,16 +616,16 @@
         let router = start_router(&discovery, &list, 256);
         assert_eq!(router.connect_client().simple_query("").tags, "IZ");
         let status = std::fs::read_to_string(format!("/proc/{}/status", router.pid())).unwrap();
-        let peak = status
+        let peak_line = status
             .lines()
             .find_map(|l| l.strip_prefix("VmHWM:"))
             .unwrap();
-        peak.trim().trim_end_matches(" kB").parse().unwrap()
+        peak_line.trim().trim_end_matches(" kB").parse().unwrap()
     };
-    let (few, many) = (resident_kb(1), resident_kb(301));
+    let (one_kb, many_kb) = (peak_memory_kb(1), peak_memory_kb(301));
     assert!(
-        many.saturating_sub(few) < 300 * 48,
-        "{few} kB with one endpoint, {many} kB with 301"
+        many_kb.saturating_sub(one_kb) < 300 * 48,
+        "{one_kb} kB with one endpoint, {many_kb} kB with 301"
     );
 }
 
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -248,6 +248,7 @@
     assert_eq!(endpoint.activity.with(|s| s.accepted_connections), 1);
 }
 
+/// A way in which a client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum Disconnect {
     Terminate,
@@ -549,14 +550,14 @@
 /// Guards against requests to a draining endpoint after the list watch has reported that it drains.
 #[test]
 fn draining_endpoint_receives_no_new_requests() {
-    let (old, new) = (
+    let (draining_endpoint, ready_endpoint) = (
         FakeEndpoint::start("replica", ScriptedResponse::Serve),
         FakeEndpoint::start("replica", ScriptedResponse::Serve),
     );
     let list = |state| {
         vec![
-            list_entry("s-1", old.address, state),
-            list_entry("s-2", new.address, "ready"),
+            list_entry("s-1", draining_endpoint.address, state),
+            list_entry("s-2", ready_endpoint.address, "ready"),
         ]
     };
     let discovery = FakeDiscovery::start(Some(list("ready")));
@@ -575,14 +576,17 @@
             .wait_for(WAIT_TIMEOUT, drain_received)
             .is_some()
     );
-    let queries_before = old.activity.with(|s| s.queries.len());
+    let queries_before = draining_endpoint.activity.with(|s| s.queries.len());
     for id in 1..=20 {
         assert_eq!(
             client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
     }
-    assert_eq!(old.activity.with(|s| s.queries.len()), queries_before);
+    assert_eq!(
+        draining_endpoint.activity.with(|s| s.queries.len()),
+        queries_before
+    );
 }
 
 /// Guards against requests to the old address after the list shows the same uid at another one.
@@ -594,15 +598,15 @@
         client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
-    let moved = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    discovery.publish(vec![list_entry("s-1", moved.address, "ready")]);
+    let new_endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    discovery.publish(vec![list_entry("s-1", new_endpoint.address, "ready")]);
     assert!(router.wait_for_log("reason: moved"));
     assert_eq!(
         client.simple_query(&select_query(2, 5000)).value,
         "0000000000000002"
     );
     let query_count = |e: &FakeEndpoint| e.activity.with(|s| s.queries.len());
-    assert_eq!((query_count(&endpoint), query_count(&moved)), (1, 1));
+    assert_eq!((query_count(&endpoint), query_count(&new_endpoint)), (1, 1));
 }
 
 /// Guards the counters that show an operator why no request is served: nothing listens at the endpoint's address, and
@@ -771,7 +775,7 @@
 #[test]
 fn silent_list_watch_is_opened_again_and_receives_the_missed_list() {
     let (endpoint, discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
-    let watched = |c: &mut Vec<String>| {
+    let watch_opened = |c: &mut Vec<String>| {
         c.iter()
             .any(|p| p.contains("timeout_ms=3000"))
             .then_some(())
@@ -779,7 +783,7 @@
     assert!(
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, watched)
+            .wait_for(WAIT_TIMEOUT, watch_opened)
             .is_some()
     );
     // Polls that are open get no response; later ones do.
@@ -838,9 +842,9 @@
 /// the start, and accept the whole list from there although its versions are lower.
 #[test]
 fn reload_switches_to_the_new_discovery_and_accepts_its_list() {
-    let (old, discovery, mut router) = start_with_one_endpoint(ScriptedResponse::Serve);
-    discovery.publish(vec![list_entry("s-1", old.address, "ready")]);
-    let watched = |c: &mut Vec<String>| {
+    let (old_endpoint, discovery, mut router) = start_with_one_endpoint(ScriptedResponse::Serve);
+    discovery.publish(vec![list_entry("s-1", old_endpoint.address, "ready")]);
+    let watch_opened = |c: &mut Vec<String>| {
         c.iter()
             .any(|p| p.contains("since=2&timeout_ms=3000"))
             .then_some(())
@@ -848,19 +852,21 @@
     assert!(
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, watched)
+            .wait_for(WAIT_TIMEOUT, watch_opened)
             .is_some()
     );
-    let moved = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    let next = FakeDiscovery::start(Some(vec![list_entry("s-2", moved.address, "ready")]));
-    router.reload_config("discovery", next.address.to_string().into());
+    let new_endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let new_discovery =
+        FakeDiscovery::start(Some(vec![list_entry("s-2", new_endpoint.address, "ready")]));
+    router.reload_config("discovery", new_discovery.address.to_string().into());
     assert!(
-        next.requested_paths
+        new_discovery
+            .requested_paths
             .wait_for(WAIT_TIMEOUT, |c| (c.len() > 1).then_some(()))
             .is_some()
     );
     assert_eq!(
-        next.requested_paths.with(|c| c[..2].to_vec()),
+        new_discovery.requested_paths.with(|c| c[..2].to_vec()),
         ["/api/targets", "/api/targets?since=1&timeout_ms=3000"]
     );
     assert_eq!(
@@ -870,7 +876,7 @@
             .value,
         "0000000000000001"
     );
-    assert_eq!(moved.activity.with(|s| s.queries.len()), 1);
+    assert_eq!(new_endpoint.activity.with(|s| s.queries.len()), 1);
     // A reload during the graceful shutdown must not prevent the exit.
     router.signal("TERM");
     router.reload_config("discovery", discovery.address.to_string().into());
@@ -882,21 +888,23 @@
 #[test]
 fn reload_polls_the_new_discovery_while_a_poll_of_the_old_one_hangs() {
     let (endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
-    let silent = FakeDiscovery::start(None);
-    silent
+    let silent_discovery = FakeDiscovery::start(None);
+    silent_discovery
         .fault_mode
         .with(|m| *m = DiscoveryFaultMode::NoResponse);
-    router.reload_config("discovery", silent.address.to_string().into());
+    router.reload_config("discovery", silent_discovery.address.to_string().into());
     assert!(
-        silent
+        silent_discovery
             .requested_paths
             .wait_for(WAIT_TIMEOUT, |c| (c.len() == 1).then_some(()))
             .is_some()
     );
-    let next = FakeDiscovery::start(Some(vec![list_entry("s-1", endpoint.address, "ready")]));
-    router.reload_config("discovery", next.address.to_string().into());
+    let new_discovery =
+        FakeDiscovery::start(Some(vec![list_entry("s-1", endpoint.address, "ready")]));
+    router.reload_config("discovery", new_discovery.address.to_string().into());
     assert!(
-        next.requested_paths
+        new_discovery
+            .requested_paths
             .wait_for(WAIT_TIMEOUT, |c| (!c.is_empty()).then_some(()))
             .is_some()
     );
@@ -912,23 +920,23 @@
 #[test]
 fn poll_for_the_whole_list_is_repeated_within_nine_seconds_of_silence() {
     let (_endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
-    let silent = FakeDiscovery::start(None);
-    silent
+    let silent_discovery = FakeDiscovery::start(None);
+    silent_discovery
         .fault_mode
         .with(|m| *m = DiscoveryFaultMode::NoResponse);
-    router.reload_config("discovery", silent.address.to_string().into());
+    router.reload_config("discovery", silent_discovery.address.to_string().into());
     assert!(
-        silent
+        silent_discovery
             .requested_paths
             .wait_for(WAIT_TIMEOUT, |c| (!c.is_empty()).then_some(()))
             .is_some()
     );
-    let repeated = silent
+    let repeated = silent_discovery
         .requested_paths
         .wait_for(Duration::from_secs(9), |c| (c.len() >= 2).then_some(()));
     assert!(repeated.is_some(), "the poll was not repeated");
     assert!(
-        silent
+        silent_discovery
             .requested_paths
             .with(|c| c.iter().all(|path| path == "/api/targets"))
     );
@@ -1031,14 +1039,14 @@
     let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router(&discovery, &list, 64);
-    let mut kept = Vec::new();
+    let mut clients = Vec::new();
     for id in 1..=40 {
         let mut client = router.connect_client();
         assert_eq!(
             client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
-        kept.push(client);
+        clients.push(client);
     }
     assert!(router.wait_for_log("reason: evicted") && router.wait_for_counter("accept_errors=0"));
 }
@@ -1060,7 +1068,7 @@
         );
         client
     };
-    let kept: Vec<Client> = (1..=14).map(connect_and_query).collect();
+    let idle_clients: Vec<Client> = (1..=14).map(connect_and_query).collect();
     let started = Instant::now();
     let evicted = |l: &mut Vec<String>| l.iter().any(|l| l.contains("reason: evicted"));
     let mut id = 100;
@@ -1072,7 +1080,7 @@
         drop(connect_and_query(id));
         id += 1;
     }
-    drop(kept);
+    drop(idle_clients);
 }
 
 /// Guards regular clients against hundreds of connections that never send a byte: those are evicted first, a connection
@@ -1083,12 +1091,13 @@
     let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router(&discovery, &list, 64);
-    let mut kept = router.connect_client();
+    let mut used_client = router.connect_client();
     assert_eq!(
-        kept.simple_query(&select_query(1, 5000)).value,
+        used_client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
-    let mut silent: Vec<Client> = (0..100).map(|_| Client::connect(router.address)).collect();
+    let mut silent_clients: Vec<Client> =
+        (0..100).map(|_| Client::connect(router.address)).collect();
     let started = Instant::now();
     assert_eq!(
         router
@@ -1103,12 +1112,12 @@
         started.elapsed()
     );
     assert_eq!(
-        kept.simple_query(&select_query(3, 5000)).value,
+        used_client.simple_query(&select_query(3, 5000)).value,
         "0000000000000003"
     );
-    drop(kept);
+    drop(used_client);
     assert!(
-        silent
+        silent_clients
             .iter_mut()
             .all(|client| client.read_response().is_none())
     );
@@ -1175,15 +1184,15 @@
 #[test]
 fn sigterm_completes_open_requests_and_then_exits() {
     let (endpoint, _discovery, mut router) = start_with_one_endpoint(ScriptedResponse::Serve);
-    let (mut idle, mut waiting) = (router.connect_client(), router.connect_client());
+    let (mut idle_client, mut waiting_client) = (router.connect_client(), router.connect_client());
     assert_eq!(
-        idle.simple_query(&select_query(3, 5000)).value,
+        idle_client.simple_query(&select_query(3, 5000)).value,
         "0000000000000003"
     );
     endpoint
         .response
         .with(|a| *a = ScriptedResponse::NoResponse);
-    waiting
+    waiting_client
         .stream
         .write_all(&query_message(&select_query(1, 20_000)))
         .unwrap();
@@ -1194,15 +1203,22 @@
             .is_some()
     );
     router.signal("TERM");
-    assert!(idle.read_response().is_none());
+    assert!(idle_client.read_response().is_none());
     endpoint.response.with(|a| *a = ScriptedResponse::Serve);
-    let mut late = Client::connect(router.address);
-    late.stream
+    let mut new_client = Client::connect(router.address);
+    new_client
+        .stream
         .write_all(&[startup_message(), query_message(&select_query(2, 5000))].concat())
         .unwrap();
-    assert_eq!(late.read_response().unwrap().tags, "RSSSKZ");
-    assert_eq!(late.read_response().unwrap().value, "0000000000000002");
-    assert_eq!(waiting.read_response().unwrap().value, "0000000000000001");
+    assert_eq!(new_client.read_response().unwrap().tags, "RSSSKZ");
+    assert_eq!(
+        new_client.read_response().unwrap().value,
+        "0000000000000002"
+    );
+    assert_eq!(
+        waiting_client.read_response().unwrap().value,
+        "0000000000000001"
+    );
     assert!(router.wait_for_exit().success());
     assert!(router.wait_for_log("counters") && router.has_final_counter("served=3"));
 }
@@ -1212,27 +1228,31 @@
 #[test]
 fn connection_opened_after_sigterm_gets_its_first_response() {
     let (_endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
-    let mut idle = router.connect_client();
+    let mut idle_client = router.connect_client();
     assert_eq!(
-        idle.simple_query(&select_query(1, 5000)).value,
+        idle_client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
     router.signal("TERM");
-    assert!(idle.read_response().is_none());
-    let mut new = router.connect_client();
+    assert!(idle_client.read_response().is_none());
+    let mut new_client = router.connect_client();
     assert_eq!(
-        new.simple_query(&select_query(2, 5000)).value,
+        new_client.simple_query(&select_query(2, 5000)).value,
         "0000000000000002"
     );
-    assert!(new.read_response().is_none());
+    assert!(new_client.read_response().is_none());
 }
 
 /// Guards against a startup exchange that never ends: a host that accepts the connection and stays silent must count as
 /// a failed connect.
 #[test]
 fn connect_fails_when_the_endpoint_never_responds_to_startup() {
-    let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let list = vec![list_entry("s-1", silent.local_addr().unwrap(), "ready")];
+    let silent_endpoint = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let list = vec![list_entry(
+        "s-1",
+        silent_endpoint.local_addr().unwrap(),
+        "ready",
+    )];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router(&discovery, &list, 1024);
     let response = router.connect_client().simple_query(&select_query(1, 2000));
