--- a/crates/router/tests/membership.rs
+++ b/crates/router/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Endpoints from service records and the roster together, against the real program.
+//! Endpoints from DNS-SD records and from the endpoint list of the discovery service (the source `roster`), tested on
+//! the router process.
 
 mod common;
 
@@ -10,56 +11,64 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// The records of an endpoint that answers with the names of requests.
-fn record(uid: &str, instance: &FakeEndpoint) -> dns::ServiceInstance {
-    dns::ServiceInstance::new(uid, instance.address, 2)
+/// Returns the service instance that advertises the endpoint under this id.
+fn service_instance(uid: &str, endpoint: &FakeEndpoint) -> dns::ServiceInstance {
+    dns::ServiceInstance::new(uid, endpoint.address, 2)
 }
 
-fn zone(instances: &[(&str, &FakeEndpoint)]) -> DnsZone {
-    let all = instances
+/// Returns a DNS zone that advertises these endpoints, each given with its id.
+fn zone_of(endpoints: &[(&str, &FakeEndpoint)]) -> DnsZone {
+    let instances = endpoints
         .iter()
-        .map(|(uid, i)| (uid.replace("s-", "db-"), record(uid, i)));
+        .map(|(uid, endpoint)| (uid.replace("s-", "db-"), service_instance(uid, endpoint)));
     DnsZone {
-        instances: all.collect::<BTreeMap<_, _>>(),
+        instances: instances.collect::<BTreeMap<_, _>>(),
         ..DnsZone::default()
     }
 }
 
-fn edge(server: &FakeDnsServer, roster: bool, more: &str) -> String {
+/// Returns extensions that use the DNS server as a source, and the discovery service as another one if `uses_list`,
+/// followed by the lines of `more`.
+fn dns_extensions(server: &FakeDnsServer, uses_list: bool, more: &str) -> String {
     let (address, service, domain) = (server.address, dns::SERVICE, dns::DOMAIN);
     format!(
-        "discovery:\n  roster: {roster}\n  dns_sd: {{servers: [\"{address}\"], services: [\"{service}\"], \
+        "discovery:\n  roster: {uses_list}\n  dns_sd: {{servers: [\"{address}\"], services: [\"{service}\"], \
          domain: \"{domain}\", ttl_floor_ms: 200, timeout_ms: 200}}\n{more}"
     )
 }
 
-/// A client of a router that has found somebody.
-fn ready(router: &RouterProcess) -> Client {
+/// Returns a client once the router responds to it, which is when the router has found an endpoint.
+fn connect_when_ready(router: &RouterProcess) -> Client {
     let mut client = router.connect_client();
     assert_eq!(client.simple_query("").tags, "IZ");
     client
 }
 
-fn asked(instance: &FakeEndpoint) -> usize {
-    instance.activity.with(|s| s.queries.len())
+/// Returns the number of queries that the endpoint has received.
+fn query_count(endpoint: &FakeEndpoint) -> usize {
+    endpoint.activity.with(|activity| activity.queries.len())
 }
 
-/// Asks until an endpoint has been asked, and says how often it took.
-fn ask_until(client: &mut Client, instance: &FakeEndpoint) -> usize {
-    let (began, before) = (Instant::now(), asked(instance));
-    for n in 0.. {
-        let answer = client.simple_query(&select_query(0x1000 + n as u64, 5000));
-        if asked(instance) > before {
-            return n;
+/// Sends reads until the endpoint has received one; returns the number of reads sent before that one.
+fn query_until_received(client: &mut Client, endpoint: &FakeEndpoint) -> usize {
+    let (started, count_before) = (Instant::now(), query_count(endpoint));
+    for earlier_reads in 0.. {
+        let response = client.simple_query(&select_query(0x1000 + earlier_reads as u64, 5000));
+        if query_count(endpoint) > count_before {
+            return earlier_reads;
         }
-        assert!(began.elapsed() < WAIT_TIMEOUT, "never asked: {answer:?}");
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "the endpoint received no query: {response:?}"
+        );
     }
     unreachable!()
 }
 
-/// Guards the way from a record to a request, without a roster; and a list that comes over TCP.
+/// Guards against endpoints that are never found, or a new one that needs a restart, when DNS is the only source: with
+/// responses without additional records, truncated ones (repeated over TCP), lost ones and late ones.
 #[rstest]
-fn members_are_found_by_records_alone(
+fn endpoints_are_found_when_dns_is_the_only_source(
     #[values(
         DnsFaultMode::Normal,
         DnsFaultMode::NoAdditionalRecords,
@@ -67,12 +76,12 @@
         DnsFaultMode::DropEveryOtherQuery,
         DnsFaultMode::Delayed
     )]
-    manner: DnsFaultMode,
+    fault_mode: DnsFaultMode,
 ) {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let server = FakeDnsServer::start(DnsZone {
-        fault_mode: manner,
-        ..zone(&[("s-1", &instance)])
+        fault_mode,
+        ..zone_of(&[("s-1", &endpoint)])
     });
     let discovery = FakeDiscovery::start(None);
     let router = start_router_with(
@@ -80,59 +89,64 @@
         &[],
         1024,
         base_settings(),
-        Some(&edge(&server, false, "")),
+        Some(&dns_extensions(&server, false, "")),
     );
-    let mut client = ready(&router);
+    let mut client = connect_when_ready(&router);
     assert_eq!(
         client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
-    assert_eq!(discovery.requested_paths.with(|c| c.len()), 0);
-    // A record that comes is used, without a restart.
+    assert_eq!(discovery.requested_paths.with(|paths| paths.len()), 0);
+    // A new record is used without a restart.
     let second = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    server
-        .zone
-        .with(|z| z.instances.insert("db-2".into(), record("s-2", &second)));
-    ask_until(&mut client, &second);
+    server.zone.with(|zone| {
+        zone.instances
+            .insert("db-2".into(), service_instance("s-2", &second))
+    });
+    query_until_received(&mut client, &second);
 }
 
-/// Hard case 1: a record goes on pointing at an endpoint that drains, as the roster says or its own TXT; nothing new
-/// goes to it, and a record that vanishes while the roster is out of reach takes nothing away.
+/// Guards against new requests to a draining endpoint when the sources contradict each other: the endpoint list or the
+/// endpoint's TXT record reports the drain, and the other source still states that it is ready. Guards also against
+/// the removal of an endpoint whose record disappears while the discovery service can't be reached.
 #[rstest]
-fn a_drain_binds_whoever_tells_it(#[values(true, false)] by_roster: bool) {
-    let (old, new) = (
+fn draining_endpoint_gets_no_new_requests_when_one_source_reports_the_drain(
+    #[values(true, false)] is_reported_by_list: bool,
+) {
+    let (draining, ready) = (
         FakeEndpoint::start("replica", ScriptedResponse::Serve),
         FakeEndpoint::start("replica", ScriptedResponse::Serve),
     );
-    let server = FakeDnsServer::start(zone(&[("s-1", &old), ("s-2", &new)]));
+    let server = FakeDnsServer::start(zone_of(&[("s-1", &draining), ("s-2", &ready)]));
     let list = |state| {
         vec![
-            list_entry("s-1", old.address, state),
-            list_entry("s-2", new.address, "ready"),
+            list_entry("s-1", draining.address, state),
+            list_entry("s-2", ready.address, "ready"),
         ]
     };
     let discovery = FakeDiscovery::start(Some(list("ready")));
-    let edge = edge(&server, true, "");
+    let extensions = dns_extensions(&server, true, "");
     let router = start_router_with(
         &discovery,
         &list("ready"),
         1024,
         base_settings(),
-        Some(&edge),
+        Some(&extensions),
     );
-    let mut client = ready(&router);
-    ask_until(&mut client, &old);
-    if by_roster {
+    let mut client = connect_when_ready(&router);
+    query_until_received(&mut client, &draining);
+    if is_reported_by_list {
         discovery.publish(list("draining"));
     } else {
-        let drains = record("s-1", &old).with_txt("state", Some("draining"));
+        let draining_instance =
+            service_instance("s-1", &draining).with_txt("state", Some("draining"));
         server
             .zone
-            .with(|z| z.instances.insert("db-1".into(), drains));
+            .with(|zone| zone.instances.insert("db-1".into(), draining_instance));
     }
     assert!(router.wait_for_log("state: Draining") && router.wait_for_log("sources contradict"));
-    let before = asked(&old);
-    // The records are asked for again and again meanwhile, and the roster's list comes again.
+    let count_before = query_count(&draining);
+    // Meanwhile the records are queried repeatedly, and the endpoint list is polled again.
     for id in 1..=30 {
         assert_eq!(
             client.simple_query(&select_query(id, 5000)).value,
@@ -142,10 +156,10 @@
             assert!(server.wait_for_queries(1));
         }
     }
-    assert_eq!(asked(&old), before);
-    discovery.list.with(|l| l.1 = None);
+    assert_eq!(query_count(&draining), count_before);
+    discovery.list.with(|list| list.1 = None);
     assert!(router.wait_for_log("discovery poll failed"));
-    server.zone.with(|z| z.instances.remove("db-2"));
+    server.zone.with(|zone| zone.instances.remove("db-2"));
     assert!(server.wait_for_queries(3));
     assert_eq!(
         client.simple_query(&select_query(99, 5000)).value,
@@ -154,46 +168,48 @@
     assert!(
         router
             .log
-            .with(|l| !l.iter().any(|l| l.contains("endpoint removed")))
+            .with(|lines| !lines.iter().any(|line| line.contains("endpoint removed")))
     );
 }
 
-/// Hard case 1, further: an endpoint that says itself that it leaves gets nothing new until it answers again.
+/// Guards against new requests to an endpoint that itself responds that it is shutting down (SQLSTATE 57P03), although
+/// its DNS records still advertise it; it is eligible again once it serves.
 #[test]
-fn a_endpoint_that_says_that_it_leaves_is_believed() {
-    let (leaving, other) = (
+fn endpoint_gets_no_new_requests_after_it_responds_that_it_is_shutting_down() {
+    let (stopping, other) = (
         FakeEndpoint::start("replica", ScriptedResponse::Serve),
         FakeEndpoint::start("replica", ScriptedResponse::Serve),
     );
-    let server = FakeDnsServer::start(zone(&[("s-1", &leaving), ("s-2", &other)]));
+    let server = FakeDnsServer::start(zone_of(&[("s-1", &stopping), ("s-2", &other)]));
     let discovery = FakeDiscovery::start(None);
     let router = start_router_with(
         &discovery,
         &[],
         1024,
         base_settings(),
-        Some(&edge(&server, false, "")),
+        Some(&dns_extensions(&server, false, "")),
     );
-    let mut client = ready(&router);
-    ask_until(&mut client, &leaving);
-    leaving
+    let mut client = connect_when_ready(&router);
+    query_until_received(&mut client, &stopping);
+    stopping
         .response
-        .with(|a| *a = ScriptedResponse::Error("57P03"));
-    ask_until(&mut client, &leaving);
+        .with(|response| *response = ScriptedResponse::Error("57P03"));
+    query_until_received(&mut client, &stopping);
     assert!(router.wait_for_log("OwnDrain"));
-    let before = asked(&leaving);
+    let count_before = query_count(&stopping);
     for id in 1..=20 {
         assert_eq!(
             client.simple_query(&select_query(id, 5000)).value,
             format!("{id:016x}")
         );
     }
-    assert_eq!(asked(&leaving), before);
+    assert_eq!(query_count(&stopping), count_before);
 }
 
-/// Hard case 2 on sockets: servers that fail in each way, and then an empty answer, forget nobody.
+/// Guards against the removal of endpoints when DNS fails: the server does not respond, reports an error, sends bytes
+/// that are no DNS message or another query's id, or responds without records.
 #[rstest]
-fn a_server_that_fails_forgets_nobody(
+fn endpoints_are_kept_when_the_dns_server_fails(
     #[values(
         DnsFaultMode::NoResponse,
         DnsFaultMode::ServerFailure,
@@ -201,30 +217,32 @@
         DnsFaultMode::WrongId,
         DnsFaultMode::NoData
     )]
-    manner: DnsFaultMode,
+    fault_mode: DnsFaultMode,
 ) {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    let server = FakeDnsServer::start(zone(&[("s-1", &instance)]));
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let server = FakeDnsServer::start(zone_of(&[("s-1", &endpoint)]));
     let discovery = FakeDiscovery::start(None);
     let router = start_router_with(
         &discovery,
         &[],
         1024,
         base_settings(),
-        Some(&edge(&server, false, "")),
+        Some(&dns_extensions(&server, false, "")),
     );
-    let mut client = ready(&router);
+    let mut client = connect_when_ready(&router);
     assert_eq!(
         client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
-    server.zone.with(|z| z.fault_mode = manner);
+    server.zone.with(|zone| zone.fault_mode = fault_mode);
     assert!(server.wait_for_queries(2));
     assert_eq!(
         client.simple_query(&select_query(2, 5000)).value,
         "0000000000000002"
     );
-    server.zone.with(|z| z.fault_mode = DnsFaultMode::Normal);
+    server
+        .zone
+        .with(|zone| zone.fault_mode = DnsFaultMode::Normal);
     assert!(server.wait_for_queries(2));
     assert_eq!(
         client.simple_query(&select_query(3, 5000)).value,
@@ -236,20 +254,20 @@
     );
 }
 
-/// Guards a roster that comes back: it is asked again although records keep bringing changes.
+/// Guards against a discovery service that is not polled again after failures, because changes from DNS keep arriving.
 #[test]
-fn a_roster_that_fails_is_asked_again() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    let server = FakeDnsServer::start(zone(&[("s-1", &instance)]));
+fn failed_discovery_service_is_polled_again_while_dns_responds() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let server = FakeDnsServer::start(zone_of(&[("s-1", &endpoint)]));
     let discovery = FakeDiscovery::start(None);
     let router = start_router_with(
         &discovery,
         &[],
         1024,
         base_settings(),
-        Some(&edge(&server, true, "")),
+        Some(&dns_extensions(&server, true, "")),
     );
-    let mut client = ready(&router);
+    let mut client = connect_when_ready(&router);
     assert_eq!(
         client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
@@ -257,47 +275,54 @@
     assert!(
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (c.len() > 3).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |paths| (paths.len() > 3).then_some(()))
             .is_some()
     );
     let second = FakeEndpoint::start("master", ScriptedResponse::Serve);
     discovery.publish(vec![list_entry("s-2", second.address, "ready")]);
-    ask_until(&mut client, &second);
+    query_until_received(&mut client, &second);
 }
 
-/// Guards reload: a source that is added is used, one that is taken out no longer counts, and no endpoint that another
-/// source names is forgotten in between.
+/// Guards against a reload of the extensions after which an added source is not used, a removed one is still queried,
+/// or an endpoint that both sources name was removed in between; and against a reload with invalid settings that
+/// stops service.
 #[test]
-fn sources_come_and_go_with_the_settings() {
-    let (one, two) = (
+fn sources_are_replaced_when_the_extensions_are_reloaded() {
+    let (kept_endpoint, added_endpoint) = (
         FakeEndpoint::start("master", ScriptedResponse::Serve),
         FakeEndpoint::start("master", ScriptedResponse::Serve),
     );
-    let first = FakeDnsServer::start(zone(&[("s-1", &one)]));
-    let second = FakeDnsServer::start(zone(&[("s-1", &one), ("s-2", &two)]));
+    let first_server = FakeDnsServer::start(zone_of(&[("s-1", &kept_endpoint)]));
+    let second_server = FakeDnsServer::start(zone_of(&[
+        ("s-1", &kept_endpoint),
+        ("s-2", &added_endpoint),
+    ]));
     let discovery = FakeDiscovery::start(None);
     let router = start_router_with(
         &discovery,
         &[],
         1024,
         base_settings(),
-        Some(&edge(&first, false, "")),
+        Some(&dns_extensions(&first_server, false, "")),
     );
-    let mut client = ready(&router);
+    let mut client = connect_when_ready(&router);
     assert_eq!(
         client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
     );
-    router.reload_extensions(&edge(&second, false, ""));
-    ask_until(&mut client, &two);
+    router.reload_extensions(&dns_extensions(&second_server, false, ""));
+    query_until_received(&mut client, &added_endpoint);
     assert!(
         router.wait_for_counter("endpoints_removed=0")
             && router.wait_for_counter("endpoints_added=2")
     );
     assert!(router.wait_for_log("discovery sources reloaded"));
-    let asked = first.zone.with(|z| z.query_count);
-    assert!(second.wait_for_queries(2));
-    assert_eq!(first.zone.with(|z| z.query_count), asked);
+    let queries_before = first_server.zone.with(|zone| zone.query_count);
+    assert!(second_server.wait_for_queries(2));
+    assert_eq!(
+        first_server.zone.with(|zone| zone.query_count),
+        queries_before
+    );
     router.reload_extensions("discovery: {dns_sd: {servers: [], services: [], domain: x}}");
     assert!(router.wait_for_log("discovery.dns_sd.servers"));
     assert_eq!(
@@ -306,22 +331,23 @@
     );
 }
 
-/// Guards the operator: each endpoint, who names it and by which rule it is where it is; and nobody else may ask.
+/// Guards against a table that lacks an endpoint, one of the sources that name it or the listing rule that applies;
+/// and against a socket that other users can query.
 #[test]
-fn an_operator_sees_who_says_what() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    let server = FakeDnsServer::start(zone(&[("s-1", &instance)]));
+fn members_command_shows_the_sources_and_the_listing_rule_of_each_endpoint() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let server = FakeDnsServer::start(zone_of(&[("s-1", &endpoint)]));
     let discovery = FakeDiscovery::start(None);
-    discovery.publish(vec![list_entry("s-1", instance.address, "ready")]);
+    discovery.publish(vec![list_entry("s-1", endpoint.address, "ready")]);
     let dir = tempfile::tempdir().unwrap();
     let socket = dir.path().join("members");
-    let edge = edge(
+    let extensions = dns_extensions(
         &server,
         true,
         &format!("members_socket: {}\n", socket.display()),
     );
-    let router = start_router_with(&discovery, &[], 1024, base_settings(), Some(&edge));
-    let mut client = ready(&router);
+    let router = start_router_with(&discovery, &[], 1024, base_settings(), Some(&extensions));
+    let mut client = connect_when_ready(&router);
     assert_eq!(
         client.simple_query(&select_query(1, 5000)).value,
         "0000000000000001"
@@ -330,9 +356,9 @@
         std::fs::metadata(&socket).unwrap().permissions().mode() & 0o777,
         0o600
     );
-    let ask = |socket: &Path| {
-        let mut program = std::process::Command::new(env!("CARGO_BIN_EXE_reelrill"));
-        let output = program
+    let run_members_command = |socket: &Path| {
+        let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_reelrill"));
+        let output = command
             .args(["members", "--socket"])
             .arg(socket)
             .output()
@@ -342,10 +368,10 @@
             String::from_utf8(output.stdout).unwrap(),
         )
     };
-    let began = Instant::now();
+    let started = Instant::now();
     let table = loop {
-        let (ok, table) = ask(&socket);
-        assert!(ok && began.elapsed() < WAIT_TIMEOUT, "{table}");
+        let (is_success, table) = run_members_command(&socket);
+        assert!(is_success && started.elapsed() < WAIT_TIMEOUT, "{table}");
         if table.contains("roster says Ready") && table.contains("_postgresql._tcp") {
             break table;
         }
@@ -355,6 +381,6 @@
         "{table}"
     );
     assert!(table.contains("1 members, 0 contradicted"), "{table}");
-    assert!(!ask(&dir.path().join("none")).0);
-    assert!(began.elapsed() < Duration::from_secs(30));
+    assert!(!run_members_command(&dir.path().join("none")).0);
+    assert!(started.elapsed() < Duration::from_secs(30));
 }
