--- a/crates/router/tests/pushed_lists.rs
+++ b/crates/router/tests/pushed_lists.rs
@@ -1,5 +1,6 @@
-//! Lists that are pushed: discovery's address is an agent on the router's own machine, which is called from the start
-//! and always. Whatever it holds counts as told, whether or not it is being watched.
+//! Endpoint lists in the registry mode `automatic`: the discovery address is that of an agent on the router's own
+//! machine, which the router polls from its start on and without a break. The router counts as notified of any list
+//! that the agent has, whether or not a list watch is open.
 
 mod common;
 
@@ -10,34 +11,36 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// Within this time of its return, what an agent holds has to be known: the usual grace of a drain, less what a
-/// process may be held up. The limit is wider by what a busy test machine may take.
-const KNOWN_WITHIN: Duration = Duration::from_millis(600);
+/// Maximum time from the recovery of an agent until the router has read its list. The target is the usual drain grace
+/// less the delay that a process may suffer; the limit adds the delays of a busy test machine.
+const MAX_READ_DELAY: Duration = Duration::from_millis(600);
 
-fn pushed() -> Value {
+/// Returns the base settings with the registry mode `automatic`.
+fn automatic_settings() -> Value {
     let mut settings = base_settings();
     settings["registryMode"] = "automatic".into();
     settings
 }
 
-struct Site {
+/// A router with its agent, an endpoint of the first list and the endpoint that replaces it.
+struct Fixture {
     old: FakeEndpoint,
     new: FakeEndpoint,
     agent: FakeDiscovery,
     router: RouterProcess,
 }
 
-impl Site {
-    /// Two endpoints, of which the list at hand names the first.
-    fn start() -> Site {
+impl Fixture {
+    /// Starts two endpoints and a router whose initial list and agent name only the old one.
+    fn start() -> Fixture {
         let (old, new) = (
             FakeEndpoint::start("master", ScriptedResponse::Serve),
             FakeEndpoint::start("master", ScriptedResponse::Serve),
         );
-        let known = vec![list_entry("s-old", old.address, "ready")];
-        let agent = FakeDiscovery::start(Some(known.clone()));
-        let router = start_router_with(&agent, &known, 1024, pushed(), None);
-        Site {
+        let initial_list = vec![list_entry("s-old", old.address, "ready")];
+        let agent = FakeDiscovery::start(Some(initial_list.clone()));
+        let router = start_router_with(&agent, &initial_list, 1024, automatic_settings(), None);
+        Fixture {
             old,
             new,
             agent,
@@ -45,30 +48,32 @@
         }
     }
 
-    /// The list after the first one's replacement.
-    fn replaced(&self) -> Vec<Value> {
+    /// Returns the list in which the new endpoint replaces the old one, which is draining.
+    fn replacement_list(&self) -> Vec<Value> {
         vec![
             list_entry("s-old", self.old.address, "draining"),
             list_entry("s-new", self.new.address, "ready"),
         ]
     }
 
-    fn calls(&self) -> usize {
-        self.agent.requested_paths.with(|c| c.len())
+    /// Returns the number of polls that the agent has received.
+    fn poll_count(&self) -> usize {
+        self.agent.requested_paths.with(|paths| paths.len())
     }
 
-    /// Waits for the call that follows an answer with this version; says when it came.
-    fn until_known(&self, agent: &FakeDiscovery, version: u64) -> Instant {
+    /// Waits until the agent receives a poll that states this list version as known, and returns the time.
+    fn wait_until_list_is_read(&self, agent: &FakeDiscovery, version: u64) -> Instant {
         let since = format!("since={version}&");
-        let told = |c: &mut Vec<String>| c.iter().any(|p| p.contains(&since)).then(Instant::now);
+        let is_read = |p: &mut Vec<String>| p.iter().any(|p| p.contains(&since)).then(Instant::now);
         agent
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, told)
-            .expect("the list was not read")
+            .wait_for(WAIT_TIMEOUT, is_read)
+            .expect("the router did not read the list")
     }
 
-    fn assert_only_new_is_sent_to(&self) {
-        let before = self.old.activity.with(|s| s.queries.len());
+    /// Sends five reads and checks that all of them reach the new endpoint.
+    fn assert_only_new_endpoint_gets_requests(&self) {
+        let count_before = self.old.activity.with(|s| s.queries.len());
         for id in 1..=5 {
             assert_eq!(
                 self.router
@@ -80,40 +85,46 @@
         }
         assert_eq!(
             self.old.activity.with(|s| s.queries.len()),
-            before,
-            "sent to a draining instance"
+            count_before,
+            "requests were sent to a draining endpoint"
         );
         assert_eq!(self.new.activity.with(|s| s.queries.len()), 5);
     }
 }
 
+/// Guards against a router that requests the whole list at its start although it knows version 1, or that does not
+/// watch the agent for newer lists.
 #[test]
-fn an_agent_is_watched_from_the_start() {
-    let site = Site::start();
-    let first = site
+fn agent_is_watched_from_the_start() {
+    let fixture = Fixture::start();
+    let first = fixture
         .agent
         .requested_paths
-        .wait_for(WAIT_TIMEOUT, |c| c.first().cloned())
-        .expect("no call");
+        .wait_for(WAIT_TIMEOUT, |paths| paths.first().cloned())
+        .expect("the agent received no poll");
     assert!(first.contains("since=1&"), "{first}");
-    site.agent.publish(site.replaced());
-    site.until_known(&site.agent, 2);
-    site.assert_only_new_is_sent_to();
-    let whole = site
+    fixture.agent.publish(fixture.replacement_list());
+    fixture.wait_until_list_is_read(&fixture.agent, 2);
+    fixture.assert_only_new_endpoint_gets_requests();
+    let whole_list_polls = fixture
         .agent
         .requested_paths
-        .with(|c| c.iter().filter(|p| *p == "/api/targets").count());
-    assert_eq!(whole, 0, "the whole list was asked for");
+        .with(|paths| paths.iter().filter(|path| *path == "/api/targets").count());
+    assert_eq!(whole_list_polls, 0, "the router requested the whole list");
 }
 
+/// Guards against the first request being sent by the outdated list that the router starts with, while the agent
+/// already has a newer one.
 #[test]
-fn what_the_agent_holds_at_the_start_is_known_before_the_first_requests() {
-    let site = Site::start();
+fn newer_list_of_the_agent_is_applied_before_the_first_request() {
+    let fixture = Fixture::start();
     let agent = FakeDiscovery::start(None);
-    agent.list.with(|l| *l = (9, Some(site.replaced())));
-    let known = vec![list_entry("s-old", site.old.address, "ready")];
-    let router = start_router_with(&agent, &known, 1024, pushed(), None);
-    site.until_known(&agent, 9);
+    agent
+        .list
+        .with(|list| *list = (9, Some(fixture.replacement_list())));
+    let initial_list = vec![list_entry("s-old", fixture.old.address, "ready")];
+    let router = start_router_with(&agent, &initial_list, 1024, automatic_settings(), None);
+    fixture.wait_until_list_is_read(&agent, 9);
     assert_eq!(
         router
             .connect_client()
@@ -121,23 +132,25 @@
             .value,
         "0000000000000001"
     );
-    assert_eq!(site.old.activity.with(|s| s.queries.len()), 0);
+    assert_eq!(fixture.old.activity.with(|s| s.queries.len()), 0);
 }
 
+/// Guards against a router without a list that rejects its first client, or leaves it waiting, when the agent has no
+/// list for the first polls and then responds.
 #[test]
-fn a_router_with_no_list_is_ready_from_the_first_answer() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
+fn router_without_a_list_is_ready_after_the_first_response_of_the_agent() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let agent = FakeDiscovery::start(None);
-    let router = start_router_with(&agent, &[], 1024, pushed(), None);
+    let router = start_router_with(&agent, &[], 1024, automatic_settings(), None);
     let mut client = router.connect_client();
     client.stream.write_all(&query_message("")).unwrap();
     assert!(
         agent
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (c.len() > 4).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |paths| (paths.len() > 4).then_some(()))
             .is_some()
     );
-    agent.publish(vec![list_entry("s-1", instance.address, "ready")]);
+    agent.publish(vec![list_entry("s-1", endpoint.address, "ready")]);
     assert_eq!(client.read_response().unwrap().tags, "IZ");
     assert_eq!(
         client.simple_query(&select_query(1, 5000)).value,
@@ -145,140 +158,167 @@
     );
 }
 
+/// Guards against a backoff that grows with the failures of an agent, so that the router reads a new list only long
+/// after the agent has recovered and sends requests to a draining endpoint meanwhile.
 #[rstest]
-fn what_an_agent_brings_at_its_return_is_known_at_once(
+fn new_list_is_read_without_delay_after_the_agent_recovers(
     #[values(DiscoveryFaultMode::NoResponse, DiscoveryFaultMode::ResetMidBody)]
-    down: DiscoveryFaultMode,
+    fault_mode: DiscoveryFaultMode,
 ) {
-    let site = Site::start();
-    site.until_known(&site.agent, 1);
-    site.agent.fault_mode.with(|m| *m = down);
-    let before = site.calls();
-    // Long enough for a pause that grows to have grown.
+    let fixture = Fixture::start();
+    fixture.wait_until_list_is_read(&fixture.agent, 1);
+    fixture.agent.fault_mode.with(|mode| *mode = fault_mode);
+    let count_before = fixture.poll_count();
+    // Enough failed polls for an increasing backoff to reach a long delay.
     assert!(
-        site.agent
+        fixture
+            .agent
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (c.len() > before + 12).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |paths| (paths.len() > count_before + 12)
+                .then_some(()))
             .is_some()
     );
     assert_eq!(
-        site.router
+        fixture
+            .router
             .connect_client()
             .simple_query(&select_query(99, 5000))
             .value,
         format!("{:016x}", 99)
     );
-    let back = Instant::now();
-    site.agent.list.with(|l| *l = (2, Some(site.replaced())));
-    site.agent
+    let recovered_at = Instant::now();
+    fixture
+        .agent
+        .list
+        .with(|list| *list = (2, Some(fixture.replacement_list())));
+    fixture
+        .agent
         .fault_mode
-        .with(|m| *m = DiscoveryFaultMode::Normal);
-    let known = site.until_known(&site.agent, 2);
-    assert!(known - back < KNOWN_WITHIN, "{:?}", known - back);
-    site.assert_only_new_is_sent_to();
+        .with(|mode| *mode = DiscoveryFaultMode::Normal);
+    let read_at = fixture.wait_until_list_is_read(&fixture.agent, 2);
+    assert!(
+        read_at - recovered_at < MAX_READ_DELAY,
+        "{:?}",
+        read_at - recovered_at
+    );
+    fixture.assert_only_new_endpoint_gets_requests();
 }
 
-/// An agent that ends each call with 503 is called at an even, bounded pace.
+/// Guards against a busy loop of polls to an agent that ends each of them with status 503 at once, and against pauses
+/// so long that the next list is read late.
 #[test]
-fn an_agent_that_declines_is_called_again_soon_and_not_in_a_busy_loop() {
-    let site = Site::start();
-    site.until_known(&site.agent, 1);
-    site.agent.list.with(|l| l.1 = None);
-    let before = site.calls();
-    let nth = |n: usize| {
-        let reached = |c: &mut Vec<String>| (c.len() >= before + n).then(Instant::now);
-        site.agent
+fn agent_that_responds_with_503_is_polled_at_a_bounded_rate() {
+    let fixture = Fixture::start();
+    fixture.wait_until_list_is_read(&fixture.agent, 1);
+    fixture.agent.list.with(|list| list.1 = None);
+    let before = fixture.poll_count();
+    let wait_for_polls = |further: usize| {
+        let is_reached = |p: &mut Vec<String>| (p.len() >= before + further).then(Instant::now);
+        fixture
+            .agent
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, reached)
-            .expect("no further call")
+            .wait_for(WAIT_TIMEOUT, is_reached)
+            .expect("the agent received no further poll")
     };
-    let (first, last) = (nth(2), nth(12));
+    let (second_poll_at, twelfth_poll_at) = (wait_for_polls(2), wait_for_polls(12));
     assert!(
-        last - first >= Duration::from_millis(450),
+        twelfth_poll_at - second_poll_at >= Duration::from_millis(450),
         "{:?}",
-        last - first
+        twelfth_poll_at - second_poll_at
+    );
+    fixture.agent.publish(fixture.replacement_list());
+    let published_at = Instant::now();
+    let read_at = fixture.wait_until_list_is_read(&fixture.agent, 2);
+    assert!(
+        read_at - published_at < MAX_READ_DELAY,
+        "{:?}",
+        read_at - published_at
     );
-    site.agent.publish(site.replaced());
-    let back = Instant::now();
-    let known = site.until_known(&site.agent, 2);
-    assert!(known - back < KNOWN_WITHIN, "{:?}", known - back);
 }
 
+/// Guards against a list watch that stays open on a connection without any further response, as after an agent has
+/// stalled: the router would miss every later list. The new watch must not request the whole list.
 #[test]
-fn a_silent_watch_of_an_agent_is_opened_anew_for_what_is_newer() {
-    let site = Site::start();
-    site.until_known(&site.agent, 1);
-    site.agent.stall_open_connections();
-    let silent = Instant::now();
-    site.agent.publish(site.replaced());
-    let known = site.until_known(&site.agent, 2);
+fn stalled_watch_of_an_agent_is_replaced_by_one_for_newer_lists() {
+    let fixture = Fixture::start();
+    fixture.wait_until_list_is_read(&fixture.agent, 1);
+    fixture.agent.stall_open_connections();
+    let stalled_at = Instant::now();
+    fixture.agent.publish(fixture.replacement_list());
+    let read_at = fixture.wait_until_list_is_read(&fixture.agent, 2);
     assert!(
-        known - silent < Duration::from_secs(2),
+        read_at - stalled_at < Duration::from_secs(2),
         "{:?}",
-        known - silent
+        read_at - stalled_at
     );
-    site.assert_only_new_is_sent_to();
-    let whole = site
+    fixture.assert_only_new_endpoint_gets_requests();
+    let whole_list_polls = fixture
         .agent
         .requested_paths
-        .with(|c| c.iter().filter(|p| *p == "/api/targets").count());
-    assert_eq!(whole, 0, "the whole list was asked for");
+        .with(|paths| paths.iter().filter(|path| *path == "/api/targets").count());
+    assert_eq!(whole_list_polls, 0, "the router requested the whole list");
 }
 
+/// Guards against a reload with another discovery address after which the router still watches the former agent, or
+/// requests from the new one only what is newer than the former agent's version instead of the whole list.
 #[test]
-fn a_new_configuration_moves_the_watch_to_another_agent() {
-    let site = Site::start();
-    site.until_known(&site.agent, 1);
-    let next = FakeDiscovery::start(Some(site.replaced()));
-    site.router
-        .reload_config("discovery", next.address.to_string().into());
-    site.until_known(&next, 1);
-    site.assert_only_new_is_sent_to();
-    let paths = next.requested_paths.with(|c| c.clone());
-    assert_eq!(paths.iter().filter(|p| *p == "/api/targets").count(), 1);
+fn new_agent_is_watched_when_a_reload_changes_the_discovery_address() {
+    let fixture = Fixture::start();
+    fixture.wait_until_list_is_read(&fixture.agent, 1);
+    let new_agent = FakeDiscovery::start(Some(fixture.replacement_list()));
+    fixture
+        .router
+        .reload_config("discovery", new_agent.address.to_string().into());
+    fixture.wait_until_list_is_read(&new_agent, 1);
+    fixture.assert_only_new_endpoint_gets_requests();
+    let paths = new_agent.requested_paths.with(|paths| paths.clone());
+    assert_eq!(
+        paths.iter().filter(|path| *path == "/api/targets").count(),
+        1
+    );
 }
 
-/// After a watch that broke, in whatever way, only what is newer is asked for, also where discovery is one service of
-/// all routers; a whole list is taken where the service gives one.
+/// Guards against requests for the whole list after a list watch that failed in any way, with an agent and with one
+/// discovery service for all routers. The router applies a whole list where the service returns one.
 #[rstest]
-#[case::agent(pushed())]
+#[case::agent(automatic_settings())]
 #[case::shared_service(base_settings())]
-fn after_a_broken_watch_only_what_is_newer_is_asked_for(
+fn only_newer_lists_are_requested_after_a_failed_watch(
     #[case] settings: Value,
     #[values(DiscoveryFaultMode::Normal, DiscoveryFaultMode::ResetMidBody)]
-    down: DiscoveryFaultMode,
+    fault_mode: DiscoveryFaultMode,
 ) {
     let (old, new) = (
         FakeEndpoint::start("master", ScriptedResponse::Serve),
         FakeEndpoint::start("master", ScriptedResponse::Serve),
     );
-    let known = vec![list_entry("s-old", old.address, "ready")];
-    let discovery = FakeDiscovery::start(Some(known.clone()));
-    let router = start_router_with(&discovery, &known, 1024, settings, None);
+    let initial_list = vec![list_entry("s-old", old.address, "ready")];
+    let discovery = FakeDiscovery::start(Some(initial_list.clone()));
+    let router = start_router_with(&discovery, &initial_list, 1024, settings, None);
     assert!(
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (!c.is_empty()).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |paths| (!paths.is_empty()).then_some(()))
             .is_some()
     );
-    discovery.fault_mode.with(|m| *m = down);
-    discovery.list.with(|l| {
-        *l = (
+    discovery.fault_mode.with(|mode| *mode = fault_mode);
+    discovery.list.with(|list| {
+        *list = (
             2,
-            (down == DiscoveryFaultMode::ResetMidBody).then(|| known.clone()),
+            (fault_mode == DiscoveryFaultMode::ResetMidBody).then(|| initial_list.clone()),
         )
     });
     assert!(router.wait_for_log("discovery poll failed"));
     discovery
         .fault_mode
-        .with(|m| *m = DiscoveryFaultMode::Normal);
+        .with(|mode| *mode = DiscoveryFaultMode::Normal);
     discovery.publish(vec![list_entry("s-new", new.address, "ready")]);
     assert!(
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| c
+            .wait_for(WAIT_TIMEOUT, |paths| paths
                 .iter()
-                .any(|p| p.contains("since=3&"))
+                .any(|path| path.contains("since=3&"))
                 .then_some(()))
             .is_some()
     );
@@ -293,7 +333,7 @@
     assert!(
         discovery
             .requested_paths
-            .with(|c| c.iter().all(|p| p.contains("since="))),
-        "the whole list was asked for"
+            .with(|paths| paths.iter().all(|path| path.contains("since="))),
+        "the router requested the whole list"
     );
 }
