--- a/crates/router/tests/extended.rs
+++ b/crates/router/tests/extended.rs
@@ -1,4 +1,4 @@
-//! Extended queries against the real program, with clients and endpoints of the test's own.
+//! Tests of the extended query protocol on the router process, with test clients and fake endpoints.
 
 mod common;
 
@@ -10,60 +10,64 @@
 use rstest::rstest;
 use std::time::Duration;
 
-const ON: &str = "extended: {mode: on}";
-const READ: &str = "SELECT data FROM facts WHERE code = $1 /* id=$2,c=board,d=$3,cluster=2 */";
-const WRITE: &str = "INSERT INTO facts (code, data) VALUES ($1, $2) RETURNING data /* c=book,d=$3,cluster=2,k=$4 */";
+const EXTENDED_ON: &str = "extended: {mode: on}";
+const READ_TEXT: &str = "SELECT data FROM facts WHERE code = $1 /* id=$2,c=board,d=$3,cluster=2 */";
+const WRITE_TEXT: &str = "INSERT INTO facts (code, data) VALUES ($1, $2) RETURNING data /* c=book,d=$3,cluster=2,k=$4 */";
 
-fn describe(object: ObjectKind, name: &str) -> Vec<u8> {
+fn describe_message(object: ObjectKind, name: &str) -> Vec<u8> {
     let mut out = Vec::new();
     frontend::put_describe(&mut out, object, name);
     out
 }
 
-fn close(object: ObjectKind, name: &str) -> Vec<u8> {
+fn close_message(object: ObjectKind, name: &str) -> Vec<u8> {
     let mut out = Vec::new();
     frontend::put_close(&mut out, object, name);
     out
 }
 
-fn bind(portal: &str, statement: &str, values: &[&str]) -> Vec<u8> {
+fn bind_message(portal: &str, statement: &str, values: &[&str]) -> Vec<u8> {
     let mut out = Vec::new();
     let values = values.iter().map(|v| (Format::Text, Some(v.as_bytes())));
     frontend::put_bind(&mut out, portal, statement, values, Format::Text);
     out
 }
 
-fn execute(portal: &str, rows: u32) -> Vec<u8> {
+fn execute_message(portal: &str, max_rows: u32) -> Vec<u8> {
     let mut out = Vec::new();
-    frontend::put_execute(&mut out, portal, rows);
+    frontend::put_execute(&mut out, portal, max_rows);
     out
 }
 
-/// Bind and Execute of a read by its id.
-fn read_of(statement: &str, id: u64) -> Vec<u8> {
+/// Returns Bind and Execute of the prepared read, with this request id.
+fn execute_read(statement: &str, id: u64) -> Vec<u8> {
     bind_and_execute(
         statement,
         &[Some("k"), Some(&format!("{id:016x}")), Some("5000")],
     )
 }
 
-fn write_of(statement: &str, key: &str, wait_ms: &str) -> Vec<u8> {
+/// Returns Bind and Execute of the prepared write, with this idempotency key, which is also the code of the row.
+fn execute_write(statement: &str, key: &str, wait_ms: &str) -> Vec<u8> {
     bind_and_execute(statement, &[Some(key), Some("v"), Some(wait_ms), Some(key)])
 }
 
-/// A router that knows one endpoint, which answers with the id of each request.
-fn one(act: ScriptedResponse, edge: &str) -> (FakeEndpoint, FakeDiscovery, RouterProcess) {
-    let instance = FakeEndpoint::start("master", act);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+/// Starts a router whose list names one endpoint; its responses have the request's id as their value.
+fn start_with_endpoint(
+    response: ScriptedResponse,
+    extensions: &str,
+) -> (FakeEndpoint, FakeDiscovery, RouterProcess) {
+    let endpoint = FakeEndpoint::start("master", response);
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start_router_with(&discovery, &list, 1024, base_settings(), Some(edge));
-    (instance, discovery, router)
+    let router = start_router_with(&discovery, &list, 1024, base_settings(), Some(extensions));
+    (endpoint, discovery, router)
 }
 
-/// A router before a replica set of endpoints that are named in order, the first of which leads.
-fn replica_set_of(
+/// Starts a router and a replica set of endpoints with these names, of which the first is the primary.
+fn start_with_replica_set(
     names: &[&str],
-    edge: &str,
+    extensions: &str,
 ) -> (
     FakeReplicaSet,
     Vec<FakeEndpoint>,
@@ -81,47 +85,53 @@
         )
     };
     let endpoints: Vec<FakeEndpoint> = names.iter().map(join).collect();
-    let list: Vec<_> = endpoints.iter().map(|m| m.list_entry(2, "ready")).collect();
+    let list: Vec<_> = endpoints.iter().map(|e| e.list_entry(2, "ready")).collect();
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start_router_with(&discovery, &list, 1024, base_settings(), Some(edge));
+    let router = start_router_with(&discovery, &list, 1024, base_settings(), Some(extensions));
     (replica_set, endpoints, discovery, router)
 }
 
-fn asked(instance: &FakeEndpoint) -> usize {
-    instance.activity.with(|s| s.queries.len())
+/// Returns the number of queries that the endpoint has received.
+fn query_count(endpoint: &FakeEndpoint) -> usize {
+    endpoint.activity.with(|s| s.queries.len())
 }
 
-fn wait_asked(instance: &FakeEndpoint, n: usize) -> bool {
-    instance
+/// Returns whether the endpoint receives at least `count` queries in time.
+fn wait_for_queries(endpoint: &FakeEndpoint, count: usize) -> bool {
+    endpoint
         .activity
-        .wait_for(WAIT_TIMEOUT, |s| (s.queries.len() >= n).then_some(()))
+        .wait_for(WAIT_TIMEOUT, |s| (s.queries.len() >= count).then_some(()))
         .is_some()
 }
 
-/// Guards the whole path: prepared once on the endpoint, `d` rewritten to what is left, and each run its own value.
+/// Guards against a statement that is parsed again at the endpoint for each execution, and against an endpoint that
+/// gets the client's full time (`d`) instead of what is left of it.
 #[test]
-fn a_statement_is_prepared_once_and_run_often() {
-    let (replica_set, endpoints, _discovery, router) = replica_set_of(&["a"], ON);
+fn statement_is_prepared_once_when_it_is_executed_repeatedly() {
+    let (replica_set, endpoints, _discovery, router) = start_with_replica_set(&["a"], EXTENDED_ON);
     let mut client = router.connect_client();
-    let answer = client.extended_query(&[
-        parse_message("s", READ, &[]),
-        describe(ObjectKind::Statement, "s"),
+    let response = client.extended_query(&[
+        parse_message("s", READ_TEXT, &[]),
+        describe_message(ObjectKind::Statement, "s"),
     ]);
-    assert_eq!(answer.tags, "1tTZ");
+    assert_eq!(response.tags, "1tTZ");
     assert_eq!(
         client
-            .extended_query(&[parse_message("w", WRITE, &[]), write_of("w", "k", "5000")])
+            .extended_query(&[
+                parse_message("w", WRITE_TEXT, &[]),
+                execute_write("w", "k", "5000")
+            ])
             .tags,
         "12DCZ"
     );
     for id in 1..=20 {
-        let answer = client.extended_query(&[read_of("s", id)]);
-        assert_eq!((&*answer.tags, &*answer.value), ("2DCZ", "v"));
+        let response = client.extended_query(&[execute_read("s", id)]);
+        assert_eq!((&*response.tags, &*response.value), ("2DCZ", "v"));
     }
-    let counts = replica_set.with_execution_log(|l| l.total());
+    let counts = replica_set.with_execution_log(|log| log.total());
     assert_eq!((counts.parses, counts.executes, counts.queries), (2, 21, 0));
-    let sent = endpoints[0].activity.with(|s| s.queries[1].clone());
-    let wait: u64 = sent
+    let sent_query = endpoints[0].activity.with(|s| s.queries[1].clone());
+    let remaining_ms: u64 = sent_query
         .split(",d=")
         .nth(1)
         .unwrap()
@@ -130,43 +140,50 @@
         .unwrap()
         .parse()
         .unwrap();
-    assert!(wait <= 5000 && wait > 1000, "{sent}");
+    assert!(remaining_ms <= 5000 && remaining_ms > 1000, "{sent_query}");
 }
 
-/// Guards each error's code, what is skipped behind it, and the connection, which goes on after its Sync.
+/// Guards against an error with a wrong SQLSTATE, commands behind it that are executed before the next Sync, and a
+/// connection that is unusable after that Sync.
 #[rstest]
 #[case(&[bind_and_execute("x", &[])], "EZ", "26000")]
-#[case(&[execute("x", 0)], "EZ", "34000")]
-#[case(&[describe(ObjectKind::Portal, "x")], "EZ", "34000")]
-#[case(&[describe(ObjectKind::Statement, "x")], "EZ", "26000")]
-#[case(&[parse_message("a", READ, &[]), parse_message("a", READ, &[])], "1EZ", "42P05")]
-#[case(&[parse_message("", READ, &[]), bind("p", "", &["k", "00000000000000a1", "9"]), bind("p", "", &["k", "", "9"])], "12EZ", "42P03")]
-#[case(&[parse_message("", READ, &[]), bind_and_execute("", &[Some("k")])], "1EZ", "08P01")]
-#[case(&[parse_message("", READ, &[oid::BYTEA])], "EZ", "42804")]
-#[case(&[parse_message("", READ, &[]), bind_and_execute("", &[Some("k"), Some("zz"), Some("9")])], "1EZ", "22023")]
-#[case(&[parse_message("", READ, &[]), bind_and_execute("", &[None, None, None])], "1EZ", "22004")]
-#[case(&[parse_message("", WRITE, &[]), bind_and_execute("", &[Some("k"), Some("v"), None, None])], "1EZ", "22023")]
+#[case(&[execute_message("x", 0)], "EZ", "34000")]
+#[case(&[describe_message(ObjectKind::Portal, "x")], "EZ", "34000")]
+#[case(&[describe_message(ObjectKind::Statement, "x")], "EZ", "26000")]
+#[case(&[parse_message("a", READ_TEXT, &[]), parse_message("a", READ_TEXT, &[])], "1EZ", "42P05")]
+#[case(&[parse_message("", READ_TEXT, &[]), bind_message("p", "", &["k", "00000000000000a1", "9"]), bind_message("p", "", &["k", "", "9"])], "12EZ", "42P03")]
+#[case(&[parse_message("", READ_TEXT, &[]), bind_and_execute("", &[Some("k")])], "1EZ", "08P01")]
+#[case(&[parse_message("", READ_TEXT, &[oid::BYTEA])], "EZ", "42804")]
+#[case(&[parse_message("", READ_TEXT, &[]), bind_and_execute("", &[Some("k"), Some("zz"), Some("9")])], "1EZ", "22023")]
+#[case(&[parse_message("", READ_TEXT, &[]), bind_and_execute("", &[None, None, None])], "1EZ", "22004")]
+#[case(&[parse_message("", WRITE_TEXT, &[]), bind_and_execute("", &[Some("k"), Some("v"), None, None])], "1EZ", "22023")]
 #[case(&[parse_message("", "BEGIN", &[])], "EZ", "0A000")]
 #[case(&[parse_message("", "COPY facts FROM STDIN", &[])], "EZ", "0A000")]
 #[case(&[parse_message("", "DECLARE c CURSOR FOR SELECT 1", &[])], "EZ", "0A000")]
 #[case(&[parse_message("", "SELECT 1", &[])], "EZ", "42601")]
-fn errors_have_their_code_and_end_their_segment(
+fn error_has_its_sqlstate_and_skips_the_rest_of_its_segment(
     #[case] commands: &[Vec<u8>],
     #[case] tags: &str,
-    #[case] code: &str,
+    #[case] sqlstate: &str,
 ) {
-    let (instance, _discovery, router) = one(ScriptedResponse::Serve, ON);
+    let (endpoint, _discovery, router) = start_with_endpoint(ScriptedResponse::Serve, EXTENDED_ON);
     let mut client = router.connect_client();
-    let skipped = [parse_message("later", READ, &[]), read_of("later", 1)];
-    let answer = client.extended_query(&[commands, &skipped].concat());
+    let skipped = [
+        parse_message("later", READ_TEXT, &[]),
+        execute_read("later", 1),
+    ];
+    let response = client.extended_query(&[commands, &skipped].concat());
     assert_eq!(
-        (&*answer.tags, &*answer.sqlstate),
-        (tags, code),
-        "{answer:?}"
+        (&*response.tags, &*response.sqlstate),
+        (tags, sqlstate),
+        "{response:?}"
     );
-    assert_eq!(asked(&instance), 0);
-    // What was skipped was never prepared, and what follows is served.
-    let next = client.extended_query(&[parse_message("later", READ, &[]), read_of("later", 2)]);
+    assert_eq!(query_count(&endpoint), 0);
+    // The skipped Parse had no effect, so the name is free, and commands after the Sync are served.
+    let next = client.extended_query(&[
+        parse_message("later", READ_TEXT, &[]),
+        execute_read("later", 2),
+    ]);
     assert_eq!(
         (&*next.tags, &*next.value),
         ("12DCZ", "0000000000000002"),
@@ -174,19 +191,26 @@
     );
 }
 
-/// Guards what a client may say that concerns nobody else.
+/// Guards against statements that stay known after DEALLOCATE, Close or DISCARD ALL, and against the rejection of
+/// commands that concern only the client's own session: SET, RESET and the empty query. COMMIT is not supported.
 #[test]
-fn names_can_be_forgotten_and_settings_are_taken() {
-    let (_instance, _discovery, router) = one(ScriptedResponse::Serve, ON);
+fn statement_is_unknown_after_deallocate_close_or_discard() {
+    let (_endpoint, _discovery, router) = start_with_endpoint(ScriptedResponse::Serve, EXTENDED_ON);
     let mut client = router.connect_client();
     assert_eq!(
         client
-            .extended_query(&[parse_message("a", READ, &[]), parse_message("b", READ, &[])])
+            .extended_query(&[
+                parse_message("a", READ_TEXT, &[]),
+                parse_message("b", READ_TEXT, &[])
+            ])
             .tags,
         "11Z"
     );
     assert_eq!(client.simple_query("DEALLOCATE a").tags, "CZ");
-    assert_eq!(client.extended_query(&[read_of("a", 1)]).sqlstate, "26000");
+    assert_eq!(
+        client.extended_query(&[execute_read("a", 1)]).sqlstate,
+        "26000"
+    );
     assert_eq!(
         client
             .extended_query(&[
@@ -200,19 +224,27 @@
     assert_eq!(
         client
             .extended_query(&[
-                close(ObjectKind::Statement, "b"),
-                close(ObjectKind::Portal, "none")
+                close_message(ObjectKind::Statement, "b"),
+                close_message(ObjectKind::Portal, "none")
             ])
             .tags,
         "33Z"
     );
-    assert_eq!(client.extended_query(&[read_of("b", 2)]).sqlstate, "26000");
     assert_eq!(
-        client.extended_query(&[parse_message("a", READ, &[])]).tags,
+        client.extended_query(&[execute_read("b", 2)]).sqlstate,
+        "26000"
+    );
+    assert_eq!(
+        client
+            .extended_query(&[parse_message("a", READ_TEXT, &[])])
+            .tags,
         "1Z"
     );
     assert_eq!(client.simple_query("DISCARD ALL").tags, "CZ");
-    assert_eq!(client.extended_query(&[read_of("a", 3)]).sqlstate, "26000");
+    assert_eq!(
+        client.extended_query(&[execute_read("a", 3)]).sqlstate,
+        "26000"
+    );
     assert_eq!(client.simple_query("COMMIT").sqlstate, "0A000");
     assert_eq!(
         client
@@ -222,29 +254,41 @@
     );
 }
 
-/// Guards row limits: the one row, then that there are no more; and Flush, which brings answers without a Sync.
+/// Guards against a portal that ignores the row limit of its Execute, or is executed twice when it is resumed; and
+/// against responses that wait for a Sync although a Flush has been sent.
 #[test]
-fn a_row_limit_suspends_its_portal() {
-    let (instance, _discovery, router) = one(ScriptedResponse::Serve, ON);
+fn portal_is_suspended_when_its_row_limit_is_reached() {
+    let (endpoint, _discovery, router) = start_with_endpoint(ScriptedResponse::Serve, EXTENDED_ON);
     let mut client = router.connect_client();
     let mut flush = Vec::new();
     frontend::put_flush(&mut flush);
-    let portal = bind("p", "", &["k", "00000000000000a1", "5000"]);
-    client.send(&[parse_message("", READ, &[]), portal, execute("p", 1), flush].concat());
+    let bind_portal = bind_message("p", "", &["k", "00000000000000a1", "5000"]);
+    client.send(
+        &[
+            parse_message("", READ_TEXT, &[]),
+            bind_portal,
+            execute_message("p", 1),
+            flush,
+        ]
+        .concat(),
+    );
     let tags: Vec<u8> = (0..4)
         .map_while(|_| client.read_message())
-        .map(|m| m.0)
+        .map(|message| message.0)
         .collect();
     assert_eq!(tags, b"12Ds");
-    assert_eq!(client.extended_query(&[execute("p", 0)]).tags, "CZ");
-    assert_eq!(client.extended_query(&[execute("p", 0)]).sqlstate, "34000");
-    assert_eq!(asked(&instance), 1);
+    assert_eq!(client.extended_query(&[execute_message("p", 0)]).tags, "CZ");
+    assert_eq!(
+        client.extended_query(&[execute_message("p", 0)]).sqlstate,
+        "34000"
+    );
+    assert_eq!(query_count(&endpoint), 1);
 }
 
-/// Hard case 1: a booking is hit at each stage of its flight. It runs at most once, the client gets one answer, and
-/// a further try under the same key ends well.
+/// Guards against a write that is executed twice, or gets no response or more than one, when its endpoint fails at any
+/// stage of the request. A later write with the same idempotency key must succeed without a second execution.
 #[rstest]
-fn a_booking_that_is_hit_runs_once_at_most(
+fn write_is_executed_at_most_once_when_its_endpoint_fails_at_any_stage(
     #[values(
         RequestStage::Parse,
         RequestStage::Bind,
@@ -255,14 +299,15 @@
     stage: RequestStage,
     #[values(Fault::Kill, Fault::Reset, Fault::NoResponse, Fault::InvalidBytes)] fault: Fault,
 ) {
-    let (replica_set, endpoints, _discovery, router) = replica_set_of(&["a", "b"], ON);
+    let (replica_set, endpoints, _discovery, router) =
+        start_with_replica_set(&["a", "b"], EXTENDED_ON);
     let mut client = router.connect_client();
-    // The router knows who leads before the fault comes.
+    // The first write lets the router find the primary before the fault occurs.
     assert_eq!(
         client
             .extended_query(&[
-                parse_message("w", WRITE, &[]),
-                write_of("w", "warm", "5000")
+                parse_message("w", WRITE_TEXT, &[]),
+                execute_write("w", "warm", "5000")
             ])
             .sqlstate,
         ""
@@ -271,230 +316,262 @@
         endpoints[0].forget_prepared_statements();
     }
     endpoints[0].faults.with(|f| f.push_back((stage, fault)));
-    client.send(&[write_of("w", "k1", "1500"), sync_message()].concat());
+    client.send(&[execute_write("w", "k1", "1500"), sync_message()].concat());
     if fault == Fault::Kill {
         assert!(endpoints[0].wait_until_killed());
         replica_set.promote("b");
         endpoints[0].restart();
     }
-    let answer = client.read_response().unwrap();
-    let is_served = answer.tags == "2DCZ" && answer.value == "v";
+    let response = client.read_response().unwrap();
+    let is_served = response.tags == "2DCZ" && response.value == "v";
     assert!(
-        is_served || (answer.tags == "2EZ" && ["53300", "58000"].contains(&&*answer.sqlstate)),
-        "{answer:?}"
+        is_served || (response.tags == "2EZ" && ["53300", "58000"].contains(&&*response.sqlstate)),
+        "{response:?}"
     );
     assert!(
         endpoints[0].faults.with(|f| f.is_empty()),
-        "the fault never came"
+        "the fault did not occur"
     );
-    // An effect has happened if it was answered, and never more than one.
-    let effects = |key: &str| {
+    // A write with a successful response was executed, and no write was executed more than once.
+    let execution_count = |key: &str| {
         replica_set.with_execution_log(|l| l.executed_writes.get(key).map_or(0, Vec::len))
     };
-    assert!(effects("k1") <= 1 && (!is_served || effects("k1") == 1));
+    assert!(execution_count("k1") <= 1 && (!is_served || execution_count("k1") == 1));
     for _ in 0..50 {
-        let again = client.extended_query(&[write_of("w", "k1", "1500")]);
-        if again.sqlstate.is_empty() {
-            assert_eq!(again.value, "v");
+        let retry = client.extended_query(&[execute_write("w", "k1", "1500")]);
+        if retry.sqlstate.is_empty() {
+            assert_eq!(retry.value, "v");
             break;
         }
-        assert!(["53300", "58000"].contains(&&*again.sqlstate), "{again:?}");
+        assert!(["53300", "58000"].contains(&&*retry.sqlstate), "{retry:?}");
     }
-    assert_eq!(effects("k1"), 1);
+    assert_eq!(execution_count("k1"), 1);
     assert!(replica_set.with_execution_log(|l| l.keys_executed_more_than_once().is_empty()));
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Loss {
-    Dies,
-    Drains,
-    Forgets,
+enum StatementLoss {
+    EndpointKilled,
+    EndpointDraining,
+    StatementsForgotten,
 }
 
-/// Hard case 2: prepared through one endpoint, run on another, or on the same after it has forgotten.
+/// Guards against a prepared statement that is unknown when it is executed on another endpoint than the one it was
+/// prepared on, or on the same one after that has lost its prepared statements.
 #[rstest]
-fn a_statement_follows_its_client(#[values(Loss::Dies, Loss::Drains, Loss::Forgets)] loss: Loss) {
-    let (replica_set, endpoints, discovery, router) = replica_set_of(&["a", "b"], ON);
+fn statement_is_prepared_again_when_its_endpoint_no_longer_has_it(
+    #[values(
+        StatementLoss::EndpointKilled,
+        StatementLoss::EndpointDraining,
+        StatementLoss::StatementsForgotten
+    )]
+    loss: StatementLoss,
+) {
+    let (replica_set, endpoints, discovery, router) =
+        start_with_replica_set(&["a", "b"], EXTENDED_ON);
     let mut client = router.connect_client();
     assert_eq!(
         client
-            .extended_query(&[parse_message("w", WRITE, &[]), write_of("w", "k0", "5000")])
+            .extended_query(&[
+                parse_message("w", WRITE_TEXT, &[]),
+                execute_write("w", "k0", "5000")
+            ])
             .sqlstate,
         ""
     );
     match loss {
-        Loss::Dies => endpoints[0].kill(),
-        Loss::Drains => {
+        StatementLoss::EndpointKilled => endpoints[0].kill(),
+        StatementLoss::EndpointDraining => {
             discovery.publish(vec![
                 endpoints[0].list_entry(2, "draining"),
                 endpoints[1].list_entry(2, "ready"),
             ]);
-            let told = |c: &mut Vec<String>| c.iter().any(|p| p.contains("since=2")).then_some(());
+            let is_read =
+                |paths: &mut Vec<String>| paths.iter().any(|p| p.contains("since=2")).then_some(());
             assert!(
                 discovery
                     .requested_paths
-                    .wait_for(WAIT_TIMEOUT, told)
+                    .wait_for(WAIT_TIMEOUT, is_read)
                     .is_some()
             );
         }
-        Loss::Forgets => endpoints[0].forget_prepared_statements(),
+        StatementLoss::StatementsForgotten => endpoints[0].forget_prepared_statements(),
     }
-    if loss != Loss::Forgets {
+    if loss != StatementLoss::StatementsForgotten {
         replica_set.promote("b");
     }
-    let mut last = Response::default();
+    let mut response = Response::default();
     for _ in 0..50 {
-        last = client.extended_query(&[write_of("w", "k1", "2000")]);
-        if last.sqlstate.is_empty() {
+        response = client.extended_query(&[execute_write("w", "k1", "2000")]);
+        if response.sqlstate.is_empty() {
             break;
         }
-        assert!(["53300", "58000"].contains(&&*last.sqlstate), "{last:?}");
+        assert!(
+            ["53300", "58000"].contains(&&*response.sqlstate),
+            "{response:?}"
+        );
     }
-    assert_eq!((&*last.tags, &*last.value), ("2DCZ", "v"));
-    let taker = if loss == Loss::Forgets { "a" } else { "b" };
+    assert_eq!((&*response.tags, &*response.value), ("2DCZ", "v"));
+    let executing_endpoint = if loss == StatementLoss::StatementsForgotten {
+        "a"
+    } else {
+        "b"
+    };
     assert_eq!(
         replica_set.with_execution_log(|l| l.executed_writes["k1"].clone()),
-        [taker]
+        [executing_endpoint]
+    );
+    assert!(
+        loss != StatementLoss::StatementsForgotten
+            || router.wait_for_counter("statements_reprepared=1")
     );
-    assert!(loss != Loss::Forgets || router.wait_for_counter("statements_reprepared=1"));
 }
 
-/// Hard case 2, further: with room for one statement on each connection, each run may have to prepare again; what
-/// must go is closed first.
+/// Guards against an evicted statement that is executed without being prepared again, or stays open at the endpoint:
+/// with a limit of one statement per upstream connection, each execution evicts the other statement.
 #[test]
-fn a_statement_that_was_evicted_is_prepared_again() {
+fn evicted_statement_is_closed_and_prepared_again() {
     let (replica_set, _endpoints, _discovery, router) =
-        replica_set_of(&["a"], "extended: {mode: on, limits: {prepared: 1}}");
+        start_with_replica_set(&["a"], "extended: {mode: on, limits: {prepared: 1}}");
     let mut client = router.connect_client();
-    let other = READ.replace("c=board", "c=own");
+    let own_class_text = READ_TEXT.replace("c=board", "c=own");
     assert_eq!(
         client
             .extended_query(&[
-                parse_message("s", READ, &[]),
-                parse_message("t", &other, &[])
+                parse_message("s", READ_TEXT, &[]),
+                parse_message("t", &own_class_text, &[])
             ])
             .tags,
         "11Z"
     );
     for id in 1..=6 {
         let name = if id % 2 == 0 { "s" } else { "t" };
-        assert_eq!(client.extended_query(&[read_of(name, id)]).tags, "2DCZ");
+        assert_eq!(
+            client.extended_query(&[execute_read(name, id)]).tags,
+            "2DCZ"
+        );
     }
     let counts = replica_set.with_execution_log(|l| l.total());
     assert_eq!((counts.parses, counts.closes, counts.executes), (6, 5, 6));
 }
 
-/// Hard case 3: what stands behind a part that failed is never sent and gets no answer; nor does it disturb what
-/// follows the Sync.
+/// Guards against a write that is sent, or gets a response, although an earlier command of its segment failed; and
+/// against effects of the skipped commands on those after the Sync.
 #[rstest]
-#[case(READ, &[Some("k"), Some("00000000000000f1"), Some("300")])]
-#[case(WRITE, &[Some("k"), Some("v"), Some("300"), Some("kx")])]
-fn a_write_behind_a_part_that_failed_is_never_sent(
-    #[case] text: &str,
-    #[case] values: &[Option<&str>],
-) {
-    let (replica_set, endpoints, _discovery, router) = replica_set_of(&["a"], ON);
+#[case(READ_TEXT, &[Some("k"), Some("00000000000000f1"), Some("300")])]
+#[case(WRITE_TEXT, &[Some("k"), Some("v"), Some("300"), Some("kx")])]
+fn write_behind_a_failed_command_is_not_sent(#[case] text: &str, #[case] values: &[Option<&str>]) {
+    let (replica_set, endpoints, _discovery, router) = start_with_replica_set(&["a"], EXTENDED_ON);
     let mut client = router.connect_client();
-    // Nobody is in this replica set, so what is asked of it fails.
+    // This replica set has no endpoint, so requests for it fail.
     let failing = text.replace("cluster=2", "cluster=9");
     let commands = [
         parse_message("f", &failing, &[]),
-        parse_message("w", WRITE, &[]),
+        parse_message("w", WRITE_TEXT, &[]),
         bind_and_execute("f", values),
-        write_of("w", "k1", "5000"),
+        execute_write("w", "k1", "5000"),
     ];
-    let answer = client.extended_query(&commands);
-    assert_eq!(answer.tags, "112EZ", "{answer:?}");
+    let response = client.extended_query(&commands);
+    assert_eq!(response.tags, "112EZ", "{response:?}");
     assert_eq!(
         (
-            asked(&endpoints[0]),
+            query_count(&endpoints[0]),
             replica_set.with_execution_log(|l| l.executed_writes.len())
         ),
         (0, 0)
     );
     assert_eq!(
-        client.extended_query(&[write_of("w", "k2", "5000")]).tags,
+        client
+            .extended_query(&[execute_write("w", "k2", "5000")])
+            .tags,
         "2DCZ"
     );
     assert!(replica_set.with_execution_log(|l| !l.executed_writes.contains_key("k1")));
 }
 
-/// Guards the order of a pipeline: reads ahead of a write run at once, the write waits for them, and the answers
-/// come in order.
+/// Guards against a write that is sent before the earlier reads of its pipeline have their responses, against reads
+/// that are not sent concurrently, and against responses out of order.
 #[test]
-fn a_write_waits_for_the_reads_ahead_of_it() {
-    let (instance, _discovery, router) = one(ScriptedResponse::NoResponse, ON);
+fn write_waits_for_the_earlier_reads_of_its_pipeline() {
+    let (endpoint, _discovery, router) =
+        start_with_endpoint(ScriptedResponse::NoResponse, EXTENDED_ON);
     let mut client = router.connect_client();
-    let reads: Vec<Vec<u8>> = (1..=3).map(|id| read_of("r", id)).collect();
+    let reads: Vec<Vec<u8>> = (1..=3).map(|id| execute_read("r", id)).collect();
     let write = bind_and_execute("w", &[Some("k"), Some("v"), Some("20000"), Some("k1")]);
     let all = [
         vec![
-            parse_message("r", READ, &[]),
-            parse_message("w", WRITE, &[]),
+            parse_message("r", READ_TEXT, &[]),
+            parse_message("w", WRITE_TEXT, &[]),
         ],
         reads,
-        vec![write, read_of("r", 4), sync_message()],
+        vec![write, execute_read("r", 4), sync_message()],
     ];
     client.send(&all.concat().concat());
-    assert!(wait_asked(&instance, 3));
-    // All three are out, and nothing of the write, though the router has read it long since.
+    assert!(wait_for_queries(&endpoint, 3));
+    // All three reads have been sent, and the write has not, although the router has received it.
     assert!(router.wait_for_counter("requests=3"));
-    let early = instance
+    let is_write_sent = endpoint
         .activity
         .with(|s| s.queries.iter().any(|q| q.starts_with("INSERT")));
-    assert!(!early && asked(&instance) == 3);
-    instance.response.with(|a| *a = ScriptedResponse::Serve);
-    let answer = client.read_response().unwrap();
-    assert_eq!(answer.tags, "112DC2DC2DC2DC2DCZ");
+    assert!(!is_write_sent && query_count(&endpoint) == 3);
+    endpoint.response.with(|r| *r = ScriptedResponse::Serve);
+    let response = client.read_response().unwrap();
+    assert_eq!(response.tags, "112DC2DC2DC2DC2DCZ");
     let ids: Vec<String> = (1..=3).map(|id| format!("{id:016x}")).collect();
     assert_eq!(
-        (&answer.values[..3], &*answer.values[4]),
+        (&response.values[..3], &*response.values[4]),
         (&ids[..], "0000000000000004")
     );
-    let order = instance.activity.with(|s| s.queries.clone());
+    let queries = endpoint.activity.with(|s| s.queries.clone());
     assert!(
-        order[3].starts_with("INSERT") && order[4].starts_with("SELECT"),
-        "{order:?}"
+        queries[3].starts_with("INSERT") && queries[4].starts_with("SELECT"),
+        "{queries:?}"
     );
 }
 
-/// Hard case 4: names change while a run of them is out; the run is what it was when it was bound.
+/// Guards against an execution that uses another statement than the one it was bound to, because the statement was
+/// closed or its name was reused before the response arrived.
 #[test]
-fn names_may_change_while_a_run_is_out() {
-    let (instance, _discovery, router) = one(ScriptedResponse::NoResponse, ON);
+fn execution_keeps_its_statement_when_the_name_is_closed_or_reused() {
+    let (endpoint, _discovery, router) =
+        start_with_endpoint(ScriptedResponse::NoResponse, EXTENDED_ON);
     let mut client = router.connect_client();
-    let other = READ.replace("c=board", "c=own");
+    let own_class_text = READ_TEXT.replace("c=board", "c=own");
     let commands = [
-        parse_message("s", READ, &[]),
-        read_of("s", 1),
-        close(ObjectKind::Statement, "s"),
-        parse_message("", READ, &[]),
-        read_of("", 2),
-        parse_message("", &other, &[]),
-        read_of("", 3),
+        parse_message("s", READ_TEXT, &[]),
+        execute_read("s", 1),
+        close_message(ObjectKind::Statement, "s"),
+        parse_message("", READ_TEXT, &[]),
+        execute_read("", 2),
+        parse_message("", &own_class_text, &[]),
+        execute_read("", 3),
         sync_message(),
     ];
     client.send(&commands.concat());
-    assert!(wait_asked(&instance, 3));
-    instance.response.with(|a| *a = ScriptedResponse::Serve);
-    let answer = client.read_response().unwrap();
-    assert_eq!(answer.tags, "12DC312DC12DCZ");
-    assert_eq!(answer.values, [1, 2, 3].map(|id| format!("{id:016x}")));
-    let classes = instance
+    assert!(wait_for_queries(&endpoint, 3));
+    endpoint.response.with(|r| *r = ScriptedResponse::Serve);
+    let response = client.read_response().unwrap();
+    assert_eq!(response.tags, "12DC312DC12DCZ");
+    assert_eq!(response.values, [1, 2, 3].map(|id| format!("{id:016x}")));
+    let own_class_reads = endpoint
         .activity
         .with(|s| s.queries.iter().filter(|q| q.contains("c=own")).count());
-    assert_eq!(classes, 1);
+    assert_eq!(own_class_reads, 1);
 }
 
-/// Hard case 4, further: a client that leaves in the middle of a pipeline is owed nothing, and leaves nothing.
+/// Guards against attempts that keep running, or a connection that stays open, after a client disconnected in the
+/// middle of a pipeline, with or without a Terminate message.
 #[rstest]
-fn a_client_that_leaves_a_pipeline_is_noticed(#[values(true, false)] says_goodbye: bool) {
-    let (instance, _discovery, router) = one(ScriptedResponse::NoResponse, ON);
+fn attempts_are_cancelled_when_the_client_disconnects_in_a_pipeline(
+    #[values(true, false)] sends_terminate: bool,
+) {
+    let (endpoint, _discovery, router) =
+        start_with_endpoint(ScriptedResponse::NoResponse, EXTENDED_ON);
     let mut client = router.connect_client();
-    let reads: Vec<u8> = (1..=3).flat_map(|id| read_of("r", id)).collect();
-    client.send(&[parse_message("r", READ, &[]), reads].concat());
-    assert!(wait_asked(&instance, 3));
-    if says_goodbye {
+    let reads: Vec<u8> = (1..=3).flat_map(|id| execute_read("r", id)).collect();
+    client.send(&[parse_message("r", READ_TEXT, &[]), reads].concat());
+    assert!(wait_for_queries(&endpoint, 3));
+    if sends_terminate {
         client.send(&[b'X', 0, 0, 0, 4]);
     }
     client.shutdown_write();
@@ -502,98 +579,108 @@
         router.wait_for_counter("client_left=3") && router.wait_for_counter("attempts_cancelled=3")
     );
     assert!(router.wait_for_log("reason: left_waiting"));
-    instance.response.with(|a| *a = ScriptedResponse::Serve);
+    endpoint.response.with(|r| *r = ScriptedResponse::Serve);
     assert_eq!(
         router
             .connect_client()
-            .extended_query(&[parse_message("", READ, &[]), read_of("", 1)])
+            .extended_query(&[parse_message("", READ_TEXT, &[]), execute_read("", 1)])
             .tags,
         "12DCZ"
     );
 }
 
-/// Guards CancelRequest: the open request fails at once and once, what is behind it is skipped, and a wrong key or
-/// a request that comes too late does nothing.
+/// Guards against a cancel request after which the open request still waits, gets more than one response, or the
+/// commands behind it are executed; and against an effect of one with a wrong key or without an open request.
 #[test]
-fn a_cancel_request_ends_the_open_request() {
-    let (instance, _discovery, router) = one(ScriptedResponse::NoResponse, ON);
+fn cancel_request_fails_the_open_request_and_skips_the_rest_of_its_segment() {
+    let (endpoint, _discovery, router) =
+        start_with_endpoint(ScriptedResponse::NoResponse, EXTENDED_ON);
     let mut client = router.connect_client();
     let cancel = |process, secret| {
-        let mut other = Client::connect(router.address);
+        let mut cancel_client = Client::connect(router.address);
         let mut out = Vec::new();
         frontend::put_cancel_request(&mut out, process, secret);
-        other.send(&out);
-        assert!(other.read_message().is_none());
+        cancel_client.send(&out);
+        assert!(cancel_client.read_message().is_none());
     };
     let (process, secret) = client.cancel_key;
     assert!(process != 0);
     cancel(process, secret);
     client.send(
         &[
-            parse_message("r", READ, &[]),
-            read_of("r", 1),
-            read_of("r", 2),
+            parse_message("r", READ_TEXT, &[]),
+            execute_read("r", 1),
+            execute_read("r", 2),
             sync_message(),
         ]
         .concat(),
     );
-    assert!(wait_asked(&instance, 2));
+    assert!(wait_for_queries(&endpoint, 2));
     cancel(process, secret ^ 1);
     cancel(process, secret);
-    let answer = client.read_response().unwrap();
-    assert_eq!((&*answer.tags, &*answer.sqlstate), ("12EZ", "57014"));
+    let response = client.read_response().unwrap();
+    assert_eq!((&*response.tags, &*response.sqlstate), ("12EZ", "57014"));
     assert!(
         router.wait_for_counter("client_left=2")
             && router.wait_for_counter("cancel_requests_matched=2")
     );
     client.send(&query_message(&common::select_query(9, 20_000)));
-    assert!(wait_asked(&instance, 3));
+    assert!(wait_for_queries(&endpoint, 3));
     cancel(process, secret);
-    let answer = client.read_response().unwrap();
-    assert_eq!((&*answer.tags, &*answer.sqlstate), ("EZ", "57014"));
-    instance.response.with(|a| *a = ScriptedResponse::Serve);
-    assert_eq!(client.extended_query(&[read_of("r", 3)]).tags, "2DCZ");
+    let response = client.read_response().unwrap();
+    assert_eq!((&*response.tags, &*response.sqlstate), ("EZ", "57014"));
+    endpoint.response.with(|r| *r = ScriptedResponse::Serve);
+    assert_eq!(client.extended_query(&[execute_read("r", 3)]).tags, "2DCZ");
 }
 
-/// Hard case 5: many clients with many statements share their texts; one client with more texts than the bound
-/// gets a clear error and goes on, and so do the others.
+/// Guards against statement texts that are stored once per client, so that many clients with the same texts exceed the
+/// limit; and against a client with too many texts that is no longer served after the error, or takes the service from
+/// other clients.
 #[test]
-fn many_statements_are_shared_and_bounded() {
-    let edge = "extended: {mode: on, limits: {statements: 100000, all_statements: 65536, text_bytes: 1000000}}";
-    let edge = edge.replace("statements: 100000", "statements: 60000");
-    let (_instance, _discovery, router) = one(ScriptedResponse::Serve, &edge);
-    let text = |n: usize| READ.replace("id=$2", &format!("id=$2,v={n}"));
-    let all: Vec<u8> = (0..100)
+fn statement_texts_are_shared_between_clients_and_bounded() {
+    let extensions = "extended: {mode: on, limits: {statements: 100000, all_statements: 65536, text_bytes: 1000000}}";
+    let extensions = extensions.replace("statements: 100000", "statements: 60000");
+    let (_endpoint, _discovery, router) = start_with_endpoint(ScriptedResponse::Serve, &extensions);
+    let text = |n: usize| READ_TEXT.replace("id=$2", &format!("id=$2,v={n}"));
+    let parse_messages: Vec<u8> = (0..100)
         .flat_map(|n| parse_message(&format!("s{n}"), &text(n % 50), &[]))
         .collect();
     let prepare = |_| {
         let mut client = router.connect_client();
         assert_eq!(
-            client.extended_query(std::slice::from_ref(&all)).tags,
+            client
+                .extended_query(std::slice::from_ref(&parse_messages))
+                .tags,
             "1".repeat(100) + "Z"
         );
         client
     };
     let mut clients: Vec<Client> = (0..300).map(prepare).collect();
-    let mut greedy = router.connect_client();
-    let (mut taken, mut refused) = (0, String::new());
-    for from in (0..100_000).step_by(1000) {
-        let all: Vec<u8> = (from..from + 1000)
+    let mut excessive_client = router.connect_client();
+    let (mut accepted_count, mut error_message) = (0, String::new());
+    for first in (0..100_000).step_by(1000) {
+        let parse_messages: Vec<u8> = (first..first + 1000)
             .flat_map(|n| parse_message(&format!("g{n}"), &text(n + 50), &[]))
             .collect();
-        let answer = greedy.extended_query(&[all]);
-        taken += answer.tags.matches('1').count();
-        refused = answer.message;
-        if !answer.sqlstate.is_empty() {
-            assert_eq!(answer.sqlstate, "54000");
+        let response = excessive_client.extended_query(&[parse_messages]);
+        accepted_count += response.tags.matches('1').count();
+        error_message = response.message;
+        if !response.sqlstate.is_empty() {
+            assert_eq!(response.sqlstate, "54000");
             break;
         }
     }
-    assert!(taken > 500 && taken < 5000, "{taken}");
-    assert!(refused.contains("bytes of statement texts"), "{refused}");
-    for client in [&mut greedy, &mut clients[299]] {
+    assert!(
+        accepted_count > 500 && accepted_count < 5000,
+        "{accepted_count}"
+    );
+    assert!(
+        error_message.contains("bytes of statement texts"),
+        "{error_message}"
+    );
+    for client in [&mut excessive_client, &mut clients[299]] {
         let name = if client
-            .extended_query(&[read_of("s7", 1)])
+            .extended_query(&[execute_read("s7", 1)])
             .sqlstate
             .is_empty()
         {
@@ -601,22 +688,23 @@
         } else {
             "g7"
         };
-        assert_eq!(client.extended_query(&[read_of(name, 2)]).tags, "2DCZ");
+        assert_eq!(client.extended_query(&[execute_read(name, 2)]).tags, "2DCZ");
     }
-    drop(greedy);
-    // What it held is free again.
-    let mut next = router.connect_client();
-    let mut answer = Response::default();
+    drop(excessive_client);
+    // The memory of its texts is available again.
+    let mut next_client = router.connect_client();
+    let mut response = Response::default();
     for _ in 0..1000 {
-        answer = next.extended_query(&[parse_message("n", &text(99_999), &[])]);
-        if answer.sqlstate.is_empty() {
+        response = next_client.extended_query(&[parse_message("n", &text(99_999), &[])]);
+        if response.sqlstate.is_empty() {
             break;
         }
     }
-    assert_eq!(answer.tags, "1Z");
+    assert_eq!(response.tags, "1Z");
 }
 
-/// Hard case 5, further: lengths and counts that do not fit end their connection with a reason, and nobody else's.
+/// Guards against a message with a wrong length or count that is accepted, stops the router, or closes connections of
+/// other clients; its own connection must be closed with the reason in the log.
 #[rstest]
 #[case(&[b'B', 3, 0x93, 0x87, 0], "oversized")]
 #[case(&[b'P', 0, 2, 0x80, 1], "oversized")]
@@ -625,29 +713,40 @@
 #[case(b"B\0\0\0\x10\0\0\0\0\0\x01\xff\xff\xff\xfe\0\0", "malformed")]
 #[case(b"E\0\0\0\x05x", "malformed")]
 #[case(b"d\0\0\0\x04", "malformed")]
-fn a_broken_command_ends_its_connection(#[case] bytes: &[u8], #[case] reason: &str) {
-    let (instance, _discovery, router) = one(ScriptedResponse::Serve, ON);
+fn malformed_or_oversized_message_closes_only_its_connection(
+    #[case] bytes: &[u8],
+    #[case] reason: &str,
+) {
+    let (endpoint, _discovery, router) = start_with_endpoint(ScriptedResponse::Serve, EXTENDED_ON);
     let mut client = router.connect_client();
-    // What was asked before it is answered first.
-    client.send(&[&parse_message("", READ, &[])[..], &read_of("", 1), bytes].concat());
-    let answer = client.read_response().unwrap();
-    assert_eq!((&*answer.tags, &*answer.sqlstate), ("12DCE", "08P01"));
+    // The request before the invalid message gets its response first.
+    client.send(
+        &[
+            &parse_message("", READ_TEXT, &[])[..],
+            &execute_read("", 1),
+            bytes,
+        ]
+        .concat(),
+    );
+    let response = client.read_response().unwrap();
+    assert_eq!((&*response.tags, &*response.sqlstate), ("12DCE", "08P01"));
     assert!(router.wait_for_log(&format!("reason: {reason}")));
-    assert_eq!(asked(&instance), 1);
+    assert_eq!(query_count(&endpoint), 1);
     assert_eq!(
         router
             .connect_client()
-            .extended_query(&[parse_message("", READ, &[]), read_of("", 2)])
+            .extended_query(&[parse_message("", READ_TEXT, &[]), execute_read("", 2)])
             .tags,
         "12DCZ"
     );
 }
 
-/// Hard case 5, further: seeded noise behind proper commands neither stops the router nor makes it grow.
+/// Guards against a router that stops, or keeps more and more memory, when clients send valid commands with randomly
+/// changed bytes (from a fixed seed).
 #[test]
-fn noise_harms_nobody() {
-    let (_instance, _discovery, router) = one(ScriptedResponse::Serve, ON);
-    let memory = |router: &RouterProcess| {
+fn router_keeps_serving_within_its_memory_after_corrupted_messages() {
+    let (_endpoint, _discovery, router) = start_with_endpoint(ScriptedResponse::Serve, EXTENDED_ON);
+    let resident_kib = |router: &RouterProcess| {
         let status = std::fs::read_to_string(format!("/proc/{}/status", router.pid())).unwrap();
         let line = status.lines().find(|l| l.starts_with("VmRSS")).unwrap();
         line.split_whitespace()
@@ -656,64 +755,66 @@
             .parse::<u64>()
             .unwrap()
     };
-    let mut state = 7u64;
+    let mut random_state = 7u64;
     let mut random = || {
-        state = state
+        random_state = random_state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (state >> 33) as usize
+        (random_state >> 33) as usize
     };
-    let mut send = |rounds| {
+    let mut send_corrupted = |rounds| {
         for _ in 0..rounds {
             let mut client = router.connect_client();
             let mut bytes = [
-                parse_message("s", READ, &[]),
-                read_of("s", 1),
+                parse_message("s", READ_TEXT, &[]),
+                execute_read("s", 1),
                 sync_message(),
             ]
             .concat();
             for _ in 0..1 + random() % 4 {
-                let at = random() % bytes.len();
-                bytes[at] = random() as u8;
+                let position = random() % bytes.len();
+                bytes[position] = random() as u8;
             }
             client.send(&bytes);
             client.shutdown_write();
             while client.read_message().is_some() {}
         }
     };
-    send(200);
-    let before = memory(&router);
-    send(400);
-    let after = memory(&router);
+    send_corrupted(200);
+    let kib_before = resident_kib(&router);
+    send_corrupted(400);
+    let kib_after = resident_kib(&router);
     assert!(
-        after < before + 2048,
-        "{before} KiB before, {after} KiB after"
+        kib_after < kib_before + 2048,
+        "{kib_before} KiB before, {kib_after} KiB after"
     );
     assert_eq!(
         router
             .connect_client()
-            .extended_query(&[parse_message("", READ, &[]), read_of("", 2)])
+            .extended_query(&[parse_message("", READ_TEXT, &[]), execute_read("", 2)])
             .tags,
         "12DCZ"
     );
 }
 
-/// Guards clients that have prepared statements: to make room, those that lose nothing go first.
+/// Guards against the eviction of an idle client with prepared statements, which it would lose, while there are idle
+/// clients without any.
 #[test]
-fn clients_with_statements_make_room_last() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+fn clients_without_prepared_statements_are_evicted_first() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let router = start_router_with(&discovery, &list, 64, base_settings(), Some(ON));
-    let mut prepared = router.connect_client();
+    let router = start_router_with(&discovery, &list, 64, base_settings(), Some(EXTENDED_ON));
+    let mut client_with_statement = router.connect_client();
     assert_eq!(
-        prepared
-            .extended_query(&[parse_message("s", READ, &[]), read_of("s", 1)])
+        client_with_statement
+            .extended_query(&[parse_message("s", READ_TEXT, &[]), execute_read("s", 1)])
             .tags,
         "12DCZ"
     );
-    let evicted = |l: &mut Vec<String>| l.iter().filter(|l| l.contains("reason: evicted")).count();
-    let mut kept = Vec::new();
+    let evictions =
+        |l: &mut Vec<String>| l.iter().filter(|l| l.contains("reason: evicted")).count();
+    let mut open_clients = Vec::new();
     for id in 2..60 {
         let mut client = router.connect_client();
         assert_eq!(
@@ -722,18 +823,24 @@
                 .sqlstate,
             ""
         );
-        kept.push(client);
+        open_clients.push(client);
     }
-    assert!(router.log.with(evicted) > 10);
-    assert_eq!(prepared.extended_query(&[read_of("s", 99)]).tags, "2DCZ");
+    assert!(router.log.with(evictions) > 10);
+    assert_eq!(
+        client_with_statement
+            .extended_query(&[execute_read("s", 99)])
+            .tags,
+        "2DCZ"
+    );
 }
 
-/// Guards `translate`: values become literals, quoted safely, `d` still counts down, and what can't be written
-/// safely is refused before anything is sent.
+/// Guards against unsafe literals in the mode `translate`, which replaces parameters by literals for endpoints that
+/// support only simple queries: a value that can't be quoted safely must be rejected before anything is sent. Guards
+/// also against a wait time (`d`) that is not reduced to what is left.
 #[test]
-fn values_become_literals_where_instances_take_simple_queries() {
-    let instance = FakeEndpoint::start_simple_query_only("master");
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+fn parameters_become_quoted_literals_in_translate_mode() {
+    let endpoint = FakeEndpoint::start_simple_query_only("master");
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router_with(
         &discovery,
@@ -749,27 +856,35 @@
         "1Z"
     );
     let id = "00000000000000a1";
-    let answer = client.extended_query(&[bind_and_execute(
+    let response = client.extended_query(&[bind_and_execute(
         "w",
         &[Some("it's"), Some("\\x9f03"), Some(id), Some("k-1")],
     )]);
-    assert_eq!((&*answer.tags, &*answer.value), ("2DCZ", id), "{answer:?}");
-    let sent = instance.activity.with(|s| s.queries[0].clone());
-    let wait = sent.split(",d=").nth(1).unwrap().trim_end_matches(" */");
-    let wanted = "INSERT INTO facts (code, data) VALUES ('it''s', '\\x9f03') RETURNING data";
     assert_eq!(
-        sent,
-        format!("{wanted} /* id={id},c=book,cluster=2,k=k-1,d={wait} */")
+        (&*response.tags, &*response.value),
+        ("2DCZ", id),
+        "{response:?}"
     );
-    assert!(wait.parse::<u64>().unwrap() <= 30_000);
-    for bad in ["k*/", "k,d=1", ""] {
-        let answer = client.extended_query(&[bind_and_execute(
+    let sent_query = endpoint.activity.with(|s| s.queries[0].clone());
+    let remaining_ms = sent_query
+        .split(",d=")
+        .nth(1)
+        .unwrap()
+        .trim_end_matches(" */");
+    let statement = "INSERT INTO facts (code, data) VALUES ('it''s', '\\x9f03') RETURNING data";
+    assert_eq!(
+        sent_query,
+        format!("{statement} /* id={id},c=book,cluster=2,k=k-1,d={remaining_ms} */")
+    );
+    assert!(remaining_ms.parse::<u64>().unwrap() <= 30_000);
+    for invalid_key in ["k*/", "k,d=1", ""] {
+        let response = client.extended_query(&[bind_and_execute(
             "w",
-            &[Some("s"), Some("v"), None, Some(bad)],
+            &[Some("s"), Some("v"), None, Some(invalid_key)],
         )]);
         assert!(
-            ["0A000", "22023"].contains(&&*answer.sqlstate),
-            "{answer:?}"
+            ["0A000", "22023"].contains(&&*response.sqlstate),
+            "{response:?}"
         );
     }
     assert_eq!(
@@ -781,30 +896,31 @@
             .sqlstate,
         "0A000"
     );
-    assert_eq!(asked(&instance), 1);
+    assert_eq!(query_count(&endpoint), 1);
 }
 
-/// Hard case 6: a real driver, against endpoints that take extended queries and against those that do not.
+/// Guards against responses that a real driver rejects: tokio-postgres prepares, pipelines, cancels and discards
+/// statements, with endpoints that support extended queries and with endpoints that support only simple queries.
 #[rstest]
-fn a_driver_is_served(#[values("on", "translate")] mode: &str) {
+fn tokio_postgres_driver_is_served_in_each_mode(#[values("on", "translate")] mode: &str) {
     let replica_set = FakeReplicaSet::new("a", Duration::ZERO, Duration::from_secs(2));
-    let local = ([127, 0, 0, 1], 0).into();
-    let instance = FakeEndpoint::start_in_replica_set(
+    let any_port = ([127, 0, 0, 1], 0).into();
+    let endpoint = FakeEndpoint::start_in_replica_set(
         &replica_set,
         "a",
-        local,
+        any_port,
         Duration::ZERO,
         mode == "translate",
     );
-    let list = vec![instance.list_entry(2, "ready")];
+    let list = vec![endpoint.list_entry(2, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
-    let edge = format!("extended: {{mode: {mode}}}");
-    let router = start_router_with(&discovery, &list, 1024, base_settings(), Some(&edge));
+    let extensions = format!("extended: {{mode: {mode}}}");
+    let router = start_router_with(&discovery, &list, 1024, base_settings(), Some(&extensions));
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
-    let drive = async {
+    let use_driver = async {
         let mut config = tokio_postgres::Config::new();
         config
             .host("127.0.0.1")
@@ -822,51 +938,56 @@
             (write.params().len(), read.columns()[0].name()),
             (5, "data")
         );
-        let lane = &b"lane \x9f\x03"[..];
+        let data = &b"lane \x9f\x03"[..];
         let row = client
-            .query_one(&write, &[&"pier-7", &lane, &5000i32, &2i32, &"k1"])
+            .query_one(&write, &[&"pier-7", &data, &5000i32, &2i32, &"k1"])
             .await
             .unwrap();
-        assert_eq!(row.get::<_, &[u8]>(0), lane);
-        // A dozen at once, on one connection.
+        assert_eq!(row.get::<_, &[u8]>(0), data);
+        // 12 concurrent reads on one connection.
         let reads = (0..12).map(|_| client.query_one(&read, &[&"pier-7", &5000i32]));
         for row in join_all(reads).await {
-            assert_eq!(row.unwrap().get::<_, &[u8]>(0), lane);
+            assert_eq!(row.unwrap().get::<_, &[u8]>(0), data);
         }
-        // A null leaves it to the router; a value of another type is the driver's own error.
+        // A null for `d` leaves the time to the router; a null for the key is an error. A value of another type is
+        // rejected by the driver itself.
         let row = client
             .query_one(&read, &[&"pier-7", &None::<i32>])
             .await
             .unwrap();
-        assert_eq!(row.get::<_, &[u8]>(0), lane);
-        let code = |e: tokio_postgres::Error| e.code().map(|c| c.code().to_owned());
-        let wrong = client
-            .query_one(&write, &[&"pier-7", &lane, &5000i32, &2i32, &None::<&str>])
+        assert_eq!(row.get::<_, &[u8]>(0), data);
+        let sqlstate = |e: tokio_postgres::Error| e.code().map(|c| c.code().to_owned());
+        let result = client
+            .query_one(&write, &[&"pier-7", &data, &5000i32, &2i32, &None::<&str>])
             .await;
-        assert_eq!(wrong.err().and_then(code).as_deref(), Some("22023"));
+        assert_eq!(result.err().and_then(sqlstate).as_deref(), Some("22023"));
         drop(read);
-        instance
+        endpoint
             .response
-            .with(|a| *a = ScriptedResponse::NoResponse);
+            .with(|r| *r = ScriptedResponse::NoResponse);
         let token = client.cancel_token();
         let values: [&(dyn tokio_postgres::types::ToSql + Sync); 5] =
-            [&"pier-8", &lane, &20_000i32, &2i32, &"k2"];
-        let slow = client.query_one(&write, &values);
+            [&"pier-8", &data, &20_000i32, &2i32, &"k2"];
+        let open_query = client.query_one(&write, &values);
         let cancel = async {
-            while asked(&instance) < 15 {
+            while query_count(&endpoint) < 15 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             token.cancel_query(tokio_postgres::NoTls).await.unwrap();
         };
-        let (slow, ()) = tokio::join!(slow, cancel);
-        assert_eq!(slow.err().and_then(code).as_deref(), Some("57014"));
-        instance.response.with(|a| *a = ScriptedResponse::Serve);
+        let (result, ()) = tokio::join!(open_query, cancel);
+        assert_eq!(result.err().and_then(sqlstate).as_deref(), Some("57014"));
+        endpoint.response.with(|r| *r = ScriptedResponse::Serve);
         client.simple_query("DISCARD ALL").await.unwrap();
         drop(client);
         task.await.unwrap().unwrap();
     };
-    runtime.block_on(async { tokio::time::timeout(WAIT_TIMEOUT, drive).await.unwrap() });
-    let parses = replica_set.with_execution_log(|l| l.total().parses);
+    runtime.block_on(async {
+        tokio::time::timeout(WAIT_TIMEOUT, use_driver)
+            .await
+            .unwrap()
+    });
+    let parses = replica_set.with_execution_log(|log| log.total().parses);
     assert!(
         if mode == "on" {
             parses >= 2
@@ -878,21 +999,21 @@
     assert!(replica_set.with_execution_log(|l| l.keys_executed_more_than_once().is_empty()));
 }
 
-/// Guards the platform: without settings of its own the router takes no extended queries.
+/// Guards against extended queries, SET or cancel keys that are available although no extensions enable them.
 #[test]
-fn extended_queries_are_off_by_default() {
-    let instance = FakeEndpoint::start("master", ScriptedResponse::Serve);
-    let list = vec![list_entry("s-1", instance.address, "ready")];
+fn extended_queries_are_rejected_without_extensions() {
+    let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
+    let list = vec![list_entry("s-1", endpoint.address, "ready")];
     let discovery = FakeDiscovery::start(Some(list.clone()));
     let router = start_router(&discovery, &list, 1024);
     let mut client = router.connect_client();
     assert_eq!(client.cancel_key, (0, 0));
-    let answer = client.extended_query(&[parse_message("", READ, &[]), read_of("", 1)]);
-    assert_eq!((&*answer.tags, &*answer.sqlstate), ("EZ", "0A000"));
+    let response = client.extended_query(&[parse_message("", READ_TEXT, &[]), execute_read("", 1)]);
+    assert_eq!((&*response.tags, &*response.sqlstate), ("EZ", "0A000"));
     assert_eq!(client.simple_query("SET x = 1").sqlstate, "42601");
 }
 
-/// Guards the command line: what is wrong with a file is said with its place, and by the exit code.
+/// Guards against an invalid file for which the `check` command exits with 0, or reports the error without its place.
 #[rstest]
 #[case("edge.yaml", "extended:\n  mode: on\n", 0, "no errors found")]
 #[case(
@@ -909,20 +1030,21 @@
     "config.json: settings: familyInfo is missing"
 )]
 #[case("none.yaml", "", 2, "none.yaml")]
-fn a_file_is_checked(
-    #[case] name: &str,
+fn check_command_reports_the_place_of_an_error(
+    #[case] file_name: &str,
     #[case] text: &str,
-    #[case] code: i32,
-    #[case] said: &str,
+    #[case] exit_code: i32,
+    #[case] expected_output: &str,
 ) {
     let dir = tempfile::tempdir().unwrap();
-    let path = dir.path().join(name);
+    let path = dir.path().join(file_name);
     if !text.is_empty() {
         std::fs::write(&path, text).unwrap();
     }
-    let mut program = std::process::Command::new(env!("CARGO_BIN_EXE_reelrill"));
-    let output = program.arg("check").arg(&path).output().unwrap();
-    let all = String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned();
-    assert_eq!(output.status.code(), Some(code), "{all}");
-    assert!(all.contains(said), "{all}");
+    let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_reelrill"));
+    let output = command.arg("check").arg(&path).output().unwrap();
+    let output_text =
+        String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned();
+    assert_eq!(output.status.code(), Some(exit_code), "{output_text}");
+    assert!(output_text.contains(expected_output), "{output_text}");
 }
