--- a/crates/router/src/dispatcher/request_table.rs
+++ b/crates/router/src/dispatcher/request_table.rs
@@ -37,7 +37,7 @@
         attempts: Vec<InFlightAttempt>,
     },
     /// The response was sent, or the client disconnected or cancelled the request. Attempts may still be in progress.
-    Completed { outstanding: Vec<InFlightAttempt> },
+    Completed { attempts: Vec<InFlightAttempt> },
 }
 
 /// A request that the dispatcher has admitted.
@@ -89,7 +89,7 @@
         match &self.state {
             RequestState::Queued { .. } => &[],
             RequestState::InFlight { attempts, .. } => attempts,
-            RequestState::Completed { outstanding } => outstanding,
+            RequestState::Completed { attempts } => attempts,
         }
     }
 
@@ -111,9 +111,9 @@
                     attempts,
                 }
             }
-            RequestState::Completed { mut outstanding } => {
-                outstanding.push(attempt);
-                RequestState::Completed { outstanding }
+            RequestState::Completed { mut attempts } => {
+                attempts.push(attempt);
+                RequestState::Completed { attempts }
             }
         });
     }
@@ -123,7 +123,7 @@
         let attempts = match &mut self.state {
             RequestState::Queued { .. } => return None,
             RequestState::InFlight { attempts, .. } => attempts,
-            RequestState::Completed { outstanding } => outstanding,
+            RequestState::Completed { attempts } => attempts,
         };
         let position = attempts.iter().position(|a| a.number == number)?;
         let attempt = attempts.swap_remove(position);
@@ -144,7 +144,7 @@
             RequestState::Queued { response_target } => {
                 target = Some(response_target);
                 RequestState::Completed {
-                    outstanding: Vec::new(),
+                    attempts: Vec::new(),
                 }
             }
             RequestState::InFlight {
@@ -152,9 +152,7 @@
                 attempts,
             } => {
                 target = Some(response_target);
-                RequestState::Completed {
-                    outstanding: attempts,
-                }
+                RequestState::Completed { attempts }
             }
             RequestState::Completed { .. } => state,
         });
@@ -163,7 +161,7 @@
 
     fn change_state(&mut self, change: impl FnOnce(RequestState) -> RequestState) {
         let placeholder = RequestState::Completed {
-            outstanding: Vec::new(),
+            attempts: Vec::new(),
         };
         let state = std::mem::replace(&mut self.state, placeholder);
         self.state = change(state);
