--- a/crates/router/src/client/socket/tests.rs
+++ b/crates/router/src/client/socket/tests.rs
@@ -69,15 +69,15 @@
 /// the write to it is blocked, and must detect the disconnect.
 #[test]
 fn a_disconnect_ends_a_blocked_write() {
-    // More bytes than the system buffers for a connection that is not read.
-    const MORE_THAN_FITS: usize = 1 << 26;
+    // The number of bytes of a write; more than the system buffers for a connection that is not read.
+    const BLOCKING_WRITE_SIZE: usize = 1 << 26;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let router = Async::new(listener.accept().unwrap().0).unwrap();
     client.shutdown(Shutdown::Write).unwrap();
     let started_at = Instant::now();
     let written =
-        futures_lite::future::block_on(write_to_client(&router, &vec![0; MORE_THAN_FITS]));
+        futures_lite::future::block_on(write_to_client(&router, &vec![0; BLOCKING_WRITE_SIZE]));
     assert_eq!(written, Err(CloseReason::DisconnectedWhileWaiting));
     assert!(
         started_at.elapsed() < WRITE_TIMEOUT / 2,
--- a/crates/router/src/runtime/descriptor_budget.rs
+++ b/crates/router/src/runtime/descriptor_budget.rs
@@ -1,5 +1,5 @@
-//! The budget of file descriptors for one side of the router (clients or endpoints), and the eviction of connections
-//! when it is exhausted.
+//! Limits the file descriptors for connections to one side, clients or endpoints, and requests the eviction of
+//! connections when the limit is reached.
 //!
 //! Owns the number of permits in use and the counts of connections by state. It never closes a connection: it notifies
 //! a task that waits in [`DescriptorBudget::eviction_requested`], which then closes its own connection.
@@ -11,7 +11,8 @@
 /// Unused connections count as many if there are more of them than the permits in use divided by this number.
 const MANY_UNUSED_DIVISOR: usize = 4;
 
-/// Limits the number of file descriptors that one side uses. Each [`DescriptorPermit`] represents one descriptor.
+/// Limits the number of file descriptors for connections to one side, clients or endpoints. Each [`DescriptorPermit`]
+/// represents one descriptor.
 pub struct DescriptorBudget {
     used: Cell<usize>,
     capacity: usize,
