--- a/crates/pg-protocol/src/frame.rs
+++ b/crates/pg-protocol/src/frame.rs
@@ -8,7 +8,8 @@
 /// Maximum length of a message without a value, in bytes.
 pub const MAX_SMALL_MESSAGE_LENGTH: usize = 16 * 1024;
 
-/// Maximum length of a message from a client, in bytes: a value of 64 KiB in hexadecimal digits, and the statement.
+/// Maximum length of a message from a client, in bytes: a value of 64 KiB in hexadecimal digits, and the rest of
+/// the statement.
 pub const MAX_MESSAGE_LENGTH: usize = 160 * 1024;
 
 /// Maximum length of a startup message, in bytes.
@@ -20,7 +21,7 @@
     /// The length exceeds the maximum; holds the length, in bytes.
     #[error("a message of {0} bytes")]
     Oversized(usize),
-    /// The length is shorter than the message's fixed part.
+    /// The length is shorter than the message's fixed part, or wrong for a message of fixed length.
     #[error("a message whose length is wrong")]
     Malformed,
 }
--- a/crates/pg-session/src/endpoint_query.rs
+++ b/crates/pg-session/src/endpoint_query.rs
@@ -1,7 +1,7 @@
 //! The query that an endpoint receives for a request: a statement with its values.
 //!
-//! Responsible for the values between the client's Bind and the endpoint's, which carries the router's own timeout.
-//! Independent of the protocol in which the client sent the request. Owns the values. Must never do I/O.
+//! Responsible for turning the values of the client's Bind into those for the endpoint, which have the router's own
+//! timeout. Independent of the protocol in which the client sent the request. Owns the values. Must never do I/O.
 //!
 //! | module | responsible for |
 //! | --- | --- |
--- a/crates/pg-session/src/endpoint_query/simple.rs
+++ b/crates/pg-session/src/endpoint_query/simple.rs
@@ -7,6 +7,7 @@
 use reelrill_routing::Nanos;
 use std::ops::Range;
 
+/// Nanoseconds in a millisecond.
 const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
 
 /// Bytes reserved for a timeout with more digits than the one in the text.
--- a/crates/pg-session/src/endpoint_query/values.rs
+++ b/crates/pg-session/src/endpoint_query/values.rs
@@ -83,19 +83,19 @@
         })
 }
 
-/// Checks the counts of a Bind against its statement, which has `takes` parameters and returns one column.
+/// Checks the counts of a Bind against its statement, which has `parameter_count` parameters and returns one column.
 ///
 /// # Errors
 ///
 /// [`SessionError::ParameterCountMismatch`] for the values, [`SessionError::FormatCountMismatch`] for the formats.
-pub(super) fn check_counts(bind: &Bind, takes: usize) -> Result<(), SessionError> {
-    if bind.values.len() != takes {
+pub(super) fn check_counts(bind: &Bind, parameter_count: usize) -> Result<(), SessionError> {
+    if bind.values.len() != parameter_count {
         return Err(SessionError::ParameterCountMismatch {
             brought: bind.values.len(),
-            takes,
+            takes: parameter_count,
         });
     }
-    if bind.parameter_formats.len() > 1 && bind.parameter_formats.len() != takes {
+    if bind.parameter_formats.len() > 1 && bind.parameter_formats.len() != parameter_count {
         return Err(SessionError::FormatCountMismatch(
             bind.parameter_formats.len(),
         ));
--- a/crates/pg-session/src/extended.rs
+++ b/crates/pg-session/src/extended.rs
@@ -1,8 +1,9 @@
 //! A client's session in the extended query protocol: its prepared statements, portals and pipeline.
 //!
 //! Responsible for the effect of each command, for which requests may start, and for which commands are skipped. Owns
-//! one client's `statements` (names, with rollback), portals (`portal`: the effect of an Execute), `pipeline` (order of
-//! responses) and `segment` (the commands up to a Sync). Must never do I/O, nor release responses out of order.
+//! one client's prepared statements (module `statements`), its portals (`portal`), its queue of requests and responses
+//! (`pipeline`) and the segment that is being received (`segment`). Must never do I/O, nor release responses out of
+//! order.
 //!
 //! Commands are processed as they are received, and their responses are released in the same order. Each Execute of a
 //! request has one final response. Commands after a request without a response are processed as if it succeeds. If it
@@ -121,7 +122,7 @@
         self.pipeline.is_empty()
     }
 
-    /// Returns whether a command has been received since the last Sync.
+    /// Returns whether a command has been received since the last Sync. A simple query would end that segment.
     pub fn has_open_segment(&self) -> bool {
         !self.segment.is_closed
     }
@@ -361,7 +362,7 @@
     }
 
     /// Stores the final response to a request. Returns the numbers of the later requests that were running and are
-    /// cancelled. Does nothing if the number is unknown, as that of a request that was rolled back.
+    /// cancelled. Does nothing if the number is unknown, for example because the request was rolled back.
     pub fn finish(&mut self, number: u64, response: R, is_served: bool) -> Vec<u64> {
         let Some(position) = self.pipeline.complete(number, response) else {
             return Vec::new();
--- a/crates/pg-session/src/limits.rs
+++ b/crates/pg-session/src/limits.rs
@@ -21,7 +21,7 @@
 }
 
 impl Budget {
-    /// Creates a budget of `limit` units; the unit is the users' choice.
+    /// Creates a budget of `limit` units, for example bytes or statements.
     pub fn new(limit: usize) -> Rc<Budget> {
         Rc::new(Budget {
             used: Cell::new(0),
@@ -77,7 +77,7 @@
     pub commands: usize,
     /// Commands in one segment, which ends with a Sync.
     pub segment: usize,
-    /// Read requests of one client that run at once.
+    /// Read requests of one client that run at the same time.
     pub reads: usize,
     /// Statements prepared on one connection to an endpoint.
     pub prepared: usize,
--- a/crates/pg-session/src/queue.rs
+++ b/crates/pg-session/src/queue.rs
@@ -1,7 +1,7 @@
-//! The queue of one client's simple queries that have been received and have no response yet.
+//! The queue of one client's simple queries that have been received and whose responses have not been sent.
 //!
 //! Responsible for which queries may start and for the order of responses. Owns the queries, and their responses until
-//! they are taken. Must never release a response before an earlier one.
+//! they are sent. Must never release a response before an earlier one.
 //!
 //! A client may send further queries before it receives the first response, and the timeout of each query counts from
 //! when the client sent it. So queries start as they are received, and only their responses are kept in order. Two
@@ -17,11 +17,11 @@
 /// Limits of one client's queue.
 #[derive(Debug, Clone, Copy)]
 pub struct QueueLimits {
-    /// Queries that have been received and have no response yet.
+    /// Queries in the queue: those without a response, and those whose response has not been sent.
     pub queries: usize,
-    /// Bytes of the messages of these queries. A single query may be larger.
+    /// Bytes of the messages of these queries, except that a single query may be larger.
     pub bytes: usize,
-    /// Requests that run position once.
+    /// Requests that run at the same time.
     pub running: usize,
 }
 
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Returns whether no query lacks a response.
+    /// Returns whether the queue holds neither a query nor a response.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
--- a/crates/pg-session/src/statement.rs
+++ b/crates/pg-session/src/statement.rs
@@ -1,5 +1,5 @@
-//! Parsing of statements: one read, one write, each with a trailing comment that annotates the request. In a prepared
-//! statement, a value may be a parameter (`$n`).
+//! Parsing of the two supported statements, a read and a write, each with a trailing comment that annotates the
+//! request. In a prepared statement, a value may be a parameter (`$n`).
 //!
 //! Responsible for the values in a statement and for the text formats of numbers, ids and column values. Owns no
 //! state: a parsed statement borrows from its text. Must never interpret what an annotation means.
--- a/crates/pg-session/src/template/endpoint_text.rs
+++ b/crates/pg-session/src/template/endpoint_text.rs
@@ -1,9 +1,9 @@
 //! The text of a prepared statement as sent to endpoints.
 //!
 //! Responsible for rewriting the client's text so that each Bind can set the timeout and the request's id: a timeout
-//! written in digits is replaced by a parameter, and an id or a timeout that is missing is appended to the comment as
-//! one. Owns the text only while it is built. Must never change any other byte of the client's text, nor the numbers
-//! of the client's parameters.
+//! written in digits is replaced by a parameter, and an id or a timeout that is missing is appended to the comment
+//! with a parameter as its value. Owns the text only while it is built. Must never change any other byte of the
+//! client's text, nor the numbers of the client's parameters.
 
 use super::{RequestTemplate, TemplateValue};
 use crate::SessionError;
--- a/crates/pg-session/tests/extended.rs
+++ b/crates/pg-session/tests/extended.rs
@@ -393,8 +393,8 @@
     );
 }
 
-/// Guards the limits: a command over a limit must fail with an error that names the limit, and the session must go on
-/// with its earlier statements.
+/// Guards the limits: a command over a limit must fail with an error that names the limit, and the session must still
+/// execute the statements that it prepared before.
 #[test]
 fn limits_hold_and_errors_name_them() {
     let limits = Limits {
