--- a/crates/experiments/src/extended.rs
+++ b/crates/experiments/src/extended.rs
@@ -141,9 +141,9 @@
         }),
     ];
     for (name, measurement) in measurements {
-        let began = Instant::now();
+        let started_at = Instant::now();
         measurement(&mut report)?;
-        eprintln!("{name}: {:.1} s", began.elapsed().as_secs_f64());
+        eprintln!("{name}: {:.1} s", started_at.elapsed().as_secs_f64());
     }
     Ok(report)
 }
@@ -266,7 +266,7 @@
     );
     let mut id = 0;
     let mut reads_per_second = |is_pipelined: bool, client: &mut Client| -> anyhow::Result<f64> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         for _ in 0..10 {
             let reads: Vec<Vec<u8>> = (0..READS)
                 .map(|offset| prepared_read("s", id + offset))
@@ -285,7 +285,7 @@
                 );
             }
         }
-        Ok(10.0 * READS as f64 / began.elapsed().as_secs_f64())
+        Ok(10.0 * READS as f64 / started_at.elapsed().as_secs_f64())
     };
     reads_per_second(true, &mut client)?;
     let (mut pipelined, mut sequential, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
