--- a/crates/experiments/src/extended.rs
+++ b/crates/experiments/src/extended.rs
@@ -184,7 +184,7 @@
     );
     let saved = 100.0 * (1.0 - message_counts.parses as f64 / EXECUTIONS as f64);
     report.add(
-        "Parses saved over 20,000 executions",
+        "Parses saved of 20,000 runs",
         "%",
         &[saved],
         Target::AtLeast(99.0),
@@ -236,12 +236,12 @@
         ratios.push(prepared[prepared.len() - 1] / simple[simple.len() - 1]);
     }
     report.add(
-        "router CPU per prepared request",
+        "router CPU a prepared request",
         "us",
         &prepared,
         Target::None,
     );
-    report.add("router CPU per simple request", "us", &simple, Target::None);
+    report.add("router CPU a simple request", "us", &simple, Target::None);
     report.add(
         "router CPU, prepared / simple",
         "",
@@ -295,23 +295,18 @@
         ratios.push(pipelined[pipelined.len() - 1] / sequential[sequential.len() - 1]);
     }
     report.add(
-        "reads per second, 16 pipelined",
+        "reads a second, 16 at once",
         "1/s",
         &pipelined,
         Target::None,
     );
     report.add(
-        "reads per second, one at a time",
+        "reads a second, one by one",
         "1/s",
         &sequential,
         Target::None,
     );
-    report.add(
-        "16 pipelined / one at a time",
-        "",
-        &ratios,
-        Target::AtLeast(6.0),
-    );
+    report.add("16 at once / one by one", "", &ratios, Target::AtLeast(6.0));
     Ok(())
 }
 
@@ -452,34 +447,39 @@
             .replica_set
             .with_execution_log(|log| log.executed_writes.len()) as f64;
     report.add(
-        "writes executed twice",
+        "bookings run twice",
         "",
         &[executed_twice],
         Target::AtMost(0.0),
     );
     report.add(
-        "attempts without a response",
+        "bookings without an answer",
         "",
         &count(&unanswered),
         Target::AtMost(0.0),
     );
     report.add(
-        "attempts with an unexpected response",
+        "bookings with two answers",
         "",
         &count(&unexpected),
         Target::AtMost(0.0),
     );
-    report.add("writes never executed", "", &[never_executed], Target::None);
     report.add(
-        "faults that took effect",
+        "bookings that never ran",
+        "",
+        &[never_executed],
+        Target::None,
+    );
+    report.add(
+        "faults that came",
         "",
         &count(&faults_hit),
         Target::AtLeast(40.0),
     );
-    report.add("writes served", "", &count(&served), Target::None);
-    report.add("attempts rejected", "", &count(&rejected), Target::None);
+    report.add("bookings served", "", &count(&served), Target::None);
+    report.add("tries refused", "", &count(&rejected), Target::None);
     report.add(
-        "writes failed, possibly executed",
+        "bookings failed, which may have run",
         "",
         &count(&failed),
         Target::None,
@@ -535,7 +535,7 @@
         Target::None,
     );
     report.add(
-        "memory, 300 clients without statements",
+        "memory, 300 clients without",
         "MB",
         &without_statements,
         Target::None,
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -238,7 +238,7 @@
         let values: Vec<f64> = usages.iter().map(|usage| usage.served_share).collect();
         let target = Target::AtLeast(MIN_SERVED_RATIO * usual.unwrap_or(1.0));
         usual = usual.or(Some(median(&values)));
-        report.add(&format!("served share, {fleet}"), "", &values, target);
+        report.add(&format!("share served, {fleet}"), "", &values, target);
     }
 }
 
--- a/crates/experiments/src/membership.rs
+++ b/crates/experiments/src/membership.rs
@@ -339,29 +339,19 @@
         growth.push(large[round] / small[round]);
         speedup.push(rebuilt[round] / large[round]);
     }
-    report.add("state change, 1,000 endpoints", "us", &small, Target::None);
-    report.add("state change, 10,000 endpoints", "us", &large, Target::None);
+    report.add("a change, 1,000 members", "us", &small, Target::None);
+    report.add("a change, 10,000 members", "us", &large, Target::None);
+    report.add("the same, list made anew", "us", &rebuilt, Target::None);
     report.add(
-        "state change, 10,000 endpoints, list rebuilt",
-        "us",
-        &rebuilt,
-        Target::None,
-    );
-    report.add(
-        "list rebuilt / list updated",
+        "made anew / by changes",
         "",
         &speedup,
         Target::AtLeast(20.0),
     );
-    report.add(
-        "state change, 10,000 / 1,000 endpoints",
-        "",
-        &growth,
-        Target::AtMost(1.5),
-    );
+    report.add("10,000 / 1,000 members", "", &growth, Target::AtMost(1.5));
     let share = median(&large) * 1000.0 / 1e6 * 100.0;
     report.add(
-        "CPU for 1,000 changes per second",
+        "processor for 1,000 changes a second",
         "%",
         &[share],
         Target::None,
@@ -392,7 +382,7 @@
         registry.len()
     );
     report.add(
-        "memory per endpoint, two sources",
+        "memory a member, two sources",
         "bytes",
         &[bytes],
         Target::AtMost(1024.0),
@@ -681,43 +671,43 @@
     first_use_ms.sort_by(f64::total_cmp);
     let p99 = first_use_ms[(first_use_ms.len() * 99).div_ceil(100).saturating_sub(1)];
     report.add(
-        "drains reported",
+        "drains told",
         "",
         &[f64::from(drain_count)],
         Target::AtLeast(4.0),
     );
     report.add(
-        "requests over 250 ms after a drain report",
+        "sends after told + 250 ms",
         "",
         &[late_requests as f64],
         Target::AtMost(0.0),
     );
     report.add(
-        "healthy endpoints removed",
+        "healthy members forgotten",
         "",
         &[removed_endpoints as f64],
         Target::AtMost(0.0),
     );
     report.add(
-        "new record to first request, median",
+        "record to first use, median",
         "ms",
         &first_use_ms,
         Target::None,
     );
     report.add(
-        "new record to first request, p99",
+        "record to first use, p99",
         "ms",
         &[p99],
         Target::AtMost(TTL_FLOOR.as_secs_f64() * 1000.0 + 200.0),
     );
     report.add(
-        "served, without changes",
+        "served, quiet run",
         "%",
         &[unchanged_share * 100.0],
         Target::None,
     );
     report.add(
-        "served, with changes",
+        "served, with flips",
         "%",
         &[share_under_changes * 100.0],
         Target::AtLeast(unchanged_share * 100.0 - 1.0),
