--- a/crates/service-discovery/src/browse/queries.rs
+++ b/crates/service-discovery/src/browse/queries.rs
@@ -12,12 +12,12 @@
 /// The largest UDP response that the browser accepts, in bytes (EDNS, RFC 6891). Servers truncate larger responses, and
 /// the query is then repeated over TCP.
 const MAX_UDP_PAYLOAD: u16 = 1232;
-/// The lower limit of the maximum first pause after a failure, in nanoseconds. The pause is drawn between half of the
-/// maximum and the maximum.
+/// The upper bound of the first pause after a failure, in nanoseconds, unless the minimum TTL is longer. Each pause is
+/// drawn at random between half of its upper bound and the whole.
 const MIN_BACKOFF: Nanos = 100_000_000;
-/// The longest pause between attempts while the source fails, in nanoseconds.
+/// The longest upper bound of a pause while the source fails, in nanoseconds.
 const MAX_BACKOFF: Nanos = 30_000_000_000;
-/// The maximum number of times that the maximum pause doubles.
+/// The maximum number of times that the upper bound of the pause doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 /// The maximum number of queries that wait for the query budget.
 const MAX_QUEUED: usize = 16_384;
--- a/crates/service-discovery/src/browse/responses.rs
+++ b/crates/service-discovery/src/browse/responses.rs
@@ -140,8 +140,11 @@
         records: &[RData],
         outputs: &mut Vec<BrowserOutput>,
     ) -> HashSet<Name> {
-        let in_domain = |name: &&Name| self.config.domain.zone_of(name);
-        let names: HashSet<Name> = endpoints_in(records).filter(in_domain).cloned().collect();
+        let is_in_domain = |name: &&Name| self.config.domain.zone_of(name);
+        let names: HashSet<Name> = endpoints_in(records)
+            .filter(is_in_domain)
+            .cloned()
+            .collect();
         self.counters.unrelated_records += (records.len() - names.len()) as u64;
         let is_absent = |name: &&Name| !names.contains(*name);
         let absent: Vec<Name> = self.claims.keys().filter(is_absent).cloned().collect();
--- a/crates/service-discovery/src/registry/input.rs
+++ b/crates/service-discovery/src/registry/input.rs
@@ -34,14 +34,14 @@
         source: SourceId,
         /// The name that the source uses for the endpoint.
         name: Arc<str>,
-        /// The way in which it is withdrawn.
+        /// Whether the endpoint was removed or is merely no longer listed.
         withdrawal: Withdrawal,
     },
     /// A source reports all endpoints that it lists. Its claims about any others are withdrawn.
     Snapshot {
         /// The source.
         source: SourceId,
-        /// The names that the source uses for them.
+        /// The names that the source uses for these endpoints.
         names: HashSet<Arc<str>>,
     },
     /// A source cannot be reached: it responded with a failure or not at all.
--- a/crates/service-discovery/src/registry/record.rs
+++ b/crates/service-discovery/src/registry/record.rs
@@ -62,7 +62,7 @@
             .is_some_and(|at| now < at.saturating_add(ttl))
     }
 
-    /// Returns whether a source set the drain or removal marker of the endpoint.
+    /// Returns whether `source` set the endpoint's drain marker or its removal marker.
     pub(super) fn has_marker_of(&self, source: SourceId) -> bool {
         let markers = [self.drain_marker, self.removal_marker];
         markers
@@ -93,8 +93,8 @@
         !is_repeated && self.claims.iter().any(has_other_state)
     }
 
-    /// Returns whether the claim has a later start time than any claim so far, which means that the endpoint has
-    /// restarted.
+    /// Returns whether the claim has a later start time than the last entry and all stored claims, which means that the
+    /// endpoint has restarted.
     pub(super) fn is_restart(&self, claim: &Claim) -> bool {
         let last_started = self.last_view.as_ref().map_or(0, |view| view.started_at);
         let is_newest = |stored: &StoredClaim| stored.claim.started_at < claim.started_at;
--- a/crates/service-discovery/src/registry/settings.rs
+++ b/crates/service-discovery/src/registry/settings.rs
@@ -15,12 +15,14 @@
     pub retention: Nanos,
     /// The maximum number of endpoints. Claims about further endpoints are rejected and counted.
     pub max_endpoints: usize,
-    /// Whether only a newer claim lifts a drain. Tests disable it to show that they detect the fault.
+    /// Whether only a newer claim lifts a drain. Only tests disable it, to verify that they detect the resulting
+    /// faults.
     pub has_sticky_drains: bool,
-    /// Whether the claims of a source that failed stay in force. Tests disable it to show that they detect the fault.
+    /// Whether the claims of a source that failed stay in force. Only tests disable it, to verify that they detect the
+    /// resulting faults.
     pub should_keep_claims_of_failed_sources: bool,
     /// Whether an endpoint that one source no longer lists stays listed while another source lists it or it responds.
-    /// Tests disable it to show that they detect the fault.
+    /// Only tests disable it, to verify that they detect the resulting faults.
     pub should_require_all_sources_for_removal: bool,
 }
 
--- a/crates/service-discovery/src/registry/tiers.rs
+++ b/crates/service-discovery/src/registry/tiers.rs
@@ -1,4 +1,4 @@
-//! Tiers: endpoints of a higher tier are on standby while their replica set has one in service in a lower tier.
+//! Tiers: an endpoint is on standby while its replica set has an endpoint in service in a lower tier.
 
 use super::EndpointRegistry;
 use super::claim::ClaimedState;
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 
 impl EndpointRegistry {
-    /// Returns whether the endpoint would be listed as in service, but its replica set has one in service in a lower
-    /// tier.
+    /// Returns whether an endpoint is on standby: without regard to tiers it would be listed as in service, but its
+    /// replica set has an endpoint in service in a lower tier.
     pub(super) fn is_standby(&self, evaluation: &Evaluation) -> bool {
         let Some(view) = &evaluation.view else {
             return false;
--- a/crates/service-discovery/src/registry/view.rs
+++ b/crates/service-discovery/src/registry/view.rs
@@ -66,7 +66,7 @@
     OwnDrain,
     /// Not listed: a source stated that the endpoint was removed, and no newer claim has lifted that.
     Gone,
-    /// Not listed: another endpoint with a stronger claim has the same address.
+    /// Not listed: another endpoint with a higher precedence has the same address.
     Shadowed,
     /// Not listed: the replica set has endpoints in service in a lower tier.
     Standby,
--- a/crates/service-discovery/src/watch.rs
+++ b/crates/service-discovery/src/watch.rs
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Returns the poll to send at the start without a request; `None` if there is none.
+    /// Returns the poll to send at the start, before the list has been requested; `None` for a shared service.
     pub fn initial_poll(&mut self, now: Timestamp) -> Option<PollRequest> {
         match self.service {
             ListService::LocalAgent => Some(self.request(now, ListRequest::Changes)),
--- a/crates/service-discovery/src/wheel.rs
+++ b/crates/service-discovery/src/wheel.rs
@@ -124,17 +124,19 @@
         self.release(handle.index)
     }
 
-    /// Returns the latest time at which [`TimerWheel::expire`] must be called again: no timer is due before it. `None`
-    /// if there are no timers.
+    /// Returns the time at which [`TimerWheel::expire`] must be called again at the latest; no timer is due before it.
+    /// `None` if there are no timers.
     pub fn next_due(&self) -> Option<Timestamp> {
-        self.next_slot().map(|(_, _, at)| at << TICK_SHIFT)
+        self.next_slot().map(|(_, _, tick)| tick << TICK_SHIFT)
     }
 
     /// Advances the current time to `now` and appends the values of all due timers to `due`, ordered by tick.
     pub fn expire(&mut self, now: Timestamp, due: &mut Vec<T>) {
         let target_tick = now >> TICK_SHIFT;
-        while let Some((level, slot, at)) = self.next_slot().filter(|(.., at)| *at <= target_tick) {
-            self.current_tick = self.current_tick.max(at);
+        while let Some((level, slot, tick)) =
+            self.next_slot().filter(|(.., tick)| *tick <= target_tick)
+        {
+            self.current_tick = self.current_tick.max(tick);
             let mut index = std::mem::replace(
                 &mut self.slot_heads[level * SLOTS_PER_LEVEL + slot],
                 NO_NODE,
@@ -182,12 +184,12 @@
 
     fn link(&mut self, index: u32) {
         // A timer that is already due is put into the current slot.
-        let at = self.nodes[index as usize].due_tick.max(self.current_tick);
-        let level = match at ^ self.current_tick {
+        let tick = self.nodes[index as usize].due_tick.max(self.current_tick);
+        let level = match tick ^ self.current_tick {
             0 => 0,
             difference => (difference.ilog2() / BITS_PER_LEVEL) as usize,
         };
-        let slot = (at >> (BITS_PER_LEVEL * level as u32)) as usize % SLOTS_PER_LEVEL;
+        let slot = (tick >> (BITS_PER_LEVEL * level as u32)) as usize % SLOTS_PER_LEVEL;
         let slot_index = level * SLOTS_PER_LEVEL + slot;
         let head = std::mem::replace(&mut self.slot_heads[slot_index], index);
         if head != NO_NODE {
--- a/crates/service-discovery/tests/model.rs
+++ b/crates/service-discovery/tests/model.rs
@@ -182,7 +182,7 @@
 }
 
 impl RegistryModel {
-    /// Lets a source report the actual state of an endpoint to the registry.
+    /// Reports the actual state of an endpoint to the registry, as a claim or withdrawal of the given source.
     fn report_endpoint(&self, state: &mut ModelState, source: u16, index: usize) {
         let actual = state.actual[index];
         state.version += u64::from(source == ENDPOINT_LIST);
--- a/crates/service-discovery/tests/reference.rs
+++ b/crates/service-discovery/tests/reference.rs
@@ -21,7 +21,7 @@
 /// A drain or removal: its source, the source's kind, the process start and the version.
 type Marker = Option<(u16, SourceKind, u64, u64)>;
 
-/// The reference implementation. Entries are never forgotten.
+/// The reference implementation. It never forgets an endpoint.
 #[derive(Default)]
 struct ReferenceRegistry {
     /// The kind of each source, and whether it is unreachable.
