--- a/crates/routing-config/src/convert.rs
+++ b/crates/routing-config/src/convert.rs
@@ -54,7 +54,7 @@
 /// Converts the whole settings object.
 ///
 /// # Errors
-/// If a required field is absent, or a field that is used has an invalid value.
+/// Fails if a required field is absent, or a field that is used has an invalid value.
 pub fn routing_config(document: SettingsDocument) -> Result<RoutingConfig> {
     let family_info = required(document.family_info, "familyInfo")?;
     let ceilings = required(document.ceilings, "ceilings")?;
--- a/crates/routing-config/src/document.rs
+++ b/crates/routing-config/src/document.rs
@@ -53,6 +53,7 @@
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase", expecting = "an object")]
 pub struct Class {
+    /// The name of the class.
     pub name: Option<String>,
     /// The idempotency.
     pub repeat: Option<Repeat>,
@@ -190,6 +191,7 @@
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase", expecting = "an object")]
 pub struct Report {
+    /// The messages that carry load reports.
     pub source: Option<ReportSource>,
 }
 
--- a/crates/routing-config/src/lib.rs
+++ b/crates/routing-config/src/lib.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's settings from JSON. The simulator's adapter receives them in its input, the router in its
+//! Reads the platform's settings from JSON. The simulator adapter receives them in its input, the router in its
 //! configuration file.
 //!
 //! The settings are deserialized into the structs of `document`, one for each JSON object, and converted to the
@@ -38,7 +38,7 @@
 /// Reads the settings object.
 ///
 /// # Errors
-/// If a required field is absent or null, or a field has an invalid value.
+/// Fails if a required field is absent or null, or a field has an invalid value.
 pub fn read(value: &Value) -> Result<RoutingConfig, SettingsReadError> {
     // A value that is not an object is read as an object without fields; the error then names the first required field.
     let document = if value.is_object() {
--- a/crates/routing-config/src/number.rs
+++ b/crates/routing-config/src/number.rs
@@ -3,7 +3,7 @@
 use serde::de::{Deserialize, Deserializer, Error, Unexpected, Visitor};
 use std::fmt;
 
-/// The lowest float that is rejected; it is just below 2^64 (about 1.845e19), above which a float does not fit 64 bits.
+/// The lower bound of the floats that are rejected as too large for 64 bits; 2^64 is about 1.845e19.
 const MIN_REJECTED_FLOAT: f64 = 1.8e19;
 
 /// A non-negative whole number of 64 bits.
--- a/crates/routing-config/src/word.rs
+++ b/crates/routing-config/src/word.rs
@@ -5,6 +5,7 @@
 /// The error of a string that names no variant of the enum.
 #[derive(Debug)]
 pub struct UnknownValue {
+    /// The string.
     pub value: String,
     /// The strings that name a variant.
     pub expected: &'static [&'static str],
--- a/crates/routing-config/tests/read.rs
+++ b/crates/routing-config/tests/read.rs
@@ -291,7 +291,7 @@
     assert_eq!(operation, Operation::Read(Consistency::BoundedStaleness(5)));
 }
 
-/// Guards against an error for, or a loss of digits in, whole numbers, which the platform may also write as floats.
+/// Guards against whole numbers that are rejected or lose digits; the platform may also write them as floats.
 #[rstest]
 #[case(json!(3.0), 3)]
 #[case(json!(2e9), 2_000_000_000)]
