--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -48,7 +48,7 @@
     /// Processes one line, given without its line end. Returns the reply if the line ends a batch.
     ///
     /// # Errors
-    /// If a field is invalid, or the message is not allowed at this place.
+    /// Fails if a field is invalid, or the message is not allowed at this place.
     pub fn process_line(&mut self, line: &str) -> Result<Option<String>, LineError> {
         let mut fields = Fields::new(line);
         let message = fields.text("message")?;
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -25,7 +25,7 @@
     /// Reads the next field as text.
     ///
     /// # Errors
-    /// If there is none.
+    /// Fails if the line has no more fields.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, LineError> {
         self.parts.next().ok_or(LineError::Missing { field })
     }
@@ -33,7 +33,7 @@
     /// Reads the next field as text; `None` if it is `-`.
     ///
     /// # Errors
-    /// If there is none.
+    /// Fails if the line has no more fields.
     pub fn optional_text(&mut self, field: &'static str) -> Result<Option<&'a str>, LineError> {
         let text = self.text(field)?;
         Ok(Some(text).filter(|text| *text != ABSENT))
@@ -42,7 +42,7 @@
     /// Reads all remaining fields as one text, including the tabs between them.
     ///
     /// # Errors
-    /// If there is none.
+    /// Fails if the line has no more fields.
     pub fn rest(&mut self, field: &'static str) -> Result<String, LineError> {
         let mut rest = self.text(field)?.to_owned();
         for part in self.parts.by_ref() {
@@ -55,7 +55,7 @@
     /// Reads the next field as a number.
     ///
     /// # Errors
-    /// If there is none, or it is not a number of type `T`.
+    /// Fails if the line has no more fields, or the next one is not a number of type `T`.
     pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, LineError> {
         parse_number(field, self.text(field)?)
     }
@@ -63,7 +63,7 @@
     /// Reads the next field as a number; `None` if it is `-`.
     ///
     /// # Errors
-    /// If there is none, or it is neither `-` nor a number of type `T`.
+    /// Fails if the line has no more fields, or the next one is neither `-` nor a number of type `T`.
     pub fn optional_number<T: FromStr>(
         &mut self,
         field: &'static str,
@@ -75,7 +75,7 @@
     /// Reads the next field as a request id of 16 hexadecimal digits.
     ///
     /// # Errors
-    /// If there is none, or it is not a request id.
+    /// Fails if the line has no more fields, or the next one is not a request id.
     pub fn request_id(&mut self, field: &'static str) -> Result<RequestId, LineError> {
         let text = self.text(field)?;
         let is_id = text.len() == REQUEST_ID_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
@@ -89,7 +89,7 @@
     /// Reads the next field as a boolean, 1 or 0.
     ///
     /// # Errors
-    /// If there is none, or it is neither 1 nor 0.
+    /// Fails if the line has no more fields, or the next one is neither 1 nor 0.
     pub fn flag(&mut self, field: &'static str) -> Result<bool, LineError> {
         match self.text(field)? {
             "1" => Ok(true),
--- a/crates/simulator-adapter/src/replication.rs
+++ b/crates/simulator-adapter/src/replication.rs
@@ -17,7 +17,7 @@
 /// 1 at a primary; other names are ignored. Without a report the status is empty.
 ///
 /// # Errors
-/// If an item is not a pair, or its value is not a number.
+/// Fails if an item is not a pair, or its value is not a number.
 pub fn parse_load_report(
     text: Option<&str>,
     position_origin: Timestamp,
