--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -17,6 +17,7 @@
 pub struct MessageReader {
     stream: TcpStream,
     bytes: Vec<u8>,
+    /// The index in `bytes` at which the unread input starts.
     start: usize,
 }
 
@@ -162,7 +163,7 @@
         );
     }
 
-    /// Writes bytes and ignores write errors; a failed write shows as a missing response.
+    /// Writes bytes and ignores write errors; after a failed write, reading the response fails.
     pub fn send(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
@@ -177,8 +178,8 @@
         self.reader.read_message()
     }
 
-    /// Reads messages up to ReadyForQuery, the end of the connection or [`WAIT_TIMEOUT`] without one; `None` if no
-    /// message arrives.
+    /// Reads messages until ReadyForQuery, the end of the connection or [`WAIT_TIMEOUT`] without a message. `None` if
+    /// no message arrives.
     pub fn read_response(&mut self) -> Option<Response> {
         let mut response = Response::default();
         loop {
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -44,7 +44,7 @@
     pub requested_paths: SharedState<Vec<String>>,
     /// The fault mode of all further responses.
     pub fault_mode: SharedState<DiscoveryFaultMode>,
-    /// The number of calls of `stall_open_connections`; connections accepted before the last one get no response.
+    /// The number of calls of `stall_open_connections`; connections accepted before the last call get no response.
     stall_count: SharedState<u64>,
 }
 
--- a/crates/test-support/src/dns.rs
+++ b/crates/test-support/src/dns.rs
@@ -16,7 +16,7 @@
 /// The number of attempts to find a port that is free for both UDP and TCP.
 const PORT_ATTEMPTS: usize = 100;
 
-/// Describes a service instance (RFC 6763), which an endpoint has in the zone.
+/// Describes the service instance (RFC 6763) of one endpoint in the zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceInstance {
     /// The address of the endpoint, for the SRV record and the A or AAAA record.
@@ -99,7 +99,7 @@
 /// Holds the service instances of a zone and the fault mode of its server.
 #[derive(Debug, Clone, Default)]
 pub struct DnsZone {
-    /// The service instances by the label of their names.
+    /// The service instances by the first label of their names.
     pub instances: BTreeMap<String, ServiceInstance>,
     /// The fault mode of all further responses.
     pub fault_mode: DnsFaultMode,
--- a/crates/test-support/src/endpoint.rs
+++ b/crates/test-support/src/endpoint.rs
@@ -40,18 +40,19 @@
     ServeWithTrailing(&'static [u8]),
 }
 
-/// Names the stage of a request at which a fault occurs. A simple query, which is an Execute, has only the last three.
+/// Names the stage of a request at which a fault occurs. A simple query counts as one Execute and has only the last
+/// three stages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStage {
-    /// After its Parse was received.
+    /// After the Parse was received.
     Parse,
-    /// After its Bind was received.
+    /// After the Bind was received.
     Bind,
-    /// Before its Execute runs, as if only half of that message had been received.
+    /// Before the Execute runs, as if only half of that message had been received.
     PartialExecute,
-    /// After its Execute has run and before the Sync is received.
+    /// After the Execute has run and before the Sync is received.
     Executed,
-    /// After all of it was received and has run, and before any response is sent.
+    /// After the whole request was received and has run, and before any response is sent.
     BeforeResponse,
 }
 
@@ -75,7 +76,7 @@
     pub queries: Vec<String>,
     /// The number of connections accepted.
     pub accepted_connections: usize,
-    /// The number of those that have been closed.
+    /// The number of accepted connections that have been closed.
     pub closed_connections: usize,
 }
 
@@ -441,10 +442,11 @@
         self.stream.write_all(&std::mem::take(&mut self.out)).ok()
     }
 
-    /// Changes the message counts of this endpoint in the execution log.
-    fn count(&self, count: impl FnOnce(&mut crate::replica_set::MessageCounts)) {
+    /// Calls `update` with the message counts of this endpoint in the execution log; an endpoint outside a replica set
+    /// has none.
+    fn update_counts(&self, update: impl FnOnce(&mut crate::replica_set::MessageCounts)) {
         if let Some(replica_set) = self.inner.replica_set() {
-            replica_set.count(&self.inner.name, count);
+            replica_set.update_counts(&self.inner.name, update);
         }
     }
 
@@ -560,7 +562,7 @@
 
     /// Handles a simple query; returns `None` if the connection has ended.
     fn handle_query(&mut self, statement: &str) -> Option<()> {
-        self.count(|counts| counts.queries += 1);
+        self.update_counts(|counts| counts.queries += 1);
         self.apply_fault(RequestStage::PartialExecute)?;
         let result = self.execute(statement);
         self.apply_fault(RequestStage::Executed)?;
@@ -620,7 +622,7 @@
         }
         match command {
             Command::Parse { name, text, types } => {
-                self.count(|counts| counts.parses += 1);
+                self.update_counts(|counts| counts.parses += 1);
                 self.apply_fault(RequestStage::Parse)?;
                 if !name.is_empty() && self.statements.contains_key(name) {
                     self.put_error("42P05", "prepared statement already exists");
@@ -631,7 +633,7 @@
                 put_message(&mut self.out, b'1', &[]);
             }
             Command::Bind(bind) => {
-                self.count(|counts| counts.binds += 1);
+                self.update_counts(|counts| counts.binds += 1);
                 self.apply_fault(RequestStage::Bind)?;
                 let Some((text, types)) = self.statements.get(bind.statement) else {
                     self.put_error("26000", "prepared statement does not exist");
@@ -650,7 +652,7 @@
                 put_message(&mut self.out, b'2', &[]);
             }
             Command::Execute { portal, .. } => {
-                self.count(|counts| counts.executes += 1);
+                self.update_counts(|counts| counts.executes += 1);
                 self.apply_fault(RequestStage::PartialExecute)?;
                 let Some(portal) = self
                     .portals
@@ -683,7 +685,7 @@
                 }
             }
             Command::Close(object, name) => {
-                self.count(|counts| counts.closes += 1);
+                self.update_counts(|counts| counts.closes += 1);
                 match object {
                     ObjectKind::Statement => drop(self.statements.remove(name)),
                     ObjectKind::Portal => drop(self.portals.remove(name)),
--- a/crates/test-support/src/process.rs
+++ b/crates/test-support/src/process.rs
@@ -45,8 +45,9 @@
 }
 
 impl RouterProcess {
-    /// Starts the program at `exe` and waits until it listens. `known` is the endpoint list of its configuration,
-    /// `sockets` the limit `limits.sockets`, and `extensions` its extensions in YAML, if any.
+    /// Starts the program at `exe` and waits until it listens. In its configuration, `known` is the initial endpoint
+    /// list and `sockets` is the value of `limits.sockets`. `extensions` is the text of its extensions file (YAML), if
+    /// there is one.
     ///
     /// # Panics
     /// If the program can't be started or does not listen within [`WAIT_TIMEOUT`].
@@ -132,8 +133,11 @@
         }
     }
 
-    /// Replaces the extensions file and makes the router reload its configuration. The router must have been started with
-    /// extensions.
+    /// Replaces the extensions file and makes the router reload its configuration. The router must have been started
+    /// with extensions.
+    ///
+    /// # Panics
+    /// If the file can't be replaced or the signal can't be sent.
     pub fn reload_extensions(&self, extensions: &str) {
         let (new, path) = (
             self.dir.path().join("new.yaml"),
@@ -164,6 +168,9 @@
     }
 
     /// Replaces a top-level field of the configuration that the router started with and makes the router reload it.
+    ///
+    /// # Panics
+    /// If the file can't be replaced or the signal can't be sent.
     pub fn reload_config(&self, field: &str, value: Value) {
         let mut config = self.config.clone();
         config[field] = value;
@@ -219,7 +226,7 @@
         false
     }
 
-    /// Returns whether the last line of the log contains this counter.
+    /// Returns whether the last line of the log contains a counter with its value, such as `served=5`.
     pub fn has_final_counter(&self, text: &str) -> bool {
         self.log.with(|lines| {
             lines
--- a/crates/test-support/src/replica_set.rs
+++ b/crates/test-support/src/replica_set.rs
@@ -1,5 +1,5 @@
-//! State shared by the endpoints of a fake replica set: the primary, the rows, the idempotency keys of the deduplication
-//! window, and a log of all executed writes.
+//! State shared by the endpoints of a fake replica set: the primary, the rows, the idempotency keys of the
+//! deduplication window, and a log of all executed writes.
 
 use crate::shared_state::SharedState;
 use std::collections::HashMap;
@@ -20,7 +20,7 @@
     pub queries: usize,
 }
 
-/// Records all executed writes and counts the messages received.
+/// Records all executed writes of a replica set and counts the messages that its endpoints received.
 #[derive(Debug, Default)]
 pub struct ExecutionLog {
     /// The message counts by endpoint name.
@@ -58,16 +58,17 @@
 /// Selects how an endpoint handles a read for which its data is too stale.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StaleReadPolicy {
-    /// It returns stale data.
+    /// The endpoint returns stale data.
     Serve,
-    /// It rejects the read at once.
+    /// The endpoint rejects the read at once.
     #[default]
     Reject,
-    /// It waits for up to this duration to catch up, and rejects the read if that is too short.
+    /// The endpoint waits for up to this duration to catch up, and rejects the read if it still lags behind.
     Wait(Duration),
 }
 
-/// Requires a freshness of the data for the reads of a request class, beyond the position that a read itself names.
+/// Selects how fresh an endpoint's data must be for the reads of a request class, in addition to the position that a
+/// read itself names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
     /// The data includes the last write to the row.
@@ -195,12 +196,12 @@
             .wait_for(timeout, |state| find(&mut state.execution_log))
     }
 
-    /// Calls `count` with the message counts of an endpoint, which it changes.
-    pub(crate) fn count(&self, endpoint: &str, count: impl FnOnce(&mut MessageCounts)) {
+    /// Calls `update` with the message counts of an endpoint, which it may change.
+    pub(crate) fn update_counts(&self, endpoint: &str, update: impl FnOnce(&mut MessageCounts)) {
         self.0.with(
             |state| match state.execution_log.endpoints.get_mut(endpoint) {
-                Some(counts) => count(counts),
-                None => count(
+                Some(counts) => update(counts),
+                None => update(
                     state
                         .execution_log
                         .endpoints
--- a/crates/test-support/src/replica_set/tests.rs
+++ b/crates/test-support/src/replica_set/tests.rs
@@ -4,8 +4,8 @@
 
 const WRITE: &str = "INSERT INTO facts (code, data) VALUES ('a''b', 'v') RETURNING data /* id=00000000000000a1,d=5,k=k1 */";
 
-/// Guards the tests that look for writes executed twice: a wrong deduplication window would hide a second execution, or
-/// report one that the endpoint has suppressed.
+/// Guards the tests that search for writes executed twice: a fault in the deduplication would hide a second execution,
+/// or report one that did not happen.
 #[test]
 fn write_is_executed_again_only_when_its_key_repeats_outside_the_window() {
     let replica_set = FakeReplicaSet::new("p", Duration::ZERO, Duration::from_secs(100));
