--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -22,8 +22,9 @@
     (endpoint, discovery, router)
 }
 
-/// Guards the whole request path when a client sends its startup message and a query in one write: the endpoint must
-/// receive the statement unchanged except for a `d` no longer than the client's, and the client its own value.
+/// Guards against a query that is lost or altered because it arrives together with the startup message. The endpoint
+/// must receive the statement unchanged, except that `d` (the remaining time in ms) may be lower, and the client must
+/// receive the value of its own request.
 #[test]
 fn query_sent_together_with_startup_is_served() {
     let (endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
@@ -84,8 +85,8 @@
     assert!(sent.starts_with(&insert) && sent.ends_with(",k=5c0f6e1a2b3d4c59,cluster=2 */"));
 }
 
-/// Guards the protocol's mapping of endpoint responses to attempt outcomes: a wrong outcome misleads retries and
-/// outlier detection.
+/// Guards the mapping of endpoint responses to attempt outcomes: a wrong outcome causes wrong retries and wrong
+/// ejections by outlier detection.
 #[rstest]
 #[case(ScriptedResponse::Error("XX000"), "attempts_error")]
 #[case(ScriptedResponse::Error("53300"), "attempts_overloaded")]
@@ -177,8 +178,8 @@
     );
 }
 
-/// Guards against an attempt that is held after its deadline, and against a response that the client no longer waits
-/// for: the endpoint never responds.
+/// Guards against a response for which the client no longer waits: when the endpoint never responds, the router must
+/// give up the attempt and reject the request shortly before the client's deadline.
 #[test]
 fn client_is_rejected_before_its_deadline_when_the_endpoint_stays_silent() {
     let (_endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::NoResponse);
@@ -206,7 +207,7 @@
         client.simple_query(&select_query(1, 2000)).sqlstate,
         "53300"
     );
-    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
+    endpoint.response.with(|r| *r = ScriptedResponse::Serve);
     assert_eq!(
         client.simple_query(&select_query(2, 5000)).value,
         "0000000000000002"
@@ -255,7 +256,7 @@
     Eof,
 }
 
-/// Guards against attempts that continue after their client has disconnected, by Terminate or by closing its side.
+/// Guards against attempts that continue after their client has disconnected, by Terminate or by the end of its stream.
 #[rstest]
 #[case(Disconnect::Terminate)]
 #[case(Disconnect::Eof)]
@@ -283,8 +284,8 @@
     assert!(client.read_response().is_none());
 }
 
-/// Guards a request against others under the same id: those must fail, and the disconnect of their client must not
-/// cancel the first request.
+/// Guards an open request against later ones with the same id: those must fail, and when their client disconnects, the
+/// first request must not be cancelled.
 #[test]
 fn duplicate_request_id_fails_and_the_first_request_is_still_served() {
     let (endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::NoResponse);
@@ -318,7 +319,7 @@
         )
         .unwrap();
     while terminating_client.read_response().is_some() {}
-    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
+    endpoint.response.with(|r| *r = ScriptedResponse::Serve);
     assert_eq!(
         first_client.read_response().unwrap().value,
         "0000000000000001"
@@ -360,7 +361,7 @@
             && router.wait_for_counter("attempts_timed_out=1")
             && router.wait_for_counter("attempts_cancelled=0")
     );
-    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
+    endpoint.response.with(|r| *r = ScriptedResponse::Serve);
     assert!(
         endpoint
             .activity
@@ -422,7 +423,8 @@
     );
 }
 
-/// Guards the connection table against clients that send part of a message and never the rest.
+/// Guards against client connections that are held for ever because their client sends part of a message and never the
+/// rest.
 #[test]
 fn connection_is_closed_when_a_message_stalls_midway() {
     let (_endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
@@ -439,10 +441,10 @@
     assert!(router.wait_for_log("reason: stalled"));
 }
 
-/// Guards the order of extended query messages while they are not supported: one error for the whole pipeline, and the
-/// next query after its Sync is served.
+/// Guards against several errors for one extended query where extended queries are switched off: its messages up to
+/// Sync must get a single error, and the next query must be served.
 #[test]
-fn unsupported_extended_query_gets_one_error_until_its_sync() {
+fn extended_query_gets_one_error_when_extended_queries_are_off() {
     let (_endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
     let mut client = router.connect_client();
     let sequence = [
@@ -472,7 +474,7 @@
     assert!(
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (c.len() > 4).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |paths| (paths.len() > 4).then_some(()))
             .is_some()
     );
     client.stream.set_nonblocking(true).unwrap();
@@ -509,12 +511,12 @@
     );
 }
 
-/// Guards against half a list taken for a whole one: without a length only the end of the connection ends the body, and
-/// a reset must not count as that end. The known list stays, and the router polls again.
+/// Guards against half a list that is accepted as a whole one. A body without a length ends with its connection, and a
+/// reset must not count as that end: the known list stays in use, and the router polls again.
 #[test]
 fn endpoint_list_cut_off_by_a_reset_is_discarded_and_polled_again() {
     let (endpoint, discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
-    let polls_before = discovery.requested_paths.with(|c| c.len());
+    let polls_before = discovery.requested_paths.with(|paths| paths.len());
     discovery
         .fault_mode
         .with(|m| *m = DiscoveryFaultMode::ResetMidBody);
@@ -533,8 +535,8 @@
     discovery
         .fault_mode
         .with(|m| *m = DiscoveryFaultMode::Normal);
-    let polled_again = |c: &mut Vec<String>| {
-        c[polls_before..]
+    let polled_again = |paths: &mut Vec<String>| {
+        paths[polls_before..]
             .iter()
             .any(|p| p.contains("since=2&"))
             .then_some(())
@@ -565,8 +567,9 @@
     let mut client = router.connect_client();
     discovery.publish(list("draining"));
     // The next poll of the watch carries the version in which the endpoint is draining.
-    let drain_received = |c: &mut Vec<String>| {
-        c.iter()
+    let drain_received = |paths: &mut Vec<String>| {
+        paths
+            .iter()
             .any(|p| p.contains("since=2&timeout_ms=3000"))
             .then_some(())
     };
@@ -660,7 +663,7 @@
 }
 
 /// Guards against repeated connects under light traffic, caused by idle connections that are closed long before the
-/// endpoint's idle timeout. That none is closed too late, `MAX_IDLE_FRACTION` asserts at compile time.
+/// endpoint's idle timeout. An assertion on `MAX_IDLE_FRACTION` at compile time checks that none is closed too late.
 #[test]
 fn idle_upstream_connection_is_kept_for_most_of_the_endpoint_idle_timeout() {
     let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
@@ -699,10 +702,10 @@
             .value,
         "0000000000000001"
     );
-    let polls_before = discovery.requested_paths.with(|c| c.len());
+    let polls_before = discovery.requested_paths.with(|paths| paths.len());
     discovery.publish(vec![list_entry("s-1", endpoint.address, "ready")]);
-    let polled_again = |c: &mut Vec<String>| {
-        c[polls_before..]
+    let polled_again = |paths: &mut Vec<String>| {
+        paths[polls_before..]
             .iter()
             .any(|p| p.contains("timeout_ms=8000"))
             .then_some(())
@@ -730,8 +733,8 @@
     let poll_received = |count: usize| {
         discovery
             .requested_paths
-            .wait_for(Duration::from_millis(2000), |c| {
-                (c.len() >= count).then_some(())
+            .wait_for(Duration::from_millis(2000), |paths| {
+                (paths.len() >= count).then_some(())
             })
     };
     assert!(poll_received(1).is_some());
@@ -755,13 +758,13 @@
     assert!(
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (c.len() >= 2).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |paths| (paths.len() >= 2).then_some(()))
             .is_some()
     );
     assert!(
         discovery
             .requested_paths
-            .with(|c| c[1].contains("timeout_ms=3000"))
+            .with(|paths| paths[1].contains("timeout_ms=3000"))
     );
     assert!(
         router.counters().contains(
@@ -770,13 +773,15 @@
     );
 }
 
-/// Guards against a list change that is lost when an open watch falls silent: the watch is opened again on a new
-/// connection, the missed list is received, and only a timeout is counted.
+/// Guards against a list change that is lost because an open watch receives no response. The watch must be opened again
+/// on a new connection and receive the missed list before the change counts as notified, 6 s after the silence began.
+/// Only a timeout is counted.
 #[test]
 fn silent_list_watch_is_opened_again_and_receives_the_missed_list() {
     let (endpoint, discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
-    let watch_opened = |c: &mut Vec<String>| {
-        c.iter()
+    let watch_opened = |paths: &mut Vec<String>| {
+        paths
+            .iter()
             .any(|p| p.contains("timeout_ms=3000"))
             .then_some(())
     };
@@ -790,9 +795,9 @@
     discovery.stall_open_connections();
     let silent_since = Instant::now();
     discovery.publish(vec![list_entry("s-1", endpoint.address, "draining")]);
-    let polls_before = discovery.requested_paths.with(|c| c.len());
-    let polled_again = |c: &mut Vec<String>| {
-        c[polls_before..]
+    let polls_before = discovery.requested_paths.with(|paths| paths.len());
+    let polled_again = |paths: &mut Vec<String>| {
+        paths[polls_before..]
             .iter()
             .any(|p| p.contains("since=2&"))
             .then_some(())
@@ -827,7 +832,9 @@
     let nth_poll_time = |count: usize| {
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (c.len() >= count).then(Instant::now))
+            .wait_for(WAIT_TIMEOUT, |paths| {
+                (paths.len() >= count).then(Instant::now)
+            })
             .unwrap()
     };
     let (first, last) = (nth_poll_time(4), nth_poll_time(14));
@@ -838,14 +845,16 @@
     );
 }
 
-/// Guards SIGHUP: the router must switch to the discovery address in the file, whatever the environment contained at
-/// the start, and accept the whole list from there although its versions are lower.
+/// Guards against a reload (SIGHUP) that keeps the old discovery address or rejects the new service's list: the router
+/// must switch to the address in the file, whatever the environment contained at the start, and accept the whole list
+/// from there although its versions are lower.
 #[test]
 fn reload_switches_to_the_new_discovery_and_accepts_its_list() {
     let (old_endpoint, discovery, mut router) = start_with_one_endpoint(ScriptedResponse::Serve);
     discovery.publish(vec![list_entry("s-1", old_endpoint.address, "ready")]);
-    let watch_opened = |c: &mut Vec<String>| {
-        c.iter()
+    let watch_opened = |paths: &mut Vec<String>| {
+        paths
+            .iter()
             .any(|p| p.contains("since=2&timeout_ms=3000"))
             .then_some(())
     };
@@ -862,11 +871,13 @@
     assert!(
         new_discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (c.len() > 1).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |paths| (paths.len() > 1).then_some(()))
             .is_some()
     );
     assert_eq!(
-        new_discovery.requested_paths.with(|c| c[..2].to_vec()),
+        new_discovery
+            .requested_paths
+            .with(|paths| paths[..2].to_vec()),
         ["/api/targets", "/api/targets?since=1&timeout_ms=3000"]
     );
     assert_eq!(
@@ -896,7 +907,7 @@
     assert!(
         silent_discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (c.len() == 1).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |paths| (paths.len() == 1).then_some(()))
             .is_some()
     );
     let new_discovery =
@@ -905,7 +916,7 @@
     assert!(
         new_discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (!c.is_empty()).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |paths| (!paths.is_empty()).then_some(()))
             .is_some()
     );
     let counters = router.counters();
@@ -915,8 +926,8 @@
     );
 }
 
-/// Guards a router that knows no list version: a poll for the whole list does not wait for changes, so silence must be
-/// detected before the ten seconds that a watch may take.
+/// Guards against a slow retry while the router knows no list version: a poll for the whole list does not wait for
+/// changes, so silence must be detected before the ten seconds that a watch may take.
 #[test]
 fn poll_for_the_whole_list_is_repeated_within_nine_seconds_of_silence() {
     let (_endpoint, _discovery, router) = start_with_one_endpoint(ScriptedResponse::Serve);
@@ -928,17 +939,19 @@
     assert!(
         silent_discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (!c.is_empty()).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |paths| (!paths.is_empty()).then_some(()))
             .is_some()
     );
     let repeated = silent_discovery
         .requested_paths
-        .wait_for(Duration::from_secs(9), |c| (c.len() >= 2).then_some(()));
+        .wait_for(Duration::from_secs(9), |paths| {
+            (paths.len() >= 2).then_some(())
+        });
     assert!(repeated.is_some(), "the poll was not repeated");
     assert!(
         silent_discovery
             .requested_paths
-            .with(|c| c.iter().all(|path| path == "/api/targets"))
+            .with(|paths| paths.iter().all(|path| path == "/api/targets"))
     );
 }
 
@@ -1070,7 +1083,7 @@
     };
     let idle_clients: Vec<Client> = (1..=14).map(connect_and_query).collect();
     let started = Instant::now();
-    let evicted = |l: &mut Vec<String>| l.iter().any(|l| l.contains("reason: evicted"));
+    let evicted = |lines: &mut Vec<String>| lines.iter().any(|l| l.contains("reason: evicted"));
     let mut id = 100;
     while !router.log.with(evicted) {
         assert!(
@@ -1083,7 +1096,7 @@
     drop(idle_clients);
 }
 
-/// Guards regular clients against hundreds of connections that never send a byte: those are evicted first, a connection
+/// Guards regular clients against a hundred connections that never send a byte: those are evicted first, a connection
 /// in use stays open, new clients are served, and silent connections are closed even when no descriptor is needed.
 #[test]
 fn silent_connections_are_evicted_first_and_closed_after_the_startup_timeout() {
@@ -1145,8 +1158,8 @@
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
 }
 
-/// Guards the descriptors for endpoints when there are more endpoints than descriptors: the connections that were idle
-/// longest are evicted, no request fails, and an endpoint in use keeps its connection.
+/// Guards against requests that fail because there are more endpoints than descriptors for them: the connections that
+/// were idle longest are evicted, and an endpoint in use keeps its connection.
 #[test]
 fn idle_upstream_connections_are_evicted_when_endpoints_exceed_the_descriptors() {
     let endpoints: Vec<FakeEndpoint> = (0..24)
@@ -1191,7 +1204,7 @@
     );
     endpoint
         .response
-        .with(|a| *a = ScriptedResponse::NoResponse);
+        .with(|r| *r = ScriptedResponse::NoResponse);
     waiting_client
         .stream
         .write_all(&query_message(&select_query(1, 20_000)))
@@ -1204,7 +1217,7 @@
     );
     router.signal("TERM");
     assert!(idle_client.read_response().is_none());
-    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
+    endpoint.response.with(|r| *r = ScriptedResponse::Serve);
     let mut new_client = Client::connect(router.address);
     new_client
         .stream
