--- a/crates/router/tests/edges.rs
+++ b/crates/router/tests/edges.rs
@@ -24,7 +24,7 @@
 }
 
 impl Disconnect {
-    /// Disconnects the client. Returns it where its socket stays open, so that the caller keeps it.
+    /// Disconnects the client. Returns it if its socket must stay open afterwards.
     fn apply(self, client: Client) -> Option<Client> {
         match self {
             Disconnect::Eof => client.stream.shutdown(Shutdown::Write).unwrap(),
@@ -65,7 +65,7 @@
     settings
 }
 
-/// Starts an endpoint and a router whose endpoint list contains only this one.
+/// Starts an endpoint of `role` and a router whose endpoint list contains only this one.
 fn start_with_one_endpoint(
     role: &'static str,
     scripted_response: ScriptedResponse,
@@ -101,8 +101,8 @@
     );
 }
 
-/// Guards endpoints against work without a client: an attempt that waits for its connection must be withdrawn when its
-/// client disconnects, although the settings forbid cancelling. The connection then serves the next request.
+/// Guards endpoints against requests whose client has disconnected: an attempt that still waits for its connection must
+/// be withdrawn then, although the settings forbid cancelling. The connection serves the next request.
 #[rstest]
 fn attempt_waiting_for_its_connection_is_withdrawn_when_the_client_disconnects(
     #[values(Disconnect::Eof, Disconnect::Reset, Disconnect::Terminate)] disconnect: Disconnect,
@@ -184,7 +184,7 @@
     drop(client);
     assert!(router.wait_for_counter("client_left=1"));
     let queries_before = query_count(&endpoint);
-    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
+    endpoint.response.with(|r| *r = ScriptedResponse::Serve);
     assert_eq!(
         router
             .connect_client()
@@ -220,7 +220,7 @@
     wait_for_queries(&endpoint, 1);
     let _open_client = disconnect.apply(client);
     assert!(router.wait_for_counter("client_left=1"));
-    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
+    endpoint.response.with(|r| *r = ScriptedResponse::Serve);
     assert!(router.wait_for_counter("attempts_served=1"));
     assert_eq!(
         (
@@ -231,8 +231,8 @@
     );
 }
 
-/// Guards against a disconnect that goes unnoticed behind unread bytes: the router stops reading at its read-ahead
-/// limit and must poll the socket for a hang-up.
+/// Guards against a disconnect that is not detected because unread bytes precede the end of the stream: the router
+/// stops reading at its read-ahead limit and must poll the socket for a hang-up.
 #[test]
 fn disconnect_behind_unread_bytes_is_detected() {
     let (endpoint, _discovery, router) = start_with_one_endpoint(
@@ -304,7 +304,7 @@
             .collect::<Vec<u8>>(),
     );
     wait_for_queries(&endpoint, 8);
-    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
+    endpoint.response.with(|r| *r = ScriptedResponse::Serve);
     for id in 1..=8 {
         assert_eq!(client.read_response().unwrap().value, format!("{id:016x}"));
     }
@@ -559,11 +559,12 @@
         client.send(&startup_message());
         idle_clients.push(client);
     }
-    let polls_before = discovery.requested_paths.with(|c| c.len());
+    let polls_before = discovery.requested_paths.with(|paths| paths.len());
     assert!(
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (c.len() > polls_before + 2).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |paths| (paths.len() > polls_before + 2)
+                .then_some(()))
             .is_some()
     );
     discovery.publish(vec![list_entry("s-1", endpoint.address, "ready")]);
@@ -606,7 +607,7 @@
 
 /// Guards the memory limit against long lists: an endpoint that is listed but unused must cost less than 48 kB.
 #[test]
-fn unused_endpoints_cost_little_memory() {
+fn unused_endpoint_costs_less_than_48_kb_of_memory() {
     let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let peak_memory_kb = |endpoints: usize| -> u64 {
         let list: Vec<Value> = (0..endpoints)
@@ -695,7 +696,7 @@
         }
     }
     for endpoint in &endpoints {
-        endpoint.response.with(|a| *a = ScriptedResponse::Serve);
+        endpoint.response.with(|r| *r = ScriptedResponse::Serve);
         endpoint.set_startup_blocked(false);
     }
     router.signal("TERM");
