--- a/crates/router/tests/upstream.rs
+++ b/crates/router/tests/upstream.rs
@@ -42,7 +42,8 @@
     let router = start_router(&discovery, &list, 1024);
     // The first poll follows once the list of the configuration is in use, the next poll once a newer list is.
     let has_polled = |text: &str| {
-        let polled = |c: &mut Vec<String>| c.iter().any(|path| path.contains(text)).then_some(());
+        let polled =
+            |paths: &mut Vec<String>| paths.iter().any(|path| path.contains(text)).then_some(());
         discovery
             .requested_paths
             .wait_for(WAIT_TIMEOUT, polled)
@@ -57,8 +58,8 @@
     peak_memory_kb(router.pid())
 }
 
-/// Guards the memory of a router in a large deployment. The limit for 3,200 endpoints is 1.5 times the peak with 200,
-/// plus 8 MB, plus 4 MB per thousand endpoints.
+/// Guards against a router that needs too much memory in a large deployment. The limit for 3,200 endpoints is 1.5 times
+/// the peak with 200, plus 8 MB, plus 4 MB per thousand endpoints.
 #[test]
 fn list_of_3200_endpoints_stays_within_the_memory_limit() {
     let (small_kb, large_kb) = (idle_peak_memory_kb(200), idle_peak_memory_kb(3200));
@@ -204,8 +205,9 @@
     }
 }
 
-/// Guards the drain grace although the router may be delayed by 0.15 s after it has read its clock: a connection
-/// that is established in the last 0.15 s of the grace must carry no request, and none may with a shorter grace.
+/// Guards against a request that reaches an endpoint after its drain grace, because the router was delayed by up to
+/// 0.15 s after it had read its clock. A connection that is established in the last 0.15 s of the grace must carry no
+/// request, nor must any connection if the grace itself is shorter.
 #[rstest]
 #[case(250, 140, false)]
 #[case(100, 0, false)]
@@ -231,8 +233,12 @@
     let mut endpoint = ManualEndpoint::accept(&listener);
     discovery.publish(vec![list_entry("s-1", address, "draining")]);
     // The next poll shows that the list has been read.
-    let polled_again =
-        |c: &mut Vec<String>| c.iter().any(|path| path.contains("since=2")).then_some(());
+    let polled_again = |paths: &mut Vec<String>| {
+        paths
+            .iter()
+            .any(|path| path.contains("since=2"))
+            .then_some(())
+    };
     assert!(
         discovery
             .requested_paths
@@ -256,8 +262,8 @@
     assert!(status.unwrap().success());
 }
 
-/// Guards an endpoint against a shortage of the router's host: without a free descriptor the router can't connect,
-/// which must neither count as a fault of the endpoint nor exclude it afterwards.
+/// Guards against an endpoint that is ejected for a shortage on the router's host: a connect that fails because the
+/// router has no free descriptor must not count as a fault of the endpoint, which must be used again afterwards.
 #[test]
 fn shortage_of_descriptors_does_not_count_against_the_endpoint() {
     let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
@@ -268,7 +274,7 @@
     assert!(
         discovery
             .requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (!c.is_empty()).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |paths| (!paths.is_empty()).then_some(()))
             .is_some()
     );
     limit_descriptors(router.pid(), 1);
@@ -353,7 +359,7 @@
 #[rstest]
 #[case(400, true)]
 #[case(3000, false)]
-fn statement_prepared_again_carries_the_remaining_time(
+fn statement_prepared_again_carries_the_remaining_time_or_is_dropped_after_the_deadline(
     #[case] delay_ms: u64,
     #[case] is_resent: bool,
 ) {
@@ -410,7 +416,7 @@
 }
 
 /// Guards requests with very little time left, which an endpoint drops without a response: each must be rejected soon
-/// after its deadline, and the endpoint must not be excluded for it.
+/// after its deadline, and the endpoint must not be ejected for it.
 #[test]
 fn requests_with_short_deadlines_are_rejected_without_ejecting_the_endpoint() {
     let endpoint = FakeEndpoint::start("master", ScriptedResponse::NoResponse);
@@ -434,7 +440,7 @@
         .activity
         .with(|s| s.queries.iter().map(|q| remaining_ms(q)).max());
     assert!(max_sent_ms.is_none_or(|ms| ms <= 40), "{max_sent_ms:?}");
-    endpoint.response.with(|a| *a = ScriptedResponse::Serve);
+    endpoint.response.with(|r| *r = ScriptedResponse::Serve);
     assert_eq!(
         client.simple_query(&select_query(100, 5000)).value,
         format!("{:016x}", 100)
