--- a/crates/router/tests/acceptance.rs
+++ b/crates/router/tests/acceptance.rs
@@ -44,10 +44,10 @@
 }
 
 /// Guards requests against a kill that comes one second after SIGTERM, where the longest deadline is 0.3 s. The
-/// endpoint hangs throughout and the clients send on every open connection: each request sent within 0.7 s must have
-/// its response by then, or have met the end of its connection.
+/// endpoint hangs throughout and the clients send on every open connection: by the kill, each request that was sent
+/// within 0.7 s must have its response, or its connection must have ended.
 #[test]
-fn requests_have_responses_at_the_kill_when_deadlines_are_short() {
+fn requests_get_responses_before_the_kill_when_deadlines_are_short() {
     const DEADLINE_MS: u64 = 300;
     const SENT_AT_MS: [u64; 9] = [0, 100, 200, 300, 400, 500, 580, 640, 680];
     let deadline = Duration::from_millis(DEADLINE_MS);
@@ -186,12 +186,12 @@
             })
             .is_some()
     );
-    let used = processor_ticks(router.pid());
+    let ticks_before = processor_ticks(router.pid());
     std::thread::sleep(Duration::from_millis(500));
-    let used = processor_ticks(router.pid()) - used;
+    let used_ticks = processor_ticks(router.pid()) - ticks_before;
     assert!(
-        used < 25,
-        "{used} of 50 ticks of processor time used during the shortage"
+        used_ticks < 25,
+        "{used_ticks} of 50 ticks of processor time used during the shortage"
     );
     limit_descriptors(router.pid(), 1024);
     assert_eq!(client.read_response().unwrap().tags, "RSSSKZ");
@@ -221,7 +221,7 @@
     router.reload_config("discovery", last.address.to_string().into());
     assert!(
         last.requested_paths
-            .wait_for(WAIT_TIMEOUT, |c| (!c.is_empty()).then_some(()))
+            .wait_for(WAIT_TIMEOUT, |paths| (!paths.is_empty()).then_some(()))
             .is_some()
     );
     assert_eq!(
@@ -233,8 +233,9 @@
     );
 }
 
-/// Guards slow start against a router clock that is an hour behind the platform's: the latest reported start time must
-/// count as past, so that an endpoint started a minute earlier has completed its slow start.
+/// Guards against an endpoint that is kept in slow start because the router's clock is an hour behind the platform's:
+/// the latest reported start time must count as past, so that an endpoint started a minute earlier has completed its
+/// slow start.
 #[test]
 fn endpoint_has_completed_slow_start_although_the_clock_is_an_hour_behind() {
     const HOUR_MS: u64 = 3_600_000;
@@ -295,7 +296,7 @@
         StopsAfter::HeaderWithLargeLength
     )]
     stops_after: StopsAfter,
-    #[values(false, true)] is_dripping: bool,
+    #[values(false, true)] is_sending_single_bytes: bool,
 ) {
     let (_endpoint, _discovery, router) =
         start_with_one_endpoint(ScriptedResponse::Serve, base_settings());
@@ -329,8 +330,8 @@
         stops_after,
         StopsAfter::Nothing | StopsAfter::Startup | StopsAfter::HalfStartup
     );
-    let dripper = std::thread::spawn(move || {
-        while is_dripping
+    let single_byte_sender = std::thread::spawn(move || {
+        while is_sending_single_bytes
             && is_inside_query
             && stopped.elapsed() < WAIT_TIMEOUT
             && writer.write_all(b"x").is_ok()
@@ -345,7 +346,7 @@
         stopped.elapsed()
     );
     drop(client);
-    dripper.join().unwrap();
+    single_byte_sender.join().unwrap();
 }
 
 /// Guards against requests that fail because a signal interrupts a system call (EINTR).
