--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -4,7 +4,7 @@
 pub use reelrill_test_support::*;
 use serde_json::Value;
 
-/// Starts the router with the endpoint list, descriptor limit and settings given and waits until it listens.
+/// Starts the router with the given endpoint list, descriptor limit and settings, and waits until it listens.
 /// `extensions` is the text of the extensions file (YAML), if there is one.
 pub fn start_router_with(
     discovery: &FakeDiscovery,
@@ -38,7 +38,7 @@
     )
 }
 
-/// Returns a read of class `board` for replica set 2, with `wait_ms` as the time in milliseconds that the client waits.
+/// Returns a read of class `board` for replica set 2, for whose response the client waits `wait_ms` milliseconds.
 pub fn select_query(id: u64, wait_ms: u64) -> String {
     format!(
         "SELECT data FROM facts WHERE code = 'k' /* id={id:016x},c=board,d={wait_ms},cluster=2 */"
--- a/crates/router/tests/interrupted.rs
+++ b/crates/router/tests/interrupted.rs
@@ -11,7 +11,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Accepts three bytes per write; every other call fails as interrupted.
+/// Accepts up to three bytes per write. The first call, and then every second one, fails as interrupted.
 #[derive(Default)]
 struct InterruptedWriter {
     written: Vec<u8>,
