--- a/crates/service-discovery/tests/browse.rs
+++ b/crates/service-discovery/tests/browse.rs
@@ -14,8 +14,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+/// One millisecond in nanoseconds, the unit of all times in these tests.
 const MILLISECOND: u64 = 1_000_000;
 const SECOND: u64 = 1000 * MILLISECOND;
+/// The time between a query and its response.
 const ROUND_TRIP: u64 = 2 * MILLISECOND;
 
 /// A browser with the zones of its simulated servers, and the endpoint registry that it updates.
@@ -214,8 +216,8 @@
     }
 }
 
-/// Guards against late or wrong changes: additions, removals and drains must take effect within the minimum TTL, and an
-/// outdated record must not lift a drain.
+/// Guards against late or wrong changes: additions and drains must take effect within the minimum TTL of 1 s, removals
+/// within 3 s, and an outdated record must not lift a drain.
 #[test]
 fn changes_take_effect_within_the_minimum_ttl() {
     let mut simulation = Simulation::new(vec![zone(5)]);
@@ -404,8 +406,8 @@
     assert_eq!(simulation.list.len(), 100);
 }
 
-/// Guards the meaning of SRV priority and weight (RFC 2782): endpoints of a higher tier are on standby until none of a
-/// lower tier is in service, and the weight is the capacity.
+/// Guards the interpretation of SRV priority and weight (RFC 2782): endpoints of a higher tier are on standby until none
+/// of a lower tier is in service, and the weight is the capacity.
 #[test]
 fn priority_sets_the_tier_and_weight_the_capacity() {
     let mut zone = zone(4);
@@ -429,7 +431,8 @@
     assert_eq!(simulation.list["s-3"].state, ClaimedState::Ready);
 }
 
-/// Guards subtypes, whose endpoints have names under the service itself, and hosts that only have an IPv6 address.
+/// Guards against endpoints that are not listed because the browsed service is a subtype, whose endpoints have names
+/// under the service itself, or because a host only has an IPv6 address.
 #[rstest]
 fn endpoints_of_subtypes_and_ipv6_hosts_are_listed(
     #[values(DnsFaultMode::Normal, DnsFaultMode::NoAdditionalRecords)] fault_mode: DnsFaultMode,
--- a/crates/service-discovery/tests/reference.rs
+++ b/crates/service-discovery/tests/reference.rs
@@ -13,6 +13,7 @@
 /// One tick of the timer wheel, in nanoseconds. All times are whole ticks, so that both implementations process
 /// expiries at the same time.
 const TICK: u64 = 1 << 20;
+/// A thousand ticks, or 1.05 s.
 const SECOND: u64 = 1000 * TICK;
 const HEARTBEAT_TTL: u64 = 30 * SECOND;
 
@@ -78,7 +79,7 @@
             .collect()
     }
 
-    fn remove(&mut self, source: u16, name: &str) -> Option<(Uid, StoredClaim)> {
+    fn remove_claim(&mut self, source: u16, name: &str) -> Option<(Uid, StoredClaim)> {
         let index = self
             .claims
             .iter()
@@ -114,7 +115,7 @@
             self.reported_drains.remove(&uid);
         }
         let earlier = self
-            .remove(source, name)
+            .remove_claim(source, name)
             .filter(|(earlier_uid, _)| *earlier_uid == uid);
         let unchanged = earlier.filter(|(_, stored)| {
             Claim {
@@ -184,7 +185,7 @@
     }
 
     fn handle_withdrawal(&mut self, source: u16, name: &str, withdrawal: Withdrawal) {
-        if let Some((uid, stored)) = self.remove(source, name)
+        if let Some((uid, stored)) = self.remove_claim(source, name)
             && withdrawal == Withdrawal::Removed
         {
             let kind = self.sources[&source].0;
