--- a/crates/router/tests/acceptance.rs
+++ b/crates/router/tests/acceptance.rs
@@ -47,7 +47,7 @@
 /// endpoint hangs throughout and the clients send on every open connection: by the kill, each request that was sent
 /// within 0.7 s must have its response, or its connection must have ended.
 #[test]
-fn requests_get_responses_before_the_kill_when_deadlines_are_short() {
+fn requests_have_responses_at_the_kill_when_deadlines_are_short() {
     const DEADLINE_MS: u64 = 300;
     const SENT_AT_MS: [u64; 9] = [0, 100, 200, 300, 400, 500, 580, 640, 680];
     let deadline = Duration::from_millis(DEADLINE_MS);
--- a/crates/router/tests/edges.rs
+++ b/crates/router/tests/edges.rs
@@ -607,7 +607,7 @@
 
 /// Guards the memory limit against long lists: an endpoint that is listed but unused must cost less than 48 kB.
 #[test]
-fn unused_endpoint_costs_less_than_48_kb_of_memory() {
+fn unused_endpoints_cost_little_memory() {
     let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
     let peak_memory_kb = |endpoints: usize| -> u64 {
         let list: Vec<Value> = (0..endpoints)
