--- a/crates/router/tests/extended.rs
+++ b/crates/router/tests/extended.rs
@@ -105,7 +105,7 @@
 }
 
 /// Guards against a statement that is parsed again at the endpoint for each execution, and against an endpoint that
-/// gets the client's full time (`d`) instead of what is left of it.
+/// gets the client's whole timeout (`d`, in ms) instead of the time that is left of it.
 #[test]
 fn statement_is_prepared_once_when_it_is_executed_repeatedly() {
     let (replica_set, endpoints, _discovery, router) = start_with_replica_set(&["a"], EXTENDED_ON);
@@ -143,8 +143,8 @@
     assert!(remaining_ms <= 5000 && remaining_ms > 1000, "{sent_query}");
 }
 
-/// Guards against an error with a wrong SQLSTATE, commands behind it that are executed before the next Sync, and a
-/// connection that is unusable after that Sync.
+/// Guards against an invalid or unsupported command that gets the wrong SQLSTATE, against later commands of its segment
+/// that are executed all the same, and against a connection that stays unusable after the Sync.
 #[rstest]
 #[case(&[bind_and_execute("x", &[])], "EZ", "26000")]
 #[case(&[execute_message("x", 0)], "EZ", "34000")]
@@ -427,8 +427,8 @@
     );
 }
 
-/// Guards against an evicted statement that is executed without being prepared again, or stays open at the endpoint:
-/// with a limit of one statement per upstream connection, each execution evicts the other statement.
+/// Guards against an evicted statement that is executed without being prepared again, or stays open at the endpoint.
+/// The limit is one statement per upstream connection, so each execution evicts the other of two statements.
 #[test]
 fn evicted_statement_is_closed_and_prepared_again() {
     let (replica_set, _endpoints, _discovery, router) =
@@ -456,7 +456,7 @@
 }
 
 /// Guards against a write that is sent, or gets a response, although an earlier command of its segment failed; and
-/// against effects of the skipped commands on those after the Sync.
+/// against a write after the Sync that is not served because of the skipped commands.
 #[rstest]
 #[case(READ_TEXT, &[Some("k"), Some("00000000000000f1"), Some("300")])]
 #[case(WRITE_TEXT, &[Some("k"), Some("v"), Some("300"), Some("kx")])]
@@ -589,8 +589,8 @@
     );
 }
 
-/// Guards against a cancel request after which the open request still waits, gets more than one response, or the
-/// commands behind it are executed; and against an effect of one with a wrong key or without an open request.
+/// Guards against a cancel request that leaves the open request waiting, gives it more than one response, or lets the
+/// later commands of its segment succeed. A cancel request with a wrong key, or without an open request, has no effect.
 #[test]
 fn cancel_request_fails_the_open_request_and_skips_the_rest_of_its_segment() {
     let (endpoint, _discovery, router) =
@@ -634,8 +634,8 @@
 }
 
 /// Guards against statement texts that are stored once per client, so that many clients with the same texts exceed the
-/// limit; and against a client with too many texts that is no longer served after the error, or takes the service from
-/// other clients.
+/// limit; and against a client with too many texts that is no longer served after the error, or keeps the router from
+/// serving other clients.
 #[test]
 fn statement_texts_are_shared_between_clients_and_bounded() {
     let extensions = "extended: {mode: on, limits: {statements: 100000, all_statements: 65536, text_bytes: 1000000}}";
@@ -691,7 +691,7 @@
         assert_eq!(client.extended_query(&[execute_read(name, 2)]).tags, "2DCZ");
     }
     drop(excessive_client);
-    // The memory of its texts is available again.
+    // The disconnected client's texts no longer count towards the limit.
     let mut next_client = router.connect_client();
     let mut response = Response::default();
     for _ in 0..1000 {
@@ -744,7 +744,7 @@
 /// Guards against a router that stops, or keeps more and more memory, when clients send valid commands with randomly
 /// changed bytes (from a fixed seed).
 #[test]
-fn router_keeps_serving_within_its_memory_after_corrupted_messages() {
+fn router_keeps_serving_and_its_memory_stays_bounded_after_corrupted_messages() {
     let (_endpoint, _discovery, router) = start_with_endpoint(ScriptedResponse::Serve, EXTENDED_ON);
     let resident_kib = |router: &RouterProcess| {
         let status = std::fs::read_to_string(format!("/proc/{}/status", router.pid())).unwrap();
@@ -836,7 +836,7 @@
 
 /// Guards against unsafe literals in the mode `translate`, which replaces parameters by literals for endpoints that
 /// support only simple queries: a value that can't be quoted safely must be rejected before anything is sent. Guards
-/// also against a wait time (`d`) that is not reduced to what is left.
+/// also against a query without its remaining timeout (`d`, in ms), or with one above the class's deadline, 30,000 ms.
 #[test]
 fn parameters_become_quoted_literals_in_translate_mode() {
     let endpoint = FakeEndpoint::start_simple_query_only("master");
@@ -899,8 +899,9 @@
     assert_eq!(query_count(&endpoint), 1);
 }
 
-/// Guards against responses that a real driver rejects: tokio-postgres prepares, pipelines, cancels and discards
-/// statements, with endpoints that support extended queries and with endpoints that support only simple queries.
+/// Guards against responses that a real driver rejects. With tokio-postgres, the test prepares, pipelines, cancels and
+/// discards statements, in one case with an endpoint that supports extended queries, in the other with one that
+/// supports only simple queries.
 #[rstest]
 fn tokio_postgres_driver_is_served_in_each_mode(#[values("on", "translate")] mode: &str) {
     let replica_set = FakeReplicaSet::new("a", Duration::ZERO, Duration::from_secs(2));
@@ -949,8 +950,8 @@
         for row in join_all(reads).await {
             assert_eq!(row.unwrap().get::<_, &[u8]>(0), data);
         }
-        // A null for `d` leaves the time to the router; a null for the key is an error. A value of another type is
-        // rejected by the driver itself.
+        // With a null for `d`, the timeout is the class's deadline; a null for the key is an error. A value of another
+        // type is rejected by the driver itself.
         let row = client
             .query_one(&read, &[&"pier-7", &None::<i32>])
             .await
@@ -999,7 +1000,8 @@
     assert!(replica_set.with_execution_log(|l| l.keys_executed_more_than_once().is_empty()));
 }
 
-/// Guards against extended queries, SET or cancel keys that are available although no extensions enable them.
+/// Guards against extended queries, the SET command or cancel keys that are available without the extensions that
+/// enable them.
 #[test]
 fn extended_queries_are_rejected_without_extensions() {
     let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
--- a/crates/router/tests/membership.rs
+++ b/crates/router/tests/membership.rs
@@ -65,8 +65,8 @@
     unreachable!()
 }
 
-/// Guards against endpoints that are never found, or a new one that needs a restart, when DNS is the only source: with
-/// responses without additional records, truncated ones (repeated over TCP), lost ones and late ones.
+/// Guards against endpoints that are not found, or are found only after a restart of the router, when DNS is the only
+/// source. Its responses have no additional records, are truncated (and repeated over TCP), lost or late.
 #[rstest]
 fn endpoints_are_found_when_dns_is_the_only_source(
     #[values(
@@ -172,8 +172,8 @@
     );
 }
 
-/// Guards against new requests to an endpoint that itself responds that it is shutting down (SQLSTATE 57P03), although
-/// its DNS records still advertise it; it is eligible again once it serves.
+/// Guards against new requests to an endpoint that has itself responded that it is shutting down (SQLSTATE 57P03),
+/// while its DNS records still advertise it. They resume only after it serves again, which does not happen here.
 #[test]
 fn endpoint_gets_no_new_requests_after_it_responds_that_it_is_shutting_down() {
     let (stopping, other) = (
@@ -283,9 +283,9 @@
     query_until_received(&mut client, &second);
 }
 
-/// Guards against a reload of the extensions after which an added source is not used, a removed one is still queried,
-/// or an endpoint that both sources name was removed in between; and against a reload with invalid settings that
-/// stops service.
+/// Guards against a reload of the extensions that leaves an added source unused, still queries a removed one, or
+/// removes for a time an endpoint that both sources name; and against a reload with invalid settings that stops
+/// service.
 #[test]
 fn sources_are_replaced_when_the_extensions_are_reloaded() {
     let (kept_endpoint, added_endpoint) = (
@@ -331,8 +331,8 @@
     );
 }
 
-/// Guards against a table that lacks an endpoint, one of the sources that name it or the listing rule that applies;
-/// and against a socket that other users can query.
+/// Guards against output of the `members` command that lacks an endpoint, a source that names it or the listing rule
+/// that applies to it; and against a socket that other users of the machine can query.
 #[test]
 fn members_command_shows_the_sources_and_the_listing_rule_of_each_endpoint() {
     let endpoint = FakeEndpoint::start("master", ScriptedResponse::Serve);
--- a/crates/router/tests/pushed_lists.rs
+++ b/crates/router/tests/pushed_lists.rs
@@ -11,8 +11,8 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// Maximum time from the recovery of an agent until the router has read its list. The target is the usual drain grace
-/// less the delay that a process may suffer; the limit adds the delays of a busy test machine.
+/// Maximum time from the recovery of an agent until the router has read its list: the usual drain grace, less the time
+/// by which the router process may be delayed, plus the delays of a busy test machine.
 const MAX_READ_DELAY: Duration = Duration::from_millis(600);
 
 /// Returns the base settings with the registry mode `automatic`.
@@ -113,8 +113,8 @@
     assert_eq!(whole_list_polls, 0, "the router requested the whole list");
 }
 
-/// Guards against the first request being sent by the outdated list that the router starts with, while the agent
-/// already has a newer one.
+/// Guards against a first request that is sent to an endpoint of the outdated list with which the router starts,
+/// although the agent already has a newer list.
 #[test]
 fn newer_list_of_the_agent_is_applied_before_the_first_request() {
     let fixture = Fixture::start();
@@ -204,8 +204,8 @@
     fixture.assert_only_new_endpoint_gets_requests();
 }
 
-/// Guards against a busy loop of polls to an agent that ends each of them with status 503 at once, and against pauses
-/// so long that the next list is read late.
+/// Guards against a busy loop of polls to an agent that responds to each of them with status 503 at once, and against
+/// pauses between polls so long that the next list is read late.
 #[test]
 fn agent_that_responds_with_503_is_polled_at_a_bounded_rate() {
     let fixture = Fixture::start();
@@ -278,8 +278,9 @@
     );
 }
 
-/// Guards against requests for the whole list after a list watch that failed in any way, with an agent and with one
-/// discovery service for all routers. The router applies a whole list where the service returns one.
+/// Guards against requests for the whole list after a list watch that got status 503 (`Normal`, without a list) or
+/// whose connection was reset, with an agent and with one discovery service for all routers. A whole list that the
+/// service returns to a request for newer ones must still be applied.
 #[rstest]
 #[case::agent(automatic_settings())]
 #[case::shared_service(base_settings())]
--- a/crates/router/tests/settings_matrix.rs
+++ b/crates/router/tests/settings_matrix.rs
@@ -313,7 +313,7 @@
 }
 
 /// Guards against a first write that is tried at other endpoints although the list names the primary; and, if that
-/// entry is outdated, against writes that keep being sent there after responses have shown who the primary is.
+/// entry is outdated, against writes that are still sent there after responses have shown which one is the primary.
 #[rstest]
 fn first_write_is_sent_to_the_primary_of_the_list(
     #[values("trailing", "static")] role: &str,
@@ -442,8 +442,8 @@
     assert!((1..=max_attempts).contains(&attempts), "{attempts}");
 }
 
-/// Guards against an attempt that keeps running after its client disconnected although the router may cancel it, and
-/// against a cancellation, or a lost connection, although it may not.
+/// Guards against an attempt that keeps running after its client disconnected although the router may cancel it. If the
+/// router may not, guards against an attempt that is cancelled or whose upstream connection is not kept.
 #[rstest]
 fn attempt_of_a_disconnected_client_is_cancelled_only_if_allowed(
     #[values(false, true)] allows_cancel: bool,
@@ -487,7 +487,7 @@
 #[case::one_second(true, Some(NANOS_PER_SECOND), Some(1000))]
 #[case::zero(true, Some(0), Some(0))]
 #[case::absent(true, None, Some(0))]
-fn rejection_has_a_retry_delay_only_within_the_settings(
+fn rejection_has_a_retry_delay_only_if_enabled_and_up_to_its_maximum(
     #[case] is_enabled: bool,
     #[case] max_delay_ns: Option<u64>,
     #[case] max_delay_ms: Option<u64>,
@@ -511,8 +511,8 @@
 }
 
 /// Guards against new requests to an endpoint that the list no longer names, or lists as gone, unless the rule
-/// `droppedStayOpen` allows them; in that case, against an endpoint that is no longer used. A draining endpoint never
-/// gets new requests.
+/// `droppedStayOpen` allows them; if it does, against an endpoint that gets none. A draining endpoint never gets new
+/// requests.
 #[rstest]
 fn unlisted_endpoint_gets_requests_only_if_the_rules_allow_it(
     #[values(None, Some(false), Some(true))] allows_unlisted_endpoints: Option<bool>,
@@ -569,7 +569,7 @@
 
 /// Guards against a write that is executed twice: its endpoint is killed before it responds, and the write is retried
 /// although its class is not idempotent and the other endpoint does not share the idempotency keys. Where a retry is
-/// safe the write must not fail; elsewhere its client must get the error for an unknown outcome.
+/// safe, the write must not fail; otherwise its client must get the error for an unknown outcome.
 #[rstest]
 #[case::idempotent("retryable", "cell", "b", WriteOutcome::Retried)]
 #[case::not_idempotent("fragile", "all", "a", WriteOutcome::Failed)]
@@ -794,8 +794,8 @@
     );
 }
 
-/// Guards against requests that are rejected for their tenant although there is no overload: of a tenant above its
-/// quota, of an unknown tenant and without a tenant.
+/// Guards against requests that are rejected because of their tenant although there is no overload: requests of a
+/// tenant above its quota, of an unknown tenant and without a tenant.
 #[rstest]
 fn every_tenant_is_served_when_there_is_no_overload(#[values("acme", "other", "")] tenant: &str) {
     let tenants = json!([{"name": "acme", "quotaRps": 0.01}, {"name": "zeta", "quotaRps": 1e6}]);
@@ -812,8 +812,8 @@
     }
 }
 
-/// Guards against retries of a request whose latency objective has passed if a late response has no weight, and against
-/// a request that is not retried although it has some.
+/// Guards against retries of a request whose latency objective has passed if late responses have no weight, and against
+/// one that is not retried although they have some.
 #[rstest]
 #[case(Some(0.0), false)]
 #[case(None, false)]
