--- a/crates/pg-session/tests/extended.rs
+++ b/crates/pg-session/tests/extended.rs
@@ -283,8 +283,8 @@
     }
 }
 
-/// Guards the row limit: an Execute with a limit of one row must suspend the portal, and the next one must report that
-/// there are no more rows without a second request.
+/// Guards against an Execute with a limit of one row that does not suspend the portal, and against a second request to
+/// an endpoint for the next Execute, which must report that there are no more rows.
 #[test]
 fn a_row_limit_of_one_suspends_the_portal() {
     let mut session: ExtendedSession<bool> =
@@ -339,7 +339,8 @@
     );
 }
 
-/// Guards against sending a utility statement to an endpoint, and checks its effect on the prepared statements.
+/// Guards against a utility statement that is sent to an endpoint, and against a DEALLOCATE or DISCARD ALL that keeps
+/// the prepared statements, or another utility statement that discards them.
 #[rstest]
 #[case("DEALLOCATE a", "CommandComplete")]
 #[case("DEALLOCATE x", "Error")]
@@ -393,10 +394,10 @@
     );
 }
 
-/// Guards the limits: a command over a limit must fail with an error that names the limit, and the session must still
-/// execute the statements that it prepared before.
+/// Guards against a command over a limit that succeeds, or fails with an error that does not name the limit; against a
+/// session that then no longer executes its prepared statements; and against closed sessions that still count.
 #[test]
-fn limits_hold_and_errors_name_them() {
+fn command_over_a_limit_fails_with_an_error_that_names_the_limit() {
     let limits = Limits {
         statements: 3,
         all_statements: 5,
@@ -449,8 +450,8 @@
     );
 }
 
-/// Guards the memory for bound values, kept as values or as literals: the limit must hold, and a Sync must release the
-/// bytes.
+/// Guards against bound values, kept as values or as literals, that take more memory than their limit, and against a
+/// Sync that does not release it.
 #[rstest]
 fn bytes_of_bound_values_are_limited_and_released_by_sync(
     #[values(false, true)] should_translate: bool,
--- a/crates/pg-session/tests/queue.rs
+++ b/crates/pg-session/tests/queue.rs
@@ -20,7 +20,8 @@
     }
 }
 
-/// Returns a queue of requests, given by session and whether they write. Request n was received at time n.
+/// Returns a queue of requests, each given by its session and whether it writes. The request at index n was received at
+/// time n.
 fn queue_of(requests: &[(Option<&str>, bool)]) -> SimpleQueryQueue<u32, &'static str> {
     let mut queue = SimpleQueryQueue::new(QueueLimits {
         queries: 100,
@@ -73,8 +74,8 @@
     assert!(queue.is_empty());
 }
 
-/// Guards the order within a session: a request that follows a write must wait for the response to it, and a write for
-/// the session's earlier reads. Requests of other sessions must not wait.
+/// Guards against a request that starts before the response to an earlier write of its session, or a write that starts
+/// before those to the session's earlier reads. Requests of other sessions must not wait.
 #[rstest]
 #[case(&[(Some("a"), true), (Some("a"), false)], &[0])]
 #[case(&[(Some("a"), false), (Some("a"), true)], &[0])]
@@ -92,9 +93,10 @@
     assert_eq!(start_all(&mut queue), remaining);
 }
 
-/// Guards the limits: no more queries are queued or started than they allow, and a response frees capacity.
+/// Guards against a queue that accepts or starts more queries than its limits allow, against a response that frees no
+/// capacity, and against a second response for a query that replaces the first.
 #[test]
-fn limits_hold_and_responses_free_capacity() {
+fn queue_is_full_at_its_limits_until_responses_free_capacity() {
     let mut queue: SimpleQueryQueue<u32, &str> = SimpleQueryQueue::new(QueueLimits {
         queries: 3,
         bytes: 100,
@@ -116,7 +118,8 @@
     assert!(!queue.is_full());
 }
 
-/// Guards CancelRequest: it must cancel the first request without a response, running or not.
+/// Guards against a cancel request that cancels any request but the first without a response, running or not, which
+/// `first_pending` returns.
 #[test]
 fn first_pending_is_the_first_request_without_a_response() {
     let mut queue = queue_of(&[(Some("a"), true), (Some("a"), true)]);
