--- a/crates/experiments/src/extended.rs
+++ b/crates/experiments/src/extended.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Connections that the endpoints have accepted so far.
+    /// Returns the number of connections that the endpoints have accepted so far.
     fn accepted_connections(&self) -> usize {
         self.endpoints
             .iter()
@@ -75,14 +75,14 @@
             .sum()
     }
 
-    /// CPU time that the router has used so far, in seconds.
+    /// Returns the CPU time that the router has used so far, in seconds.
     fn cpu_seconds(&self) -> anyhow::Result<f64> {
         let path = format!("/proc/{}/schedstat", self.router.pid());
         let text = std::fs::read_to_string(&path).context(path)?;
         Ok(text.split(' ').next().unwrap_or_default().parse::<f64>()? / 1e9)
     }
 
-    /// Resident memory of the router, in MB of 1,024 KiB.
+    /// Returns the resident memory of the router, in MB of 1,024 KiB.
     fn resident_memory_mb(&self) -> anyhow::Result<f64> {
         let path = format!("/proc/{}/status", self.router.pid());
         let text = std::fs::read_to_string(&path).context(path)?;
@@ -148,7 +148,8 @@
     Ok(report)
 }
 
-/// One client prepares 50 statements and sends 20,000 executions of them, one after the other.
+/// Counts the Parses that reach endpoints when one client prepares 50 statements and sends 20,000 executions of them,
+/// one after the other.
 fn measure_parses(program: &str, report: &mut Report) -> anyhow::Result<()> {
     const EXECUTIONS: usize = 20_000;
     let setup = Setup::start(program, Duration::ZERO, Some(EXTENDED_MODE_ON));
@@ -326,8 +327,9 @@
     Fault::InvalidBytes,
 ];
 
-/// Sixteen clients send 5,000 writes, each in up to 20 attempts until one is served or fails. Meanwhile faults are
-/// injected at the primary, one at a time and each after `writes_between_faults` further writes.
+/// Counts the outcomes of 5,000 writes under faults. Sixteen clients send each write up to 20 times, until it is served
+/// or fails. Meanwhile faults are injected at the primary, one at a time, each after `writes_between_faults` further
+/// writes.
 fn measure_writes_under_faults(
     program: &str,
     writes_between_faults: usize,
@@ -337,7 +339,7 @@
     const WRITES: usize = 5_000;
     let setup = Setup::start(program, Duration::from_millis(1), Some(EXTENDED_MODE_ON));
     let (next_write, has_ended) = (AtomicUsize::new(0), AtomicBool::new(false));
-    let (unanswered, unexpected, faults_hit) = (
+    let (missing_responses, unexpected_responses, effective_faults) = (
         AtomicUsize::new(0),
         AtomicUsize::new(0),
         AtomicUsize::new(0),
@@ -379,7 +381,7 @@
                 {
                     continue;
                 }
-                increment(&faults_hit);
+                increment(&effective_faults);
                 if fault == Fault::Kill {
                     endpoint.wait_until_killed();
                     primary = (primary + 1) % setup.endpoints.len();
@@ -407,7 +409,7 @@
                             );
                             client.send(&[write, sync_message()].concat());
                             let Some(response) = client.read_response() else {
-                                increment(&unanswered);
+                                increment(&missing_responses);
                                 client = setup.router.connect_client();
                                 client.extended_query(&[parse_message("w", WRITE_STATEMENT, &[])]);
                                 continue;
@@ -424,7 +426,7 @@
                                     break;
                                 }
                                 // More than one value, error or ReadyForQuery, or the value of another write.
-                                _ => increment(&unexpected),
+                                _ => increment(&unexpected_responses),
                             };
                             std::thread::sleep(Duration::from_millis(20));
                         }
@@ -455,13 +457,13 @@
     report.add(
         "bookings without an answer",
         "",
-        &count(&unanswered),
+        &count(&missing_responses),
         Target::AtMost(0.0),
     );
     report.add(
         "bookings with two answers",
         "",
-        &count(&unexpected),
+        &count(&unexpected_responses),
         Target::AtMost(0.0),
     );
     report.add(
@@ -473,7 +475,7 @@
     report.add(
         "faults that came",
         "",
-        &count(&faults_hit),
+        &count(&effective_faults),
         Target::AtLeast(40.0),
     );
     report.add("bookings served", "", &count(&served), Target::None);
--- a/crates/experiments/src/figures.rs
+++ b/crates/experiments/src/figures.rs
@@ -8,9 +8,9 @@
 #[derive(Debug, Clone, Copy, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Target {
-    /// The value may not be greater.
+    /// The greatest value that meets the target.
     AtMost(f64),
-    /// The value may not be smaller.
+    /// The smallest value that meets the target.
     AtLeast(f64),
     /// No bound: the figure helps to explain the others.
     None,
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -3,8 +3,10 @@
 //!
 //! There are two comparisons, each of larger fleets with a fleet of the usual size:
 //!
-//! - 4 requests per second over replica sets of five endpoints; a larger fleet has more routers or more replica sets;
-//! - 40 requests per second over 40 replica sets; a larger fleet has more routers and larger replica sets.
+//! - 4 requests per second, one router's part of the whole fleet's traffic, over replica sets of five endpoints; a
+//!   larger fleet has more routers, more replica sets or both;
+//! - 40 requests per second, the traffic of a busy router, over 40 replica sets; a larger fleet has more routers and
+//!   larger replica sets.
 //!
 //! All routers run at the same time. One endpoint in twenty drains and restarts in slow start, again and again, with a
 //! change of the list every 100 ms. The endpoints share the sockets of four fake endpoints: one is the primary of every
@@ -318,7 +320,7 @@
         }
     }
 
-    /// Connections that the servers have accepted so far.
+    /// Returns the number of connections that the servers have accepted so far.
     fn connections(&self) -> usize {
         self.servers
             .iter()
@@ -348,9 +350,9 @@
 /// Counts of requests, and the flag that ends the clients.
 #[derive(Default)]
 struct Traffic {
-    /// Requests that were answered or whose connection ended.
+    /// Requests that got a response or whose connection ended.
     requests: AtomicU64,
-    /// Requests answered without an error and in time.
+    /// Requests that got a response without an error and in time.
     served: AtomicU64,
     has_ended: AtomicBool,
 }
--- a/crates/experiments/src/membership.rs
+++ b/crates/experiments/src/membership.rs
@@ -22,7 +22,7 @@
 
 /// The shortest time to live that the router applies to DNS records in these runs (`ttl_floor_ms`).
 const TTL_FLOOR: Duration = Duration::from_millis(200);
-/// Time from the report of a drain after which the router may send no more requests to the endpoint.
+/// Maximum time from the report of a drain until the router sends no more requests to the endpoint.
 const DRAIN_REACTION_TIME: Duration = Duration::from_millis(250);
 
 /// Runs all measurements of endpoint discovery; `quick` runs fewer or shorter rounds.
@@ -390,12 +390,12 @@
     Ok(())
 }
 
-/// Clients that each send a read as soon as the previous one is answered, until they are stopped.
+/// Clients that each send a read as soon as the previous one has its response, until they are stopped.
 struct ReadLoad {
     has_ended: Arc<AtomicBool>,
-    /// Reads that were answered.
+    /// Reads that got a response.
     requests: Arc<AtomicU64>,
-    /// Reads that were answered without an error.
+    /// Reads that got a response without an error.
     served: Arc<AtomicU64>,
     threads: Vec<std::thread::JoinHandle<()>>,
 }
@@ -474,7 +474,7 @@
 }
 
 impl Setup {
-    /// Starts all and waits until the router has answered a client.
+    /// Starts all of them and waits until the router has responded to a client.
     fn start(program: &str) -> Setup {
         let replica_set = FakeReplicaSet::new("s-0", Duration::ZERO, Duration::from_secs(2));
         let endpoints: Vec<FakeEndpoint> = (0..6)
@@ -531,7 +531,7 @@
             .publish(self.endpoints.iter().enumerate().map(entry).collect());
     }
 
-    /// Requests that an endpoint has received so far.
+    /// Returns the number of requests that an endpoint has received so far.
     fn request_count(&self, number: usize) -> usize {
         self.endpoints[number]
             .activity
@@ -582,16 +582,15 @@
         let draining = round % 6;
         let label = format!("db-{draining}");
         let reported_at = if is_reported_by_list {
-            let call_count = setup.discovery.requested_paths.with(|paths| paths.len());
+            let poll_count = setup.discovery.requested_paths.with(|paths| paths.len());
             setup.publish(Some(draining));
-            // The pending list watch is answered at once; the next request shows that the router has received the list.
-            let has_new_request =
-                |paths: &mut Vec<String>| (paths.len() > call_count).then_some(());
+            // The open list watch gets its response at once; the next poll shows that the router has received the list.
+            let has_new_poll = |paths: &mut Vec<String>| (paths.len() > poll_count).then_some(());
             ensure!(
                 setup
                     .discovery
                     .requested_paths
-                    .wait_for(Duration::from_secs(10), has_new_request)
+                    .wait_for(Duration::from_secs(10), has_new_poll)
                     .is_some(),
                 "the router did not request the endpoint list again within 10 s"
             );
