--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -16,7 +16,7 @@
     /// The request has had [`Limits::max_attempts`](crate::Limits::max_attempts) attempts.
     AttemptLimitReached,
     /// No endpoint of the replica set is expected to accept the request within the first half of
-    /// its time.
+    /// the time from its arrival to its deadline.
     NoEligibleEndpoint,
     /// Load shedding: a response from the selected endpoint would probably be too late.
     LoadShed,
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -52,9 +52,9 @@
         }
     }
 
-    /// Counts the request and returns whether it is over its tenant's quota. The tenant's rate is
-    /// extrapolated from this router to all routers, and requests over the quota are chosen at
-    /// random, in proportion to the excess.
+    /// Returns whether the request is over its tenant's quota, and counts it unless its client
+    /// marked it as a retry. The tenant's rate is extrapolated from this router to all routers, and
+    /// requests over the quota are chosen at random, in proportion to the excess.
     pub(crate) fn is_over_quota(
         &mut self,
         now: Timestamp,
@@ -117,7 +117,7 @@
     }
 
     /// Returns whether any endpoint of the replica set may accept the request within the first half
-    /// of its time.
+    /// of the time from its arrival to its deadline.
     pub(crate) fn may_become_available(&self, now: Timestamp, pending: &PendingRequest) -> bool {
         let half_time = pending
             .deadline
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -1,11 +1,12 @@
 //! The balancer: handles events by combining the decisions of the other modules, and returns
 //! actions.
 //!
-//! In normal operation it follows the query cost calibrator: an endpoint's calibrated cost is its
-//! running average of observed over estimated latency, reads rotate over the eligible replicas
-//! within 20% of the cheapest, and a failed endpoint has infinite cost. A request is dispatched to
-//! an endpoint, queued until one is available, or gets its final response at once. Owns the pending
-//! requests, the timer, and the state of each module; it must never read a clock or do I/O.
+//! In normal operation it follows the query cost calibrator, a routing method of federated
+//! databases: an endpoint's calibrated cost is its running average of observed over estimated
+//! latency, reads rotate over the eligible replicas within 20% of the cheapest, and a failed
+//! endpoint has infinite cost. A request is dispatched to an endpoint, queued until one is
+//! available, or gets its final response at once. Owns the pending requests, the timer, and the
+//! state of each module; it must never read a clock or do I/O.
 
 use crate::action::{Action, RejectReason};
 use crate::admission::QuotaTracker;
@@ -116,7 +117,7 @@
                 }
             }
         }
-        if self.subscription.poll(now) {
+        if self.subscription.start_due_call(now) {
             actions.push(Action::Subscribe);
         }
         self.set_timer(actions);
@@ -297,6 +298,8 @@
         }
         let limits = &self.settings.limits;
         let longest_advice = limits.max_retry_advice as f64;
+        // Between half of the longest advice and all of it, so that the clients of many rejected
+        // requests do not retry at the same instant.
         let advice = (longest_advice * (0.5 + self.rng.next_f64() / 2.0)) as Nanos;
         actions.push(Action::Reject {
             request: pending.request.id,
--- a/crates/routing/src/decaying_average.rs
+++ b/crates/routing/src/decaying_average.rs
@@ -1,5 +1,5 @@
 //! Exponentially decaying average: the weight of a sample decreases with its age, with the time
-//! constant `tau`.
+//! constant `tau`, which callers name the averaging window.
 //!
 //! The sum and the number of samples are separate, so that a caller can add a prior or combine
 //! several averages before it divides.
--- a/crates/routing/src/discovery_backoff.rs
+++ b/crates/routing/src/discovery_backoff.rs
@@ -17,7 +17,7 @@
 /// of a change 6 s after the discovery service had the change and was reachable; one more failed
 /// call must fit into this time.
 const MAX_BACKOFF: Nanos = 2_000_000_000;
-/// Highest exponent of the backoff, as a power of 2.
+/// Largest number of times that consecutive failures double the span of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 /// Schedule of the subscription to the endpoint list.
@@ -78,9 +78,9 @@
         self.next_attempt_at.is_some()
     }
 
-    /// Returns whether a call is due, and schedules its repetition in case no response arrives
-    /// within the time limit.
-    pub(crate) fn poll(&mut self, now: Timestamp) -> bool {
+    /// Returns whether the caller must make a call now. If so, schedules its repetition in case no
+    /// response arrives within the time limit.
+    pub(crate) fn start_due_call(&mut self, now: Timestamp) -> bool {
         let is_due = self.next_attempt_at.is_some_and(|at| at <= now);
         if is_due {
             self.next_attempt_at = Some(now + self.response_timeout);
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -71,8 +71,9 @@
         (!has_attempts).then_some(RejectReason::AttemptLimitReached)
     }
 
-    /// Queues a request for which no endpoint is available now. A new one is rejected instead if no
-    /// endpoint is expected within half of its time: the client then still has time to react.
+    /// Queues a request for which no endpoint is available now. A new request is rejected instead
+    /// if no endpoint is expected within the first half of the time until its deadline: the client
+    /// then still has time to react.
     fn queue_or_reject(
         &mut self,
         now: Timestamp,
--- a/crates/routing/src/endpoint_list.rs
+++ b/crates/routing/src/endpoint_list.rs
@@ -3,11 +3,12 @@
 //!
 //! Endpoints are stored in slots that are reused, and other modules refer to them by slot. An
 //! endpoint that is no longer in the list is kept for a while, since the list may omit it for a
-//! moment only, and then forgotten. Otherwise many replacements would fill memory, and averages,
-//! whose windows grow with the number of endpoints, would be as slow as if the removed endpoints
-//! still shared the traffic. The cost of forgetting is proportional to the number of removed
-//! endpoints, not of all endpoints. Owns which endpoints exist, their replica sets, and their
-//! entries in the list; it must never assess their health or select one of them.
+//! moment only. It is then forgotten: if removed endpoints were kept for ever, many replacements
+//! would fill memory, and averages, whose windows grow with the number of endpoints, would be as
+//! slow as if the removed endpoints still shared the traffic. The cost of forgetting is
+//! proportional to the number of removed endpoints, not of all endpoints. Owns which endpoints
+//! exist, their replica sets, and their entries in the list; it must never assess their health or
+//! select one of them.
 
 use crate::event::{EndpointEntry, EndpointState, ListKind, Role};
 use crate::latency_cost::LatencySamples;
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -8,8 +8,8 @@
 pub enum EndpointState {
     /// In service.
     Serving,
-    /// Completing its requests in flight: new ones stop within
-    /// [`Rules::drain_grace`](crate::Rules::drain_grace).
+    /// Completing its requests in flight: sends of new ones must stop within
+    /// [`Rules::drain_grace`](crate::Rules::drain_grace) after the notification.
     Draining,
     /// Removed (only in [`ListKind::Changes`]).
     Removed,
@@ -87,8 +87,8 @@
 pub struct ReplicationStatus {
     /// Its role.
     pub role: Option<Role>,
-    /// All commits up to this time are applied at the endpoint; for a served write, the time of its
-    /// own commit.
+    /// Position in the log, as a commit time: all commits up to this time are applied at the
+    /// endpoint. For a served write, the time of its own commit.
     pub applied_position: Option<Timestamp>,
 }
 
@@ -97,7 +97,7 @@
 pub enum AttemptOutcome {
     /// Executed, with a response.
     Served,
-    /// The endpoint returned an error; an effect may have occurred.
+    /// The endpoint returned an error; possibly executed, so an effect may have occurred.
     Error,
     /// Rejected before execution: the endpoint is at capacity or draining.
     Overloaded,
@@ -154,7 +154,8 @@
     pub report: ReplicationStatus,
     /// Time since the attempt was sent, nanoseconds.
     pub latency: Nanos,
-    /// Whether the request is complete, by this outcome or before it.
+    /// Whether the request needs no further attempt: it has its final response, by this outcome or
+    /// an earlier one, or its client has disconnected.
     pub is_request_complete: bool,
 }
 
--- a/crates/routing/src/latency_cost.rs
+++ b/crates/routing/src/latency_cost.rs
@@ -16,14 +16,14 @@
 
 /// Averaging window of the calibrated cost, as a multiple of the longest latency objective.
 const COST_WINDOW: f64 = 2.0;
-/// Smallest number of samples that the calibrated cost of an endpoint covers, at this router's
-/// request rate.
+/// Smallest number of samples in the averaging window of an endpoint's calibrated cost, at this
+/// router's request rate.
 const COST_MIN_SAMPLES: f64 = 2.0;
-/// Smallest number of samples that the load estimate of an endpoint covers, at this router's
-/// request rate.
+/// Smallest number of samples in the averaging window of an endpoint's load estimate, at this
+/// router's request rate.
 const LOAD_MIN_SAMPLES: f64 = 1.0;
-/// Smallest number of samples that the load estimate of a role covers, at this router's request
-/// rate.
+/// Smallest number of samples in the averaging window of a role's load estimate, at this router's
+/// request rate.
 const ROLE_LOAD_MIN_SAMPLES: f64 = 8.0;
 /// Averaging window of the request rate, as a multiple of the longest latency objective.
 const REQUEST_RATE_WINDOW: f64 = 8.0;
@@ -100,20 +100,20 @@
         window / requests.max(1.0)
     }
 
-    /// Returns the time constant of an endpoint's calibrated cost, nanoseconds: long enough for a
-    /// router with few requests to have samples.
+    /// Returns the averaging window of an endpoint's calibrated cost, nanoseconds: long enough for
+    /// a router with few requests to have samples.
     fn cost_window(&self, list: &EndpointList, now: Timestamp) -> f64 {
         let sample_interval = self.request_interval(now) * list.len() as f64;
         (COST_WINDOW * self.max_objective).max(COST_MIN_SAMPLES * sample_interval)
     }
 
-    /// Returns the time constant of an endpoint's load estimate, nanoseconds.
+    /// Returns the averaging window of an endpoint's load estimate, nanoseconds.
     fn load_window(&self, list: &EndpointList, now: Timestamp) -> f64 {
         let sample_interval = self.request_interval(now) * list.len() as f64;
         self.min_objective.max(LOAD_MIN_SAMPLES * sample_interval)
     }
 
-    /// Returns the time constant of a role's load estimate, nanoseconds.
+    /// Returns the averaging window of a role's load estimate, nanoseconds.
     fn role_load_window(&self, now: Timestamp) -> f64 {
         self.min_objective
             .max(ROLE_LOAD_MIN_SAMPLES * self.request_interval(now))
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -20,11 +20,13 @@
 const FAILURE_LATENCY: f64 = 2.0;
 /// Longest time until an ejected endpoint gets another request, nanoseconds, before randomisation.
 const MAX_EJECTION: Nanos = 5_000_000_000;
-/// Highest exponent of the time between recovery probes, as a power of 2.
+/// Largest number of times that the time between recovery probes doubles.
 const MAX_PROBE_DOUBLINGS: u32 = 8;
-/// Highest exponent of the ejection of an endpoint at capacity, as a power of 2.
+/// Largest number of consecutive rejections that lengthen the ejection of an endpoint at capacity,
+/// which doubles with each.
 const MAX_OVERLOAD_DOUBLINGS: u32 = 6;
-/// Highest exponent of the ejection of an unreachable endpoint, as a power of 2.
+/// Largest number of consecutive failures that lengthen the ejection of an unreachable endpoint,
+/// which doubles with each.
 const MAX_CONNECT_DOUBLINGS: u32 = 8;
 
 /// Health of one endpoint, derived from the outcomes of its attempts.
@@ -97,11 +99,12 @@
     fn record_overload(&mut self, now: Timestamp, tick: Nanos) {
         let overloads = (self.consecutive_overloads + 1).min(MAX_OVERLOAD_DOUBLINGS);
         self.consecutive_overloads = overloads;
+        // One timer tick after the first rejection, twice as long after each further one.
         self.ejected_until = now + (tick << overloads) / 2;
     }
 
-    /// Counts a connect failure and returns the number of consecutive ones, up to the highest
-    /// exponent of the ejection.
+    /// Counts a connect failure and returns the number of consecutive ones, up to
+    /// [`MAX_CONNECT_DOUBLINGS`].
     fn record_connect_failure(&mut self, now: Timestamp) -> u32 {
         if self.consecutive_connect_failures == 0 {
             self.unreachable_since = now;
@@ -137,6 +140,7 @@
                 self.record_response(now, index);
             }
             AttemptOutcome::Overloaded => self.record_overload(now, index, attempt),
+            // A replica can't execute a write, so the error is no evidence of a fault.
             AttemptOutcome::Error
                 if attempt.is_write && replication.role == Some(Role::Replica) =>
             {
@@ -195,6 +199,8 @@
         let list = &mut self.endpoints;
         self.latency_cost
             .record_cost(list, now, index, latency, objective);
+        // The first recovery probe is due after a quarter to three quarters of the longest latency
+        // objective, so that many routers do not send theirs at once.
         let delay = self.latency_cost.max_objective * (0.25 + self.rng.next_f64() / 2.0);
         list[index]
             .health
@@ -262,6 +268,7 @@
         } else {
             self.latency_cost.max_objective
         };
+        // Half of the shortest latency objective after the first failure, before randomisation.
         let base = self.latency_cost.min_objective / 4.0;
         let ejection = (base * f64::from(1u32 << failures)).min(longest_ejection);
         self.endpoints[index].health.ejected_until = now + (ejection * jitter) as Nanos;
--- a/crates/routing/src/pending_request.rs
+++ b/crates/routing/src/pending_request.rs
@@ -24,10 +24,12 @@
     pub(crate) objective_end: Timestamp,
     /// Latency objective, nanoseconds.
     pub(crate) latency_objective: Nanos,
-    /// Log position that its endpoint must have applied for the session, if any.
+    /// Log position, as a commit time, that its endpoint must have applied for the session, if any.
     pub(crate) required_position: Option<Timestamp>,
     pub(crate) attempts_sent: u32,
+    /// Attempts that are in flight, or have ended without proof that they were never executed.
     pub(crate) possibly_executed: Vec<SentAttempt>,
+    /// Number of attempts in flight.
     pub(crate) in_flight: u32,
     /// Endpoints that the next attempt must avoid, since earlier ones were sent there.
     pub(crate) tried: Vec<EndpointIndex>,
--- a/crates/routing/src/primary_tracking.rs
+++ b/crates/routing/src/primary_tracking.rs
@@ -22,6 +22,9 @@
 /// Number of a request's attempts that primary discovery and position refreshes must leave for the
 /// primary itself.
 const ATTEMPTS_RESERVED_FOR_PRIMARY: u32 = 2;
+/// Largest number of discovery attempts in one replica set per longest latency objective, unless an
+/// attempt fails before: the next one may then be sent at once.
+const DISCOVERY_ATTEMPTS_PER_OBJECTIVE: f64 = 4.0;
 
 /// Primary of one replica set, and the state of its discovery.
 ///
@@ -108,6 +111,7 @@
         let replica_set = endpoint.replica_set;
         let replica_set = self.endpoints.replica_sets.entry(replica_set).or_default();
         let primary = &mut replica_set.primary;
+        // A load report may be older than a failover, so it does not override a known role.
         if !is_current && (primary.confirmed.is_some() || has_reported_role) {
             return;
         }
@@ -153,7 +157,8 @@
             return None;
         }
         // When the primary becomes available, the queued requests of many routers must not arrive
-        // at the same instant: each is delayed by a random time of its own.
+        // at the same instant: each is delayed by a random time of its own, which is shorter than
+        // half of the longest latency objective unless a rejection at capacity has raised its draw.
         let state = &self.endpoints.replica_sets[&replica_set].primary;
         let delay = pending.admission_draw * self.latency_cost.max_objective / 2.0;
         if pending.is_queued && now < state.available_since + delay as Nanos {
@@ -234,7 +239,8 @@
                     by_name,
                 )
             });
-        let interval = (self.latency_cost.max_objective / 4.0) as Nanos;
+        let interval =
+            (self.latency_cost.max_objective / DISCOVERY_ATTEMPTS_PER_OBJECTIVE) as Nanos;
         let state = &mut self.endpoints.replica_sets.get_mut(&replica_set)?.primary;
         state.next_discovery_at = now + interval;
         match candidate {
@@ -278,9 +284,10 @@
         Some(index)
     }
 
-    /// Returns whether an endpoint should get a position refresh. It must not be one that may hang,
-    /// since the write would be lost there, nor one in slow start, since a rejection counts as
-    /// load, too.
+    /// Returns whether an endpoint should get a position refresh: its known position, and the last
+    /// refresh sent to it, must be older than half of the staleness bound `bound`. It must not be
+    /// one that may hang, since the write would be lost there, nor one in slow start, since a
+    /// rejection counts as load, too.
     fn needs_position_refresh(
         &self,
         now: Timestamp,
--- a/crates/routing/src/replica_selection.rs
+++ b/crates/routing/src/replica_selection.rs
@@ -90,12 +90,13 @@
                 .record_probe(now, max_objective);
             return Some(index);
         }
-        let primary_cost = candidates
+        // The primary is preferred to replicas that cost more than this.
+        let max_replica_cost = candidates
             .primary
             .map(|index| OUTLIER_COST_RATIO * self.calibrated_cost(now, index));
         let cheapest = candidates.replicas.first().map(|replica| replica.cost);
-        let is_primary_preferred = match (cheapest, primary_cost) {
-            (Some(cheapest), Some(primary_cost)) => cheapest > primary_cost,
+        let is_primary_preferred = match (cheapest, max_replica_cost) {
+            (Some(cheapest), Some(max_replica_cost)) => cheapest > max_replica_cost,
             _ => cheapest.is_none(),
         };
         if is_primary_preferred {
@@ -107,12 +108,12 @@
         // No replica of the rotation admits the read, since all are in slow start. A more expensive
         // replica gets it, unless that one hangs while the primary does not: otherwise all routers
         // would fall back to the hanging replica.
-        let highest_cost = primary_cost.unwrap_or(f64::INFINITY);
+        let max_replica_cost = max_replica_cost.unwrap_or(f64::INFINITY);
         candidates
             .replicas
             .iter()
             .find(|replica| {
-                replica.cost <= highest_cost
+                replica.cost <= max_replica_cost
                     && self.admits_during_slow_start(now, replica.index, pending)
             })
             .map(|replica| replica.index)
--- a/crates/routing/src/session_consistency.rs
+++ b/crates/routing/src/session_consistency.rs
@@ -1,5 +1,5 @@
 //! Read-your-writes and bounded staleness: the log position that a read needs, and the endpoints
-//! that have applied it.
+//! that have applied it. Positions are commit times.
 //!
 //! Where requests do not carry their session's position, the balancer records the commit time of
 //! each session's last write. The number of entries is bounded: at the limit all are cleared, and
@@ -19,8 +19,9 @@
 /// Largest number of sessions whose last write is recorded; above it, all entries are replaced by
 /// the floor.
 const MAX_SESSIONS: usize = 200_000;
-/// Time after which a client counts as knowing a response, whether or not it arrived, nanoseconds
-/// (from the protocol).
+/// Time after which the protocol counts a response as known to its client, whether or not it
+/// arrived, nanoseconds: reads must see a write of their session that has been in flight for this
+/// long.
 const RESPONSE_VISIBLE_AFTER: Nanos = 100_000_000;
 
 /// Commit time of each session's last write.
@@ -55,7 +56,8 @@
 }
 
 impl Balancer {
-    /// Returns the log position that a read of the request's session needs, if any.
+    /// Returns the log position that a read of the request's session needs, if any, including
+    /// writes whose responses may be lost.
     pub(crate) fn required_position(&self, now: Timestamp, request: &Request) -> Option<Timestamp> {
         if self.settings.has_session_positions {
             return request.since_write.map(|age| now.saturating_sub(age));
@@ -66,7 +68,7 @@
     }
 
     /// Returns whether a write of the request's session has been in flight for so long that its
-    /// response may be lost.
+    /// response may be lost and already counts as known to the client.
     fn has_overdue_write(&self, now: Timestamp, request: &Request) -> bool {
         self.endpoints
             .replica_set_endpoints(request.replica_set)
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -131,8 +131,8 @@
     pub overload_multiple: f64,
     /// Averaging window of `overload_multiple`, nanoseconds.
     pub overload_window: Nanos,
-    /// Without a subscription, the router counts as notified of a change of the list after this
-    /// time, nanoseconds.
+    /// Without a subscription, the router counts as notified of a change of the list this long
+    /// after it, nanoseconds.
     pub poll_interval: Nanos,
 }
 
@@ -244,6 +244,9 @@
             }
         }
         let rules = &self.rules;
+        // The messages name the fields as the configuration does, but in snake case: `cold_from`,
+        // `fall_multiple`, `fall` and `warm_after` are `slow_start_initial_fraction`,
+        // `overload_multiple`, `overload_window` and `slow_start_duration`.
         if !(rules.slow_start_initial_fraction > 0.0 && rules.overload_multiple > 0.0)
             || rules.overload_window == 0
             || rules.slow_start_duration == 0
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -4,8 +4,8 @@
 //! know the load that the others send, so each admits a request with a probability proportional to
 //! the capacity: the sum over all routers then stays within the limit, whatever their number. One
 //! random number per request decides for all its attempts. Owns no state; it must never admit load
-//! that the operators' overload rule forbids. Known limitation: it may delay the recovery of a busy
-//! replica set.
+//! that the operators' overload rule forbids ([`Rules::overload_multiple`] over
+//! [`Rules::overload_window`]). Known limitation: it may delay the recovery of a busy replica set.
 
 use crate::balancer::Balancer;
 use crate::endpoint_list::EndpointIndex;
