--- a/crates/router/src/dispatcher/actions.rs
+++ b/crates/router/src/dispatcher/actions.rs
@@ -84,7 +84,7 @@
             RejectReason::InvalidRequest => &counters.rejected_invalid_request,
         });
         if let Some(request) = self.requests.get(id) {
-            debug!(self.shared.log, "request rejected";
+            debug!(self.shared.log, "request rejected or failed";
                    "request" => format_args!("{:016x}", request.client_request_id),
                    "class" => request.class, "sends" => request.attempts_made, "cause" => ?reason);
         }
--- a/crates/router/src/dispatcher/mod.rs
+++ b/crates/router/src/dispatcher/mod.rs
@@ -154,8 +154,8 @@
         });
     }
 
-    /// Limits the deadlines of pending requests to the end of the response window, so that each gets a response before
-    /// the process may be killed.
+    /// Limits the deadlines of pending requests to the time by which a router in graceful shutdown must have sent all
+    /// responses, so that each request gets one before the process may be killed.
     fn on_shutdown(&mut self) {
         let Some(latest) = self.shared.response_deadline() else {
             return;
@@ -199,8 +199,8 @@
         }
     }
 
-    /// Returns the replication status that an endpoint reported in an attempt or a health check, without a position
-    /// that is ahead of the platform's estimated time.
+    /// Returns the replication status that an endpoint reported in an attempt or a health check. A position that is
+    /// ahead of the platform's estimated time is left out.
     fn plausible_status(
         &mut self,
         endpoint: &EndpointId,
--- a/crates/router/src/dispatcher/requests.rs
+++ b/crates/router/src/dispatcher/requests.rs
@@ -8,7 +8,7 @@
 use reelrill_routing::{AttemptOutcome, Event, Nanos, Request, RequestId, Timestamp};
 use slog::{debug, warn};
 
-/// The final response is sent this many nanoseconds before the client's timeout, because it needs time to arrive.
+/// The time in nanoseconds by which the final response is sent before the client's timeout, so that it still arrives.
 const RESPONSE_TRAVEL_TIME: Nanos = 8_000_000;
 
 impl Dispatcher {
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -28,6 +28,8 @@
 
 /// The longest pause within a response.
 const RESPONSE_PAUSE_LIMIT: Duration = Duration::from_millis(100);
+/// The length in bytes that the message of a simple query has besides its text: tag, length and terminating zero.
+const QUERY_FRAMING_LENGTH: usize = 1 + 4 + 1;
 /// The interval in nanoseconds at which a connection notifies discovery that its endpoint responds.
 const RESPONSE_REPORT_INTERVAL: Nanos = 1_000_000_000;
 
@@ -125,8 +127,8 @@
     }
 
     /// Executes a statement. `response_time` is the time in nanoseconds that the router waits for the response. If the
-    /// statement has to be written a second time, `time_left` returns the remaining time, or `None` if it must not be
-    /// written.
+    /// statement has to be written a second time, `time_left` returns the remaining time in nanoseconds, or `None` if
+    /// it must not be written.
     pub async fn execute(
         &mut self,
         statement: &EndpointQuery,
@@ -164,7 +166,7 @@
         text: &[u8],
         progress: &AttemptProgress,
     ) -> Result<Response, ExchangeError> {
-        let mut message = Vec::with_capacity(text.len() + 6);
+        let mut message = Vec::with_capacity(text.len() + QUERY_FRAMING_LENGTH);
         frontend::put_query(&mut message, text);
         let executable_length = message.len();
         self.exchange(&message, executable_length, progress, Response::default())
@@ -183,6 +185,7 @@
         let mut messages = Vec::new();
         let preparation = self.prepared.preparation(template.id);
         let name = template.statement_name();
+        // The tags 1, 2 and 3 are those of ParseComplete, BindComplete and CloseComplete.
         let confirmations: &[u8] = match preparation {
             Preparation::NotNeeded => b"2",
             Preparation::Needed { evict: None } => b"12",
@@ -210,6 +213,8 @@
         let response = self
             .exchange(&messages, executable_length, progress, response)
             .await?;
+        // If fewer confirmations are missing than ParseComplete and BindComplete, the Parse has succeeded, even if the
+        // rest of the request failed.
         if preparation != Preparation::NotNeeded && response.missing_confirmations() < b"12".len() {
             self.prepared.insert(template.id);
         }
--- a/crates/router/src/upstream/fault.rs
+++ b/crates/router/src/upstream/fault.rs
@@ -3,7 +3,8 @@
 //!
 //! If the router's host is short of descriptors, ports, memory or routes, that is no evidence about an endpoint, so
 //! such a failure must not count towards its ejection. Whether a request may have been executed depends on the stage
-//! alone: it cannot have been before its last byte was written, and it may have been afterwards.
+//! alone: it cannot have been while too little of it was written for the endpoint to execute it, and it may have been
+//! afterwards.
 
 use reelrill_pg_protocol::sqlstate;
 use reelrill_routing::AttemptOutcome;
@@ -79,7 +80,9 @@
     #[error("the connection was closed or held unexpected bytes before the request was written")]
     StaleConnection,
     /// The connection failed too early for the endpoint to execute the request.
-    #[error("the connection failed before the last byte of the request was written")]
+    #[error(
+        "the connection failed before enough of the request was written for the endpoint to execute it"
+    )]
     NotWritten(FaultOrigin),
     /// The connection failed while the response was awaited. The endpoint may have executed the request.
     #[error("the connection broke or was closed before the response was complete")]
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -1,8 +1,8 @@
 //! The connection pool of one endpoint: its idle connections, and the attempts and health checks that wait for one.
 //!
 //! The pool is a task of its own, which owns the idle connections and the queue of jobs. It opens one connection for
-//! each waiting job, closes idle connections before the endpoint would, and sends nothing to an endpoint that has
-//! drained or was removed from the list.
+//! each waiting job, closes idle connections before the endpoint would, and sends nothing to an endpoint whose drain
+//! grace has expired or that was removed from the list.
 
 use super::connect::{connect_timeout, open_connection};
 use super::connection::UpstreamConnection;
