--- a/crates/pg-session/src/extended.rs
+++ b/crates/pg-session/src/extended.rs
@@ -1,13 +1,12 @@
 //! A client's session in the extended query protocol: its prepared statements, portals and pipeline.
 //!
-//! Responsible for the effect of each command, for which requests may start, and for which commands are skipped. Owns
-//! one client's prepared statements (module `statements`), its portals (`portal`), its queue of requests and responses
-//! (`pipeline`) and the segment that is being received (`segment`). Must never do I/O, nor release responses out of
-//! order.
+//! Determines the effect of each command, which requests may start, and which commands are skipped. Owns one client's
+//! prepared statements (module `statements`), its portals (`portal`), its queue of requests and responses (`pipeline`)
+//! and the segment that is being received (`segment`). Must never do I/O, nor release responses out of order.
 //!
 //! Commands are processed as they are received, and their responses are released in the same order. Each Execute of a
-//! request has one final response. Commands after a request without a response are processed as if it succeeds. If it
-//! fails, the commands after it in its segment are rolled back, as if they had never been received:
+//! request has one final response. Commands after a request without a response are processed as if it had succeeded. If
+//! it fails, the commands after it in its segment are rolled back, as if they had never been received:
 //!
 //! - a read may start while other reads run, but not while an earlier write has no response;
 //! - a write starts only when all earlier requests have a response, and those of its segment have succeeded;
@@ -39,7 +38,7 @@
 pub struct SharedResources {
     /// The prepared statements of all clients.
     pub templates: TemplateStore,
-    /// The limits.
+    /// The limits on each client and on all clients together.
     pub limits: Limits,
     /// The usage of the limits that all clients share.
     pub budgets: SharedBudgets,
@@ -52,21 +51,21 @@
 /// The next message for a client, or a request to flush.
 #[derive(Debug, PartialEq)]
 pub enum Output<R> {
-    /// ParseComplete.
+    /// The response to a Parse.
     ParseComplete,
-    /// BindComplete.
+    /// The response to a Bind.
     BindComplete,
-    /// CloseComplete.
+    /// The response to a Close.
     CloseComplete,
-    /// ParameterDescription of a statement.
+    /// The first response to a Describe of a statement: the type OIDs of its parameters.
     ParameterDescription(Vec<u32>),
-    /// RowDescription of the one column, whose values have this format.
+    /// A response to a Describe: the one column, whose values have this format.
     RowDescription(Format),
-    /// NoData.
+    /// A response to a Describe: the statement or portal returns no rows.
     NoData,
-    /// EmptyQueryResponse.
+    /// The response to the Execute of an empty statement.
     EmptyQueryResponse,
-    /// CommandComplete, with its command tag, of a statement that was not sent to an endpoint.
+    /// The response, with its command tag, to an Execute that was not sent to an endpoint.
     CommandComplete(&'static str),
     /// The final response to a request.
     Response {
@@ -79,7 +78,7 @@
     Error(SessionError),
     /// The messages so far must be sent to the client now.
     Flush,
-    /// ReadyForQuery.
+    /// The response to a Sync.
     ReadyForQuery,
 }
 
@@ -199,6 +198,7 @@
                 Output::CloseComplete
             }
             Command::Flush => Output::Flush,
+            // A Sync is processed before, and the others are no commands of an extended query.
             Command::Sync | Command::Terminate | Command::Query(_) => return Ok(()),
         };
         self.pipeline.push_response(response);
@@ -208,10 +208,10 @@
     /// Sets or removes the statement of a name. The change can be rolled back if an earlier request of the segment
     /// fails.
     fn set_statement(&mut self, name: &str, statement: Option<PreparedStatement>) {
-        let may_fail = self
+        let has_pending_request = self
             .pipeline
             .has_pending_request_since(self.segment.first_item);
-        let rollback_item = may_fail.then(|| self.pipeline.next_number());
+        let rollback_item = has_pending_request.then(|| self.pipeline.next_number());
         self.statements.set(name, statement, rollback_item);
     }
 
--- a/crates/pg-session/src/extended/pipeline.rs
+++ b/crates/pg-session/src/extended/pipeline.rs
@@ -1,8 +1,7 @@
 //! The queue of a client's pipelined commands: responses that are available, and requests without a response.
 //!
-//! Responsible for the order of responses and for which request may start. Owns the queued items and the count of
-//! running requests. Must never release a response before an earlier one, nor run a write at the same time as another
-//! request.
+//! Determines the order of responses and which request may start. Owns the queued items and the count of running
+//! requests. Must never release a response before an earlier one, nor run a write at the same time as another request.
 
 use super::{Output, StartedRequest};
 use crate::endpoint_query::EndpointQuery;
--- a/crates/pg-session/src/extended/portal.rs
+++ b/crates/pg-session/src/extended/portal.rs
@@ -89,7 +89,8 @@
         row_limit: u32,
     ) -> Result<Execution, SessionError> {
         let previous = self.progress;
-        // A portal suspended after its one row reports the end of the rows on the next Execute.
+        // With a row limit of 1, the portal is suspended after its one row, and the next Execute reports the end of the
+        // rows. With any other limit, the first Execute completes it.
         let is_suspended = row_limit == ROWS_PER_REQUEST;
         self.progress = if is_suspended && previous == Progress::NotRun {
             Progress::Suspended
